--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,18 +1,17 @@
-// Package scheduler decides which target runs which task, and when. It is plain
-// code: a State takes what callers, targets and the registry say together with
-// the time, and returns effects for others to carry out. It reads no clock, opens
-// no socket and starts no goroutine.
+// Package scheduler decides which target runs which task, and when. It is pure logic: a State takes
+// the messages of callers, targets and the registry, each with the time, and returns effects for
+// others to carry out. It reads no clock, opens no socket and starts no goroutine.
 //
 // Invariants:
 //
-//   - A task has at most one run that may be going on. It is placed again only when
-//     its last run is over: its end was listed, its target's life has ended, it was
-//     stopped before it began, or its lease has lapsed on the target's own clock.
-//   - The lease of a target, which covers everything that runs there, is prolonged
-//     only while the target answers and no stop there waits for its answer.
-//   - A target is used only after a look under the owner's fencing token has shown
-//     that nothing of a former owner runs there but what this one goes on with.
-//   - A submission is refused only while none of its tasks was ever ordered.
+//   - A task has at most one run that may be executing. It is placed again only when its last
+//     run is over: the target listed its completion, the target's incarnation has ended, the
+//     run was stopped before it began, or its lease has lapsed on the target's own clock.
+//   - The lease of a target covers everything that runs there. It is renewed only while the
+//     target answers and no stop is overdue there.
+//   - A target is used only after a poll under the owner's fencing token has shown that no run
+//     of a previous owner is left there, except those that this owner continues.
+//   - A submission is refused only while no start of any of its tasks was ever ordered.
 package scheduler
 
 import (
@@ -21,77 +20,78 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Ref names a submission within one State.
+// Ref identifies a submission within one State.
 type Ref uint64
 
-// Submission is a job that is handed in.
+// Submission is a job that a caller hands in.
 type Submission struct {
 	Ref Ref
-	// Entry is the VM that took the job from its caller, and that vouches for the
-	// caller's interest; empty means this VM.
+	// Entry is the VM that took the job from its caller and sends keepalives for it; empty means
+	// this VM.
 	Entry string
 	Job   work.Job
-	// Part names the tasks where the job is a part that another owner hands over:
-	// its one step has just these. It is taken only if it can begin at once.
+	// Part names the tasks if another owner delegates a part of a job: its one step has just these
+	// tasks. A part is accepted only if it can start at once.
 	Part  []string
 	Queue work.Queue
 	// Age is the time since the caller sent the job.
 	Age time.Duration
-	// Wait is how long the caller waits from then on; 0 means no bound.
+	// Wait is how long the caller waits from when it sent the job; 0 means no bound.
 	Wait time.Duration
 }
 
-// Effect is something that the State wants done.
+// Effect is an action or message that the State asks its caller to carry out.
 type Effect interface{ effect() }
 
-// StartRun orders a run; its answer goes to Started.
+// StartRun orders the start of a run; the answer goes to Started.
 type StartRun struct {
 	To work.Address
 	work.Order
 }
 
-// StopRun orders the end of a run; its answer goes to Stopped.
+// StopRun orders a run to stop; the answer goes to Stopped.
 type StopRun struct {
 	To  work.Address
 	Run work.Run
 }
 
-// Look asks a target what runs and what has ended; its answer goes to Looked.
+// Poll asks a target for its runs and completions; the answer goes to Polled.
 type Look struct {
 	To work.Address
-	// At is when it was first sent, and tells it from other looks at the target.
+	// SentAt is when its first copy was sent; it distinguishes this poll from others of the target.
 	At time.Duration
-	// Until prolongs the lease; 0 leaves it.
+	// LeaseUntil extends the target's lease; 0 leaves it unchanged.
 	Until int64
-	// Seen acknowledges ends.
+	// AckUpTo acknowledges all completions up to this number.
 	Seen int64
 	Wait time.Duration
 }
 
-// Answer ends a submission.
+// Answer answers a submission.
 type Answer struct {
 	Ref     Ref
 	Outcome work.Outcome
-	// Times are those of a job that has begun.
+	// Times are set if the job has started.
 	Times Times
 }
 
-// Times is how long a job waited for its first place and ran from then on.
+// Times says how long a job waited for its first placement, and how long it ran from then on.
 type Times struct{ Wait, Run time.Duration }
 
-// Deposed says that a target has seen the fencing token of another owner.
+// Deposed reports that a target has seen the fencing token of another owner.
 type Deposed struct{ Target string }
 
-// Note is a decision or a change of belief, to be logged.
+// LogEvent is a decision or a change of state, to be logged.
 type Note struct {
-	// Failure marks lines that explain a request which wasn't served.
+	// Failure marks lines that explain why a request failed.
 	Failure bool
 	What    string
 	Job     string
 	Task    string
 	Target  string
 	Detail  string
-	// Age is the age of what decided, where there is one.
+	// Age is how old the information behind the decision is, or how long its subject has existed; 0
+	// where neither applies.
 	Age time.Duration
 }
 
@@ -102,37 +102,38 @@
 func (Deposed) effect()  {}
 func (Note) effect()     {}
 
-// Options are the figures of a State; zero values take the defaults.
+// Options configures a State; zero values take the defaults.
 type Options struct {
-	// Lease is how long a target's lease is asked for.
+	// Lease is the length of the leases that the State asks for.
 	Lease time.Duration
-	// LookWait is the longest wait of a look at a target with work.
+	// PollWait is the longest wait of a poll at a target with work.
 	LookWait time.Duration
-	// StopTime bounds the time of a stop at a target.
+	// StopTimeout bounds how long a target may take to carry out a stop.
 	StopTime time.Duration
-	// Pause is the gap between two ticks that shows that this process stood still.
+	// PauseThreshold is the gap between two ticks that counts as a pause of this process.
 	Pause time.Duration
-	// SendOnce sends each order once and leaves looks as long as they are while all is well;
-	// what sending again is worth shows against it.
+	// SendOnce sends each order once and does not shorten polls when answers get lost. It is the
+	// baseline that the resending of orders is compared with.
 	SendOnce bool
-	// AwaitCordon has nothing start before Cordoned has told whether it may, nor after this
-	// process stood still before it was told again.
+	// AwaitCordon blocks starts until CordonReported says whether the failure domain is cordoned,
+	// and again after a pause of this process.
 	AwaitCordon bool
-	// ConfirmClaims has targets that come later used only once ClaimConfirmed was told since.
+	// ConfirmClaims delays the use of targets that appear later, or restart, until ClaimConfirmed
+	// confirms the claim as of a later time.
 	ConfirmClaims bool
 }
 
 // Defaults of Options.
 const (
-	// DefaultLease must outlast a look with its slack, and lapse before a caller
-	// sends a job again, 1.3 s after a broken answer.
+	// DefaultLease must outlast a poll and its margin, and lapse before a caller sends a job again,
+	// 1.3 s after a broken answer.
 	DefaultLease = 800 * time.Millisecond
-	// DefaultLookWait renews the lease twice within its length.
+	// DefaultPollWait renews the lease twice within its length.
 	DefaultLookWait = 300 * time.Millisecond
-	// DefaultStopTime is the platform's bound.
+	// DefaultStopTimeout is the platform's bound.
 	DefaultStopTime = 50 * time.Millisecond
-	// DefaultPause is five times the longest stretch without processor that a
-	// quota of 0.4 core makes in a tenth of a second, with room.
+	// DefaultPauseThreshold is five times the longest stretch without processor under a CPU quota
+	// of 0.4 core per 100 ms, plus a margin.
 	DefaultPause = 400 * time.Millisecond
 )
 
@@ -150,76 +151,83 @@
 	}
 }
 
-// State is what the owner of some targets believes. It is not safe for concurrent
-// use.
+// State is what the owner of a set of targets knows about them and about its jobs. It is not safe
+// for concurrent use.
 type State struct {
 	options Options
 	targets map[string]*target
 	pools   map[string]*pool
 	jobs    map[Ref]*job
-	// dirty holds the targets that changed since the last Effects.
+	// dirty holds the targets that changed since the last call of Effects.
 	dirty []*target
-	// byID holds the live job of each ID.
+	// jobsByKey holds the job without an answer for each Submission.key.
 	byID map[string]*job
-	// settling counts the runs of ended jobs, by job ID, that may still go on.
+	// stoppingRuns counts, by job ID, the runs and withdrawn parts of ended jobs that may still
+	// execute.
 	settling map[string]int
-	// waiting holds jobs with tasks to place, in the order of their keys.
+	// waiting holds jobs with tasks to place, sorted by compareJobs.
 	waiting []*job
+	// keepalives holds until when each entry VM's callers are taken to wait; estimates holds the
+	// run time estimate of each queue.
 	entries map[string]time.Duration
 	kinds   map[string]*kind
-	// rooms is what other owners say of theirs, parts are tasks that are with them.
+	// reportedCapacity is the free capacity that other owners reported; parts holds the tasks
+	// delegated to them.
 	rooms     map[roomKey]room
 	parts     map[Part]*lent
 	lastPart  Part
 	withdrawn []withdrawal
 
-	// told counts the jobs that ended.
+	// endedJobs counts the jobs that have ended.
 	told    int
 	leaving bool
-	// listed is set once the registry was read.
+	// registryRead is set once the whole registry was read.
 	listed bool
 	ticked time.Duration
-	// claimed is when the claim was last seen to be this owner's, confirming when that was last
-	// asked for, unproven are the targets that wait for it.
+	// claimConfirmedAt is the latest time as of which the claim is known to be this owner's.
+	// claimAskedAt is when a confirmation was last requested; targetsAwaitingClaim wait for one.
 	claimed, confirming time.Duration
-	// early are the targets that were listed when this owner began.
+	// listedAtStart holds the targets that were listed when this owner started.
 	early    map[string]bool
 	unproven []*target
-	// disturbed is when an answer was last lost; 0 before the first.
+	// lastMissedAnswer is when an answer was last found missing; 0 before the first.
 	disturbed time.Duration
-	// unnoted counts what is not yet noted in the store.
+	// pendingWrites counts the writes to the store that are not confirmed yet.
 	unnoted int
 	resend  resending
 	cordon  cordon
 	crashes crashes
-	// ending holds, for each kept job whose end is being noted, the ends of runs that
-	// came after it.
+	// lateCompletions holds, for each durable job whose end is being written to the store, the
+	// completions that arrived after its end.
 	ending map[string][]EndRef
-	// orphans are ends that a former owner did not note, by task, until resumed says that
-	// all jobs were taken over.
+	// unrecordedCompletions holds, by task, the completions that a previous owner did not write to
+	// the store, until allResumed is set.
 	orphans map[string][]orphan
-	// left is what former owners' runs of kept jobs had saved, by task.
+	// inheritedStates is what previous owners' runs of durable jobs had saved, by task.
 	left    map[string]leftover
 	resumed bool
-	// dropped is when jobs were last left to another owner, prolonging says for how long
-	// their runs' leases are prolonged from then on.
+	// droppedAt is when jobs were last left to another owner. The leases of their runs are renewed
+	// for droppedRenewTime from then on.
 	dropped, prolonging time.Duration
-	// wall is the time since 1970 at time zero of the State's time.
+	// wallOffset is the Unix time at the State's time zero.
 	wall time.Duration
-	// asked holds the steps that the adviser is asked about, asking counts them.
+	// adviserRequests holds the steps with an unanswered request to the adviser, by name;
+	// openAdviserRequests is their number.
 	asked map[string]*step
-	// unclaimed holds the outcomes of jobs of other VMs that ended lately.
+	// recentOutcomes holds the outcomes of other VMs' jobs that ended lately.
 	unclaimed map[jobRef]unclaimed
-	// barred holds when jobs were handed in by a request that took another one's place.
+	// superseded holds when a repeated request submitted a job in place of an earlier request,
+	// which must not submit it any more.
 	barred map[jobRef]time.Duration
-	// forgot is when one wasn't remembered for want of room; 0 before the first.
+	// outcomeDiscardedAt is when an outcome was last not remembered for lack of space; 0 before the
+	// first.
 	forgot time.Duration
 	asking int
-	// repeated holds the jobs with occurrences that aren't due yet.
+	// recurringJobs holds the jobs with occurrences that are not due yet.
 	repeated map[*job]bool
 	lastRun  int64
-	// runClock is the shared clock at time zero of the State's time, clocked is set once
-	// it was told.
+	// runClockOffset is the shared clock at the State's time zero; runClockSet is set once
+	// SetRunClock was called.
 	runClock time.Duration
 	clocked  bool
 	effects  []Effect
@@ -253,8 +261,8 @@
 	}
 }
 
-// RunClock tells a clock that all owners share: later runs of a task get higher numbers
-// by it. Until it is told the State's own time does.
+// SetRunClock sets the clock that all owners share. Run numbers derive from it, so that later runs
+// of a task get higher numbers. Before the first call they derive from the State's own time.
 func (s *State) RunClock(now, clock time.Duration) {
 	if !s.clocked {
 		s.clocked, s.runClock = true, clock-now
@@ -262,28 +270,28 @@
 	s.runClock = max(s.runClock, clock-now)
 }
 
-// runsPerMilli keeps the numbers of runs rising with RunClock at more starts than
-// one VM can order.
+// runNumbersPerMilli exceeds the starts that one VM can order in a millisecond, so that run numbers
+// keep rising with the shared clock.
 const runsPerMilli = 32
 
-// nextRun numbers a run higher than any run of the same task under an earlier
-// owner, since a job comes again a second or more later. The numbers of kept jobs are
-// odd, so that a successor knows which ends it has to take note of.
-func (s *State) nextRun(now time.Duration, kept bool) int64 {
+// nextRunNumber returns a number higher than that of any run of the same task under an earlier
+// owner, since a job is sent again a second or more later. The numbers of durable jobs' runs are
+// odd, so that a successor knows which completions it has to write to the store.
+func (s *State) nextRun(now time.Duration, durable bool) int64 {
 	s.lastRun = max(s.lastRun+2, (s.runClock+now).Milliseconds()*runsPerMilli) &^ 1
-	if kept {
+	if durable {
 		return s.lastRun + 1
 	}
 	return s.lastRun
 }
 
-// keptRun reports whether a run is of a kept job, whoever ordered it.
+// isDurableRun reports whether a run belongs to a durable job, whoever ordered it.
 func keptRun(run work.Run) bool { return run.Number&1 == 1 }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// Effects places what can be placed and returns all that is to be done since the
-// last call. Call it after each batch of messages.
+// Effects places what can be placed and returns all effects since the last call. Call it after each
+// batch of messages.
 func (s *State) Effects(now time.Duration) []Effect {
 	s.place(now)
 	for _, t := range s.dirty {
@@ -299,21 +307,22 @@
 	return effects
 }
 
-// EntrySeen says that an entry VM vouches for its callers until a time.
+// EntryKeepalive records that an entry VM's callers still wait, until the given time.
 func (s *State) EntrySeen(entry string, until time.Duration) {
 	s.entries[entry] = max(s.entries[entry], until)
 }
 
-// vouched reports whether the entry VM of a job still stands for its caller.
+// hasKeepalive reports whether a job's caller is taken to wait still. Durable jobs and those of
+// this VM need no keepalive.
 func (s *State) vouched(now time.Duration, j *job) bool {
 	return j.kept() || j.sub.Entry == "" || now < s.entries[j.sub.Entry]
 }
 
-// TickInterval is the time between two calls of Tick: a fraction of the shortest time that
-// it decides on. Ticks that come later show that this process is short of processor.
+// TickInterval is the time between two calls of Tick: a fraction of the shortest timeout that Tick
+// checks. Later ticks show that this process is short of processor.
 const TickInterval = 20 * time.Millisecond
 
-// Tick looks at all that time alone changes. It is to be called every TickInterval.
+// Tick handles everything that changes by time alone. Call it every TickInterval.
 func (s *State) Tick(now time.Duration) {
 	if s.stoodStill(now) {
 		s.resume(now, now-s.ticked)
@@ -347,16 +356,17 @@
 	}
 }
 
-// stoodStill reports whether this process has stood still and didn't tick since.
+// wasPaused reports whether this process was paused and has not ticked since.
 func (s *State) stoodStill(now time.Duration) bool {
 	return s.ticked != 0 && now-s.ticked > s.options.Pause
 }
 
-// entryMemory keeps the last word of an entry VM while a job of it may arrive.
+// keepaliveRetention keeps an entry VM's last keepalive for as long as a job of it may still
+// arrive.
 const entryMemory = 10 * time.Second
 
-// resume gives up all jobs that callers wait for after this process stood still: they
-// may have been sent again to others meanwhile.
+// endJobsAfterPause ends all jobs that callers wait for after a pause of this process: their
+// callers may have sent them to other owners meanwhile.
 func (s *State) resume(now, gap time.Duration) {
 	s.emit(Note{Failure: true, What: "process stood still", Age: gap})
 	s.doubtCordon(now)
@@ -367,8 +377,8 @@
 	}
 }
 
-// Leave stops taking jobs, and hands back those of which nothing was started. Kept jobs
-// are left to the successor, which goes on with what runs of them.
+// Leave stops taking jobs and hands back those with nothing started. Durable jobs are left to the
+// successor, which continues their runs.
 func (s *State) Leave(now time.Duration) {
 	s.leaving = true
 	s.dropped, s.prolonging = now, leavingLease
@@ -400,16 +410,17 @@
 	}
 }
 
-// Jobs is the number of submissions without an answer.
+// Jobs returns the number of submissions without an answer.
 func (s *State) Jobs() int { return len(s.jobs) }
 
-// Targets is the number of targets that are known.
+// Targets returns the number of known targets.
 func (s *State) Targets() int { return len(s.targets) }
 
-// Unnoted is how much has still to be noted in the store.
+// PendingWrites returns the number of writes to the store that are not confirmed yet.
 func (s *State) Unnoted() int { return s.unnoted }
 
-// AtRest reports whether there is no job and no run left that is this owner's.
+// IsIdle reports whether there is no job, no run of this owner, no delegated part and no pending
+// write left.
 func (s *State) AtRest() bool {
 	for _, t := range s.targets {
 		if !t.idle() {
@@ -421,22 +432,22 @@
 
 // Load is what other VMs need to know to choose an owner.
 type Load struct {
-	// Wait is the forecast wait of a usual task, by priority from 0 to 2.
+	// Wait is the forecast wait of a typical task, by priority from 0 to 2.
 	Wait [Priorities]time.Duration
 	// FreeCPU is the free processor of usable targets, in thousandths of a core.
 	FreeCPU int64
-	// CPU is the whole processor of usable targets.
+	// CPU is the total processor of usable targets, in thousandths of a core.
 	CPU int64
-	// Room is what other owners may hand over.
+	// FreeCapacity is what other owners may delegate here.
 	Room Room
 	// Cordoned says that nothing may be started on the targets.
 	Cordoned bool
 }
 
-// Priorities is the number of priorities told apart in a Load.
+// Priorities is the number of priorities that a Load distinguishes.
 const Priorities = 3
 
-// Idle lists the targets that nothing runs on and nothing is about to run on.
+// IdleTargets lists the targets with no runs; it is empty while a started job needs targets.
 func (s *State) Idle() []string {
 	if s.pendingStarted() {
 		return nil
@@ -450,7 +461,7 @@
 	return idle
 }
 
-// pendingStarted reports whether a job that has begun still needs places.
+// hasStartedJobWaiting reports whether a job that has started still has tasks to place.
 func (s *State) pendingStarted() bool {
 	for _, j := range s.waiting {
 		if j.started() && !j.ended {
@@ -460,7 +471,7 @@
 	return false
 }
 
-// Release forgets targets that another owner takes.
+// ReleaseTargets removes idle targets that another owner takes over.
 func (s *State) Release(ids []string) {
 	for _, id := range ids {
 		if t := s.targets[id]; t != nil && t.idle() {
