--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -7,21 +7,22 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// place goes through the waiting jobs in order and starts what fits.
+// placeWaiting goes through the waiting jobs in order and starts the tasks that fit.
 func (s *State) place(now time.Duration) {
 	if len(s.waiting) == 0 {
 		return
 	}
 	if s.stoodStill(now) {
-		// What is believed may have changed meanwhile: the next tick sees to it.
+		// The failure domain may have been cordoned during the pause; the next tick handles the
+		// rest.
 		s.doubtCordon(now)
 	}
-	full := misses{}
-	rest := s.waiting[:0]
-	moved := false
+	failed := misses{}
+	remaining := s.waiting[:0]
+	reordered := false
 	for i, j := range s.waiting {
-		if full.enough() {
-			rest = append(rest, s.waiting[i:]...)
+		if failed.enough() {
+			remaining = append(remaining, s.waiting[i:]...)
 			break
 		}
 		if j.ended {
@@ -29,29 +30,29 @@
 			continue
 		}
 		before := j.key
-		s.placeJob(now, j, &full)
+		s.placeJob(now, j, &failed)
 		if j.pending() {
 			j.order()
-			moved = moved || j.key != before
-			rest = append(rest, j)
+			reordered = reordered || j.key != before
+			remaining = append(remaining, j)
 		} else {
 			j.queued = false
 		}
 	}
-	clear(s.waiting[len(rest):])
-	s.waiting = rest
-	if moved {
+	clear(s.waiting[len(remaining):])
+	s.waiting = remaining
+	if reordered {
 		slices.SortFunc(s.waiting, compareJobs)
 	}
 }
 
-// misses remembers the smallest needs that found no place in this pass.
+// failedPlacements records, for each pool, the smallest CPU need that found no target in this pass.
 type misses struct {
 	smallest map[*pool]int64
 	count    int
 }
 
-// maxMisses bounds the jobs that one pass tries in vain.
+// maxFailedPlacements bounds the steps that one pass tries in vain.
 const maxMisses = 24
 
 func (m *misses) enough() bool { return m.count >= maxMisses }
@@ -71,7 +72,7 @@
 	}
 }
 
-func (s *State) placeJob(now time.Duration, j *job, full *misses) {
+func (s *State) placeJob(now time.Duration, j *job, failed *misses) {
 	if s.settling[j.sub.Job.ID] > 0 || !s.vouched(now, j) {
 		return
 	}
@@ -80,9 +81,9 @@
 			continue
 		}
 		if st.Gang {
-			s.placeGang(now, j, st, full)
+			s.placeGang(now, j, st, failed)
 		} else {
-			s.placeStep(now, j, st, full)
+			s.placeStep(now, j, st, failed)
 		}
 		if len(st.pending) > 0 {
 			s.seek(now, j, st)
@@ -91,21 +92,21 @@
 	}
 }
 
-// placeStep starts tasks of a step until one finds no place.
-func (s *State) placeStep(now time.Duration, j *job, st *step, full *misses) {
-	plain := st.Label == "" && st.on == nil && st.advice == nil && !st.Fills && !st.Serves
+// placeStep starts tasks of a step until one fits no target.
+func (s *State) placeStep(now time.Duration, j *job, st *step, failed *misses) {
+	unconstrained := st.Label == "" && st.on == nil && st.advice == nil && !st.Fills && !st.Serves
 	if st.suspected {
 		s.placeInRoom(now, j, st)
 		st.suspectsLast()
 	}
-	for len(st.pending) > 0 && !(plain && full.hopeless(j.pool, st.Each)) {
+	for len(st.pending) > 0 && !(unconstrained && failed.hopeless(j.pool, st.Each)) {
 		if st.Lasting && !st.bringRipe(now) {
 			return
 		}
 		t := s.pick(now, j, st, st.pending[0])
 		if t == nil {
-			if plain && !st.pending[0].suspect() {
-				full.add(j.pool, st.Each)
+			if unconstrained && !st.pending[0].suspect() {
+				failed.add(j.pool, st.Each)
 			}
 			if st.suspected && j.kept() {
 				s.makeRoom(now, st.pending[0])
@@ -121,7 +122,7 @@
 	}
 }
 
-// may reports whether a task may start on a target now.
+// canStart reports whether a task may start on a target now.
 func (s *State) may(now time.Duration, t *target, j *job, st *step, tk *task) bool {
 	if !t.takes() || now < t.blocked || !st.Each.Fits(t.free) {
 		return false
@@ -144,7 +145,7 @@
 	return true
 }
 
-// rank is lower for targets that suit a task better by other things than room.
+// rank rates how badly a target suits a task apart from its free capacity; 0 is best.
 func (t *target) rank(now time.Duration, st *step, tk *task) int {
 	rank := 0
 	if st.Rack != "" && !slices.Contains(t.Labels, st.Rack) {
@@ -165,7 +166,7 @@
 	return rank
 }
 
-// start orders a run.
+// startRun orders a run of a task on a target.
 func (s *State) start(now time.Duration, t *target, tk *task, number int64) {
 	j := tk.job
 	r := &run{
@@ -188,7 +189,7 @@
 	s.sendStart(now, r)
 }
 
-// sendStart sends a copy of the order of a run.
+// sendStart sends one copy of a run's start order.
 func (s *State) sendStart(now time.Duration, r *run) {
 	r.copies.add(now)
 	s.emit(StartRun{To: r.target.address(), Order: work.Order{
@@ -196,7 +197,7 @@
 	}})
 }
 
-// occupy gives a run its place on a target.
+// assignRun reserves a run's resources on its target.
 func (s *State) occupy(t *target, r *run) {
 	st := r.task.step
 	r.task.run = r
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -7,49 +7,48 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// pool is the targets of a service. Open targets, those that take new tasks, are
-// filed by their free processor, so that a place is found, and what is free is
-// known, without looking at each target.
+// pool holds the targets of a service. Open targets, those that take new tasks, are indexed by
+// their free processor, so that finding a target and summing free capacity need not visit all.
 type pool struct {
 	targets []*target
-	// adopting counts those that are being taken over.
+	// arrivingCount counts the targets that are being taken over and will take tasks.
 	adopting int
-	// barred says that nothing may be started on the targets.
+	// blocked says that nothing may be started on the targets.
 	barred bool
-	// trials counts the runs of suspect tasks that have their target for themselves.
+	// isolations counts isolated runs of suspect tasks and the targets reserved for one.
 	trials int
-	// suspects are the targets under suspicion.
+	// suspectTargets are the targets whose health is suspected.
 	suspects []*target
 	buckets  [bucketCount][]*target
-	// cpu is the whole processor of open targets, flow what their runs give back
-	// each millisecond.
+	// openCPU is the total processor of open targets; releaseRate is the processor that their runs
+	// free per millisecond.
 	cpu  int64
 	flow float64
-	// usual is the median speed of the targets.
+	// medianSpeed is the median run time factor of the targets.
 	usual float64
-	// usualCPU is the need of a usual task, a moving average in thousandths of a
-	// core; 0 before the first.
+	// typicalCPU is the moving average of a task's need, in thousandths of a core; 0 before the
+	// first.
 	usualCPU float64
-	// demand is the work taken lately by priority, in thousandths of a core times
-	// seconds, as of demandAt.
+	// demand is the recently accepted work by priority, in thousandths of a core times seconds, as
+	// of demandAt.
 	demand   [Priorities]float64
 	demandAt time.Duration
-	// reserved is the gang that room is kept for since reservedAt; nil for none.
+	// reservedFor is the gang that targets are reserved for since reservedAt; nil for none.
 	reserved   *step
 	reservedAt time.Duration
 }
 
-// Sizes of the file of open targets.
+// Sizes of the index of open targets.
 const (
-	// bucketWidth is fine against the need of a task, in thousandths of a core.
+	// bucketWidth is small compared with the need of a task, in thousandths of a core.
 	bucketWidth = 1000
-	// bucketCount covers targets of 128 cores; larger rooms share the last one.
+	// bucketCount covers targets of 128 cores; targets with more free processor share the last one.
 	bucketCount = 128
 )
 
 func bucketOf(cpu int64) int { return int(min(max(cpu, 0)/bucketWidth, bucketCount-1)) }
 
-// filing is where a target stands in its pool's file.
+// indexEntry is what a pool has recorded of a target, and where.
 type filing struct {
 	open      bool
 	adopting  bool
@@ -60,17 +59,17 @@
 	flow      float64
 }
 
-// open reports whether a target takes new tasks like any other.
+// isOpen reports whether a target takes new tasks without restriction.
 func (t *target) open() bool {
 	return t.takes() && !t.health.suspected && t.reserved == nil && t.trial == nil
 }
 
-// takes reports whether a target takes new tasks at all.
+// acceptsTasks reports whether a target takes any new tasks at all.
 func (t *target) takes() bool {
 	return t.state == usable && !t.Draining && !t.gone && !t.pool.barred
 }
 
-// touch files a target anew after a change, and has it looked at if it needs to.
+// markChanged updates a target's index entry and has the next Effects check whether to poll it.
 func (s *State) touch(t *target) {
 	t.pool.remove(t)
 	if s.targets[t.ID] == t {
@@ -121,7 +120,7 @@
 	t.filed = filing{}
 }
 
-// free is the processor of open targets that tasks of a size can have now.
+// freeCPU returns the free processor of open targets that tasks of a given size can use now.
 func (p *pool) free(each int64) int64 {
 	total := int64(0)
 	for bucket := bucketOf(each); bucket < bucketCount; bucket++ {
@@ -147,9 +146,8 @@
 	return free / each * each
 }
 
-// pick chooses the target that a task fits most tightly, so that large tasks find
-// room elsewhere; targets that suit it less by other things only where no other has
-// room.
+// pickTarget chooses the target with the least free processor that fits a task, so that large tasks
+// find capacity elsewhere. A target with a worse rank is chosen only if no better one fits.
 func (s *State) pick(now time.Duration, j *job, st *step, tk *task) *target {
 	if st.Fills {
 		return s.pickFill(now, j, st, tk)
@@ -183,21 +181,21 @@
 	return nil
 }
 
-// holds reports whether any target is large enough for a step.
+// canFit reports whether any target is large enough for a step.
 func (p *pool) holds(st *step) bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool {
 		return st.fitsOn(t)
 	})
 }
 
-// unready reports whether a target isn't usable yet, or isn't any more.
+// hasUnusableTargets reports whether a target is not usable yet, or not any more.
 func (p *pool) unready() bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool { return t.state != usable })
 }
 
-// arriving is the processor that tasks of a size will have on targets that are being taken
-// over: a new owner has all of them within some round trips, and callers that are refused
-// meanwhile would be refused beside free targets.
+// arrivingCPU returns the processor that tasks of a given size will have on targets that are being
+// taken over. A new owner has all of them within a few round trips, and callers refused meanwhile
+// would be refused while targets are free.
 func (p *pool) arriving(each int64) int64 {
 	if p.adopting == 0 {
 		return 0
@@ -211,24 +209,24 @@
 	return total
 }
 
-// adopts reports whether a target is being taken over and will take tasks.
+// isArriving reports whether a target is being taken over and will take tasks.
 func (t *target) adopts() bool {
 	return t.state == adopting && t.failedLooks == 0 && !t.Draining && !t.gone && !t.pool.barred
 }
 
-// supply is the processor that tasks of a size can have now, and the processor that
-// running tasks give back each millisecond.
-func (p *pool) supply(now time.Duration, each int64) (room int64, flow float64) {
-	room = p.free(each)
+// supply returns the processor that tasks of a given size can have now, and the processor that runs
+// free per millisecond.
+func (p *pool) supply(now time.Duration, each int64) (free int64, flow float64) {
+	free = p.free(each)
 	for _, t := range p.suspects {
 		if t.takes() && t.health.probed(now, t) {
-			room += min(t.free.CPU, each)
+			free += min(t.free.CPU, each)
 		}
 	}
-	return room, max(p.flow, 0)
+	return free, max(p.flow, 0)
 }
 
-// roomElsewhere reports whether another open target has room.
+// hasCapacityElsewhere reports whether another open target has enough free capacity.
 func (s *State) roomElsewhere(t *target, need work.Resources) bool {
 	for bucket := bucketOf(need.CPU); bucket < bucketCount; bucket++ {
 		for _, other := range t.pool.buckets[bucket] {
