--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -5,43 +5,41 @@
 	"time"
 )
 
-// health is the evidence against a target. Evidence of one job alone may be the
-// job's own fault.
+// health is the evidence that a target is faulty. Failures of a single job may be that job's own
+// fault and are not enough.
 type health struct {
-	// speed is the run time against that of usual targets, a moving average.
+	// speed is the moving average of run time divided by expected run time; higher is slower.
 	speed float64
-	// strikes holds the jobs that fared badly here since the last good end.
+	// failures holds, by job, the last failure here since the last successful run.
 	strikes map[string]time.Duration
-	// until bars the target, retry is the pause after the next suspicion.
+	// probeAfter is when the target may be probed; backoff is the pause after the next suspicion.
 	until, retry time.Duration
-	// since is when the target came under suspicion.
+	// suspectedSince is when the target came under suspicion.
 	since time.Duration
-	// suspected targets take one task at a time once until has passed, till one
-	// ends well.
+	// suspected targets get one task at a time from probeAfter on, until one succeeds.
 	suspected bool
 }
 
-// Figures of suspicion.
+// Parameters of suspicion.
 const (
-	// suspicious is how many jobs must have fared badly.
+	// minFailedJobs is how many jobs must have had failures on a target.
 	suspicious = 2
-	// firstRest and longestRest bound how long a suspected target is left alone.
+	// minBackoff and maxBackoff bound how long a suspected target gets no task.
 	firstRest   = 300 * time.Millisecond
 	longestRest = 1200 * time.Millisecond
-	// strikeMemory is how long a strike counts.
+	// failureRetention is how long a failure counts.
 	strikeMemory = 3 * time.Second
-	// speedWeight is the weight of the newest end in the moving average.
+	// speedWeight is the weight of the newest run in the moving average.
 	speedWeight = 0.3
-	// slowSpeed is the speed from which a target is used only where a job can
-	// still be on time there: twice what a good end varies by.
+	// slowSpeed is the speed above which a target is used only where a job can still be on time
+	// there: twice the normal variation of successful runs.
 	slowSpeed = 2.0
-	// overdueFactor and overdueSlack are what a run may take before it speaks
-	// against its target; run times vary by up to four times their mean, but
-	// beyond 2.5 times only in one of a hundred.
+	// overdueFactor and overdueSlack bound how long a run may take before it counts as a failure of
+	// its target. Run times vary by up to four times their mean, but only one in a hundred exceeds
+	// 2.5 times.
 	overdueFactor = 2.5
 	overdueSlack  = 30 * time.Millisecond
-	// maxSuspected is the share of a service's targets that may be suspected at
-	// one time.
+	// maxSuspectedShare is the share of a service's targets that may be suspected at one time.
 	maxSuspected = 0.34
 )
 
@@ -57,13 +55,13 @@
 	h.retry = min(2*h.retry, longestRest)
 }
 
-// probed reports whether a suspected target may have a task, one at a time, that
-// finds out whether it is well again.
+// canProbe reports whether a suspected target may get a task, one at a time, that tests whether it
+// has recovered.
 func (h *health) probed(now time.Duration, t *target) bool {
 	return now >= h.until && len(t.runs) == 0
 }
 
-// strike counts a bad end or a lost answer against a target.
+// recordFailure counts a failed run or a lost answer against a target.
 func (s *State) strike(now time.Duration, t *target, j *job) {
 	h := &t.health
 	if _, known := h.strikes[j.sub.Job.ID]; known && !h.suspected {
@@ -86,8 +84,7 @@
 	}
 }
 
-// strikeFailed counts a failed run against its target, unless the job fails
-// everywhere.
+// recordFailedRun counts a failed run against its target, unless the job fails on several targets.
 func (s *State) strikeFailed(now time.Duration, t *target, j *job) {
 	j.blamed[t.ID] = true
 	if len(j.blamed) >= suspicious {
@@ -105,18 +102,19 @@
 	return float64(len(p.suspects)+1) <= maxSuspected*float64(len(p.targets))
 }
 
-// praise learns from a good end.
+// recordSuccess updates a target's speed and clears its failures after a successful run.
 func (s *State) praise(now time.Duration, t *target, r *run) {
 	h := &t.health
 	if st := r.task.step; r.adopted || r.cold || st.Lasting || st.Fills {
-		// When it began isn't known, its target was cold, it was no good end, or others had the
-		// processor.
+		// These runs say nothing of the target's speed: the start of adopted runs is not known,
+		// cold targets are slow for a while, lasting tasks never succeed, and background tasks get
+		// only processor that others leave unused.
 		return
 	}
 	took := now - r.ordered
 	if s.unsettled(now) && now-t.lookCopies.sent < atOnce {
-		// It had ended before that was asked, at any time since it was last listed: in doubt as
-		// expected.
+		// The run had ended before the poll, at some time since it was last listed. Assume the
+		// expected time where that is possible.
 		took = min(took, max(t.heard-r.ordered, r.expected))
 	}
 	speed := float64(took) / float64(r.expected)
@@ -137,15 +135,15 @@
 	h.retry = firstRest
 }
 
-// slow reports whether a target takes much longer than the usual one: where all
-// do, it is the declared run times that are off.
+// isSlow reports whether a target takes much longer than the median one. Where all targets do, the
+// declared run times are wrong.
 func (t *target) slow() bool { return t.health.speed > slowSpeed*max(t.pool.usual, 1) }
 
-// cold reports whether a target is still slow after its start, which is no sickness: nothing
-// is learned from what it runs, and others go first where they have room.
+// isCold reports whether a target is still slow after its start. That is no fault: its runs teach
+// nothing of its speed, and other targets with capacity are preferred.
 func (t *target) cold(now time.Duration) bool { return now < t.warm }
 
-// usualSpeed is the median speed of a pool's targets.
+// computeMedianSpeed returns the median speed of a pool's targets.
 func (p *pool) usualSpeed() float64 {
 	if len(p.targets) == 0 {
 		return 1
@@ -158,13 +156,13 @@
 	return speeds[len(speeds)/2]
 }
 
-// maxSpeed bounds what one end can add to the moving average.
+// maxSampleSpeed bounds what one run can add to the moving average.
 const maxSpeed = 10.0
 
-// atOnce is the time within which a look is answered that needn't wait.
+// promptPollTime is the time within which a target answers a poll that need not wait.
 const atOnce = 10 * time.Millisecond
 
-// judge looks at the runs of a target that should have ended.
+// checkRuns handles the runs of a target that should have ended.
 func (s *State) judge(now time.Duration, t *target) {
 	seen := s.listedUntil(now, t)
 	for _, r := range t.sortedRuns() {
@@ -197,9 +195,9 @@
 	}
 }
 
-// listedUntil is until when runs of a target are known to go on: a target that is asked
-// tells of an end at once, but while answers get lost silence tells nothing: good targets would
-// come under suspicion for ends that were told and lost.
+// lastKnownRunning returns until when a target's listed runs are known to be running. A polled
+// target reports completions at once. While answers get lost its silence proves nothing: good
+// targets would be suspected for completions that were reported and lost.
 func (s *State) listedUntil(now time.Duration, t *target) time.Duration {
 	if s.unsettled(now) {
 		return t.heard
@@ -207,16 +205,16 @@
 	return now
 }
 
-// overdue reports whether a run should have ended; one that lasts never should, and one
-// that fills has no time of its own.
+// isOverdue reports whether a run should have ended. Lasting tasks never should, and background
+// tasks have no predictable run time.
 func (r *run) overdue(now time.Duration) bool {
 	return !r.task.step.Lasting && !r.task.step.Fills && now-r.ordered > time.Duration(overdueFactor*float64(r.patience()))+overdueSlack
 }
 
-// coldFactor is how many times as long as usual a run may take on a cold target.
+// coldFactor is how many times as long a run may take on a cold target.
 const coldFactor = 3
 
-// patience is the expected run time, longer where the target was cold.
+// allowedTime is the expected run time, longer where the target was cold.
 func (r *run) patience() time.Duration {
 	if r.cold {
 		return coldFactor * r.expected
@@ -224,21 +222,21 @@
 	return r.expected
 }
 
-// hopelessFactor is beyond the longest run times, four times their mean, where
-// the declared one is too low by half as much again.
+// hungFactor exceeds the longest run times, four times their mean, for declared times that are half
+// as much too low.
 const hopelessFactor = 6
 
-// hopeless reports whether a run's time alone speaks against its target.
+// isHung reports whether a run has taken so long that it alone makes its target suspect.
 func (r *run) hopeless(now time.Duration) bool {
 	return now-r.ordered > hopelessFactor*r.patience()+overdueSlack
 }
 
-// stuckTime is the least time after which a run of a kept job is taken for stuck: the
-// other runs of its target have shown by then whether it is the target's fault.
+// minStuckTime is the least time after which a durable job's run counts as stuck. By then the other
+// runs of its target have shown whether the target is at fault.
 const stuckTime = 2 * time.Second
 
-// stuck reports whether a run of a kept job should begin anew, wherever that may be:
-// nobody gives the job up. Each time the patience doubles, as the run may just be long.
+// isStuck reports whether a durable job's run should be stopped and placed again on any target: no
+// caller gives the job up. The limit doubles each time, as the run may just be long.
 func (r *run) stuck(now time.Duration) bool {
 	if !r.task.job.kept() {
 		return false
@@ -246,11 +244,11 @@
 	return now-r.ordered > max(hopelessFactor*r.expected, stuckTime)<<min(r.task.restarts, maxDoublings)
 }
 
-// maxDoublings bounds the patience with a stuck run at minutes.
+// maxDoublings bounds the limit for a stuck run at minutes.
 const maxDoublings = 6
 
-// worthMoving reports whether a run on a suspected target would end earlier
-// elsewhere, while its job is of use.
+// shouldMove reports whether a run on a suspected target would end earlier elsewhere, while its
+// answer is still of use.
 func (s *State) worthMoving(now, seen time.Duration, t *target, r *run) bool {
 	if r.task.step.Lasting || r.task.step.Gang || r.task.step.Fills || r.task.job.dropped {
 		return false
@@ -260,7 +258,7 @@
 		return false
 	}
 	if r.ordered > t.health.since {
-		// It finds out whether the target is well again.
+		// This run probes whether the target has recovered.
 		return r.overdue(seen)
 	}
 	speed := max(t.health.speed, float64(seen-r.ordered)/float64(r.expected))
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -9,11 +9,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A target's entry and its answers both tell of itself: what it has in all, which changes
-// while it runs, and when its present life began. The newest word of either holds.
+// A target reports its capacity, which may change while it runs, and the start of its present
+// incarnation, both in its registry entry and in its answers. The latest report counts.
 
-// resize takes a new word of a target's capacity. What runs goes on; one that has less than
-// what runs there takes nothing new until that fits.
+// setCapacity updates a target's capacity. Its runs go on; a target with less capacity than its
+// runs use gets nothing new until it has enough again.
 func (s *State) resize(t *target, capacity work.Resources) {
 	if capacity == t.Capacity {
 		return
@@ -25,22 +25,22 @@
 	s.touch(t)
 }
 
-// clockRestart is by how much a target's clock must be behind what it told before for it to
-// have begun anew: answers that overtake each other differ by less.
+// minClockStepBack is by how much a clock value must be behind the last known one for the clock to
+// have restarted; answers that overtake each other differ by less.
 const clockRestart = time.Second
 
-// lifeTold is how lately a target must have answered for a look to acknowledge ends: one that
-// has started again since would take the numbers of its former life's ends for its own. It is
-// well below the time that a start takes.
+// maxAckAge is how recently a target must have answered for a poll to acknowledge completions. A
+// target that has restarted since would apply the numbers to its new completions. It is well below
+// the time that a restart takes.
 const lifeTold = 250 * time.Millisecond
 
-// restarted reports whether an answer's clock shows that the target's clock began anew.
+// clockRestarted reports whether an answer's clock value shows that the target's clock restarted.
 func (t *target) restarted(clock int64) bool {
 	return t.Life != 0 && !t.reborn && clock != 0 && t.lease.known && clock+clockRestart.Milliseconds() < t.lease.clock
 }
 
-// readClock takes the clock of an answer to an order, which doesn't name the life that gave it:
-// a late one may be of a former life, whose clock was further.
+// updateClock takes the clock value of an answer to an order, which does not name its incarnation:
+// a late answer may be of a previous one, whose clock was further ahead.
 func (t *target) readClock(now time.Duration, clock int64) {
 	if t.Life != 0 && (!t.lease.known || clock > t.lease.end(now, clockRestart)) {
 		return
@@ -48,8 +48,8 @@
 	t.lease.read(clock, now)
 }
 
-// tellsLife takes the life that a target's answer names, and reports whether the answer is
-// of its present one.
+// acceptIncarnation takes the incarnation that a target's answer or registry entry names, and
+// reports whether it is the present one.
 func (s *State) tellsLife(now time.Duration, t *target, life int64) bool {
 	switch {
 	case life == 0 || life == t.Life:
@@ -63,9 +63,9 @@
 	return true
 }
 
-// renew begins a new life of a target under its ID: it holds nothing of the former one, and
-// its clock and the numbers of its ends begin anew. Runs that were listed are over. Others
-// may have been begun by either life, and are stopped in this one.
+// beginIncarnation resets a target that has restarted under its ID: it has no state of the previous
+// incarnation, and its clock and completion numbers start again. Listed runs are over. Either
+// incarnation may have started the others; they are stopped in the new one.
 func (s *State) renew(now time.Duration, t *target, why string) {
 	s.emit(Note{What: "target started again", Target: t.ID, Detail: why, Age: now - t.lease.at})
 	s.lifeOver(now, t)
@@ -85,18 +85,18 @@
 			s.lost(now, r, "its target has started again")
 			continue
 		}
-		// No lease that is known of tells when it is over: only its stop does.
+		// No known lease end bounds this run: only its stop ends it.
 		r.state, r.until, r.stop = doubtful, noLease, nil
 		s.stop(now, r)
 	}
 	s.touch(t)
 }
 
-// noLease is the lease of a run that either of two lives may have begun: the clock of the
-// present one doesn't tell when it is over.
+// noLeaseEnd is the lease end of a run that either of two incarnations may have started: the
+// present one's clock does not tell when it is over.
 const noLease = math.MaxInt64
 
-// unleased reports whether only such runs are left on a target.
+// hasOnlyUnleasedRuns reports whether all runs of a target have no known lease end.
 func (t *target) unleased() bool {
 	for _, r := range t.runs {
 		if r.until != noLease {
@@ -106,30 +106,31 @@
 	return true
 }
 
-// A target that comes later, or has started again, knows of no owner, so that a former one
-// which doesn't know of its successor could order it about. It is used once the claim was
-// seen to be this owner's still, at some time since: a successor that claims later finds the
-// target there to be barred.
+// A target that appears later, or has restarted, knows no fencing token. A previous owner that does
+// not know of its successor could still order starts there. The target is used once the claim is
+// confirmed to be this owner's as of a later time: a successor that claims after that finds the
+// target listed and fences it.
 
-// ConfirmClaim asks for the newest claim of the targets; the answer goes to ClaimConfirmed.
+// ConfirmClaim asks for the newest claim on the targets; the answer goes to ClaimConfirmed.
 type ConfirmClaim struct{}
 
 func (ConfirmClaim) effect() {}
 
-// confirmPause paces the questions for the claim.
+// claimRetryInterval is the pause between two requests to confirm the claim.
 const confirmPause = 200 * time.Millisecond
 
-// ClaimConfirmed says that at a time the claim was this owner's.
+// ClaimConfirmed reports that the claim was this owner's as of a given time.
 func (s *State) ClaimConfirmed(now, asOf time.Duration) {
 	s.claimed = max(s.claimed, asOf)
 	s.useProven(now)
 }
 
-// ListedEarly says that a target was listed when this owner began: it knows the token of a
-// former owner, and so of any successor, however late this owner is given it.
+// ListedAtStart records that a target was listed when this owner started. It has seen the token of
+// a previous owner, and so will see that of any successor, however late this owner lists it.
 func (s *State) ListedEarly(id string) { s.early[id] = true }
 
-// comesLater notes when a target is first seen, and whether this owner had others then.
+// recordFirstSeen records when an incarnation was first seen, and whether its use needs a later
+// confirmation of the claim.
 func (s *State) comesLater(now time.Duration, t *target) {
 	t.since, t.later = now, t.lives > 0
 	if !s.options.ConfirmClaims || s.early[t.ID] && t.lives == 0 {
@@ -141,7 +142,8 @@
 	}
 }
 
-// proven reports whether it is known that nobody else owns a target, and asks otherwise.
+// hasConfirmedClaim reports whether this owner is known to be the only one of a target, and
+// otherwise asks for a confirmation of the claim.
 func (s *State) proven(now time.Duration, t *target) bool {
 	if !t.later || s.claimed >= t.since {
 		return true
@@ -156,12 +158,13 @@
 	return false
 }
 
-// awaitsClaim reports whether a target that obeys this owner waits for the claim.
+// awaitsClaim reports whether a target needs nothing but the confirmed claim to be used.
 func (t *target) awaitsClaim(s *State) bool {
 	return t.state == adopting && t.barred && t.later && s.claimed < t.since && len(t.strangers) == 0 && len(t.guests) == 0
 }
 
-// useProven takes targets into use that waited for the claim, or asks again.
+// retryAwaitingClaim puts targets into use whose claim is confirmed by now, and asks again for the
+// others.
 func (s *State) useProven(now time.Duration) {
 	waiting := s.unproven
 	s.unproven = nil
@@ -173,7 +176,7 @@
 	}
 }
 
-// endRef names an end of the target's present life.
+// completionRef identifies a completion of the target's present incarnation.
 func (t *target) endRef(number int64) EndRef {
 	return EndRef{Target: t.ID, Number: number, Life: t.lives}
 }
