--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Submit takes a job, or answers at once why it won't be run.
+// Submit accepts a job, or answers at once why it is not run.
 func (s *State) Submit(now time.Duration, sub Submission) {
 	if s.bars(now, sub) {
 		s.answer(sub, work.Outcome{Result: work.Unknown, Reason: "the job was asked for again"})
@@ -31,7 +31,7 @@
 		}
 		return
 	}
-	if reason, is := s.condemnedJob(sub); is {
+	if reason, poisoned := s.condemnedJob(sub); poisoned {
 		s.answer(sub, work.Outcome{Result: work.Failed, Reason: reason})
 		return
 	}
@@ -67,15 +67,15 @@
 	s.wait(j)
 }
 
-// unservableRetry is told where nothing but a change of targets helps.
+// unservableRetryAfter is told to callers where only a change of targets helps.
 const unservableRetry = 5 * time.Second
 
 func (s *State) answer(sub Submission, outcome work.Outcome) {
 	s.emit(Answer{Ref: sub.Ref, Outcome: outcome})
 }
 
-// attach hands a running job to the caller that sent it again; the earlier
-// request has been given up by its caller.
+// attachCaller connects a running job to the caller that sent it again; that caller has given up
+// its earlier request.
 func (s *State) attach(now time.Duration, j *job, sub Submission) {
 	s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the job was sent again"})
 	delete(s.jobs, j.sub.Ref)
@@ -93,10 +93,10 @@
 	s.wait(j)
 }
 
-// Listed says that the registry was read whole: what is not known is not there.
+// RegistryRead records that the whole registry was read: a target not known now does not exist.
 func (s *State) Listed() { s.listed = true }
 
-// unservable tells why no target that is known can ever run a job.
+// unservableReason returns why no known target can ever run a job; empty if one can.
 func (s *State) unservable(j *job) string {
 	if !s.listed {
 		return ""
@@ -115,7 +115,7 @@
 	return ""
 }
 
-// crowd tells how busy the targets are, for trails.
+// describeLoad describes how busy the targets are, for job histories.
 func (s *State) crowd(j *job) string {
 	return fmt.Sprintf("%d jobs wait, needs %d of cpu, entry %s", len(s.waiting), j.firstNeed().total, j.sub.Entry)
 }
@@ -128,34 +128,33 @@
 	s.answer(j.sub, outcome)
 }
 
-// marginShare of the objective is by how much a forecast start must be earlier than
-// needed: work that turns out late takes the places of work that would be in time.
+// startMarginShare of the objective is by how much a forecast start must be earlier than needed.
+// Jobs that turn out late take the capacity of jobs that would be on time.
 const marginShare = 0.1
 
-// forecast estimates the wait of a job for its places, and reports whether it
-// should be taken.
+// forecastStart estimates how long a job waits for targets, and reports whether to accept it.
 func (s *State) forecast(now time.Duration, j *job) (time.Duration, bool) {
 	need := j.firstNeed()
-	room, flow := j.pool.supply(now, need.each)
+	free, flow := j.pool.supply(now, need.each)
 	if j.lendable() {
 		_, elsewhere := s.roomiest(now, j.sub.Queue)
-		room += int64(elsewhere.Places[priorityOf(j.sub.Queue)]) * need.each
+		free += int64(elsewhere.Places[priorityOf(j.sub.Queue)]) * need.each
 	}
-	// What is free now was of no use to those who wait: it doesn't fit them.
-	rest := need.total - room
+	// Capacity that is free now does not fit the waiting jobs, so that this job can use it.
+	rest := need.total - free
 	arriving := j.pool.arriving(need.each)
-	if rest <= 0 || arriving+room == 0 && flow == 0 && s.unsure(j.pool) {
+	if rest <= 0 || arriving+free == 0 && flow == 0 && s.unsure(j.pool) {
 		return 0, true
 	}
-	// What begins at once gives its places back in turn.
-	flow += float64(room+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
+	// Tasks that start at once free their processor again when they end.
+	flow += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
 	flow *= j.pool.left(now, priorityOf(j.sub.Queue))
 	wait := waitFor(s.ahead(j)+rest-arriving, flow)
 	slack := j.latest - now - time.Duration(marginShare*float64(j.objective-j.arrived))
 	return wait, wait <= slack
 }
 
-// waitFor is how long it takes until an amount of processor is given back at a rate a
+// drainTime returns how long it takes until an amount of processor is freed at a rate per
 // millisecond.
 func waitFor(amount int64, flow float64) time.Duration {
 	switch {
@@ -167,25 +166,24 @@
 	return min(time.Duration(float64(amount)/flow*float64(time.Millisecond)), maxForecast)
 }
 
-// unsure reports whether it isn't known yet what the targets can take.
+// isCapacityUnknown reports whether it is not known yet what the targets can take.
 func (s *State) unsure(p *pool) bool {
 	return !s.listed || !s.cordon.known || p.unready()
 }
 
-// turnAway refuses a job that has become late and, behind all work that can be in time,
-// won't find its places while its end is of any use: its caller is told now instead of at
-// the end of that time.
+// refuseLate refuses a late job that, behind all jobs that can still be on time, would not start
+// while its answer is of any use. Its caller learns so now instead of at the end of that time.
 func (s *State) turnAway(now time.Duration, j *job) {
 	if j.kept() || j.sub.Part != nil {
 		return
 	}
 	need := j.firstNeed()
-	room, flow := j.pool.supply(now, need.each)
+	free, flow := j.pool.supply(now, need.each)
 	if flow == 0 && s.unsure(j.pool) {
 		return
 	}
-	// The job itself is among those that wait.
-	wait := waitFor(s.ahead(j)-room-j.pool.arriving(need.each), flow*j.pool.left(now, Priorities))
+	// The job itself is among the waiting ones that cpuAhead counts.
+	wait := waitFor(s.ahead(j)-free-j.pool.arriving(need.each), flow*j.pool.left(now, Priorities))
 	if wait <= j.useful-j.chain()-now {
 		return
 	}
@@ -194,25 +192,25 @@
 	s.finish(now, j, outcome)
 }
 
-// maxForecast bounds what callers are told.
+// maxForecast bounds the wait that callers are told.
 const maxForecast = 10 * time.Second
 
-// usualWeight is the weight of the newest job in the moving average of needs.
+// typicalWeight is the weight of the newest job in the moving average of needs.
 const usualWeight = 0.05
 
-// demandTime is over how long the demand of each priority is averaged: some tens of
-// jobs of a failure domain, and a fraction of a burst.
+// demandWindow is the time over which the demand of each priority is averaged: some tens of a
+// failure domain's jobs, and a fraction of a burst.
 const demandTime = 400 * time.Millisecond
 
-// overtaking is how much of the more urgent demand counts: most of it goes first, as
+// urgentDemandFactor is how much of the more urgent demand counts. Most of it goes first, as
 // waiting jobs gain urgency only slowly.
 const overtaking = 0.75
 
-// leastLeft is what a priority counts on however much goes before it: its jobs gain
-// urgency as they wait.
+// minCPUShare is the least share that a priority gets in forecasts, however much goes before it:
+// its jobs gain urgency as they wait.
 const leastLeft = 0.1
 
-// met learns from a job that was taken.
+// recordDemand updates the averages of needs and demand with an accepted job.
 func (p *pool) met(now time.Duration, j *job) {
 	if j.steps[0].Fills {
 		return
@@ -228,7 +226,7 @@
 	}
 }
 
-// decay lets older demand count less.
+// decayDemand reduces the weight of older demand.
 func (p *pool) decay(now time.Duration) {
 	factor := math.Exp(-(now - p.demandAt).Seconds() / demandTime.Seconds())
 	for i := range p.demand {
@@ -237,8 +235,8 @@
 	p.demandAt = now
 }
 
-// left is the share of the processor that more urgent work leaves to a priority,
-// going by what was taken lately: it goes first also when it comes later.
+// shareLeft returns the share of the processor that more urgent work leaves to a priority,
+// estimated from recent demand: urgent work goes first even when it comes later.
 func (p *pool) left(now time.Duration, priority int) float64 {
 	p.decay(now)
 	urgent := 0.0
@@ -265,7 +263,7 @@
 	return n
 }
 
-// ahead is the processor that waiting jobs before a job still want.
+// cpuAhead returns the processor that the waiting jobs up to and including a job still want.
 func (s *State) ahead(j *job) int64 {
 	total := int64(0)
 	for _, other := range s.waiting {
@@ -279,12 +277,12 @@
 	return total
 }
 
-// lasts is the expected run time in milliseconds.
+// expectedMillis returns the expected run time on the run's target, in milliseconds.
 func (r *run) lasts() float64 {
 	return max(float64(r.expected)/float64(time.Millisecond)*max(r.target.health.speed, 1), 1)
 }
 
-// Load tells other VMs how busy the targets of a service are.
+// Load summarizes for other VMs how busy the targets of a service are.
 func (s *State) Load(now time.Duration, service string) Load {
 	p := s.poolOf(service)
 	load := Load{Cordoned: s.cordon.closes()}
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Tasks that fill take the processor that others on their target leave unused, and disturb
-// those that serve users of their own. The two kinds are kept on targets of their own: where
-// a serving task finds no other place, the filling ones make room.
+// Background tasks use the processor that others on their target leave unused, and disturb
+// latency-sensitive tasks. The two never share a target: where a latency-sensitive task finds no
+// other target, background tasks are stopped to make room.
 
-// share takes what tasks that fill want of their target's processor off what counts
-// against its room.
+// excludeBackgroundCPU removes the processor that background tasks want from what they reserve on
+// their target.
 func (st *step) share() {
 	if st.Fills {
 		st.filling, st.Each.CPU = st.Each.CPU, 0
 	}
 }
 
-// sharesWith reports whether tasks of a step may run beside what runs on a target.
+// canRunBeside reports whether tasks of a step may run beside the runs of a target.
 func (st *step) sharesWith(t *target) bool {
 	switch {
 	case st.Fills:
@@ -25,7 +25,7 @@
 	return true
 }
 
-// sharing counts a run that comes or goes.
+// countSharing counts a run of a step that starts or ends.
 func (t *target) sharing(st *step, by int) {
 	if st.Fills {
 		t.fillers += by
@@ -36,7 +36,7 @@
 	}
 }
 
-// pickFill chooses the target with the most room for a task that fills.
+// pickBackgroundTarget chooses the target with the most free processor for a background task.
 func (s *State) pickFill(now time.Duration, j *job, st *step, tk *task) *target {
 	for bucket := bucketCount - 1; bucket >= 0; bucket-- {
 		for _, t := range j.pool.buckets[bucket] {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// clear stops the filling tasks of a target that a serving one could have, and keeps the
-// target for it meanwhile.
+// evictBackground stops the background tasks of a target that a latency-sensitive step could use
+// and reserves the target for it.
 func (s *State) clear(now time.Duration, j *job, st *step) {
 	if st.held != nil && now < st.cleared+clearPause {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// letGo ends the keeping of a target for a serving step.
+// releaseHeld ends the reservation of a target for a latency-sensitive step.
 func (s *State) letGo(st *step) {
 	if st.held == nil {
 		return
@@ -80,6 +80,6 @@
 	st.held = nil
 }
 
-// clearPause is what the stops take at most, with the listing of their ends; a target that
-// takes longer is let go and another one tried.
+// evictionTimeout is the longest that the stops take, with the listing of their completions. A
+// target that takes longer is released and another one is tried.
 const clearPause = 300 * time.Millisecond
