--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// A queue may have advice: only some targets may run a step, and only an adviser knows
-// which. It is asked before anything of the step is placed, about the targets that have
-// the most room first, and about more of them while tasks find no place on those that it
-// has named.
+// With advice on a queue, only some targets may run a step, and only an adviser knows which. It is
+// asked before any task of the step is placed: first about the targets with the most free
+// processor, then about more while tasks find no capacity on the targets that it has named.
 
-// Ask has the adviser say which of some targets may run a step; its word goes to Advised.
+// AskAdviser asks the adviser which of some targets may run a step; the answer goes to Advised.
 type Ask struct {
 	Step    string
 	Targets []string
@@ -19,34 +18,34 @@
 
 func (Ask) effect() {}
 
-// Figures of advice.
+// Parameters of requests to the adviser.
 const (
-	// askedAtOnce is how many targets one question names: an answer takes longer with
-	// each of them.
+	// maxAskedTargets is how many targets one request names: each of them makes the answer take
+	// longer.
 	askedAtOnce = 30
-	// maxAsking bounds the questions without an answer: the adviser takes one at a time
-	// from each VM and turns them away when 32 wait.
+	// maxOpenRequests bounds the unanswered requests. The adviser handles one at a time from each
+	// VM and rejects further ones when 32 wait.
 	maxAsking = 8
-	// ticketMargin is left of a ticket's time for the way to its target.
+	// ticketMargin is kept of a ticket's validity for the start order's way to its target.
 	ticketMargin = 60 * time.Millisecond
-	// askPause paces the questions after one without an answer.
+	// adviserRetryInterval is the pause after a request without an answer.
 	askPause = 200 * time.Millisecond
-	// askAgain is when targets that the adviser didn't name are asked about once more,
-	// should it have been mistaken for others.
+	// adviserRepeatInterval is when targets that the adviser did not name are asked about again, in
+	// case it mistook them for others.
 	askAgain = 30 * time.Second
 )
 
 // advice is what is known of the targets that may run a step.
 type advice struct {
 	tickets map[string]ticket
-	// asked is when each target that wasn't named was last asked about.
+	// excludedAt is when the adviser last left out each target that it was asked about.
 	asked  map[string]time.Duration
 	asking bool
-	// ready is when the adviser may be asked again.
+	// nextRequest is when the adviser may be asked again.
 	ready time.Duration
 }
 
-// ticket lets a target run the step until it is over.
+// ticket permits a target to run the step until it expires.
 type ticket struct {
 	value string
 	until time.Duration
@@ -56,7 +55,7 @@
 	return &advice{tickets: map[string]ticket{}, asked: map[string]time.Duration{}}
 }
 
-// allows reports whether a target may run the step now; without advice each one may.
+// allows reports whether a target may run the step now; without advice any target may.
 func (a *advice) allows(now time.Duration, target string) bool {
 	if a == nil {
 		return true
@@ -64,7 +63,7 @@
 	return now < a.tickets[target].until
 }
 
-// value is the ticket for a target; empty without advice.
+// ticketFor returns the ticket for a target; empty without advice.
 func (a *advice) value(target string) string {
 	if a == nil {
 		return ""
@@ -72,7 +71,7 @@
 	return a.tickets[target].value
 }
 
-// seek asks the adviser about more targets if tasks of a step wait.
+// askAdviser asks the adviser about more targets if tasks of a step wait.
 func (s *State) seek(now time.Duration, j *job, st *step) {
 	a := st.advice
 	if a == nil || a.asking || now < a.ready || len(st.pending) == 0 || s.asking >= maxAsking {
@@ -90,49 +89,49 @@
 	s.emit(Ask{Step: st.name, Targets: targets})
 }
 
-// unadvised lists targets that could hold a task and of which the adviser's word isn't
-// known, the freest first.
+// targetsToAsk lists targets that could hold a task and on which the adviser's answer is not known,
+// those with the most free processor first.
 func (s *State) unadvised(now time.Duration, j *job, st *step) []string {
-	var among []*target
+	var candidates []*target
 	for _, t := range j.pool.targets {
 		known := st.advice.allows(now, t.ID) || st.advice.asked[t.ID] > 0 && now-st.advice.asked[t.ID] < askAgain
 		if known || t.state != usable || t.Draining || t.gone || !st.fitsOn(t) {
 			continue
 		}
-		among = append(among, t)
+		candidates = append(candidates, t)
 	}
-	slices.SortFunc(among, func(a, b *target) int {
+	slices.SortFunc(candidates, func(a, b *target) int {
 		return cmp.Or(cmp.Compare(b.free.CPU, a.free.CPU), cmp.Compare(a.ID, b.ID))
 	})
 	var ids []string
-	for _, t := range among[:min(len(among), askedAtOnce)] {
+	for _, t := range candidates[:min(len(candidates), askedAtOnce)] {
 		ids = append(ids, t.ID)
 	}
 	return ids
 }
 
-// fitsOn reports whether a target that nothing runs on could hold a task of the step.
+// fitsEmpty reports whether a target with no runs could hold a task of the step.
 func (st *step) fitsOn(t *target) bool {
 	return st.Each.Fits(t.Capacity) && st.filling <= t.Capacity.CPU && (st.Label == "" || slices.Contains(t.Labels, st.Label))
 }
 
-// Advised takes the adviser's word on the targets that an Ask named. Without an answer
-// nothing is known.
-func (s *State) Advised(now time.Duration, ask Ask, tickets map[string]string, valid time.Duration, answered bool) {
-	st := s.asked[ask.Step]
+// Advised takes the adviser's answer on the targets that an AskAdviser named. Without an answer
+// nothing is learned.
+func (s *State) Advised(now time.Duration, request Ask, tickets map[string]string, valid time.Duration, answered bool) {
+	st := s.asked[request.Step]
 	if st == nil {
 		return
 	}
-	delete(s.asked, ask.Step)
+	delete(s.asked, request.Step)
 	s.asking--
 	a := st.advice
 	a.asking = false
 	if !answered {
 		a.ready = now + askPause
-		s.emit(Note{What: "adviser doesn't answer", Job: st.job.sub.Job.ID, Detail: ask.Step})
+		s.emit(Note{What: "adviser doesn't answer", Job: st.job.sub.Job.ID, Detail: request.Step})
 		return
 	}
-	for _, id := range ask.Targets {
+	for _, id := range request.Targets {
 		a.asked[id] = now
 	}
 	for id, value := range tickets {
@@ -144,7 +143,7 @@
 	}
 }
 
-// unticketed takes a target's word that a ticket doesn't hold.
+// dropTicket discards the ticket of a target that rejected it.
 func (st *step) unticketed(target string) {
 	if st.advice != nil {
 		delete(st.advice.tickets, target)
--- a/scheduler/cordon.go
+++ b/scheduler/cordon.go
@@ -6,50 +6,50 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// While the failure domain of the targets is cordoned nothing is started there: neither new
-// work nor a task that has to run again, nor a copy of an order that has no answer. What
-// runs ends there. Jobs of which nothing has begun go back to their entry VMs, which turn to
-// other owners at once; what is left of those that have begun is lent.
+// Nothing is started while the failure domain of the targets is cordoned: no new work, no task that
+// has to run again and no second copy of an unanswered order. Runs go on until they end. Jobs with
+// nothing started go back to their entry VMs, which turn to other owners at once; the remaining
+// tasks of started jobs are delegated.
 
-// cordon is what is known of the operator's word.
+// cordon is the last known state that the operator set.
 type cordon struct {
 	// known is set while it is known whether the failure domain is cordoned.
 	known, closed bool
-	// doubted is when a word that was known came into doubt; 0 while none is.
+	// unconfirmedSince is when a known state became uncertain; 0 if it is not.
 	doubted time.Duration
 }
 
-// bars reports whether nothing may be started. What isn't known may be a cordon.
+// blocksStarts reports whether nothing may be started. While the state is unknown it may be
+// cordoned.
 func (c *cordon) bars() bool { return !c.known || c.closed }
 
-// closes reports whether the failure domain is known to be cordoned.
+// isCordoned reports whether the failure domain is known to be cordoned.
 func (c *cordon) closes() bool { return c.known && c.closed }
 
-// ConfirmCordon asks whether the failure domain is still as it was last said to be; the
-// answer goes to Cordoned.
+// ConfirmCordon asks whether the last known state still applies; the answer goes to CordonReported.
 type ConfirmCordon struct{}
 
 func (ConfirmCordon) effect() {}
 
 const (
-	// cordonPatience is how long a word that came into doubt may go unconfirmed: where
-	// neither the store nor another VM can be reached, what can be served is served.
+	// cordonConfirmTimeout is how long an uncertain state may stay unconfirmed. Where neither the
+	// store nor another VM can be reached, jobs are served according to the last known state.
 	cordonPatience = time.Second
-	// cordonedRetry is told to callers whose jobs no failure domain may run: the operator
-	// decides when one may, and a client's next try costs it little.
+	// cordonedRetryAfter is told to callers whose jobs no failure domain may run. The operator
+	// decides when one may, and a client's retry costs it little.
 	cordonedRetry = 2 * time.Second
 )
 
-// cordonedReason is told to callers.
+// cordonedReason is the reason that callers get.
 const cordonedReason = "the failure domain is cordoned"
 
-// Cordoned takes the operator's word on the failure domain of the targets.
-func (s *State) Cordoned(now time.Duration, closed bool) {
-	s.setCordon(now, cordon{known: true, closed: closed})
+// CordonReported takes the operator's setting for the failure domain of the targets.
+func (s *State) Cordoned(now time.Duration, cordoned bool) {
+	s.setCordon(now, cordon{known: true, closed: cordoned})
 }
 
-// doubtCordon has nothing start until the word is confirmed: it may have changed while this
-// process stood still.
+// requireCordonConfirmation blocks starts until the state is confirmed: it may have changed while
+// this process was paused.
 func (s *State) doubtCordon(now time.Duration) {
 	if !s.options.AwaitCordon || !s.cordon.known {
 		return
@@ -58,7 +58,7 @@
 	s.emit(ConfirmCordon{})
 }
 
-// startsBarred reports whether nothing may be started now.
+// startsBlocked reports whether nothing may be started now.
 func (s *State) startsBarred(now time.Duration) bool {
 	if s.stoodStill(now) {
 		s.doubtCordon(now)
@@ -66,18 +66,18 @@
 	return s.cordon.bars()
 }
 
-// trustCordon goes by a word in doubt that nobody has confirmed.
+// expireCordonConfirmation applies the last known state if it was not confirmed in time.
 func (s *State) trustCordon(now time.Duration) {
 	if s.cordon.doubted > 0 && now-s.cordon.doubted > cordonPatience {
-		s.emit(Note{What: "cordon not confirmed", Detail: "the last word holds", Age: now - s.cordon.doubted})
+		s.emit(Note{What: "cordon not confirmed", Detail: "the last known state stays in force", Age: now - s.cordon.doubted})
 		s.Cordoned(now, s.cordon.closed)
 	}
 }
 
 func (s *State) setCordon(now time.Duration, c cordon) {
-	barred := s.cordon.bars()
+	wasBlocked := s.cordon.bars()
 	s.cordon = c
-	if c.bars() != barred {
+	if c.bars() != wasBlocked {
 		for _, p := range s.pools {
 			p.barred = c.bars()
 		}
@@ -90,8 +90,8 @@
 	}
 }
 
-// clearOut lets go of all that waits for a place on a cordoned target. Kept jobs wait: only
-// this owner may write what becomes of them.
+// releaseWaitingJobs lets go of everything that waits for a target of a cordoned domain. Durable
+// jobs keep waiting: only this owner may write their progress.
 func (s *State) clearOut(now time.Duration) {
 	for _, p := range s.pools {
 		if p.reserved != nil {
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -9,16 +9,16 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Part names tasks that were handed to another owner.
+// Part identifies tasks that were delegated to another owner.
 type Part uint64
 
-// Lend hands tasks that find no place here to another owner that has room; the
-// outcome goes to Returned.
+// Delegate hands tasks that find no capacity here to another owner that has some; the outcome goes
+// to PartReturned.
 type Lend struct {
 	Part Part
 	// Owner is the other owner.
 	Owner string
-	// Submission has one step with just the tasks handed over.
+	// Submission has one step with just the delegated tasks.
 	Submission Submission
 }
 
@@ -28,22 +28,22 @@
 func (Lend) effect()     {}
 func (Withdraw) effect() {}
 
-// Room is what another owner says of its places.
+// FreeCapacity is the capacity that an owner reports to others.
 type Room struct {
-	// Places is how many usual tasks of each priority could start now or very soon.
+	// Tasks is how many typical tasks of each priority could start now or very soon.
 	Places [Priorities]int
 }
 
-// room is another owner's word with its age.
+// capacityReport is another owner's free capacity as of a time.
 type room struct {
 	Room
 	at time.Duration
 }
 
-// roomKey names the room of a service at an owner.
+// capacityKey identifies a service at an owner.
 type roomKey struct{ owner, service string }
 
-// lent is a part that is away.
+// delegatedPart is a part that another owner runs.
 type lent struct {
 	job   *job
 	step  *step
@@ -51,30 +51,29 @@
 	to    roomKey
 }
 
-// Figures of lending.
+// Parameters of delegation.
 const (
-	// roomMemory is how long another owner's word of its room counts.
+	// capacityReportLifetime is how long another owner's reported capacity counts.
 	roomMemory = 100 * time.Millisecond
-	// withdrawTime is until tasks that were withdrawn are certainly stopped: a
-	// message, a stop, and the time of an owner that doesn't hear from this VM.
+	// withdrawTimeout is until withdrawn tasks are certainly stopped: a message, a stop, and the
+	// timeout of an owner that does not hear from this VM.
 	withdrawTime = 500 * time.Millisecond
 )
 
-// RoomAt takes another owner's word of its places for a service.
+// CapacityReported takes another owner's free capacity for a service.
 func (s *State) RoomAt(now time.Duration, owner, service string, r Room) {
 	s.rooms[roomKey{owner, service}] = room{Room: r, at: now}
 }
 
-// Hungry reports whether tasks wait for a place, so that the room of others
-// matters.
+// HasTasksToDelegate reports whether delegable jobs wait for targets, so that the free capacity of
+// other owners matters.
 func (s *State) Hungry() bool { return slices.ContainsFunc(s.waiting, (*job).lendable) }
 
-// lendable reports whether other owners may run tasks of a job. What they would have
-// to note of a kept job only its home may write; the adviser's word is this owner's.
+// canDelegate reports whether other owners may run tasks of a job. The progress of a durable job
+// may be written only by its own owner, and the adviser's answers are given to this owner.
 func (j *job) lendable() bool { return j.sub.Part == nil && !j.kept() && !j.sub.Queue.Advised }
 
-// lendJob hands the tasks of a step that found no place here to others that have
-// room, or whose queue is shorter.
+// delegateStep hands the waiting tasks of a step to other owners that report free capacity.
 func (s *State) lendJob(now time.Duration, j *job, st *step) {
 	if !j.lendable() || st.on != nil || st.Gang || st.Fills || st.Serves || s.leaving {
 		return
@@ -96,10 +95,10 @@
 	}
 }
 
-// priorityOf is a queue's place among the priorities told apart.
+// priorityOf maps a queue's priority to those that a Load distinguishes.
 func priorityOf(q work.Queue) int { return min(max(q.Priority, 0), Priorities-1) }
 
-// roomiest is the other owner with the most room for a queue.
+// ownerWithMostCapacity returns the other owner with the most free capacity for a queue.
 func (s *State) roomiest(now time.Duration, q work.Queue) (roomKey, room) {
 	var best roomKey
 	var most room
@@ -108,8 +107,8 @@
 		if key.service != q.Service || now-r.at > roomMemory {
 			continue
 		}
-		places, record := r.Places[priority], most.Places[priority]
-		if places > record || places == record && places > 0 && key.owner < best.owner {
+		tasks, mostTasks := r.Places[priority], most.Places[priority]
+		if tasks > mostTasks || tasks == mostTasks && tasks > 0 && key.owner < best.owner {
 			best, most = key, r
 		}
 	}
@@ -139,7 +138,7 @@
 	s.emit(Lend{Part: s.lastPart, Owner: to.owner, Submission: sub})
 }
 
-// Returned takes the outcome of a part.
+// PartReturned takes the outcome of a part.
 func (s *State) Returned(now time.Duration, id Part, outcome work.Outcome) {
 	p := s.parts[id]
 	if p == nil {
@@ -178,8 +177,8 @@
 	}
 }
 
-// withdraw gives up the parts of a job that has ended. Its ID counts as unsettled
-// until they are certainly stopped.
+// withdrawParts gives up the parts of a job that has ended. They count in stoppingRuns until they
+// are certainly stopped.
 func (s *State) withdraw(now time.Duration, j *job) {
 	for _, id := range slices.Sorted(maps.Keys(s.parts)) {
 		if s.parts[id].job != j {
@@ -204,39 +203,38 @@
 	}
 }
 
-// takesPart reports whether a part of another owner's job can begin here now or
-// very soon.
+// canTakePart reports whether a part of another owner's job can start here now or very soon.
 func (s *State) takesPart(now time.Duration, j *job) bool {
 	return s.settling[j.sub.Job.ID] == 0 && s.places(now, j.pool)[priorityOf(j.sub.Queue)] > 0
 }
 
-// partPatience is how long a part may wait for its first place: it should have begun
-// at once, and its owner may find it another.
+// partStartTimeout is how long a part may wait for its first target. It should start at once, and
+// its owner may find it another one.
 const partPatience = 25 * time.Millisecond
 
-// soon is how far ahead places count that running tasks will give back: about two
-// ways between failure domains, which a part needs in any case.
+// capacityLookahead is how far ahead the processor counts that runs will free: about two message
+// delays between failure domains, which a part needs in any case.
 const soon = 10 * time.Millisecond
 
-// places is how many usual tasks of each priority other owners may hand over.
+// acceptableTasks returns how many typical tasks of each priority other owners may delegate here.
 func (s *State) places(now time.Duration, p *pool) [Priorities]int {
-	var places [Priorities]int
+	var tasks [Priorities]int
 	if s.leaving || p.usualCPU == 0 {
-		return places
+		return tasks
 	}
 	free, flow := int64(0), 0.0
 	each := int64(p.usualCPU)
 	free, flow = p.supply(now, each)
-	room := float64(free) + flow*float64(soon/time.Millisecond)
+	available := float64(free) + flow*float64(soon/time.Millisecond)
 	var waiting [Priorities]int64
 	for _, j := range s.waiting {
 		if j.pool == p && !j.ended {
 			waiting[priorityOf(j.sub.Queue)] += j.firstNeed().total
 		}
 	}
-	for i := range places {
-		room -= float64(waiting[i])
-		places[i] = max(int(room/p.usualCPU), 0)
+	for i := range tasks {
+		available -= float64(waiting[i])
+		tasks[i] = max(int(available/p.usualCPU), 0)
 	}
-	return places
+	return tasks
 }
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -4,23 +4,23 @@
 
 // Summary counts what a State holds.
 type Summary struct {
-	// Jobs have no answer yet, Waiting ones of them still need places.
+	// Jobs have no answer yet; Waiting counts those of them that still have tasks to place.
 	Jobs, Waiting, Runs int
-	// Targets are all that are known, the others are subsets.
+	// Targets counts all known targets; the others count subsets of them.
 	Targets, Usable, Suspected, Draining int
 	// CPU and FreeCPU are the processor of usable targets, in thousandths of a core.
 	CPU, FreeCPU int64
-	// TickLate is by how much ticks come late, AnswerTime how long answers take until they
-	// are read, in the mean of the last ones: both grow for want of this process's processor.
+	// TickLate is how late ticks come, and AnswerTime how long answers take until they are read, as
+	// moving averages. Both grow when this process is short of processor.
 	TickLate, AnswerTime time.Duration
-	// LookWait is how long looks wait now, Copies counts the orders that were sent again.
+	// PollWait is how long polls wait now; Copies counts the orders that were sent again.
 	LookWait time.Duration
 	Copies   int
 	// Cordoned says that nothing may be started on the targets.
 	Cordoned bool
 }
 
-// Summary counts what the State holds.
+// Summary counts what the State holds now.
 func (s *State) Summary() Summary {
 	sum := Summary{
 		Jobs: len(s.jobs), Waiting: len(s.waiting), Targets: len(s.targets),
