--- a/scheduler/callers_world_test.go
+++ b/scheduler/callers_world_test.go
@@ -7,22 +7,22 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// caller hands in one job until it has an answer.
+// caller submits one job, and again, until it has an answer.
 type caller struct {
 	id       string
 	tasks    int
 	owner    *fakeOwner
 	ref      Ref
 	answered bool
-	// refused callers were told that nothing of their job runs.
+	// refused is set once the caller was told that nothing of its job runs.
 	refused bool
 	tries   int
-	// given is when its owner was given the job.
+	// given is when its owner got the job.
 	given    time.Duration
 	outcomes []work.Result
 }
 
-// submit has a caller hand in its job to the newest owner.
+// submit hands a caller's job to the newest owner.
 func (w *world) submit(c *caller) {
 	o := w.owner()
 	if o.dead || o.frozen || o.cut {
@@ -38,7 +38,7 @@
 	w.carryOut(o)
 }
 
-// submission is a caller's job as its owner is given it.
+// submission is a caller's job as its owner gets it.
 func (w *world) submission(c *caller) Submission {
 	return Submission{
 		Ref: c.ref, Entry: "e", Wait: 5 * time.Second,
@@ -49,9 +49,9 @@
 	}
 }
 
-// reset breaks the connection over which an owner was given a job: an answer to it is lost,
-// and after a while the entry VM asks for another one. The owner gives up what nobody has
-// asked for in time.
+// breakConnection breaks the connection over which an owner got a job. An answer to it is lost, and
+// after a while the entry VM asks for one over another connection. The owner gives up a job that
+// nobody asks for in time.
 func (w *world) reset(o *fakeOwner, ref Ref, pause time.Duration) {
 	c := o.refs[ref]
 	delete(o.refs, ref)
@@ -73,14 +73,14 @@
 			w.again(c)
 		case Absent:
 			if w.started[c.id] {
-				w.violations = append(w.violations, c.id+" is said never to have come, though it had begun")
+				w.violations = append(w.violations, c.id+" was reported absent, though it had started")
 			}
 		}
 		w.carryOut(o)
 	})
 }
 
-// call makes a caller with a job.
+// addCaller adds a caller with a job.
 func (w *world) call(tasks int) *caller {
 	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks}
 	w.callers[c.id] = c
@@ -88,7 +88,7 @@
 	return c
 }
 
-// leave has a caller leave, who comes again later.
+// disconnect makes a caller leave and come again later.
 func (w *world) leave(o *fakeOwner, ref Ref) {
 	c := o.refs[ref]
 	delete(o.refs, ref)
@@ -99,18 +99,18 @@
 	w.again(c)
 }
 
-// resend is the shortest time after which a caller sends a job again.
+// retryInterval is the shortest time after which a caller sends a job again.
 const resend = 1300 * ms
 
-// again has a caller without an answer send again.
+// retryLater makes a caller without an answer send its job again.
 func (w *world) again(c *caller) {
 	if c.tries < 3 {
 		w.after(resend, func() { w.submit(c) })
 	}
 }
 
-// overtake has a caller's job asked for again, over another connection, before the first
-// request for it has had its turn at the owner.
+// rejoinBeforeSubmit has a caller's job asked for again, over another connection, before the owner
+// processes the first request for it.
 func (w *world) overtake(tasks int, pause time.Duration) {
 	o := w.owner()
 	if o.dead || o.frozen || o.cut {
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -117,7 +117,7 @@
 	}
 	t.ended = slices.DeleteFunc(t.ended, func(end work.End) bool {
 		if end.Number <= e.Seen {
-			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("end %d of %s, ended at %v, by token %d at %v, seen %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.Seen)
+			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("completion %d of %s, ended at %v, by token %d at %v, acknowledged up to %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.Seen)
 			t.acknowledge(end)
 		}
 		return end.Number <= e.Seen
@@ -156,8 +156,8 @@
 	t.world.after(e.Wait, answer)
 }
 
-// acknowledge remembers the end of a task that must not start again. An end counts as
-// taken note of unless the lease has lapsed since.
+// acknowledge records a completion after which the task must not start again. It does not count if
+// the lease has lapsed since.
 func (t *fakeTarget) acknowledge(end work.End) {
 	if t.world.isLasting(end.Run.Task) || t.lapsed >= t.endedAt[end.Number] {
 		return
@@ -168,12 +168,12 @@
 	if end.Kind == work.EndDone && strings.HasPrefix(end.Run.Task, "kept") {
 		t.world.acknowledged[end.Run.Task] = true
 		if started := t.world.startedAt[end.Run.Task]; started > t.endedAt[end.Number] {
-			t.world.violations = append(t.world.violations, end.Run.Task+" started again after an end that is taken note of later")
+			t.world.violations = append(t.world.violations, end.Run.Task+" started again after a completion that was acknowledged later")
 		}
 	}
 }
 
-// lapse ends what runs beyond the lease.
+// lapse ends the runs once the lease has lapsed.
 func (t *fakeTarget) lapse() {
 	if t.down {
 		return
@@ -196,7 +196,7 @@
 	return tasks
 }
 
-// crash ends a target's life; another begins.
+// crash ends a target's process; a new target takes its place.
 func (t *fakeTarget) crash() {
 	if t.down {
 		return
--- a/scheduler/lend_world_test.go
+++ b/scheduler/lend_world_test.go
@@ -21,7 +21,7 @@
 	w.talk()
 }
 
-// talk plays the heartbeats between the newest owner and the other one.
+// exchangeCapacity simulates the heartbeats between the owners and the other one.
 func (w *world) talk() {
 	for _, o := range w.owners {
 		if o.dead || o.frozen || w.linkCut {
@@ -34,11 +34,11 @@
 	w.after(20*ms, w.talk)
 }
 
-// lend brings a part to the other owner.
+// delegate sends a part to the other owner.
 func (w *world) lend(o *fakeOwner, e Lend) {
 	part := &lentPart{}
 	o.lent[e.Part] = part
-	back := func(outcome work.Outcome) {
+	reply := func(outcome work.Outcome) {
 		if !part.returned {
 			part.returned = true
 			w.hear(o, func() { o.state.Returned(w.now, e.Part, outcome) })
@@ -46,7 +46,7 @@
 	}
 	w.after(ms, func() {
 		if w.linkCut {
-			w.after(entrySilence, func() { back(work.Outcome{Result: work.Unknown}) })
+			w.after(entrySilence, func() { reply(work.Outcome{Result: work.Unknown}) })
 			return
 		}
 		w.refs++
@@ -54,7 +54,7 @@
 		w.other.lenders[part.ref] = func(outcome work.Outcome) {
 			w.after(ms, func() {
 				if !w.linkCut {
-					back(outcome)
+					reply(outcome)
 				}
 			})
 		}
@@ -65,7 +65,7 @@
 	})
 }
 
-// withdraw takes a part back, if the other owner can be told.
+// withdraw withdraws a part, if the other owner can be reached.
 func (w *world) withdraw(o *fakeOwner, e Withdraw) {
 	part := o.lent[e.Part]
 	part.returned = true
@@ -77,8 +77,7 @@
 	})
 }
 
-// cutLink cuts the owners off from each other; parts that are away are given up
-// when the silence shows.
+// cutLink cuts the link between the owners. Delegated parts are given up after the silence timeout.
 func (w *world) cutLink(length time.Duration) {
 	w.linkCut = true
 	w.after(entrySilence, func() {
@@ -97,9 +96,9 @@
 	w.after(length, func() { w.linkCut = false })
 }
 
-func sortedParts(lent map[Part]*lentPart) []Part {
-	parts := make([]Part, 0, len(lent))
-	for id := range lent {
+func sortedParts(delegated map[Part]*lentPart) []Part {
+	parts := make([]Part, 0, len(delegated))
+	for id := range delegated {
 		parts = append(parts, id)
 	}
 	slices.Sort(parts)
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -13,9 +13,9 @@
 
 const ms = time.Millisecond
 
-// world plays owners one after the other against targets that fence, hold leases on
-// clocks of their own and carry out orders late, and callers who send again. It
-// sees only what callers and targets see.
+// world simulates successive owners, targets that check fencing tokens, hold leases on their own
+// clocks and carry out orders late, and callers that send again. It checks only what callers and
+// targets can see.
 type world struct {
 	now     time.Duration
 	random  *rand.Rand
@@ -26,57 +26,56 @@
 	callers map[string]*caller
 	token   int64
 	faults  worldFaults
-	// violations are broken promises.
+	// violations lists the invariants that were broken.
 	violations []string
-	// running counts the runs of each task that go on.
+	// running counts the executing runs of each task.
 	running map[string]int
 	started map[string]bool
 	refs    Ref
 	// longest bounds the run time of tasks, in milliseconds.
 	longest int
-	// other owns targets of its own and takes parts, unless the link to it is cut.
+	// otherOwner has targets of its own and takes parts, unless the link to it is cut.
 	other   *fakeOwner
 	linkCut bool
 	kept    keptStore
-	// acknowledged holds the tasks of which an end as done was acknowledged.
+	// acknowledged holds the tasks whose successful completion was acknowledged.
 	acknowledged map[string]bool
-	// acknowledgedBy tells how the end of a task was acknowledged.
+	// acknowledgedBy says how the completion of a task was acknowledged.
 	acknowledgedBy map[string]string
 	// startedAt is when each task was last started.
 	startedAt map[string]time.Duration
-	// failed counts the failed ends that were acknowledged, by task.
+	// ackedFailures counts the acknowledged failed completions, by task.
 	failed map[string]int
-	// failedEnds counts all failed ends, by task and by gang.
+	// failedRuns counts all failed runs, by task and by gang.
 	failedEnds map[string]int
-	// done holds the tasks of kept jobs that have ended as done, saved what tasks and
-	// gangs have ever saved, gangs those of which a member runs.
+	// done holds the completed tasks of durable jobs; saved is everything that tasks and gangs have
+	// ever saved; gangs holds those with a running member.
 	done  map[string]bool
 	saved map[string]map[string]bool
 	gangs map[string]*fakeGang
-	// tickets are until when each one is valid, unticketed counts starts refused for want
-	// of one.
+	// tickets is until when each ticket is valid; ticketRefusals counts starts refused for lack of
+	// one.
 	tickets    map[string]time.Duration
 	unticketed int
-	// cordons are those of the owners' failure domain; nil where there are none.
+	// cordons applies to the owners' failure domain; nil if the test has none.
 	cordons *fakeCordons
-	// lasting is set once a job that lasts was handed in.
+	// lasting is set once a lasting job was submitted.
 	lasting bool
-	// culprits are the jobs whose tasks crash their targets, crashed counts the targets that
-	// each task crashed, struck holds the tasks under which a target fell by itself.
+	// poisonJobs are the jobs whose tasks crash their targets; crashed counts the targets that each
+	// task crashed; lostUnder holds the tasks under which a target crashed by itself.
 	culprits map[string]bool
 	crashed  map[string]int
 	struck   map[string]bool
-	// alone ends a former owner when another takes over.
+	// singleOwner ends the previous owner when another takes over.
 	alone bool
-	// restarts has targets start again under their ID, and tell their life and capacity.
+	// restarts makes targets restart under their ID, and report their incarnation and capacity.
 	restarts bool
 }
 
 // worldFaults are shares of orders.
 type worldFaults struct {
 	lostOrders, lateOrders, lostAnswers float64
-	// broken orders have no answer, and are known to have none at once; half of them are
-	// carried out.
+	// broken orders get no answer, which shows at once; half of them are carried out.
 	broken  float64
 	failing float64
 }
@@ -87,7 +86,7 @@
 	do  func()
 }
 
-// eventQueue is a heap of events by their time, and of those of one time by their turn.
+// eventQueue is a heap of events by time, and in order of creation for the same time.
 type eventQueue []pendingEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -114,39 +113,40 @@
 type fakeOwner struct {
 	state *State
 	token int64
-	// frozen owners do nothing until they thaw; cut ones reach no entry VM.
+	// A frozen owner does nothing until it thaws; a cut one reaches no entry VM.
 	frozen, cut, dead bool
 	refs              map[Ref]*caller
-	// name is what the other owner knows this one by, lenders answer for parts.
+	// name is the owner's name at the other owner; partReplies answer the other owner's parts.
 	name    string
 	lenders map[Ref]func(work.Outcome)
 	lent    map[Part]*lentPart
-	// accepting owners have taken over the kept jobs.
+	// accepting is set once the owner has taken over the durable jobs.
 	accepting bool
-	// fails is what it knows of the failed runs of kept jobs, by job and task.
+	// fails is what it knows of the failed runs of durable jobs, by job and task.
 	fails map[string]map[int]int
-	// cordon is what it was told.
+	// cordon is what it was told of the cordon.
 	cordon toldCordon
 }
 
-// lentPart is a part on its way or at the other owner.
+// sentPart is a part on its way to the other owner or there.
 type lentPart struct {
 	ref      Ref
 	returned bool
 }
 
-// fakeTarget is one life of a target.
+// fakeTarget is one incarnation of a target.
 type fakeTarget struct {
 	world *world
 	id    string
-	// rate is the speed of its clock, begun when it started.
+	// clockRate is the speed of its clock.
 	rate float64
 	free int64
-	// capacity is what it has in all, since resized; careless targets start what doesn't fit.
+	// capacity is its total capacity since resized; overcommits makes it start runs that do not
+	// fit.
 	capacity int64
 	resized  time.Duration
 	careless bool
-	// life is when it started, in milliseconds; 0 where it doesn't tell.
+	// life is when it started, in milliseconds; 0 if it does not report it.
 	life    int64
 	fence   int64
 	runs    map[string]*fakeRun
@@ -158,9 +158,9 @@
 	hung    bool
 	silent  bool
 	poll    func()
-	// others belong to the other owner.
+	// ofOtherOwner marks the targets of the other owner.
 	others bool
-	// lapsed is when the lease was last over, endedAt when each run ended.
+	// leaseLapsed is when the lease was last over; endedAt is when each run ended.
 	lapsed  time.Duration
 	endedAt map[int64]time.Duration
 }
@@ -217,7 +217,7 @@
 	heap.Push(&w.queue, pendingEvent{at: w.now + max(d, 0), seq: w.seq, do: do})
 }
 
-// run plays for a time.
+// run advances the simulation by a time span.
 func (w *world) run(length time.Duration) {
 	end := w.now + length
 	for {
@@ -231,7 +231,7 @@
 	}
 }
 
-// takeOver starts a new owner; the former one may live on without knowing.
+// takeOver starts a new owner; the previous one may go on without knowing of it.
 func (w *world) takeOver() *fakeOwner {
 	w.token++
 	o := &fakeOwner{
@@ -265,8 +265,8 @@
 	return ids
 }
 
-// raise gives the newest owner a higher token, as the write of a claim does that it
-// was given by word.
+// raiseToken gives the newest owner a higher token, as happens when a claim that was handed over to
+// it is written.
 func (w *world) raise() {
 	w.token++
 	w.owner().token = w.token
@@ -286,13 +286,13 @@
 	w.after(20*ms, func() { w.tick(o) })
 }
 
-// entryVouch and entrySilence are the bounds of the heartbeat.
+// keepaliveTime and silenceTimeout are the bounds of the heartbeat.
 const (
 	entryVouch   = 320 * ms
 	entrySilence = 420 * ms
 )
 
-// vouch plays the heartbeats of one entry VM.
+// sendKeepalives simulates the heartbeats of one entry VM.
 func (w *world) vouch(o *fakeOwner) {
 	if o.dead {
 		return
@@ -303,8 +303,8 @@
 	w.after(50*ms, func() { w.vouch(o) })
 }
 
-// lose ends an owner's hold on its callers: their entry VM has heard nothing for
-// too long, or the connection broke.
+// dropCallers disconnects an owner's callers after a time: their entry VM has heard nothing for too
+// long, or the connection broke.
 func (w *world) lose(o *fakeOwner, after time.Duration) {
 	w.after(after, func() {
 		for _, ref := range sortedRefs(o.refs) {
@@ -357,9 +357,9 @@
 }
 
 func (w *world) answered(o *fakeOwner, e Answer) {
-	if back := o.lenders[e.Ref]; back != nil {
+	if reply := o.lenders[e.Ref]; reply != nil {
 		delete(o.lenders, e.Ref)
-		back(e.Outcome)
+		reply(e.Outcome)
 		return
 	}
 	c := o.refs[e.Ref]
@@ -377,19 +377,19 @@
 	case work.Refused, work.Moved:
 		c.answered, c.refused = true, true
 		if c.tries == 1 && w.started[c.id] {
-			w.violations = append(w.violations, c.id+" was refused, though it had begun")
+			w.violations = append(w.violations, c.id+" was refused, though it had started")
 		}
 	default:
 		w.again(c)
 	}
 }
 
-// order plays an order's way there and back.
+// deliverOrder simulates an order's way to a target and back.
 func (w *world) order(o *fakeOwner, target string, carryOut func(token int64) work.OrderAnswer, back func(work.OrderAnswer)) {
 	token, life := o.token, w.targets[target].life
 	do := func() work.OrderAnswer { return carryOut(token) }
 	late := func() {
-		// What a target has taken and not yet carried out ends with its life.
+		// An order that a target has received but not carried out is lost when it restarts.
 		if w.targets[target].life == life {
 			do()
 		}
@@ -430,7 +430,7 @@
 	}
 }
 
-// hear has an owner take a message, after it has thawed.
+// deliver hands a message to an owner, after it has thawed.
 func (w *world) hear(o *fakeOwner, take func()) {
 	switch {
 	case o.dead:
@@ -446,50 +446,50 @@
 	token := o.token
 	t := w.targets[e.To.ID]
 	life := t.life
-	back := func(after time.Duration, held work.Held, verdict work.Verdict) {
+	reply := func(after time.Duration, held work.Held, verdict work.Verdict) {
 		w.after(after, func() { w.hear(o, func() { o.state.Looked(w.now, t.id, e.At, held, Settle(verdict, token, o.token)) }) })
 	}
-	unheard := func(work.Held, work.Verdict) {}
+	ignore := func(work.Held, work.Verdict) {}
 	timeout := e.Wait + unansweredTime
 	switch draw := w.random.Float64(); {
 	case draw < w.faults.lostOrders:
-		back(timeout, work.Held{}, work.VerdictUnknown)
+		reply(timeout, work.Held{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, func() {
 			if t.life == life {
-				t.look(token, e, unheard)
+				t.look(token, e, ignore)
 			}
 		})
-		back(timeout, work.Held{}, work.VerdictUnknown)
+		reply(timeout, work.Held{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders+w.faults.lostAnswers:
-		// The answer is long on its way, and others overtake it.
+		// The answer takes long, and others overtake it.
 		sent := w.now
 		w.after(ms, func() {
 			t.look(token, e, func(held work.Held, verdict work.Verdict) {
-				back(max(sent+timeout-ms-w.now, 0), held, verdict)
+				reply(max(sent+timeout-ms-w.now, 0), held, verdict)
 			})
 		})
 	default:
 		w.after(ms, func() {
 			t.look(token, e, func(held work.Held, verdict work.Verdict) {
 				if verdict == work.VerdictUnknown {
-					back(unansweredTime, held, verdict)
+					reply(unansweredTime, held, verdict)
 					return
 				}
-				back(ms, held, verdict)
+				reply(ms, held, verdict)
 			})
 		})
 	}
 }
 
-// unansweredTime is how long an order waits for its answer.
+// orderTimeout is how long an order waits for its answer.
 const unansweredTime = 120 * ms
 
-// begins and ends keep the oracle's count.
+// runStarted and runEnded count the executing runs for the checks.
 func (w *world) begins(task string) {
 	id := strings.SplitN(task, ".", 2)[0]
 	if c := w.callers[id]; c != nil && c.refused && c.tries == 1 {
-		w.violations = append(w.violations, id+" begins, though it was refused")
+		w.violations = append(w.violations, id+" starts, though it was refused")
 	}
 	w.started[id] = true
 	w.startsKept(task)
