--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -9,9 +9,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A target that is slow after its start, as those of a failure domain that was cordoned are,
-// is used where no warm one has room, isn't blamed for its run times, and leaves what was
-// learned of the queue and of itself as it was.
+// A cold target, as in a failure domain that was cordoned, is used where no warm one has capacity.
+// Its slow runs do not make it suspect, and change neither its speed nor the queue's estimate.
 func TestColdTargetsAreExpectedToBeSlow(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 2000)
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// cordonedBench has a usable target, and knows that it isn't cordoned.
+// cordonedHarness has a usable target and knows that its domain is not cordoned.
 func cordonedBench(t *testing.T) *bench {
 	b := newBench(t, Options{AwaitCordon: true})
 	b.s.Cordoned(b.now, false)
@@ -19,8 +19,8 @@
 
 func (b *bench) startsNow() []StartRun { return pickEffects[StartRun](b.do()) }
 
-// Nothing starts before it is known whether the failure domain is cordoned, and jobs aren't
-// turned away for that.
+// Nothing starts before it is known whether the failure domain is cordoned, and jobs are not
+// refused meanwhile.
 func TestNothingStartsBeforeTheCordonIsKnown(t *testing.T) {
 	b := newBench(t, Options{AwaitCordon: true})
 	b.usable("a", 4000)
@@ -32,8 +32,8 @@
 	must.SliceLen(t, 1, b.startsNow())
 }
 
-// New jobs are refused at once with a time to come back, so that their entry VM turns to
-// others; once the cordon is taken back they are run at once.
+// New jobs are refused at once with a retry time, so that their entry VM turns to other owners.
+// After the cordon they run at once.
 func TestCordonedDomainRefusesAtOnce(t *testing.T) {
 	b := cordonedBench(t)
 	b.s.Cordoned(b.now, true)
@@ -49,8 +49,8 @@
 	must.SliceLen(t, 1, b.startsNow())
 }
 
-// Jobs of which nothing has begun go back to their entry VM; what runs goes on, its end is
-// the job's, and what is left of a begun job is lent.
+// Jobs with nothing started go back to their entry VM. Runs go on and count for their job, whose
+// remaining tasks are delegated.
 func TestCordonClearsOut(t *testing.T) {
 	b := cordonedBench(t)
 	b.submit("begun", 2, 3000, "")
@@ -67,17 +67,16 @@
 	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{5, 5, 5}})
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	lent := pickEffects[Lend](effects)
-	must.SliceLen(t, 1, lent)
-	b.s.Returned(b.now, lent[0].Part, work.Outcome{Result: work.Completed})
+	delegated := pickEffects[Lend](effects)
+	must.SliceLen(t, 1, delegated)
+	b.s.Returned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
 	b.look("a", ended(1, first[0].Run, work.EndDone))
 	answers = pickEffects[Answer](b.do())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
 }
 
-// A task that has to run again after its target was lost doesn't start on another target of
-// a cordoned failure domain.
+// A task whose run failed does not start again on another target of a cordoned failure domain.
 func TestTasksDontRunAgainInACordonedDomain(t *testing.T) {
 	b := cordonedBench(t)
 	b.submit("j", 1, 1000, "")
@@ -91,8 +90,8 @@
 	must.SliceLen(t, 1, b.startsNow())
 }
 
-// An order without an answer isn't sent again once the failure domain is cordoned: the copy
-// might be what begins it.
+// An unanswered order is not sent again once the failure domain is cordoned: the copy could start
+// the run.
 func TestOrdersAreNotSentAgainIntoACordonedDomain(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		b := cordonedBench(t)
@@ -107,7 +106,7 @@
 	}
 }
 
-// Parts of other owners' jobs aren't taken, and none are asked for.
+// Parts of other owners' jobs are not accepted, and no capacity for them is reported.
 func TestCordonedDomainTakesNoParts(t *testing.T) {
 	b := cordonedBench(t)
 	b.submit("j", 1, 1000, "")
@@ -123,7 +122,7 @@
 	}
 }
 
-// The room that is kept for a gang is let go.
+// Targets reserved for a gang are released.
 func TestCordonLetsGoOfRoomForGangs(t *testing.T) {
 	b := cordonedBench(t)
 	b.usable("b", 4000)
@@ -141,7 +140,7 @@
 	must.Nil(t, b.s.poolOf("s").reserved)
 }
 
-// Kept jobs wait for the end of the cordon, and are begun then.
+// Durable jobs wait for the end of the cordon, and start then.
 func TestKeptJobsWaitOutACordon(t *testing.T) {
 	b := cordonedBench(t)
 	b.s.Resumed(b.now)
@@ -152,8 +151,8 @@
 	must.SliceLen(t, 1, b.startsNow())
 }
 
-// A process that stood still starts nothing before it has heard again whether the failure
-// domain is cordoned, not even with what waited in front of its first tick.
+// A process that was paused starts nothing before it knows again whether the failure domain is
+// cordoned, even if messages are processed before its first tick.
 func TestNothingStartsAfterAPauseBeforeTheCordonIsConfirmed(t *testing.T) {
 	for _, ticked := range []bool{false, true} {
 		b := cordonedBench(t)
@@ -170,12 +169,12 @@
 	}
 }
 
-// Where nobody can confirm it, the last word holds after a while: a failure domain that is cut
-// off serves what it can, unless it was cordoned.
+// Where nobody confirms it, the last known state applies after a timeout: an isolated failure
+// domain serves what it can, unless it was cordoned.
 func TestTheLastWordHoldsWhereNobodyConfirmsIt(t *testing.T) {
-	for _, closed := range []bool{false, true} {
+	for _, cordoned := range []bool{false, true} {
 		b := cordonedBench(t)
-		b.s.Cordoned(b.now, closed)
+		b.s.Cordoned(b.now, cordoned)
 		b.now += 5 * time.Second
 		b.s.Tick(b.now)
 		b.do()
@@ -183,11 +182,11 @@
 		b.pass(cordonPatience - 100*ms)
 		must.True(t, b.s.cordon.bars())
 		b.pass(200 * ms)
-		must.Eq(t, closed, b.s.cordon.bars())
+		must.Eq(t, cordoned, b.s.cordon.bars())
 	}
 }
 
-// What was never known isn't believed after any time.
+// A state that was never known blocks starts without a time limit.
 func TestAnUnknownCordonStaysUnknown(t *testing.T) {
 	b := newBench(t, Options{AwaitCordon: true})
 	b.usable("a", 4000)
--- a/scheduler/cordon_world_test.go
+++ b/scheduler/cordon_world_test.go
@@ -11,24 +11,26 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// fakeCordons are the operator's word on the owners' failure domain.
+// fakeCordons is the operator's setting for the owners' failure domain.
 type fakeCordons struct {
 	closed bool
-	// steps counts the changes, barred the owners that were asked to start while one held.
+	// changes counts the changes of the setting.
 	steps int
 }
 
-// toldCordon is what an owner was told of it.
+// knownCordon is what an owner was told of the setting.
 type toldCordon struct {
 	known, closed bool
-	// doubted is when it last asked whether that still holds; 0 before the first time.
+	// unconfirmedSince is when it last asked whether the setting still applies; 0 before the first
+	// time.
 	doubted time.Duration
 }
 
-// maxCordonDelay bounds how long the word is on its way, longer than an owner's patience.
+// maxCordonDelay bounds a report's delay in milliseconds; it exceeds an owner's confirmation
+// timeout.
 const maxCordonDelay = 1500
 
-// tellCordon brings the word as it is then to an owner, after a while.
+// reportCordon sends an owner the setting that applies after a random delay.
 func (w *world) tellCordon(o *fakeOwner) {
 	if w.cordons == nil {
 		return
@@ -41,7 +43,7 @@
 	})
 }
 
-// cordon changes the operator's word.
+// toggleCordon changes the operator's setting.
 func (w *world) cordon() {
 	w.cordons.closed = !w.cordons.closed
 	w.cordons.steps++
@@ -50,20 +52,20 @@
 	}
 }
 
-// checkCordon sees to it that an owner starts nothing against its word, nor without one. A
-// word that it has asked about in vain for long may be trusted again.
+// checkCordon records a violation if an owner starts a run against the reported setting, or without
+// one. A setting that stays unconfirmed for the timeout may be applied again.
 func (w *world) checkCordon(o *fakeOwner, e StartRun) {
 	c := o.cordon
 	trusted := c.known || c.doubted > 0 && w.now-c.doubted > cordonPatience
 	if w.cordons != nil && (c.closed || !trusted) {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts, told %+v", w.now, e.Run.Task, c))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts, though the owner knows %+v", w.now, e.Run.Task, c))
 	}
 }
 
-// TestFuzzCordons plays cordons and their end beside all other faults: takeovers, frozen and
-// deposed owners, lost orders, lost targets, parts of other owners. No owner starts anything
-// that it was told not to, nor before it was told, nor after it stood still before it was told
-// again; and all else holds as without cordons.
+// TestFuzzCordons combines cordons with all other faults: takeovers, frozen and deposed owners,
+// lost orders, lost targets and delegated parts. An owner starts nothing while it knows of a
+// cordon, before the first report, or after a pause before the next one. All other invariants hold
+// as without cordons.
 func TestFuzzCordons(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -97,8 +99,8 @@
 	must.Greater(t, 100, steps)
 }
 
-// While a failure domain is cordoned its callers' jobs go to the other owner whole, and once
-// it is given back all are served here again.
+// While a failure domain is cordoned its jobs go to the other owner as a whole, and afterwards they
+// are served here again.
 func TestServesThroughACordon(t *testing.T) {
 	w := newWorld(3, 4, worldFaults{})
 	w.cordons = &fakeCordons{}
