--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -10,10 +10,9 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// TestFuzzOwnership plays random faults: lost and late orders, targets
-// that crash, hang or fall silent, owners that die, freeze or are cut off while
-// another takes over, and callers who leave or send again. No task may run twice at
-// one time, and nothing that began may be refused.
+// TestFuzzOwnership plays random faults: lost and late orders; targets that crash, hang or fall
+// silent; owners that die, freeze or are cut off while another takes over; callers that leave or
+// send again. A task must never run twice at one time, and a started job must not be refused.
 func TestFuzzOwnership(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := func(name string) float64 { return float64(rapid.IntRange(0, 25).Draw(rt, name)) / 100 }
@@ -90,12 +89,13 @@
 	case "raise":
 		w.raise()
 	case "depose":
-		// A claim that was written late: the former owner is well and doesn't know.
+		// The claim was written late: the previous owner is alive and does not know of its
+		// successor.
 		w.takeOver()
 	}
 }
 
-// A token that rises while orders are on their way costs no job.
+// A token that rises while orders are on their way fails no job.
 func TestServesWhileTheTokenRises(t *testing.T) {
 	w := newWorld(2, 4, worldFaults{})
 	w.takeOver()
@@ -113,7 +113,7 @@
 	}
 }
 
-// Work goes on through each single fault.
+// Jobs are served despite a few lost and late orders.
 func TestServesThroughFaults(t *testing.T) {
 	w := newWorld(1, 4, worldFaults{lostOrders: 0.02, lateOrders: 0.03, lostAnswers: 0.02})
 	w.takeOver()
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -9,13 +9,13 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// bench drives a State by hand.
+// harness drives a State directly.
 type bench struct {
 	t   *testing.T
 	s   *State
 	now time.Duration
 	ref Ref
-	// starts are the runs that were ordered, and the copies of their orders.
+	// starts counts, for each run that was ordered, the copies of its order.
 	starts map[work.Run]int
 }
 
@@ -35,7 +35,7 @@
 	b.s.TargetSeen(b.now, t)
 }
 
-// usable makes a target usable by the look that it wants first.
+// addUsableTarget adds a target and answers its first poll.
 func (b *bench) usable(id string, cpu int64) {
 	b.target(id, cpu)
 	b.do()
@@ -44,7 +44,7 @@
 
 func (b *bench) look(id string, held work.Held) { b.looked(id, held, work.VerdictDone) }
 
-// looked answers the look that is on its way, and its copies.
+// answerPollWith answers the poll that is on its way, and its copies.
 func (b *bench) looked(id string, held work.Held, verdict work.Verdict) {
 	t := b.s.targets[id]
 	for range max(t.lookCopies.waiting, 1) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// do returns the effects but for copies of starts, which it counts.
+// effects returns the effects, except repeated copies of starts, which it counts.
 func (b *bench) do() []Effect {
 	var effects []Effect
 	for _, effect := range b.s.Effects(b.now) {
@@ -66,7 +66,7 @@
 	return effects
 }
 
-// pass lets time go on, with ticks.
+// advance moves the time forward, with ticks.
 func (b *bench) pass(d time.Duration) []Effect {
 	var all []Effect
 	for end := b.now + d; b.now < end; {
@@ -77,7 +77,7 @@
 	return all
 }
 
-// disturb has an answer of each target get lost.
+// loseAnswers makes an answer of each target get lost.
 func (b *bench) disturb() {
 	for _, t := range b.s.targets {
 		b.s.missAnswer(b.now, t)
@@ -96,13 +96,13 @@
 	return b.ref
 }
 
-// listing is what a target says of runs that have saved nothing.
+// listing is a target's list of runs that have saved nothing.
 func listing(runs ...work.Run) []work.Running {
-	var listed []work.Running
+	var list []work.Running
 	for _, run := range runs {
-		listed = append(listed, work.Running{Run: run})
+		list = append(list, work.Running{Run: run})
 	}
-	return listed
+	return list
 }
 
 func pickEffects[E Effect](effects []Effect) []E {
@@ -133,18 +133,18 @@
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
 	b.do()
-	stranger := work.Run{Task: "old.0.0.0", Number: 8}
-	b.look("a", work.Held{Clock: 5000, Running: listing(stranger)})
+	unknown := work.Run{Task: "old.0.0.0", Number: 8}
+	b.look("a", work.Held{Clock: 5000, Running: listing(unknown)})
 	effects := b.do()
-	must.Eq(t, []StopRun{{To: work.Address{ID: "a"}, Run: stranger}}, pickEffects[StopRun](effects))
+	must.Eq(t, []StopRun{{To: work.Address{ID: "a"}, Run: unknown}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
 	b.look("a", work.Held{Clock: 5050})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
-// A stranger that turns up later bars the target and its lease too: a start that
-// was lost under a former owner may be carried out late.
+// An unknown run that appears later also blocks starts and the renewal of the lease: a start that
+// was lost under a previous owner may be carried out late.
 func TestLateStrangersAreNotProlonged(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
@@ -180,22 +180,22 @@
 	b := newBench(t, Options{})
 	b.usable("a", 2)
 	b.submit("j", 1, 1, "")
-	kept := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", kept.Run, done(5000))
+	other := pickEffects[StartRun](b.do())[0]
+	b.s.Started(b.now, "a", other.Run, done(5000))
 	ref := b.submit("k", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.s.Cancel(b.now, ref)
 	b.pass(200 * ms)
-	b.look("a", work.Held{Clock: 5200, Running: listing(kept.Run, start.Run)})
+	b.look("a", work.Held{Clock: 5200, Running: listing(other.Run, start.Run)})
 	must.Eq(t, 0, pickEffects[Look](b.do())[0].Until)
 	b.s.Stopped(b.now, "a", start.Run, done(5201))
-	b.look("a", work.Held{Clock: 5201, Running: listing(kept.Run), Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
+	b.look("a", work.Held{Clock: 5201, Running: listing(other.Run), Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
 	must.Positive(t, pickEffects[Look](b.do())[0].Until)
 }
 
-// The run of a silent target is over once its lease has lapsed on a clock that is
-// 2 % slow, not before.
+// The run of a silent target is over once its lease has lapsed on a clock that is 2 % slow, and not
+// before.
 func TestRunOfSilentTargetWaitsForItsLease(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -209,8 +209,8 @@
 	slow := DefaultLease * 102 / 100
 	effects := b.pass(slow)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	for _, look := range pickEffects[Look](effects) {
-		must.Eq(t, 0, look.Until)
+	for _, poll := range pickEffects[Look](effects) {
+		must.Eq(t, 0, poll.Until)
 	}
 	effects = b.pass(100 * ms)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
@@ -250,7 +250,7 @@
 	must.SliceLen(t, 1, pickEffects[Answer](b.do()))
 }
 
-// A job that was sent again waits until the runs of its former life are over.
+// A job that was sent again waits until the runs of its first submission are over.
 func TestJobSentAgainWaitsForItsFormerRuns(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -267,7 +267,7 @@
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
-// A job that is sent again while it runs goes on, for the later caller.
+// A job that is sent again while it runs goes on for the later request.
 func TestJobSentAgainIsAttached(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -306,8 +306,8 @@
 	must.Eq(t, "b", starts[0].To.ID)
 }
 
-// Runs are numbered higher than those of the same task under a former owner, whose
-// machine may have been booted earlier.
+// Runs get higher numbers than those of the same task under a previous owner, whose machine may
+// have been booted earlier.
 func TestRunsAreNumberedByTheSharedClock(t *testing.T) {
 	number := func(clock, now time.Duration) int64 {
 		b := newBench(t, Options{})
@@ -335,7 +335,7 @@
 	must.Eq(t, work.Unknown, answer.Outcome.Result)
 }
 
-// A start that the target refused did nothing: its job may still be refused.
+// A refused start did nothing: its job may still be refused.
 func TestRefusedStartIsNoBeginning(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -346,22 +346,22 @@
 	must.Eq(t, work.Moved, pickEffects[Answer](b.do())[0].Outcome.Result)
 }
 
-// While answers get lost, ends must not go unseen for the whole wait of a lost look.
+// While answers get lost, a lost poll must not hide completions for its whole wait.
 func TestLooksAreShortWhileAnswersGetLost(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	b.submit("j", 2, 1, "")
 	effects := b.do()
-	for _, look := range pickEffects[Look](effects) {
-		must.Eq(t, DefaultLookWait, look.Wait)
+	for _, poll := range pickEffects[Look](effects) {
+		must.Eq(t, DefaultLookWait, poll.Wait)
 	}
 	start := pickEffects[StartRun](effects)[0]
 	b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 	b.look("a", work.Held{Clock: 5000, Running: listing(start.Run)})
-	looks := pickEffects[Look](b.do())
-	must.SliceNotEmpty(t, looks)
-	must.Eq(t, disturbedWait, looks[0].Wait)
+	polls := pickEffects[Look](b.do())
+	must.SliceNotEmpty(t, polls)
+	must.Eq(t, disturbedWait, polls[0].Wait)
 	other := pickEffects[StartRun](effects)[1]
 	b.s.Started(b.now, other.To.ID, other.Run, done(5000))
 	for end := b.now + disturbedTime + 20*ms; b.now < end; {
@@ -373,18 +373,18 @@
 	must.Eq(t, DefaultLookWait, b.s.lookWait(b.now))
 }
 
-// A target that answers and isn't listed for long may be cut off from the registry alone:
-// it takes nothing new, and what runs there is neither lost nor started elsewhere. Listed
-// again it is used, and forgotten once nothing runs there.
+// A target that answers but stays unlisted may only be cut off from the registry. It takes nothing
+// new, and its runs are neither lost nor started elsewhere. Listed again it is used; otherwise it
+// is removed once it has no runs.
 func TestUnlistedTargetsThatAnswer(t *testing.T) {
-	for name, back := range map[string]bool{"it is listed again": true, "it stays away": false} {
+	for name, back := range map[string]bool{"listed again": true, "stays unlisted": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.usable("a", 2)
 			b.submit("j", 1, 1, "")
 			start := pickEffects[StartRun](b.do())[0]
 			b.s.Started(b.now, "a", start.Run, done(5000))
-			// It may take as long as the test, so that it speaks against no target.
+			// The run may take as long as the test, so that it does not count as a failure.
 			b.s.targets["a"].runs[start.Run.Task].expected = 5 * time.Second
 			b.do()
 			b.s.TargetMissing(b.now, "a")
@@ -415,10 +415,10 @@
 	}
 }
 
-// While answers get lost a run that should have ended speaks against its target only where
-// that has listed it since; nor is its time taken from when its end was told.
+// While answers get lost, an overdue run counts as a failure of its target only if the target has
+// listed it since. Its time is not taken from when its completion was reported.
 func TestSilenceIsNoEvidenceWhileAnswersGetLost(t *testing.T) {
-	for name, lost := range map[string]bool{"answers are lost": true, "all is well": false} {
+	for name, lost := range map[string]bool{"answers get lost": true, "no answer is lost": false} {
 		b := newBench(t, Options{})
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
@@ -428,8 +428,8 @@
 			b.disturb()
 		}
 		b.pass(300 * ms)
-		struck := len(b.s.targets["a"].health.strikes) > 0
-		must.Eq(t, !lost, struck, must.Sprint(name))
+		counted := len(b.s.targets["a"].health.strikes) > 0
+		must.Eq(t, !lost, counted, must.Sprint(name))
 		if !lost {
 			continue
 		}
--- a/scheduler/learn_test.go
+++ b/scheduler/learn_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Where all declared run times are too short, the targets are not slow.
+// Where all declared run times are too short, the targets do not count as slow.
 func TestShortDeclarationsAreLearned(t *testing.T) {
 	s := New(Options{})
 	now := time.Duration(0)
@@ -30,8 +30,7 @@
 	must.False(t, s.targets["a"].slow())
 }
 
-// Declared run times that are off to both sides must not make targets look slower
-// and slower.
+// Declared run times that are wrong in both directions must not make targets look ever slower.
 func TestLearnedRunTimesDoNotDrift(t *testing.T) {
 	s := New(Options{})
 	s.TargetSeen(0, work.Target{ID: "t", Service: "s", Capacity: work.Resources{CPU: 1000}})
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -18,7 +18,7 @@
 	must.StrContains(t, answer.Outcome.Reason, "ask for less")
 }
 
-// A job that fits beside what waits is taken, since those who wait can't use the room.
+// A job that fits beside the waiting ones is accepted, since these cannot use the free capacity.
 func TestSmallJobsFitBesideLargeOnesThatWait(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 10)
@@ -34,7 +34,7 @@
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref,
 		Job: work.Job{ID: "small", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 2}, Estimate: 100 * ms}}},
-		// Behind all others, and without the time to wait for them.
+		// It is placed after all others, and has no time to wait for them.
 		Queue: work.Queue{Name: "q", Service: "s", Priority: 5, MaxAttempts: 2, Stretch: 2, Allowance: 100 * ms},
 	})
 	effects := b.do()
@@ -56,20 +56,20 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.pass(firstRest+40*ms)))
 }
 
-// What another owner may still run is not run here.
+// Tasks that another owner may still run are not run here.
 func TestLostPartEndsItsJob(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
 	ref := b.submit("j", 2, 1, "")
 	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{2, 2, 2}})
-	lend := pickEffects[Lend](b.do())[0]
-	b.s.Returned(b.now, lend.Part, work.Outcome{Result: work.Unknown})
+	delegated := pickEffects[Lend](b.do())[0]
+	b.s.Returned(b.now, delegated.Part, work.Outcome{Result: work.Unknown})
 	answer := pickEffects[Answer](b.do())[0]
 	must.Eq(t, ref, answer.Ref)
 	must.Eq(t, work.Unknown, answer.Outcome.Result)
 }
 
-// A part that can't begin goes back while its owner may find it another place.
+// A part that cannot start goes back while its owner can still find it another target.
 func TestPartsGoBackSoon(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 2)
@@ -88,8 +88,8 @@
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
 }
 
-// Urgent jobs that were taken lately count against less urgent ones, which they
-// would overtake.
+// Recently accepted urgent jobs count in the forecast of less urgent ones, which they would
+// overtake.
 func TestUrgentDemandCountsInTheForecast(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 10)
@@ -120,11 +120,10 @@
 	must.Between(t, 40, refused, 55)
 }
 
-// Jobs that were taken while there were places and turn late after these are lost are told
-// so then, not at the end of the time in which they are of use; what has a chance still
-// waits.
+// Jobs that become late after their targets are lost are refused then, and not only when their
+// answer is of no use any more. Those that can still be served wait.
 func TestLateJobsWithoutAChanceAreToldAtOnce(t *testing.T) {
-	for name, lost := range map[string]bool{"the places are lost": true, "the places stay": false} {
+	for name, lost := range map[string]bool{"capacity is lost": true, "capacity stays": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.usable("a", 1)
@@ -143,7 +142,7 @@
 					b.s.touch(b.s.targets[id])
 				}
 			}
-			// It has to begin within 1.1 s to be in time and is of use for 3.6 s.
+			// The job has to start within 1.1 s to be on time, and is of use for 3.6 s.
 			must.SliceEmpty(t, pickEffects[Answer](b.pass(time.Second)))
 			answers := pickEffects[Answer](b.pass(200 * ms))
 			if !lost {
@@ -158,8 +157,8 @@
 	}
 }
 
-// A job fails when one of its tasks has failed as often as its queue allows, and
-// is tried elsewhere before.
+// A job fails once one of its tasks has failed as often as its queue allows. Before that the task
+// is tried on other targets.
 func TestFailedRunsAreBounded(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -177,8 +176,8 @@
 	must.Eq(t, work.Failed, answer.Outcome.Result)
 }
 
-// Jobs that fail everywhere bring no target under suspicion, targets at which
-// several jobs fail do.
+// A job that fails on all targets makes none suspect; a target on which several jobs fail becomes
+// suspect.
 func TestSuspicionNeedsSeveralJobs(t *testing.T) {
 	b := newBench(t, Options{})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -213,7 +212,7 @@
 	must.SliceEmpty(t, pickEffects[StopRun](b.pass(100*ms)))
 }
 
-// Tasks that find no place go to an owner with room, and come back if it refuses.
+// Tasks that find no target go to an owner with free capacity, and come back if it refuses them.
 func TestTasksAreLentAndComeBack(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -221,10 +220,10 @@
 	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{2, 2, 2}})
 	effects := b.do()
 	start := pickEffects[StartRun](effects)[0]
-	lends := pickEffects[Lend](effects)
-	must.SliceLen(t, 1, lends)
-	must.Eq(t, []string{"j.0.0.1", "j.0.0.2"}, lends[0].Submission.Part)
-	b.s.Returned(b.now, lends[0].Part, work.Outcome{Result: work.Refused})
+	delegated := pickEffects[Lend](effects)
+	must.SliceLen(t, 1, delegated)
+	must.Eq(t, []string{"j.0.0.1", "j.0.0.2"}, delegated[0].Submission.Part)
+	b.s.Returned(b.now, delegated[0].Part, work.Outcome{Result: work.Refused})
 	must.SliceEmpty(t, pickEffects[Lend](b.do()))
 	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{2, 2, 2}})
 	again := pickEffects[Lend](b.do())
@@ -237,17 +236,17 @@
 	must.Eq(t, work.Completed, answer.Outcome.Result)
 }
 
-// A lent part is withdrawn with its job, which then counts as unsettled.
+// A delegated part is withdrawn with its job, and its runs count as stopping for a while.
 func TestLentPartsAreWithdrawn(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
 	ref := b.submit("j", 2, 1, "")
 	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{2, 2, 2}})
 	effects := b.do()
-	start, lend := pickEffects[StartRun](effects)[0], pickEffects[Lend](effects)[0]
+	start, delegated := pickEffects[StartRun](effects)[0], pickEffects[Lend](effects)[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.s.Cancel(b.now, ref)
-	must.Eq(t, lend.Part, pickEffects[Withdraw](b.do())[0].Part)
+	must.Eq(t, delegated.Part, pickEffects[Withdraw](b.do())[0].Part)
 	b.look("a", work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
 	b.submit("j", 1, 1, "")
 	must.SliceEmpty(t, pickEffects[StartRun](b.pass(withdrawTime-50*ms)))
@@ -320,10 +319,10 @@
 	}
 }
 
-// A target whose entry lapsed is used while it answers, and forgotten after a while, once
-// nothing runs there: what did has ended, or its lease has lapsed without an answer.
+// A target whose entry lapsed is used while it answers. After a timeout it is removed, once its
+// runs have ended or its lease has lapsed without an answer.
 func TestUnlistedTargetsAreForgotten(t *testing.T) {
-	for name, silent := range map[string]bool{"it answers": false, "it is silent": true} {
+	for name, silent := range map[string]bool{"target answers": false, "target is silent": true} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.usable("a", 4)
@@ -355,8 +354,8 @@
 	must.Eq(t, []Deposed{{Target: "a"}}, pickEffects[Deposed](b.do()))
 }
 
-// A target that another group's owner has is no word on this group: an entry may name the
-// wrong failure domain.
+// A target that obeys another group's owner says nothing about this group's owner: a registry entry
+// may name the wrong failure domain.
 func TestATargetOfAnotherGroupDeposesNobody(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -365,14 +364,14 @@
 	b.looked("theirs", work.Held{}, work.VerdictFenced)
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[Deposed](effects))
-	must.SliceEmpty(t, pickEffects[Look](effects), must.Sprint("looks at it are paced"))
+	must.SliceEmpty(t, pickEffects[Look](effects), must.Sprint("polls of it are paced"))
 	b.submit("j", 2, 1, "")
 	starts := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "a", starts[0].To.ID)
 }
 
-// The same for one whose entry has moved away while tasks run there: they are over when
+// The same holds for a target whose entry has moved away while tasks run there. They are over when
 // its lease is.
 func TestATargetThatMovesToAnotherGroupDeposesNobody(t *testing.T) {
 	b := newBench(t, Options{})
@@ -385,7 +384,7 @@
 	b.looked("a", work.Held{}, work.VerdictFenced)
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[Deposed](effects))
-	must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint("its run may go on"))
+	must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint("its run may still execute"))
 	starts := pickEffects[StartRun](b.pass(1200 * ms))
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "b", starts[0].To.ID)
