--- a/scheduler/place_bench_test.go
+++ b/scheduler/place_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// BenchmarkTask measures the decisions of one task, from the submission of its job to
-// its end, at nearly full targets of three places each.
+// BenchmarkTask measures the decisions for one task, from the submission of its job to its
+// completion, on nearly full targets that hold three tasks each.
 func BenchmarkTask(b *testing.B) {
 	for _, targets := range []int{16, 117, 1167} {
 		b.Run(fmt.Sprintf("places=%d", 3*targets), func(b *testing.B) { benchmarkTasks(b, targets) })
@@ -27,8 +27,8 @@
 		s.TargetSeen(now, work.Target{ID: id, Service: "s", Address: id, Capacity: work.Resources{CPU: 46000 + int64(i%7)*500}})
 	}
 	var running []StartRun
-	seen := map[string]int64{}
-	carry := func() {
+	completed := map[string]int64{}
+	applyEffects := func() {
 		for _, effect := range s.Effects(now) {
 			switch e := effect.(type) {
 			case Look:
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	carry()
+	applyEffects()
 	submit := func(i int) {
 		s.Submit(now, Submission{
 			Ref: Ref(i + 1),
@@ -50,7 +50,7 @@
 			}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		})
-		carry()
+		applyEffects()
 	}
 	next := 0
 	for ; next*benchTasks < 3*targets*9/10; next++ {
@@ -63,17 +63,17 @@
 		for range min(benchTasks, len(running)) {
 			e := running[0]
 			running = running[1:]
-			seen[e.To.ID]++
+			completed[e.To.ID]++
 			t := s.targets[e.To.ID]
 			t.looking = true
-			held := work.Held{Clock: now.Milliseconds(), Ended: []work.End{{Number: seen[e.To.ID], Run: e.Run, Kind: work.EndDone}}}
+			held := work.Held{Clock: now.Milliseconds(), Ended: []work.End{{Number: completed[e.To.ID], Run: e.Run, Kind: work.EndDone}}}
 			for _, r := range t.runs {
 				if r.Run != e.Run {
 					held.Running = append(held.Running, work.Running{Run: r.Run})
 				}
 			}
 			s.Looked(now, e.To.ID, t.look.At, held, work.VerdictDone)
-			carry()
+			applyEffects()
 		}
 		submit(next)
 		next++
