--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -12,7 +12,8 @@
 	speed float64
 	// failures holds, by job, the last failure here since the last successful run.
 	strikes map[string]time.Duration
-	// probeAfter is when the target may be probed; backoff is the pause after the next suspicion.
+	// probeAfter is when the target may be probed; backoff is how long it gets no task after the
+	// next suspicion.
 	until, retry time.Duration
 	// suspectedSince is when the target came under suspicion.
 	since time.Duration
@@ -222,8 +223,8 @@
 	return r.expected
 }
 
-// hungFactor exceeds the longest run times, four times their mean, for declared times that are half
-// as much too low.
+// hungFactor covers the longest run times, four times their mean, even where the mean is 1.5 times
+// the declared time.
 const hopelessFactor = 6
 
 // isHung reports whether a run has taken so long that it alone makes its target suspect.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,17 +1,15 @@
-// Package scheduler decides which target runs which task, and when. It is pure logic: a State takes
-// the messages of callers, targets and the registry, each with the time, and returns effects for
-// others to carry out. It reads no clock, opens no socket and starts no goroutine.
+// Package scheduler decides which target runs which task, and when. A State takes the messages of
+// callers, targets and the registry, each with the time, and returns effects for others to carry
+// out. It reads no clock, opens no socket and starts no goroutine. Invariants:
 //
-// Invariants:
-//
-//   - A task has at most one run that may be executing. It is placed again only when its last
-//     run is over: the target listed its completion, the target's incarnation has ended, the
-//     run was stopped before it began, or its lease has lapsed on the target's own clock.
-//   - The lease of a target covers everything that runs there. It is renewed only while the
-//     target answers and no stop is overdue there.
-//   - A target is used only after a poll under the owner's fencing token has shown that no run
-//     of a previous owner is left there, except those that this owner continues.
-//   - A submission is refused only while no start of any of its tasks was ever ordered.
+//   - A task has at most one run that may be executing. It is placed again only when that run is
+//     over: completed, in an ended incarnation, stopped before it began, or past its lease on the
+//     target's own clock.
+//   - The lease of a target covers all its runs. It is renewed only while the target answers and
+//     no stop is overdue there.
+//   - A target is used only after a poll under the owner's fencing token has shown that no run of
+//     a previous owner is left there, except those that this owner continues.
+//   - A submission is refused only while none of its tasks may have started.
 package scheduler
 
 import (
