--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -9,114 +9,118 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// job is a submission without an answer.
+// job is a submission that has no answer yet.
 type job struct {
 	sub  Submission
 	kind *kind
 	pool *pool
-	// objective is when the answer should be there, latest when the first task has
-	// to start for that, useful when an answer is worth nothing any more.
+	// objective is when the answer is due. latestStart is when the first task has to start to
+	// meet it. After usefulUntil the answer is worth nothing to the caller.
 	objective, latest, useful time.Duration
-	// deadline is when the caller leaves; 0 means never.
+	// deadline is when the caller stops waiting; 0 means never.
 	deadline time.Duration
 	arrived  time.Duration
-	// submitted is when this owner took the job, first when it first ordered a run of it;
-	// 0 before.
+	// submitted is when this owner took the job. firstOrdered is when it first ordered a run of
+	// it; 0 before.
 	submitted, first time.Duration
-	// key is the place in the order of waiting jobs.
+	// sortKey orders the waiting jobs: the smallest is placed first.
 	key  time.Duration
 	late bool
-	// useless kept jobs are done all the same.
+	// useless jobs are past usefulUntil. Only durable jobs get here: they run all the same.
 	useless bool
 	ended   bool
-	// stored kept jobs lie in the store; cancelled ones are over for good, dropped ones
-	// are left to another owner.
+	// stored jobs are in the store, cancelled ones are over for good, and dropped ones are left
+	// to another owner.
 	stored, cancelled, dropped bool
 	queued                     bool
-	// steps are those of all occurrences, in their order; the first passed ones are over,
-	// those from due on aren't due yet.
+	// steps lists the steps of all occurrences in order. The first stepsDone of them are over.
+	// Those from index stepsDue on belong to occurrences that aren't due yet.
 	steps       []*step
 	passed, due int
 	tasks       []*task
-	// begun counts the orders that may have started something, assumed are those of them
-	// that former owners may have given; traced is set once it is known that they did.
+	// possibleStarts counts the orders that may have started a run. assumedStarts of them are
+	// orders that previous owners may have given. seenStarted is set once it is known that a
+	// previous owner did start something.
 	begun, assumed int
 	traced         bool
-	// open counts the tasks that are not done.
+	// openTasks counts the tasks that are not done.
 	open  int
 	trail []TrailEntry
-	// trailDropped counts the entries beyond the bound.
+	// historyDropped counts the history entries beyond maxHistory.
 	trailDropped int
-	// blamed holds the targets at which a task of this job failed.
+	// failedTargets holds the targets on which a task of this job failed.
 	blamed map[string]bool
 }
 
-// step is a step of an occurrence of a job.
+// step is one step of one occurrence of a job.
 type step struct {
 	work.Step
 	job *job
-	// place is its place among the job's steps, members are its tasks.
+	// index is the step's index in job.steps. members are its tasks.
 	place    int
 	members  []*task
 	expected time.Duration
 	pending  []*task
-	// open counts the step's tasks that are not done.
+	// openTasks counts the step's tasks that are not done.
 	open int
-	// on counts the step's runs by target where their spread is bounded.
+	// runsOn counts the step's runs by target; nil unless the step bounds its spread.
 	on map[string]int
-	// suspected is set once a target was lost under a task.
+	// hasSuspects is set once a target was lost under a task of the step.
 	suspected bool
-	// saved is what a gang has saved of its work.
+	// saved is the work that a gang has saved.
 	saved savedState
-	// tried is since when a gang waits for its places; 0 before the first try.
+	// waitingSince is when a gang was first tried without success; 0 before.
 	tried time.Duration
-	// name is the step's at the adviser, advice what that has said; nil without one.
+	// name identifies the step to the adviser. advice is what the adviser answered; nil if the
+	// queue has no adviser.
 	name   string
 	advice *advice
-	// filling is what a task that fills wants of its target's processor, in thousandths
-	// of a core; held is the target that room is made on for a serving one, since cleared.
+	// backgroundCPU is what a background task wants of its target's processor, in thousandths
+	// of a core. clearedTarget is the target whose background tasks were stopped at clearedAt to
+	// make place for this latency-sensitive step.
 	filling int64
 	held    *target
 	cleared time.Duration
 }
 
-// task is one task of a job. At most one run of it may be going on.
+// task is one task of a job. At most one run of it may be in progress.
 type task struct {
 	name string
 	job  *job
 	step *step
-	// place is its place among the job's tasks.
+	// index is the task's index in job.tasks.
 	place int
 	run   *run
 	fails int
-	// lastFailed is the number of the last failed run.
+	// lastFailedRun is the number of the last failed run.
 	lastFailed int64
-	// complete is set once its work is done.
+	// done is set once the task's work is done.
 	complete bool
-	// saved is what it has saved of its work.
+	// saved is the work that the task has saved.
 	saved savedState
-	// ripe is when a lasting task may start again, hurried counts its short runs in a row.
+	// notBefore is when a lasting task may start again. shortRuns counts its consecutive runs
+	// that were shorter than shortRun, up to maxRestartDoublings.
 	ripe    time.Duration
 	hurried int
-	// restarts counts the runs that took too long.
+	// stuckRuns counts the runs that were stopped because they took too long.
 	restarts int
-	// avoid is the target of the last run that failed or was lost.
+	// avoidTarget is the target of the last run that failed or was lost.
 	avoid string
-	// falls are the losses of targets that speak against it, excused counts those that
-	// don't.
+	// losses are the target losses that count against the task. correlatedLosses counts those
+	// that don't, because other targets were lost at the same time.
 	falls   []*fall
 	excused int
-	// room is the target that is kept for it to run alone.
+	// reservedTarget is the target that is reserved for the task to run alone; nil for none.
 	room *target
 }
 
-// kind is what was learned about the jobs of one queue.
+// queueEstimate estimates the run times of a queue's tasks from the runs seen so far.
 type kind struct {
-	// ratio is the run time against the declared one.
+	// runtimeRatio is the moving average of actual run time divided by declared run time.
 	ratio float64
 }
 
-// Bounds of what is learned about declared run times.
+// Weight and bounds of queueEstimate.runtimeRatio.
 const (
 	// ratioWeight is the weight of the newest run in the moving average.
 	ratioWeight = 0.02
@@ -124,6 +128,7 @@
 	maxRatio    = 5.0
 )
 
+// observe updates the ratio with the run time of a run that has finished.
 func (k *kind) learn(actual, declared time.Duration) {
 	if declared <= 0 {
 		return
@@ -132,6 +137,7 @@
 	k.ratio += ratioWeight * (ratio - k.ratio)
 }
 
+// expectedRuntime returns the run time to expect of a task with this declared run time.
 func (k *kind) expect(declared time.Duration) time.Duration {
 	return max(time.Duration(k.ratio*float64(declared)), time.Millisecond)
 }
@@ -145,18 +151,18 @@
 	return k
 }
 
-// Figures of the order of waiting jobs.
+// Parameters of the order of waiting jobs.
 const (
-	// priorityStep is how much earlier a job counts as due than one of the next
-	// priority: the slack of the next shorter kind of job, so that urgent jobs go
-	// first and others are not starved by a steady stream of them.
+	// priorityStep is how much later a job counts as due than one of the next higher priority.
+	// It equals the slack of the next shorter class of jobs: urgent jobs go first, and a steady
+	// stream of them doesn't starve the others.
 	priorityStep = 300 * time.Millisecond
-	// startedBonus puts a job that has begun before new ones: it earns nothing
-	// until its last task is done.
+	// startedBonus puts a job that has started before new ones: its work so far is worth
+	// nothing until its last task is done.
 	startedBonus = 400 * time.Millisecond
 	// lateBand puts jobs that can't be on time any more behind all others.
 	lateBand = 10 * time.Second
-	// usefulFactor times the objective is when an answer is worth nothing.
+	// usefulFactor is the multiple of the objective after which an answer is worth nothing.
 	usefulFactor = 3
 )
 
@@ -192,10 +198,10 @@
 	return j
 }
 
-// waitedBefore is the least that a caller has waited before it handed the job in: one that
-// comes for the first time waits for the queue's timeout at least, and one that has come back
-// says what is left. When callers whose time is over come back all at once, after a loss of
-// all VMs, they go behind those whose jobs can be in time.
+// waitedBefore returns the least time for which a caller has waited before it handed the job
+// in. A caller that comes for the first time waits for at least the queue's timeout; one that
+// comes again says how much of it remains. After a loss of all VMs many callers come again at
+// once: those whose time has run out go behind those whose jobs can still be on time.
 func (sub Submission) waitedBefore() time.Duration {
 	if sub.Wait <= 0 || sub.Part != nil || sub.Job.Kept {
 		return 0
@@ -228,7 +234,7 @@
 	j.steps = append(j.steps, st)
 }
 
-// order sets the key.
+// updateSortKey recomputes sortKey from the job's state.
 func (j *job) order() {
 	j.key = j.latest + time.Duration(j.sub.Queue.Priority)*priorityStep
 	switch {
@@ -241,10 +247,10 @@
 	}
 }
 
-// current are the steps that are due and not over.
+// currentSteps returns the steps that are due and not over.
 func (j *job) current() []*step { return j.steps[j.passed:max(j.due, j.passed)] }
 
-// ready reports whether a step is due and all steps that come before it are done.
+// isReady reports whether a step is due and all steps that must come before it are done.
 func (j *job) ready(st *step) bool {
 	if st.place >= j.due {
 		return false
@@ -258,8 +264,8 @@
 	return true
 }
 
-// complete takes a task that is done off those that are open, and to be placed. One that
-// is done ends its gang.
+// markDone counts a task as done and takes it off the pending ones. When one task of a gang is
+// done, all of the gang's tasks are.
 func (j *job) complete(t *task) {
 	if t.complete {
 		return
@@ -280,10 +286,10 @@
 	}
 }
 
-// started reports whether anything of the job may have run.
+// mayHaveStarted reports whether anything of the job may have run.
 func (j *job) started() bool { return j.begun > 0 }
 
-// pending reports whether a task waits for a place, now or after other steps.
+// hasPendingTasks reports whether a task of a current step waits for a target.
 func (j *job) pending() bool {
 	for _, st := range j.current() {
 		if len(st.pending) > 0 {
@@ -293,7 +299,7 @@
 	return false
 }
 
-// wait puts a job into the order of waiting jobs.
+// enqueue inserts a job into the ordered list of waiting jobs, unless it is there or has ended.
 func (s *State) wait(j *job) {
 	if j.queued || j.ended {
 		return
@@ -307,7 +313,7 @@
 	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.sub.Ref, b.sub.Ref))
 }
 
-// reorder moves a waiting job to the place of its new key.
+// requeue updates a job's sort key and moves the job to its new place among the waiting ones.
 func (s *State) reorder(j *job) {
 	if j.queued {
 		at, _ := slices.BinarySearchFunc(s.waiting, j, compareJobs)
@@ -318,7 +324,8 @@
 	s.wait(j)
 }
 
-// finish ends a job: its caller is told and its runs are stopped.
+// finish ends a job: it answers the caller, or reports the end of a durable job to the store,
+// and stops the job's runs.
 func (s *State) finish(now time.Duration, j *job, outcome work.Outcome) {
 	if j.ended {
 		return
@@ -340,7 +347,7 @@
 	s.stopRuns(now, j)
 }
 
-// times is how long a job waited and ran, zero if nothing of it began here.
+// times returns how long the job waited and ran; zero if nothing of it was ordered here.
 func (j *job) times(now time.Duration) Times {
 	if j.first == 0 {
 		return Times{}
@@ -348,7 +355,7 @@
 	return Times{Wait: j.first - j.submitted, Run: now - j.first}
 }
 
-// stopRuns stops what runs of a job that has ended.
+// stopRuns stops the runs of a job that has ended.
 func (s *State) stopRuns(now time.Duration, j *job) {
 	for _, t := range j.tasks {
 		if t.run != nil {
@@ -358,21 +365,22 @@
 	}
 }
 
-// Cancel gives up a submission, since its caller has left.
+// Cancel gives up a submission whose caller has left. Durable jobs go on.
 func (s *State) Cancel(now time.Duration, ref Ref) {
 	if j := s.jobs[ref]; j != nil && !j.kept() {
 		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "the caller left"})
 	}
 }
 
-// expire gives up a job that nobody waits for or that can't be of use any more.
+// expireJob gives up a job whose caller or entry VM no longer waits, or whose answer can't be
+// of use any more. Durable jobs are never given up, only moved behind others.
 func (s *State) expire(now time.Duration, j *job) {
 	switch {
 	case j.ended:
 	case j.kept():
 		s.delay(now, j)
 	case !s.vouched(now, j):
-		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: vouched until %v ago",
+		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: keepalive expired %v ago",
 			(now-s.entries[j.sub.Entry]).Round(time.Millisecond))))
 	case j.deadline > 0 && now >= j.deadline:
 		s.finish(now, j, j.giveUp("the caller's deadline has passed"))
@@ -385,28 +393,29 @@
 	}
 }
 
-// delay puts a job behind others once it can't be in time, and a kept one once its end is
-// of no use any more, also where it has begun: after a takeover a backlog of those would
-// keep all new work from being in time.
+// demoteIfLate moves a job behind others once it can't be on time. A durable job also moves
+// once its completion is of no use any more, even if it has started: after a takeover, a
+// backlog of such jobs would otherwise make all new work late.
 func (s *State) delay(now time.Duration, j *job) {
 	switch {
 	case !j.queued:
 	case j.kept() && !j.useless && now > j.useful:
 		j.useless = true
-		j.mark(now, "useless", "", "", "its end comes too late; goes behind work that can be in time")
+		j.mark(now, "useless", "", "", "its answer comes too late to be of use; queued behind jobs that can be on time")
 		s.reorder(j)
 	case !j.started() && !j.late && now > j.latest:
 		j.late = true
-		j.mark(now, "late", "", "", "no place in time; goes behind work that can be in time")
+		j.mark(now, "late", "", "", "no capacity in time; queued behind jobs that can be on time")
 		s.reorder(j)
 		s.turnAway(now, j)
 	}
 }
 
-// chain is the expected run time of the job.
+// expectedRuntime returns the expected run time of the job's chain of steps.
 func (j *job) chain() time.Duration { return j.objective - j.latest }
 
-// giveUp tells the truth about a job that won't be done.
+// giveUpOutcome returns the outcome of a job that is given up. Once anything of it may have run,
+// that is Unknown; before, the job is Refused and can safely be sent again.
 func (j *job) giveUp(why string) work.Outcome {
 	if j.started() {
 		return work.Outcome{Result: work.Unknown, Reason: why}
@@ -423,21 +432,23 @@
 	return jobs
 }
 
-// GiveUp gives up a job by its ID, with its parts, if it is still an entry VM's.
+// GiveUp gives up the job with this ID and its parts that came from the given entry VM. Durable
+// jobs go on.
 func (s *State) GiveUp(now time.Duration, entry, id string) {
-	var given []*job
+	var matching []*job
 	for _, j := range s.jobs {
 		if j.sub.Job.ID == id && j.sub.Entry == entry && !j.kept() {
-			given = append(given, j)
+			matching = append(given, j)
 		}
 	}
-	slices.SortFunc(given, func(a, b *job) int { return cmp.Compare(a.sub.Ref, b.sub.Ref) })
-	for _, j := range given {
-		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "its entry VM has given it up"})
+	slices.SortFunc(matching, func(a, b *job) int { return cmp.Compare(a.sub.Ref, b.sub.Ref) })
+	for _, j := range matching {
+		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "its entry VM has matching it up"})
 	}
 }
 
-// key tells a job from its parts that other owners hand over.
+// key identifies a job or a part of one: a part that another owner delegates has its first
+// task's name as key.
 func (sub Submission) key() string {
 	if len(sub.Part) > 0 {
 		return sub.Part[0]
