--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -6,10 +6,10 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Settle tells an order that the owner's own newer token has overtaken from one that
-// another owner's token bars. sent is the token of the order, current the owner's
-// token when the answer came: it rises with the write of a claim that the owner was
-// given by word, while orders under the former one are on their way.
+// ResolveVerdict tells a fenced order that this owner's own newer token has overtaken from one
+// that another owner's token refuses. sent is the token of the order. current is the owner's
+// token when the answer came. The token rises when the owner writes a claim that it was handed
+// over by message, while orders under the old token are still on their way.
 func Settle(verdict work.Verdict, sent, current int64) work.Verdict {
 	if verdict == work.VerdictFenced && sent < current {
 		return work.VerdictOvertaken
@@ -17,7 +17,7 @@
 	return verdict
 }
 
-// Started takes the answer to a StartRun.
+// HandleStartAnswer takes a target's answer to a StartRun.
 func (s *State) Started(now time.Duration, id string, order work.Run, answer work.OrderAnswer) {
 	s.resend.heard(answer.Verdict)
 	t := s.targets[id]
@@ -25,7 +25,7 @@
 		return
 	}
 	if t.restarted(answer.Clock) {
-		s.renew(now, t, "its clock began anew")
+		s.renew(now, t, "its clock restarted")
 	}
 	t.readClock(now, answer.Clock)
 	r := t.runs[order.Task]
@@ -49,18 +49,19 @@
 	}
 }
 
-// unanswered reports whether an order may have been carried out without a word of it.
+// isUnanswered reports whether an order may have been carried out although no answer came.
 func unanswered(verdict work.Verdict) bool {
 	return verdict == work.VerdictUnknown || verdict == work.VerdictBroken
 }
 
-// copyRefused takes the refusal of one copy of a start, which tells nothing of the others:
-// a run that has ended already was begun by one of them, and its end is listed.
+// handleCopyRefusal takes the refusal of one of several copies of a start. The refusal tells
+// nothing about the others: if the run has already ended, another copy started it, and the
+// target lists its completion.
 func (s *State) copyRefused(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	switch {
 	case verdict == work.VerdictGone || verdict == work.VerdictFenced:
-		// Another copy may have begun it in the former life, or under the former token: the
-		// job counts as begun.
+		// Another copy may have started the run in the previous incarnation or under the
+		// previous token: the job still counts as started.
 		s.answeredElsewhere(now, t, verdict)
 	case r.state != ordered:
 	case verdict == work.VerdictOld && r.stop == nil:
@@ -71,12 +72,12 @@
 	}
 }
 
-// answeredElsewhere takes what an answer about a run that is over says of the
-// target.
+// handleTargetVerdict takes what an answer says of the target itself: that another incarnation
+// answers, or that the target obeys another owner.
 func (s *State) answeredElsewhere(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
 	case work.VerdictGone:
-		s.lose(now, t, "another life answers at its address")
+		s.lose(now, t, "another incarnation answers at its address")
 	case work.VerdictFenced:
 		if s.foreign(t) {
 			s.leaveTo(now, t)
@@ -86,9 +87,9 @@
 	}
 }
 
-// foreign reports whether a target that obeys another owner may be of another group, so
-// that it says nothing about this one's: its entry is gone from the group, or it has never
-// obeyed this owner while others do.
+// mayBelongToOtherGroup reports whether a target that obeys another owner may be in another
+// group, so that its answer doesn't depose this owner. That holds if its registry entry is
+// gone from the group, or if it has never obeyed this owner while other targets do.
 func (s *State) foreign(t *target) bool {
 	if t.missing != 0 {
 		return true
@@ -104,8 +105,9 @@
 	return false
 }
 
-// leaveTo takes a target out of use that obeys the owner of another group. What runs there
-// ends with its lease, which only that owner prolongs once it has stopped it.
+// leaveToOtherOwner takes a target out of use that obeys the owner of another group. What this
+// owner started there ends with its lease: the other owner extends the lease only after it has
+// stopped those runs.
 func (s *State) leaveTo(now time.Duration, t *target) {
 	s.emit(Note{What: "target obeys another owner", Target: t.ID, Age: now - t.lease.at})
 	t.failedLooks = silentLooks
@@ -113,14 +115,15 @@
 	s.touch(t)
 }
 
+// markRunning notes that a run has certainly started.
 func (s *State) began(r *run) {
 	if r.state != running {
 		r.state = running
 	}
 }
 
-// unanswered makes sure that a start without an answer has no effect: the target
-// is told to stop the run, which also bars it from starting later.
+// stopUnanswered stops a run whose start has no answer. The stop also keeps the target from
+// starting the run later.
 func (s *State) unanswered(now time.Duration, t *target, r *run) {
 	if r.state != ordered {
 		return
@@ -135,7 +138,7 @@
 	}
 }
 
-// notBegun takes back a run that the target certainly did not begin.
+// handleStartRefused takes back a run that the target certainly did not start.
 func (s *State) notBegun(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	j := r.task.job
 	s.emit(Note{What: "start refused", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Detail: verdict.String(), Age: now - r.ordered})
@@ -151,7 +154,7 @@
 	s.blame(now, t, verdict)
 }
 
-// blame draws the conclusion about a target from a refused order.
+// applyRefusal updates the state of a target after it refused an order.
 func (s *State) blame(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
 	case work.VerdictGone, work.VerdictFenced:
@@ -167,11 +170,11 @@
 	}
 }
 
-// roomPause bars a target after it had less room than believed: the next look
-// tells of what ended.
+// refusalPause blocks starts at a target that had less free capacity than assumed. By then
+// the next poll reports what has ended there.
 const roomPause = 30 * time.Millisecond
 
-// Stopped takes the answer to a StopRun.
+// HandleStopAnswer takes a target's answer to a StopRun.
 func (s *State) Stopped(now time.Duration, id string, order work.Run, answer work.OrderAnswer) {
 	s.resend.heard(answer.Verdict)
 	t := s.targets[id]
@@ -179,7 +182,7 @@
 		return
 	}
 	if t.restarted(answer.Clock) {
-		s.renew(now, t, "its clock began anew")
+		s.renew(now, t, "its clock restarted")
 	}
 	t.readClock(now, answer.Clock)
 	agreed := answer.Verdict == work.VerdictDone || answer.Verdict == work.VerdictOld
@@ -195,7 +198,7 @@
 	s.answeredElsewhere(now, t, answer.Verdict)
 }
 
-// silence takes a target out of use until it answers a look.
+// markSilent takes a target out of use until it answers a poll.
 func (s *State) silence(now time.Duration, t *target, why string) {
 	if t.state == usable {
 		s.emit(Note{What: "target is silent", Target: t.ID, Detail: why, Age: now - t.lease.at})
@@ -205,8 +208,7 @@
 	}
 }
 
-// Looked takes the answer to a Look.
-// at is that of the look.
+// HandlePollAnswer takes a target's answer to the poll that was first sent at the given time.
 func (s *State) Looked(now time.Duration, id string, at time.Duration, held work.Held, verdict work.Verdict) {
 	s.resend.heard(verdict)
 	t := s.targets[id]
@@ -228,15 +230,17 @@
 	default:
 		s.missAnswer(now, t)
 		if t.failedLooks++; t.failedLooks >= silentLooks {
-			s.silence(now, t, "looks failed: "+verdict.String())
+			s.silence(now, t, "polls failed: "+verdict.String())
 		}
 	}
 }
 
-// silentLooks is how many looks in a row must fail: one may be lost on its way, and
-// the next one asks for an answer at once.
+// silentPolls is how many polls in a row must fail before a target counts as silent. One may
+// be lost on its way; the next one asks for an answer at once.
 const silentLooks = 2
 
+// applyPoll takes what a target reports in a poll's answer: its incarnation and capacity, new
+// completions, and the runs in progress.
 func (s *State) held(now time.Duration, t *target, held work.Held) {
 	if !s.tellsLife(now, t, held.Life) {
 		return
@@ -262,9 +266,9 @@
 		s.seenRunning(now, t, on)
 	}
 	s.missed(now, t, listed)
-	for stranger := range t.strangers {
-		if !listed[stranger] {
-			delete(t.strangers, stranger)
+	for unknown := range t.strangers {
+		if !listed[unknown] {
+			delete(t.strangers, unknown)
 		}
 	}
 	for run := range t.guests {
@@ -277,8 +281,8 @@
 	s.touch(t)
 }
 
-// use takes a target into use once nothing runs there that isn't this owner's, and it is
-// known that nobody else owns the targets.
+// useIfReady takes a target into use once it obeys this owner, nothing runs there that isn't
+// this owner's, and it is known that nobody else owns the targets.
 func (s *State) use(now time.Duration, t *target) {
 	if t.state != usable && t.barred && len(t.strangers) == 0 && len(t.guests) == 0 && s.proven(now, t) {
 		s.emit(Note{What: "target is usable", Target: t.ID})
@@ -286,7 +290,7 @@
 	}
 }
 
-// seenRunning takes a run that the target lists.
+// handleListedRun takes a run that the target lists as running.
 func (s *State) seenRunning(now time.Duration, t *target, on work.Running) {
 	if r := t.runs[on.Run.Task]; r != nil && r.Run == on.Run {
 		r.listed = true
@@ -296,7 +300,7 @@
 		if r.state != running && r.stop == nil {
 			s.began(r)
 		} else if r.state == doubtful {
-			// Its stop is on the way; the end will be listed.
+			// Its stop is on the way; the target will list its completion.
 			r.state = running
 		}
 		return
@@ -306,7 +310,7 @@
 	}
 }
 
-// stopStranger orders the end of a run that nobody here knows.
+// stopUnknownRun stops a run whose owner or job this owner does not know.
 func (s *State) stopStranger(now time.Duration, t *target, on work.Run) {
 	if t.strangers[on] == nil {
 		s.emit(Note{What: "stranger stopped", Task: on.Task, Target: t.ID})
@@ -315,8 +319,8 @@
 	}
 }
 
-// missed ends runs that should be listed and aren't: their ends were lost, or
-// they never began and can't any more.
+// endUnlistedRuns ends the runs that the target should list and doesn't: their completions
+// were lost, or they never started and can't start any more.
 func (s *State) missed(now time.Duration, t *target, listed map[work.Run]bool) {
 	for _, r := range t.sortedRuns() {
 		if listed[r.Run] {
@@ -331,11 +335,11 @@
 	}
 }
 
-// lookAfterStart is how much later than an order a look must have left to tell of
-// it: the longest wait for the order's answer.
+// pollAfterStart is how much later than a start a poll must have been sent to show that the
+// run is missing: the longest wait for the start's answer.
 const lookAfterStart = 300 * time.Millisecond
 
-// runEnded takes the end of a run.
+// handleCompletion takes a completion that a target reports.
 func (s *State) runEnded(now time.Duration, t *target, end work.End) {
 	r := t.runs[end.Run.Task]
 	if r == nil || r.Run != end.Run {
@@ -359,6 +363,7 @@
 	}
 }
 
+// completeRun takes the completion of a run that did its task's work.
 func (s *State) done(now time.Duration, t *target, r *run) {
 	s.release(r)
 	s.praise(now, t, r)
@@ -376,6 +381,8 @@
 	}
 }
 
+// failRun takes the completion of a run that failed. It fails the job once the task has failed as
+// often as its queue allows, and otherwise has the task run again.
 func (s *State) failed(now time.Duration, t *target, r *run) {
 	j := r.task.job
 	s.release(r)
@@ -395,7 +402,7 @@
 	s.again(now, r)
 }
 
-// pump sends a target the look that it needs, if any.
+// pollIfNeeded sends a target the poll that it needs, if any and if none is on its way.
 func (s *State) pump(now time.Duration, t *target) {
 	if t.looking || t.failedLooks >= silentLooks && now < t.look.At+lookPause {
 		return
@@ -407,55 +414,55 @@
 	if waits && now < t.look.At+unnotedPause {
 		return
 	}
-	look := Look{To: t.address(), At: now, Seen: t.ackable()}
+	poll := Look{To: t.address(), At: now, Seen: t.ackable()}
 	if t.Life != 0 && (t.failedLooks > 0 || now-t.lease.at > lifeTold) {
-		look.Seen = 0
+		poll.Seen = 0
 	}
 	switch {
 	case t.state == silent:
 	case t.state == adopting && !t.lease.known:
 	case len(t.strangers) > 0:
-		look.Wait = s.options.StopTime
+		poll.Wait = s.options.StopTime
 	case len(t.guests) > 0:
-		look.Wait = s.options.StopTime
-		s.prolong(now, t, &look)
+		poll.Wait = s.options.StopTime
+		s.prolong(now, t, &poll)
 	case t.state == adopting:
 	case len(t.runs) > 0:
 		if t.failedLooks == 0 && !waits {
-			look.Wait = s.lookWait(now)
+			poll.Wait = s.lookWait(now)
 		}
 		if s.prolongs(now, t) {
-			s.prolong(now, t, &look)
+			s.prolong(now, t, &poll)
 		}
-	case t.told < look.Seen:
+	case t.told < poll.Seen:
 	default:
 		return
 	}
 	t.looking = true
-	t.asked = look.Seen
-	t.look, t.lookTime = look, look.Wait
+	t.asked = poll.Seen
+	t.look, t.lookTime = poll, poll.Wait
 	t.lookCopies = copies{}
 	t.lookCopies.add(now)
-	s.emit(look)
+	s.emit(poll)
 }
 
-// prolong has a look prolong the lease of all that runs at its target.
-func (s *State) prolong(now time.Duration, t *target, look *Look) {
-	look.Until = t.lease.end(now, s.options.Lease)
-	t.lease.until = max(t.lease.until, look.Until)
+// renewLease has a poll extend the lease of all that runs at its target.
+func (s *State) prolong(now time.Duration, t *target, poll *Look) {
+	poll.Until = t.lease.end(now, s.options.Lease)
+	t.lease.until = max(t.lease.until, poll.Until)
 }
 
-// Figures of looks while answers get lost.
+// Parameters of polls while answers are being lost.
 const (
-	// disturbedTime is how long after a lost answer others are expected to be lost.
+	// lossPeriod is how long after a lost answer more losses are expected.
 	disturbedTime = 2 * time.Second
-	// disturbedWait is how long the end of a run goes unseen when a look is lost, where
-	// there is the processor for it.
+	// shortPollWait bounds how long a completion stays unknown when a poll is lost, if this
+	// process has CPU to spare.
 	disturbedWait = 60 * time.Millisecond
 )
 
-// lookWait is short while answers get lost, as far as there is the processor for more looks:
-// a lost look shows only after its wait.
+// pollWait returns how long a poll may wait at its target. It is short while answers are being
+// lost, as far as this process has CPU for more polls: a lost poll shows only after its wait.
 func (s *State) lookWait(now time.Duration) time.Duration {
 	if s.unsettled(now) && !s.resend.once {
 		return s.resend.look
@@ -463,11 +470,11 @@
 	return s.options.LookWait
 }
 
-// unsettled reports whether so many answers were lost lately that others are expected to be.
+// losesAnswers reports whether so many answers were lost lately that more losses are expected.
 func (s *State) unsettled(now time.Duration) bool {
 	r := &s.resend
 	return s.disturbed > 0 && now-s.disturbed < disturbedTime && r.missed >= doubtShare*(r.missed+r.answered)
 }
 
-// lookPause paces the looks at a target that doesn't answer.
+// silentPollInterval is the least time between two polls of a target that doesn't answer.
 const lookPause = 100 * time.Millisecond
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -41,7 +41,7 @@
 		b.s.fallsSilent(b.now, b.s.targets[id])
 	}
 	for _, id := range ids {
-		b.s.lose(b.now, b.s.targets[id], "another life answers at its address")
+		b.s.lose(b.now, b.s.targets[id], "another incarnation answers at its address")
 	}
 	return b.pass(20 * ms)
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -438,12 +438,12 @@
 	var matching []*job
 	for _, j := range s.jobs {
 		if j.sub.Job.ID == id && j.sub.Entry == entry && !j.kept() {
-			matching = append(given, j)
+			matching = append(matching, j)
 		}
 	}
 	slices.SortFunc(matching, func(a, b *job) int { return cmp.Compare(a.sub.Ref, b.sub.Ref) })
 	for _, j := range matching {
-		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "its entry VM has matching it up"})
+		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "its entry VM has given it up"})
 	}
 }
 
