--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -8,43 +8,45 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A successor goes on with what runs of kept jobs: their targets list it, and the store
-// has the jobs. Until the jobs are read such runs are guests, whose targets take nothing
-// new, since what a guest takes of its target's room isn't known. All other runs are
+// A successor continues the runs of durable jobs: the targets list the runs, and the store has
+// the jobs. Until the jobs have been read, such runs are inherited runs. A target with inherited
+// runs takes nothing new, because their share of its capacity is not known. All other runs are
 // stopped.
 
-// Progress is how far a job has come under former owners.
+// Progress is how far a job has come under previous owners. Tasks are named by their index in
+// the job.
 type Progress struct {
-	// Done lists the tasks that are done, by their place in the job.
+	// Done lists the tasks that are done.
 	Done []int
-	// Fails counts the failed runs of tasks, LastFailed is the number of the last one.
+	// Fails counts the failed runs of tasks. LastFailed holds the number of the last one.
 	Fails      map[int]int
 	LastFailed map[int]int64
-	// Saved is what tasks have saved of their work.
+	// Saved is the work that tasks have saved.
 	Saved map[int]string
 	// Crashed names the targets that were lost under tasks.
 	Crashed map[int][]Crash
 }
 
-// guest is a run that waits for its job.
+// inheritedRun is a run of a durable job that a previous owner ordered and whose job hasn't been
+// read yet.
 type guest struct {
 	since time.Duration
 	saved string
 }
 
-// Times of taking over.
+// Times of a takeover.
 const (
-	// guestPatience is how long a guest keeps its target from other work while its job
-	// can't be read: the store is away.
+	// inheritedRunTimeout bounds how long an inherited run keeps its target from other work
+	// while its job can't be read because the store is away.
 	guestPatience = time.Second
-	// leavingLease is how long the runs of kept jobs are prolonged that are left to a
-	// successor. It takes them for over 2.5 s after it has begun, where a target that it
-	// can't reach has all the leases lapse.
+	// handoverLease is for how long a leaving owner extends the leases of durable jobs' runs
+	// that it leaves to its successor. A successor that can't reach a target counts the runs
+	// there as over 2.5 s after its own start; by then all their leases have expired.
 	leavingLease = time.Second
 )
 
-// Adopted reports whether former owners are barred from each target that is known, and
-// nothing of them runs there but guests.
+// TargetsFenced reports whether every known target obeys this owner and runs nothing of previous
+// owners but inherited runs.
 func (s *State) Adopted() bool {
 	for _, t := range s.targets {
 		if !t.barred || t.state == adopting && len(t.strangers) > 0 {
@@ -54,8 +56,8 @@
 	return true
 }
 
-// goesOn takes a run of a former owner that a target lists, and reports whether it may
-// go on.
+// continueListedRun takes a run of a previous owner that a target lists, and reports whether it
+// may continue.
 func (s *State) goesOn(now time.Duration, t *target, on work.Running) bool {
 	if !keptRun(on.Run) || t.strangers[on.Run] != nil || s.leaving {
 		return false
@@ -81,7 +83,8 @@
 	return true
 }
 
-// pendingTask is the task of a stored job that waits for a place; nil for any other.
+// pendingTask returns the task with this name if its job is stored and it waits for a target; nil
+// otherwise.
 func (s *State) pendingTask(name string) *task {
 	id, _, _ := strings.Cut(name, ".")
 	j := s.byID[id]
@@ -95,7 +98,7 @@
 	return j.tasks[at]
 }
 
-// adoptRun goes on with a run of a former owner.
+// continueRun assigns a run that a previous owner ordered to its task.
 func (s *State) adoptRun(now time.Duration, t *target, tk *task, on work.Running) {
 	st := tk.step
 	st.pending = slices.DeleteFunc(st.pending, func(other *task) bool { return other == tk })
@@ -108,7 +111,7 @@
 	})
 }
 
-// Resume takes a stored job over from a former owner.
+// ResumeJob takes a stored job over from a previous owner.
 func (s *State) Resume(now time.Duration, sub Submission, progress Progress) {
 	if s.byID[sub.Job.ID] != nil {
 		return
@@ -124,12 +127,12 @@
 			s.adopt(t, o)
 		}
 		delete(s.orphans, t.name)
-		if left, ok := s.left[t.name]; ok {
-			s.keepSaved(t, left.number, left.saved)
+		if inherited, ok := s.left[t.name]; ok {
+			s.keepSaved(t, inherited.number, inherited.saved)
 			delete(s.left, t.name)
 		}
 	}
-	// Anything of it may have run, so that it is never refused and goes first.
+	// Previous owners may have run any part of it. So it is never refused, and goes first.
 	j.begun++
 	j.assumed = 1
 	if !s.over(now, j) {
@@ -139,7 +142,7 @@
 	}
 }
 
-// recall sets what is known of a job's tasks.
+// restoreProgress sets what is known of a job's tasks from the store.
 func (s *State) recall(now time.Duration, j *job, progress Progress) {
 	j.traced = len(progress.Done)+len(progress.Fails)+len(progress.Saved) > 0
 	known := func(place int) bool { return place >= 0 && place < len(j.tasks) }
@@ -166,7 +169,8 @@
 	}
 }
 
-// over ends a job whose tasks are all done, or one of which has failed too often.
+// finishIfOver ends a job whose tasks are all done or one of which has failed too often, and
+// reports whether it did.
 func (s *State) over(now time.Duration, j *job) bool {
 	for _, t := range j.tasks {
 		if t.step.fails(t) >= j.sub.Queue.MaxAttempts {
@@ -181,21 +185,24 @@
 	return false
 }
 
-// orphan is the end of a run that a former owner ordered and did not note.
+// unrecordedCompletion is the completion of a run that a previous owner ordered, and that it did
+// not write to the store.
 type orphan struct {
 	end    EndRef
 	run    int64
 	failed bool
 }
 
-// leftover is what a run of a former owner had saved.
+// inheritedState is the work that a run of a previous owner had saved.
 type leftover struct {
+	// number is the number of the run.
 	number int64
 	saved  string
 }
 
-// orphaned takes the end of a run that isn't known here. That of a kept job is kept from
-// being acknowledged until the job was taken over and the end is noted.
+// handleUnknownCompletion takes the completion of a run that isn't known here. If the run is of a
+// durable job, the completion is not acknowledged until the job was taken over and the store has
+// the completion.
 func (s *State) orphaned(now time.Duration, t *target, end work.End) {
 	if !keptRun(end.Run) {
 		return
@@ -214,7 +221,7 @@
 	j := s.byID[id]
 	if j == nil || !j.stored {
 		if s.leaving {
-			// The job may be another owner's by now.
+			// The job may belong to another owner by now.
 			t.unnoted[end.Number] = true
 		}
 		return
@@ -229,10 +236,10 @@
 	}
 }
 
-// inherit takes what a former owner's run has saved.
+// inheritSaved takes the work that a previous owner's run has saved.
 func (s *State) inherit(end work.End) {
-	switch left := s.left[end.Run.Task]; {
-	case end.Saved == "" || end.Run.Number < left.number:
+	switch inherited := s.left[end.Run.Task]; {
+	case end.Saved == "" || end.Run.Number < inherited.number:
 	case s.resumed:
 		if tk := s.pendingTask(end.Run.Task); tk != nil {
 			s.keepSaved(tk, end.Run.Number, end.Saved)
@@ -242,7 +249,8 @@
 	}
 }
 
-// adopt takes the orphaned end of a task that isn't running.
+// applyCompletion takes the unrecorded completion of a task that isn't running, and has it
+// written to the store.
 func (s *State) adopt(t *task, o orphan) {
 	s.unnoted++
 	t.job.traced = true
@@ -259,12 +267,12 @@
 	}
 }
 
-// Resumed says that all jobs of former owners were taken over: ends that belong to none
-// of them may be acknowledged, and their runs that go on are this owner's or stopped.
+// FinishResume says that all jobs of previous owners were taken over. Completions that belong to
+// none of them may be acknowledged. Inherited runs are now assigned to their tasks or stopped.
 func (s *State) Resumed(now time.Duration) {
 	s.resumed = true
-	for task, orphans := range s.orphans {
-		for _, o := range orphans {
+	for task, completions := range s.orphans {
+		for _, o := range completions {
 			s.unnoted++
 			s.Noted(o.end)
 		}
@@ -283,7 +291,8 @@
 	}
 }
 
-// seat finds the jobs of a target's guests.
+// assignInheritedRuns assigns the inherited runs of a target to their tasks, and stops those that
+// have none.
 func (s *State) seat(now time.Duration, t *target) {
 	for _, on := range t.sortedGuests() {
 		saved := t.guests[on].saved
@@ -298,6 +307,7 @@
 	s.touch(t)
 }
 
+// sortedInheritedRuns returns the target's inherited runs, sorted by task.
 func (t *target) sortedGuests() []work.Run {
 	runs := make([]work.Run, 0, len(t.guests))
 	for on := range t.guests {
