--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -10,90 +10,91 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A task may crash each target that starts it. What speaks for that is a target whose life
-// ended under the task while its neighbours' went on. Other tasks that ran there may be
-// innocent, so that a task under which a target was lost runs alone on the next one: its end
-// clears it, and a second target lost settles it. Where a rack or many targets fall at one
-// time, that speaks against no task, but counts once at most for each.
+// A task may crash every target that starts it. Evidence for that is a target that was lost while
+// the task ran on it and its neighbours were not. Other tasks that ran there may not be the cause.
+// So a task under which a target was lost runs isolated on the next one. A completion there clears
+// it; a second lost target confirms that it crashes targets. Where a rack or many targets are lost
+// at the same time, the loss is correlated and does not count against the tasks that ran there.
+// Each task is excused like that only once.
 //
-// A silent target may only be cut off, so that its loss counts as seen until it answers in
-// the same life, and settles nothing before its life has certainly ended.
+// A silent target may only be cut off. Its loss counts as provisional until the target answers in
+// the same incarnation, and confirms nothing before that incarnation has certainly ended.
 
-// Figures of blame for lost targets.
+// Parameters of losses and poison tasks.
 const (
-	// crashesToFail is how many targets must have been lost under a task, the last of them
-	// while it ran there alone, for its job to be given up.
+	// lossesToFail is how many targets must have been lost under a task, the last of them while
+	// the task ran isolated, for its job to fail.
 	crashesToFail = 2
-	// mostCrashes is how many targets a task takes at most, alone or not, beside one that fell
-	// with others.
+	// maxLosses is how many targets a task may lose, isolated or not, beside one correlated
+	// loss.
 	mostCrashes = 3
-	// fallWindow is how far apart targets fall that fall for one reason, as far as that shows:
-	// idle ones are looked at when they are used.
+	// correlationWindow is how far apart the losses of targets that have one cause show: idle
+	// targets are polled only when they are used.
 	fallWindow = 2 * time.Second
-	// fallenNeighbours is how many other targets of a rack, or of a service that are a
-	// tenth of it, must fall together for that to be the reason.
+	// correlatedTargets is how many other targets of a rack, or of a service if they are at least
+	// correlatedShare of its targets, must be lost at the same time for a loss to be correlated.
 	fallenNeighbours = 2
 	massShare        = 0.1
-	// trialShare of a service's targets, one at least, may each run a single suspect at one
-	// time.
+	// isolationShare is the share of a service's targets, but at least one target, that may run
+	// isolated suspects at the same time.
 	trialShare = 0.25
-	// fallPatience is how long a silent target may still turn out to have ended: its entry is
-	// gone by then.
+	// lossTimeout is how long the loss of a silent target may still be confirmed: by then the
+	// registry has dropped the entry of a target that is gone.
 	fallPatience = 6 * time.Second
-	// crashMemory is how long tasks and jobs are remembered beyond their job's end, in case
-	// that they are handed in again, maxRemembered how many.
+	// lossRetention is how long tasks and jobs are remembered beyond their job's end, in case
+	// they are handed in again. maxRemembered bounds how many.
 	crashMemory   = time.Minute
 	maxRemembered = 4096
 )
 
-// fall is the loss of a target under a task.
+// targetLoss is the loss of a target under a task.
 type fall struct {
 	Crash
-	// at is when it was noticed, after how long the run had been on by then.
+	// at is when the loss was noticed; after is how long the run had been in progress by then.
 	at, after time.Duration
-	// over says that the target's life has certainly ended, cleared that it goes on.
+	// confirmed says that the incarnation has certainly ended, cleared that it goes on.
 	over, cleared bool
 	task          *task
 }
 
-// Crash names the life of a target that was lost under a task; a Life of 0 is that of a target
-// that doesn't tell.
+// Crash names the incarnation of a target that was lost under a task. Life is 0 if the target
+// doesn't report its incarnation.
 type Crash struct {
 	Target string
 	Life   int64
-	// Excused says that others fell with it for another reason, Alone that the task had it for
-	// itself, and was known to have begun there.
+	// Excused marks a correlated loss. Alone says that the task ran isolated there, and was known
+	// to have started.
 	Excused, Alone bool
 }
 
-// lifeEnd is a target that has fallen silent, or whose life has ended.
+// targetLossEvent is a target that fell silent or whose incarnation ended.
 type lifeEnd struct {
 	target, rack string
 	pool         *pool
 	at           time.Duration
-	// jobs are those that ran there, trial says that one was under suspicion.
+	// jobs are those that ran there. hadSuspect says that a suspect ran there isolated.
 	jobs  map[string]bool
 	trial bool
 }
 
-// crashes is what is known of targets that were lost under tasks.
+// lossTracker holds what is known of targets that were lost under tasks.
 type crashes struct {
 	ends []lifeEnd
-	// at holds the falls by target as long as they may be settled.
+	// unresolved holds the losses by target, as long as they may be confirmed or cleared.
 	at map[string][]*fall
-	// past holds tasks of callers' jobs that have ended, condemned why jobs were given up, by
-	// job.
+	// endedTasks holds tasks of callers' jobs that have ended, by task name. poisoned holds why
+	// jobs failed as poisoned, by job key.
 	past      map[string]pastTask
 	condemned map[string]condemned
 }
 
-// pastTask is a task whose job ended at a time.
+// endedTask is a task and when its job ended.
 type pastTask struct {
 	task *task
 	at   time.Duration
 }
 
-// condemned is why a job was given up, and when.
+// poisonedJob is why a job failed as poisoned, and when.
 type condemned struct {
 	reason string
 	at     time.Duration
@@ -103,7 +104,7 @@
 	return crashes{at: map[string][]*fall{}, past: map[string]pastTask{}, condemned: map[string]condemned{}}
 }
 
-// TaskCrashed is a target that was lost under a task, to be noted in the store.
+// TaskCrashed has the store record a target that was lost under a task.
 type TaskCrashed struct {
 	Job  string
 	Task int
@@ -112,22 +113,23 @@
 
 func (TaskCrashed) effect() {}
 
-// fallen are the targets lost under a task, as far as they weren't cleared.
+// currentLosses returns the task's losses that were not cleared.
 func (t *task) fallen() []*fall {
-	t.falls = slices.DeleteFunc(t.falls, func(f *fall) bool { return f.cleared })
+	t.falls = slices.DeleteFunc(t.falls, func(loss *fall) bool { return loss.cleared })
 	return t.falls
 }
 
-// suspect reports whether a target was lost under a task.
+// isSuspect reports whether a target was lost under the task, and the loss was not cleared.
 func (t *task) suspect() bool { return len(t.falls) > 0 && len(t.fallen()) > 0 }
 
-// unsettled reports whether a task has to wait until it shows whether it crashes targets.
+// hasUnresolvedLoss reports whether a task with lossesToFail losses has to wait until all of them
+// are confirmed or cleared.
 func (t *task) unsettled() bool {
-	falls := t.fallen()
-	return len(falls) >= crashesToFail && slices.ContainsFunc(falls, func(f *fall) bool { return !f.over })
+	losses := t.fallen()
+	return len(losses) >= crashesToFail && slices.ContainsFunc(losses, func(loss *fall) bool { return !loss.over })
 }
 
-// fallsSilent remembers what ran on a target that has fallen silent or whose life has ended.
+// recordTargetLoss remembers what ran on a target that fell silent or whose incarnation ended.
 func (s *State) fallsSilent(now time.Duration, t *target) {
 	if t.fell {
 		return
@@ -140,22 +142,22 @@
 	s.crashes.ends = append(s.crashes.ends, end)
 }
 
-// answersAgain clears the tasks under which a target had fallen silent.
+// clearTargetLoss clears the losses of a silent target that answers again in the same incarnation.
 func (s *State) answersAgain(t *target) {
 	if !t.fell {
 		return
 	}
 	t.fell = false
 	s.crashes.ends = slices.DeleteFunc(s.crashes.ends, func(e lifeEnd) bool { return e.target == t.ID })
-	for _, f := range s.crashes.at[t.ID] {
-		f.cleared = true
-		s.wait(f.task.job)
+	for _, loss := range s.crashes.at[t.ID] {
+		loss.cleared = true
+		s.wait(loss.task.job)
 	}
 	delete(s.crashes.at, t.ID)
 }
 
-// lifeOver settles what ran on a target whose life has certainly ended, and blames what
-// still runs there.
+// endIncarnation confirms the losses of a target whose incarnation has certainly ended, and
+// records one for each task that still runs there.
 func (s *State) lifeOver(now time.Duration, t *target) {
 	s.fallsSilent(now, t)
 	for _, r := range t.sortedRuns() {
@@ -165,19 +167,19 @@
 	s.settleFalls(now, t.ID)
 }
 
-// settleFalls takes it that a target's life has ended, for all tasks that ran there.
+// confirmLosses marks a target's losses as confirmed and fails the jobs that are poisoned by them.
 func (s *State) settleFalls(now time.Duration, target string) {
-	falls := s.crashes.at[target]
+	losses := s.crashes.at[target]
 	delete(s.crashes.at, target)
-	for _, f := range falls {
-		f.over = true
+	for _, loss := range losses {
+		loss.over = true
 	}
-	for _, f := range falls {
-		s.condemn(now, f.task)
+	for _, loss := range losses {
+		s.condemn(now, loss.task)
 	}
 }
 
-// fallsUnder takes the loss of a target with a run on it.
+// recordTaskLoss records the loss of a run's target against the run's task.
 func (s *State) fallsUnder(now time.Duration, r *run) {
 	t, tk := r.target, r.task
 	if tk.complete || tk.job.dropped || s.leaving || t.Draining || !t.fell {
@@ -190,25 +192,25 @@
 		s.rememberTask(now, tk)
 		return
 	}
-	f := &fall{Crash: Crash{Target: t.ID, Life: t.Life, Alone: r.alone && r.state == running}, at: now, after: now - r.ordered, task: tk}
+	loss := &fall{Crash: Crash{Target: t.ID, Life: t.Life, Alone: r.alone && r.state == running}, at: now, after: now - r.ordered, task: tk}
 	tk.step.suspected = true
-	tk.falls = append(tk.fallen(), f)
-	s.crashes.at[t.ID] = append(s.crashes.at[t.ID], f)
-	tk.job.mark(now, "target lost under it", tk.name, t.ID, fmt.Sprintf("%d in all", len(tk.falls)))
-	s.emit(Note{What: "target lost under a task", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID, Detail: fmt.Sprintf("%d in all", len(tk.falls))})
-	s.noteCrash(tk, f.Crash)
+	tk.falls = append(tk.fallen(), loss)
+	s.crashes.at[t.ID] = append(s.crashes.at[t.ID], loss)
+	tk.job.mark(now, "target lost under it", tk.name, t.ID, fmt.Sprintf("%d losses in total", len(tk.falls)))
+	s.emit(Note{What: "target lost under a task", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID, Detail: fmt.Sprintf("%d losses in total", len(tk.falls))})
+	s.noteCrash(tk, loss.Crash)
 	s.rememberTask(now, tk)
 }
 
-// noteCrash has the store note it for a successor.
+// storeLoss has the store record a loss of a durable job's task, so that a successor knows it.
 func (s *State) noteCrash(tk *task, c Crash) {
 	if tk.job.stored && !tk.job.ended {
 		s.emit(TaskCrashed{Job: tk.job.sub.Job.ID, Task: tk.place, Crash: c})
 	}
 }
 
-// manyFell reports whether other targets fell with one, on which neither the job nor a
-// suspect ran: the rack's, or a good part of the service's.
+// isCorrelated reports whether enough other targets of the same rack or service were lost at about
+// the same time as t. Targets on which the same job or an isolated suspect ran don't count.
 func (s *State) manyFell(t *target, j *job) bool {
 	at := time.Duration(0)
 	for _, e := range s.crashes.ends {
@@ -229,18 +231,18 @@
 	return rack >= fallenNeighbours || all >= fallenNeighbours && float64(all) >= massShare*float64(len(t.pool.targets))
 }
 
-// condemn gives up the job of a task that has crashed as many targets as it may.
+// failIfPoisoned fails the job of a task that has crashed as many targets as it may.
 func (s *State) condemn(now time.Duration, tk *task) {
-	falls := tk.fallen()
-	if tk.job.ended || len(falls) < crashesToFail || tk.unsettled() {
+	losses := tk.fallen()
+	if tk.job.ended || len(losses) < crashesToFail || tk.unsettled() {
 		return
 	}
-	if !falls[len(falls)-1].Alone && len(falls) < mostCrashes {
+	if !losses[len(losses)-1].Alone && len(losses) < mostCrashes {
 		return
 	}
-	targets := make([]string, len(falls))
-	for i, f := range falls {
-		targets[i] = f.Target
+	targets := make([]string, len(losses))
+	for i, loss := range losses {
+		targets[i] = loss.Target
 	}
 	reason := fmt.Sprintf("task %s crashed the targets that ran it (%s): it is not started again", tk.name, strings.Join(targets, ", "))
 	if len(s.crashes.condemned) < maxRemembered {
@@ -250,14 +252,14 @@
 	s.finish(now, tk.job, work.Outcome{Result: work.Failed, Reason: reason})
 }
 
-// condemnedJob tells why a job isn't taken that was given up for crashing targets.
+// poisonedReason returns why a job that failed as poisoned is not accepted again.
 func (s *State) condemnedJob(sub Submission) (reason string, is bool) {
-	c, is := s.crashes.condemned[sub.key()]
-	return c.reason, is
+	poisoned, is := s.crashes.condemned[sub.key()]
+	return poisoned.reason, is
 }
 
-// leaveSuspects gives back what is kept for the suspects of a job that has ended, and keeps
-// their falls.
+// releaseSuspects frees the targets that are reserved for suspects of a job that has ended, and
+// remembers the losses of its tasks.
 func (s *State) leaveSuspects(now time.Duration, j *job) {
 	for _, tk := range j.tasks {
 		s.letRoom(tk)
@@ -265,14 +267,14 @@
 	}
 }
 
-// rememberTask keeps what is known of a task whose job has ended.
+// rememberLosses keeps the losses of a task whose job has ended without it being done.
 func (s *State) rememberTask(now time.Duration, tk *task) {
 	if tk.job.ended && !tk.complete && !tk.job.kept() && (tk.excused > 0 || tk.suspect()) && len(s.crashes.past) < maxRemembered {
 		s.crashes.past[tk.name] = pastTask{task: tk, at: now}
 	}
 }
 
-// recallFalls gives the tasks of a job that is handed in again their falls.
+// restoreLosses gives the tasks of a job that is handed in again the losses they had before.
 func (s *State) recallFalls(now time.Duration, j *job) {
 	if len(s.crashes.past) == 0 {
 		return
@@ -284,8 +286,8 @@
 		}
 		delete(s.crashes.past, tk.name)
 		tk.falls, tk.excused, tk.step.suspected = past.task.falls, past.task.excused, true
-		for _, f := range tk.falls {
-			f.task = tk
+		for _, loss := range tk.falls {
+			loss.task = tk
 		}
 	}
 	for _, tk := range j.tasks {
@@ -293,21 +295,21 @@
 	}
 }
 
-// recallCrashed takes the targets lost under a task of a former owner, as the store has
-// them: whether their lives have ended shows.
+// restoreStoredLosses restores the losses of a previous owner's task from the store. Whether the
+// targets' incarnations have ended is still to be found out.
 func (s *State) recallCrashed(now time.Duration, tk *task, targets []Crash) {
 	for _, c := range targets {
 		if c.Excused {
 			tk.excused++
 			continue
 		}
-		f := &fall{Crash: c, at: now, task: tk}
-		tk.falls, tk.step.suspected = append(tk.falls, f), true
-		s.crashes.at[c.Target] = append(s.crashes.at[c.Target], f)
+		loss := &fall{Crash: c, at: now, task: tk}
+		tk.falls, tk.step.suspected = append(tk.falls, loss), true
+		s.crashes.at[c.Target] = append(s.crashes.at[c.Target], loss)
 	}
 }
 
-// tickCrashes settles falls by time, and forgets.
+// tickLosses confirms or clears losses by time, and forgets old ones.
 func (s *State) tickCrashes(now time.Duration) {
 	c := &s.crashes
 	c.ends = slices.DeleteFunc(c.ends, func(e lifeEnd) bool { return now-e.at > fallWindow+fallPatience })
@@ -317,10 +319,10 @@
 		case t == nil && s.listed, t != nil && c.at[target][0].Life < t.Life:
 			s.settleFalls(now, target)
 		case t != nil && now-c.at[target][0].at > fallPatience:
-			// It is listed still, so that its life goes on.
-			for _, f := range c.at[target] {
-				f.cleared = true
-				s.wait(f.task.job)
+			// The registry still lists the target, so its incarnation goes on.
+			for _, loss := range c.at[target] {
+				loss.cleared = true
+				s.wait(loss.task.job)
 			}
 			delete(c.at, target)
 		}
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -105,8 +105,8 @@
 		return
 	}
 	longest := time.Duration(0)
-	for _, f := range r.task.falls {
-		longest = max(longest, f.after)
+	for _, loss := range r.task.falls {
+		longest = max(longest, loss.after)
 	}
 	if now-r.ordered <= 2*longest+survivorSlack {
 		return
