--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -6,51 +6,51 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Kept jobs differ from others in this: nobody waits for them, so that they are never
-// given up; what happens to them is noted in the store; and an end at a target is
-// acknowledged only when its note lies there, so that a successor that reads the store
-// after it has barred this owner from the targets knows of every end that is no longer
-// listed.
+// Durable jobs differ from others. Nobody waits for them, so they are never given up. What happens
+// to them is recorded in the store. A completion at a target is acknowledged only when the store
+// has its record. So a successor that has fenced this owner off the targets, and then reads the
+// store, knows of every completion that the targets no longer list.
 
-// Keep has a job stored; what comes of it goes to Stored.
+// StoreJob has a job stored; the result goes to HandleJobStored.
 type Keep struct{ Submission Submission }
 
-// TaskDone is to be noted in the store, and then told to Noted.
+// TaskDone has the store record that a task is done; HandleCompletionStored then confirms it.
 type TaskDone struct {
 	Job string
-	// Task is its place in the job.
+	// Task is the task's index in the job.
 	Task int
 	End  EndRef
 }
 
-// TaskFailed is a failed run, to be noted in the store, and then told to Noted.
+// TaskFailed has the store record a failed run; HandleCompletionStored then confirms it.
 type TaskFailed struct {
 	Job  string
 	Task int
-	// Run is its number: a successor that finds both the note and the end counts it once.
+	// Run is the run's number: a successor that finds both the record and the completion counts
+	// the failure once.
 	Run int64
 	End EndRef
 }
 
-// TaskSaved is what a task has saved of its work, to be noted in the store.
+// TaskSaved has the store record the work that a task has saved.
 type TaskSaved struct {
 	Job   string
 	Task  int
 	Saved string
 }
 
-// JobEnded is to be noted in the store, and then told to EndNoted.
+// JobEnded has the store record how a job ended; HandleJobEndStored then confirms it.
 type JobEnded struct {
 	Job   string
 	State work.State
 	Times Times
 }
 
-// EndRef names the end of a run at a target.
+// CompletionRef names a completion at a target.
 type EndRef struct {
 	Target string
 	Number int64
-	// Life counts the target's lives under its ID.
+	// Life counts the target's incarnations under its ID, as this owner has seen them.
 	Life int
 }
 
@@ -60,15 +60,15 @@
 func (TaskSaved) effect()  {}
 func (JobEnded) effect()   {}
 
-// kept reports whether the job is stored and runs whoever waits.
+// isDurable reports whether the job is stored, and runs whether or not anybody waits for it.
 func (j *job) kept() bool { return j.sub.Job.Kept }
 
-// keep has an admitted job stored before anything of it starts.
+// store has an admitted job stored before anything of it starts.
 func (s *State) keep(j *job) {
 	s.emit(Keep{Submission: j.sub})
 }
 
-// attachKept answers a kept job that is handed in again.
+// attachDurable answers a durable job that is handed in again.
 func (s *State) attachKept(j *job, sub Submission) {
 	if j.stored {
 		s.answer(sub, work.Outcome{Result: work.Accepted})
@@ -80,7 +80,8 @@
 	s.jobs[sub.Ref] = j
 }
 
-// Stored takes how the storing of a job ended: accepted jobs are run here, others not.
+// HandleJobStored takes the result of storing a job. If here is set the job runs here, otherwise
+// this owner forgets it.
 func (s *State) Stored(now time.Duration, id string, outcome work.Outcome, here bool) {
 	j := s.byID[id]
 	if j == nil || j.stored {
@@ -97,16 +98,16 @@
 	s.wait(j)
 }
 
-// Doubted says that the store doesn't tell whether it has a job. Its caller is told so;
-// the job waits for Stored.
+// HandleJobStoreUncertain says that the store doesn't tell whether it has a job. The caller is
+// answered so; the job itself waits for HandleJobStored.
 func (s *State) Doubted(id string) {
 	if j := s.byID[id]; j != nil && !j.stored {
 		s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the store doesn't tell whether it has the job"})
 	}
 }
 
-// CancelKept cancels a kept job for good and reports whether it was here to be
-// cancelled. Its end is told by a JobEnded.
+// CancelDurable cancels a durable job for good, and reports whether it was here to be cancelled.
+// JobEnded reports its end.
 func (s *State) CancelKept(now time.Duration, id string) bool {
 	j := s.byID[id]
 	if j == nil || !j.stored {
@@ -117,13 +118,13 @@
 	return true
 }
 
-// Begun reports whether a task of a kept job has begun.
+// HasStarted reports whether a task of a durable job is known to have started.
 func (s *State) Begun(id string) bool {
 	j := s.byID[id]
 	return j != nil && j.touched()
 }
 
-// Pending counts the kept jobs of which nothing has begun, by queue.
+// PendingDurable counts the durable jobs of which nothing is known to have started, by queue.
 func (s *State) Pending() map[string]int32 {
 	pending := map[string]int32{}
 	for _, j := range s.jobs {
@@ -134,58 +135,61 @@
 	return pending
 }
 
-// touched reports whether a task of a job is known to have begun. What former owners
-// ordered may have begun without a trace, which is not told as begun, and not refused.
+// hasStarted reports whether a task of the job is known to have started. Runs that previous owners
+// may have ordered don't count until something shows them; still the job can't be refused.
 func (j *job) touched() bool { return j.begun > j.assumed || j.traced }
 
-// Noted says that the end of a run lies in the store: it may be acknowledged.
-func (s *State) Noted(end EndRef) {
+// HandleCompletionStored says that the store has a completion: it may be acknowledged.
+func (s *State) Noted(ref EndRef) {
 	s.unnoted--
-	if t := s.targets[end.Target]; t != nil && t.lives == end.Life {
-		delete(t.unnoted, end.Number)
+	if t := s.targets[ref.Target]; t != nil && t.lives == ref.Life {
+		delete(t.unnoted, ref.Number)
 		s.touch(t)
 	}
 }
 
-// EndNoted says that the end of a job lies in the store, and with it that of each run.
+// HandleJobEndStored says that the store has the end of a job, and with it the completions of all
+// its runs.
 func (s *State) EndNoted(job string) {
 	s.unnoted--
-	held := s.ending[job]
+	waiting := s.ending[job]
 	delete(s.ending, job)
-	for _, end := range held {
-		s.Noted(end)
+	for _, ref := range waiting {
+		s.Noted(ref)
 	}
 }
 
-// note has the end of a kept job's run noted before it is acknowledged.
+// recordCompletion has the store record the completion of a durable job's run before it is
+// acknowledged.
 func (s *State) note(t *target, r *run, number int64, failed bool) {
 	j := r.task.job
 	if !j.kept() {
 		return
 	}
-	held, ending := s.ending[j.sub.Job.ID]
+	waiting, ending := s.ending[j.sub.Job.ID]
 	if j.ended && !ending && !j.dropped {
 		return
 	}
 	t.unnoted[number] = true
 	if j.dropped {
-		// It is for the owner that goes on with the job to take note of it.
+		// The owner that continues the job is to record it.
 		return
 	}
 	s.unnoted++
-	end := t.endRef(number)
+	ref := t.endRef(number)
 	if ending {
-		s.ending[j.sub.Job.ID] = append(held, end)
+		s.ending[j.sub.Job.ID] = append(waiting, ref)
 		return
 	}
 	if failed {
-		s.emit(TaskFailed{Job: j.sub.Job.ID, Task: r.task.place, Run: r.Number, End: end})
+		s.emit(TaskFailed{Job: j.sub.Job.ID, Task: r.task.place, Run: r.Number, End: ref})
 		return
 	}
-	s.emit(TaskDone{Job: j.sub.Job.ID, Task: r.task.place, End: end})
+	s.emit(TaskDone{Job: j.sub.Job.ID, Task: r.task.place, End: ref})
 }
 
-// ackable is the newest end that may be acknowledged together with all before it.
+// acknowledgeable returns the newest completion that may be acknowledged together with all
+// before it.
 func (t *target) ackable() int64 {
 	newest := t.seen
 	for number := range t.unnoted {
@@ -194,11 +198,12 @@
 	return newest
 }
 
-// unnotedPause paces the looks at a target whose ends wait for their notes: it lists
-// them again at once.
+// unrecordedPollInterval is the least time between two polls of a target with completions that the
+// store doesn't have yet: the target lists them again at once.
 const unnotedPause = 20 * time.Millisecond
 
-// endKept tells of the end of a kept job in place of an answer to its caller.
+// endDurable has the store record the end of a durable job. Its caller was answered when the job
+// was stored.
 func (s *State) endKept(now time.Duration, j *job, outcome work.Outcome) {
 	state := work.StateFailed
 	switch {
@@ -212,8 +217,8 @@
 	s.emit(JobEnded{Job: j.sub.Job.ID, State: state, Times: j.times(now)})
 }
 
-// drop forgets a job without an answer: it isn't stored, or another owner goes on with
-// it and with what runs of it.
+// drop forgets a job without answering it: it isn't stored, or another owner continues it and its
+// runs.
 func (s *State) drop(j *job) {
 	j.ended, j.dropped = true, true
 	delete(s.jobs, j.sub.Ref)
@@ -222,7 +227,7 @@
 	s.unreserveAll(j)
 }
 
-// handBack leaves a kept job to another owner.
+// handOver leaves a durable job to another owner.
 func (s *State) handBack(j *job) {
 	if j.stored {
 		s.drop(j)
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A suspect runs alone on its target, so that a target lost under it speaks against nothing
-// else, and its end clears it.
+// A suspect, a task under which a target was lost, runs isolated: it has its target to itself. A
+// loss then counts against no other task, and a completion clears the suspect.
 
-// tries reports whether a task may start on a target under which another was lost: alone,
-// or beside others where its job has no time to wait and nothing is settled yet.
+// canStartSuspect reports whether a suspect may start on a target: isolated, or beside other runs
+// if callers wait for its job and it has lost only one target so far.
 func (s *State) tries(t *target, st *step, tk *task) bool {
 	switch {
 	case tk.unsettled():
@@ -21,7 +21,7 @@
 	}
 }
 
-// emptyBut reports whether nothing runs on a target but members of a gang.
+// emptyExceptGang reports whether nothing runs on the target but members of st, if st is a gang.
 func (t *target) emptyBut(st *step) bool {
 	for _, r := range t.runs {
 		if !st.Gang || r.task.step != st {
@@ -31,13 +31,14 @@
 	return true
 }
 
-// joins reports whether a task may run on a target that a suspect has for itself, or waits
-// for.
+// mayUseIsolated reports whether the task may run on a target as far as isolation goes: nobody has
+// the target isolated or reserved, or the task itself or its gang has.
 func (tk *task) joins(t *target) bool {
 	return t.trial == nil || t.trial == tk || tk.step.Gang && t.trial.step == tk.step
 }
 
-// tryAlone notes that a suspect begins a run on a target that it has for itself.
+// isolate marks the target of a starting run as isolated if the run's task is a suspect and nothing
+// else runs there.
 func (s *State) tryAlone(r *run) {
 	t := r.target
 	s.letRoom(r.task)
@@ -49,8 +50,8 @@
 	}
 }
 
-// makeRoom keeps a target from others until a suspect that nothing but an empty one will do
-// for can have it.
+// reserveForSuspect reserves a target for a suspect that needs an empty one: the open target with
+// the fewest runs takes nothing else until the suspect starts there.
 func (s *State) makeRoom(now time.Duration, tk *task) {
 	p := tk.job.pool
 	if !tk.suspect() || tk.unsettled() || tk.room != nil || tk.step.Gang || p.trials >= p.maxTrials() {
@@ -70,7 +71,7 @@
 	s.touch(least)
 }
 
-// placeInRoom starts the suspects of a step whose target has become empty.
+// startOnReserved starts the suspects of a step whose reserved target can take them now.
 func (s *State) placeInRoom(now time.Duration, j *job, st *step) {
 	st.pending = slices.DeleteFunc(st.pending, func(tk *task) bool {
 		t := tk.room
@@ -82,7 +83,7 @@
 	})
 }
 
-// letRoom gives the target back that was kept for a suspect.
+// releaseReserved frees the target that is reserved for a suspect.
 func (s *State) letRoom(tk *task) {
 	t := tk.room
 	if t == nil {
@@ -96,10 +97,11 @@
 	s.touch(t)
 }
 
+// maxIsolated is how many targets of the pool may be isolated or reserved for suspects at a time.
 func (p *pool) maxTrials() int { return max(int(trialShare*float64(len(p.targets))), 1) }
 
-// clearSurvivor ends the suspicion of a task whose run has gone on for much longer than those
-// under which its targets were lost.
+// clearLongRun clears a suspect whose run has lasted much longer than the runs under which its
+// targets were lost.
 func (s *State) clearSurvivor(now time.Duration, r *run) {
 	if !r.task.suspect() || !r.listed {
 		return
@@ -117,10 +119,10 @@
 	s.touch(r.target)
 }
 
-// survivorSlack is added to twice the time that the runs of a suspect lasted.
+// survivorSlack is added to twice the time after which the suspect's targets were lost.
 const survivorSlack = time.Second
 
-// endTrial takes back tryAlone.
+// endIsolation ends the isolation of the run's target, once the last isolated run there has ended.
 func (r *run) endTrial() {
 	if !r.alone {
 		return
@@ -132,13 +134,13 @@
 	}
 }
 
-// suspectsLast puts the suspects among a step's waiting tasks behind the others.
+// sortSuspectsLast moves the suspects among a step's pending tasks behind the others.
 func (st *step) suspectsLast() {
 	slices.SortStableFunc(st.pending, func(a, b *task) int { return boolRank(a.suspect()) - boolRank(b.suspect()) })
 }
 
-// suspects counts the suspects among a step's waiting tasks: they stay with this owner, which
-// knows what speaks against them.
+// countSuspects counts the suspects among a step's pending tasks. They are not delegated, because
+// only this owner knows of the losses that count against them.
 func (st *step) suspects() int {
 	if !st.suspected {
 		return 0
