--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -7,20 +7,20 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// The tasks of a gang work only together, from when all of them are there. They are
-// started in one go under one number, or none of them is, and when one ends for another
-// reason than that the work is done, all are stopped and begin anew together.
+// The tasks of a gang can work only while all of them run. They are started at once under one run
+// number, or none of them is. When a member ends for another reason than that the work is done, all
+// are stopped and start again together.
 
-// Figures of gangs.
+// Parameters of gangs.
 const (
-	// gangPatience is how long a gang waits for room that turns up by itself; then the
-	// room of as many targets as it needs is kept for it.
+	// gangReserveDelay is how long a gang waits for capacity to become free by itself. Then as
+	// many targets as it needs are reserved for it.
 	gangPatience = 100 * time.Millisecond
-	// reservedTime bounds how long room is kept: a target that hangs gives none.
+	// maxReservation bounds how long targets are reserved: a target that hangs frees nothing.
 	reservedTime = 3 * time.Second
 )
 
-// fails counts the failed runs of a task, or of its gang.
+// failedRuns counts the failed runs of a task, or of all tasks of its gang.
 func (st *step) fails(t *task) int {
 	if !st.Gang {
 		return t.fails
@@ -35,7 +35,7 @@
 // placeGang starts all tasks of a gang, or none.
 func (s *State) placeGang(now time.Duration, j *job, st *step, full *misses) {
 	if len(st.pending) < len(st.members) {
-		// Some run of the last try has still to end.
+		// Some run of the last try has not ended yet.
 		return
 	}
 	if st.tried == 0 {
@@ -56,7 +56,8 @@
 	st.pending = nil
 }
 
-// gather finds a place for each task of a gang at one time; nil if there are not enough.
+// findPlaces returns a target for each pending task of a gang; nil if there is not enough capacity
+// for all. A gang that wants one rack gets targets of one rack, unless no rack is large enough.
 func (s *State) gather(now time.Duration, j *job, st *step) []*target {
 	if st.OneRack {
 		for _, rack := range j.pool.racks() {
@@ -71,6 +72,7 @@
 	return s.gatherOn(now, j, st, j.pool.targets)
 }
 
+// findPlacesOn is findPlaces among the given targets.
 func (s *State) gatherOn(now time.Duration, j *job, st *step, among []*target) []*target {
 	taken := map[*target]int{}
 	var places []*target
@@ -85,7 +87,8 @@
 	return places
 }
 
-// tightest is the target that one more task of a gang fits most tightly.
+// bestFit returns the target that one more task of a gang fits most tightly; nil if there is none.
+// taken counts the gang's tasks that are to run on each target.
 func (s *State) tightest(now time.Duration, j *job, st *step, tk *task, among []*target, taken map[*target]int) *target {
 	var best *target
 	for _, t := range among {
@@ -99,6 +102,8 @@
 	return best
 }
 
+// fitsBetter reports whether target t suits the task better than another one: first by rank, then by
+// the tighter fit.
 func better(now time.Duration, t, than *target, st *step, tk *task) bool {
 	if a, b := t.rank(now, st, tk), than.rank(now, st, tk); a != b {
 		return a < b
@@ -106,28 +111,30 @@
 	return t.free.CPU < than.free.CPU
 }
 
-// fitsBeside reports whether one more task fits into room beside some others of its step.
-func (st *step) fitsBeside(t *target, room work.Resources, others int) bool {
+// fitsBeside reports whether one more task fits into the given capacity of a target, beside some
+// others of its step.
+func (st *step) fitsBeside(t *target, capacity work.Resources, others int) bool {
 	if st.Spread > 0 && st.on[t.ID]+others >= st.Spread {
 		return false
 	}
 	for range others {
-		room = room.Minus(st.Each)
+		capacity = capacity.Minus(st.Each)
 	}
-	return st.Each.Fits(room)
+	return st.Each.Fits(capacity)
 }
 
-// holdsGang reports whether targets could hold a gang if nothing else ran there.
+// canHoldGang reports whether the pool's targets could hold a gang if nothing else ran there.
 func (p *pool) holdsGang(st *step) bool { return capacityFor(st, p.targets) >= len(st.members) }
 
-// rackHolds reports whether one rack could.
+// rackCanHoldGang reports whether a single rack could hold a gang if nothing else ran there.
 func (p *pool) rackHolds(st *step) bool {
 	return slices.ContainsFunc(p.racks(), func(rack string) bool {
 		return capacityFor(st, p.onRack(rack)) >= len(st.members)
 	})
 }
 
-// capacityFor counts the tasks of a step that targets could hold at one time.
+// capacityFor counts the tasks of a step that targets could hold at one time if nothing else ran
+// there.
 func capacityFor(st *step, among []*target) int {
 	total := 0
 	for _, t := range among {
@@ -136,11 +143,11 @@
 		}
 		n := 0
 		for n < len(st.members) && (st.Spread == 0 || n < st.Spread) {
-			room := t.Capacity
+			capacity := t.Capacity
 			for range n {
-				room = room.Minus(st.Each)
+				capacity = capacity.Minus(st.Each)
 			}
-			if !st.Each.Fits(room) {
+			if !st.Each.Fits(capacity) {
 				break
 			}
 			n++
@@ -171,8 +178,8 @@
 	return on
 }
 
-// reserve keeps the room of targets for a gang that has waited for a while: small tasks
-// would take each place as it turns up. One gang of a service has that at a time.
+// reserveForGang reserves targets for a gang that has waited for gangReserveDelay. Otherwise small
+// tasks would take each place as it becomes free. One gang of a pool has targets reserved at a time.
 func (s *State) reserve(now time.Duration, j *job, st *step) {
 	p := j.pool
 	if p.reserved != nil && now-p.reservedAt > reservedTime {
@@ -185,7 +192,7 @@
 	if chosen == nil {
 		return
 	}
-	// After a time without success others have their turn first.
+	// If this doesn't succeed, others get their turn before the next attempt.
 	st.tried = now + reservedTime
 	p.reserved, p.reservedAt = st, now
 	for _, t := range chosen {
@@ -194,7 +201,8 @@
 	}
 }
 
-// roomFor chooses targets that could hold a gang, those that are the freest first.
+// chooseTargets returns the targets to reserve for a gang: those with the most free CPU, of one rack
+// if the gang wants that and a rack can hold it. It returns nil if no choice can hold the gang.
 func (s *State) roomFor(now time.Duration, j *job, st *step) []*target {
 	among := j.pool.targets
 	if st.OneRack {
@@ -205,28 +213,29 @@
 			}
 		}
 	}
-	takers := s.takers(now, among)
-	slices.SortStableFunc(takers, func(a, b *target) int { return int(b.free.CPU - a.free.CPU) })
-	for n := range takers {
-		if capacityFor(st, takers[:n+1]) >= len(st.members) {
-			return takers[:n+1]
+	available := s.takers(now, among)
+	slices.SortStableFunc(available, func(a, b *target) int { return int(b.free.CPU - a.free.CPU) })
+	for n := range available {
+		if capacityFor(st, available[:n+1]) >= len(st.members) {
+			return available[:n+1]
 		}
 	}
 	return nil
 }
 
-// takers are targets that take new tasks.
+// availableTargets returns those of the given targets that take new tasks, are neither isolated nor
+// suspected, and may have their lease extended.
 func (s *State) takers(now time.Duration, among []*target) []*target {
-	var takers []*target
+	var available []*target
 	for _, t := range among {
 		if t.takes() && t.trial == nil && !t.health.suspected && s.prolongs(now, t) {
-			takers = append(takers, t)
+			available = append(available, t)
 		}
 	}
-	return takers
+	return available
 }
 
-// unreserve frees the room that is kept for a gang.
+// unreserve frees the targets that are reserved for a gang.
 func (s *State) unreserve(p *pool, st *step) {
 	if p.reserved != st {
 		return
@@ -240,7 +249,7 @@
 	}
 }
 
-// unreserveAll frees the room that is kept for a job.
+// unreserveJob frees all targets that are reserved for a job's steps.
 func (s *State) unreserveAll(j *job) {
 	if st := j.pool.reserved; st != nil && st.job == j {
 		s.unreserve(j.pool, st)
@@ -250,7 +259,7 @@
 	}
 }
 
-// disband stops what still runs of a gang that one member is missing from.
+// stopGang stops the remaining runs of a gang after it lost a member.
 func (s *State) disband(now time.Duration, st *step) {
 	for _, member := range st.members {
 		if member.run != nil && !member.complete {
--- a/scheduler/lasting.go
+++ b/scheduler/lasting.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Lasting tasks run until their job is cancelled and are started again however they end.
+// Lasting tasks run until their job is cancelled. However a run ends, the task is started again.
 
-// Figures of starting again.
+// Parameters of restarts.
 const (
-	// shortRun is below what a task does that is well: one that ends sooner is started
-	// again after a pause that doubles each time.
+	// shortRun is shorter than any run of a healthy lasting task. After a shorter run the task is
+	// started again after a delay that doubles each time.
 	shortRun = time.Second
-	// firstHurry and longestHurry bound the pause. A task that lasts has to run again
+	// minRestartDelay and maxRestartDelay bound the delay. A lasting task has to run again
 	// within 6 s.
 	firstHurry   = 50 * time.Millisecond
 	longestHurry = 2 * time.Second
-	// maxHurried is from where on the pause doubles no more.
+	// maxRestartDoublings is how many times the delay doubles.
 	maxHurried = 6
 )
 
-// pace sets when a task whose run is over may start again.
+// delayRestart sets when a lasting task whose run is over may start again.
 func (t *task) pace(now time.Duration, r *run) {
 	if now-r.ordered >= shortRun {
 		t.hurried, t.ripe = 0, now
@@ -30,8 +30,8 @@
 	t.hurried = min(t.hurried+1, maxHurried)
 }
 
-// bringRipe puts a task that may start first among those to be placed, and reports
-// whether there is one.
+// moveDueFirst moves a pending task that may start now to the front, and reports whether there is
+// one.
 func (st *step) bringRipe(now time.Duration) bool {
 	at := slices.IndexFunc(st.pending, func(t *task) bool { return now >= t.ripe })
 	if at > 0 {
--- a/scheduler/repeat.go
+++ b/scheduler/repeat.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Wall tells the time since 1970.
+// SetWallClock sets the time since 1970 that corresponds to now.
 func (s *State) Wall(now, wall time.Duration) { s.wall = wall - now }
 
-// dueSteps counts the steps of a job whose occurrences are due.
+// countDueSteps counts the steps of the job that belong to occurrences that are due by now.
 func (s *State) dueSteps(now time.Duration, j *job) int {
 	repeats := j.sub.Job.Repeats
 	if repeats.Count == 0 {
@@ -18,15 +18,15 @@
 	return due
 }
 
-// expectDue has a stored job looked at when its next occurrence is due.
+// watchOccurrences has startDueOccurrences check a stored job if it has occurrences not yet due.
 func (s *State) expectDue(j *job) {
 	if j.due < len(j.steps) {
 		s.repeated[j] = true
 	}
 }
 
-// callDue has the occurrences run that are due by now. The job's place in the order of
-// waiting jobs is that of the newest one.
+// startDueOccurrences makes the occurrences placeable that are due by now. The job's place among
+// the waiting jobs is that of its newest occurrence.
 func (s *State) callDue(now time.Duration) {
 	for j := range s.repeated {
 		due := s.dueSteps(now, j)
@@ -42,7 +42,7 @@
 	}
 }
 
-// begin counts the job's times from now on.
+// resetTimes counts the job's objective and usefulness from now on.
 func (j *job) begin(now time.Duration) {
 	objective, chain := j.objective-j.arrived, j.chain()
 	j.arrived, j.late, j.useless = now, false, false
--- a/scheduler/saved.go
+++ b/scheduler/saved.go
@@ -1,15 +1,14 @@
 package scheduler
 
-// savedState is what a task, or a gang, has saved of its work. A later run goes on from
-// there.
+// savedState is the work that a task or a gang has saved. A later run continues from there.
 type savedState struct {
-	// run is the number of the run that saved it; 0 where a former owner knew.
+	// run is the number of the run that saved it; 0 if a previous owner recorded it.
 	run   int64
 	value string
 }
 
-// savedState is the task's own, or its gang's: what one member has saved is valid for
-// all, which have to begin from the same.
+// savedState returns the saved work of the task, or of its gang: what one member has saved is valid
+// for all members, which have to start from the same state.
 func (t *task) savedState() *savedState {
 	if t.step.Gang {
 		return &t.step.saved
@@ -17,7 +16,7 @@
 	return &t.saved
 }
 
-// keepSaved remembers what a run that is over has saved of its work.
+// recordSaved keeps the work that a run which is over has saved, and has the store record it.
 func (s *State) keepSaved(t *task, run int64, value string) {
 	saved := t.savedState()
 	if value == "" || run < saved.run || value == saved.value {
