--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -6,25 +6,25 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A connection between two VMs may break while both go on. The entry VM then asks for its
-// job's answer over another one: the job is running still, or has ended just now.
+// A connection between two VMs may break while both keep running. The entry VM then asks for its
+// job's answer over another connection: the job may still run, or may have ended just now.
 
 // Bounds of what is remembered of ended jobs.
 const (
-	// unclaimedTime is how long an outcome is remembered: its answer may be lost with the
-	// connection, and the entry VM asks for it as soon as it learns of that.
+	// outcomeRetention is how long an outcome is remembered. Its answer may be lost with the
+	// connection, and the entry VM asks for it as soon as it notices.
 	unclaimedTime = time.Second
-	// maxUnclaimed bounds the outcomes that are remembered, to several times the jobs of a
-	// grown failure domain in that time.
+	// maxRecentOutcomes bounds the outcomes that are remembered: several times the jobs of a large
+	// failure domain within outcomeRetention.
 	maxUnclaimed = 4096
 )
 
-// jobRef names a job, or a part of one, of an entry VM.
+// jobRef identifies a job, or a part of one, of an entry VM.
 type jobRef struct{ entry, key string }
 
 func (sub Submission) ref() jobRef { return jobRef{entry: sub.Entry, key: sub.key()} }
 
-// unclaimed is the outcome of a job that its entry VM may not have got.
+// recentOutcome is the outcome of a job that its entry VM may not have received.
 type unclaimed struct {
 	outcome work.Outcome
 	at      time.Duration
@@ -34,18 +34,19 @@
 type Presence int
 
 const (
-	// Absent jobs never came, so that nothing of them was begun.
+	// Absent jobs never arrived, so nothing of them has started.
 	Absent Presence = iota
 	// Present jobs run, or have ended just now.
 	Present
-	// Forgotten jobs may have run, and are remembered no longer.
+	// Forgotten jobs may have run, but are no longer remembered.
 	Forgotten
 )
 
 // String implements fmt.Stringer.
 func (p Presence) String() string { return [...]string{"absent", "present", "forgotten"}[p] }
 
-// remember keeps the outcome of a job of another VM for a while.
+// rememberOutcome keeps the outcome of another VM's job for a while. If too many are kept already,
+// it notes instead that one was dropped.
 func (s *State) remember(now time.Duration, sub Submission, outcome work.Outcome) {
 	switch {
 	case sub.Entry == "":
@@ -56,6 +57,7 @@
 	}
 }
 
+// expireOutcomes drops the outcomes and replaced requests that are older than outcomeRetention.
 func (s *State) forgetUnclaimed(now time.Duration) {
 	for job, past := range s.unclaimed {
 		if now-past.at > unclaimedTime {
@@ -69,11 +71,11 @@
 	}
 }
 
-// Rejoin answers a request that takes the place of one whose connection broke, which was
-// sent some time ago: with the outcome of the job, or of the part of one, as soon as there
-// is one. A job that is Absent is handed in where begin is set; the former request, which
-// may still be on its way within this process, doesn't begin it any more. A Forgotten one has
-// no answer.
+// Rejoin takes a request that replaces one whose connection broke; the old request was sent some
+// time ago. It answers the new request with the outcome of the job, or of the part of one, as soon
+// as there is an outcome. If the job is Absent and begin is set, Rejoin hands the job in. The old
+// request may still be on its way within this process; it doesn't start the job any more. A
+// Forgotten job gets no answer.
 func (s *State) Rejoin(now time.Duration, sub Submission, ago time.Duration, begin bool) Presence {
 	if j := s.byID[sub.key()]; j != nil && !j.kept() && j.sub.Entry == sub.Entry {
 		j.mark(now, "asked again", "", "", "its connection broke")
@@ -94,7 +96,7 @@
 	return Absent
 }
 
-// bars reports whether a submission comes after the request that took its place.
+// isSuperseded reports whether a submission arrives after the request that replaced it.
 func (s *State) bars(now time.Duration, sub Submission) bool {
 	at, asked := s.barred[sub.ref()]
 	return asked && now-at <= unclaimedTime
--- a/scheduler/resend.go
+++ b/scheduler/resend.go
@@ -6,98 +6,96 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Orders and looks without an answer are sent again, unchanged, and the first answer counts:
-// few starts are left in doubt then, also where many answers get lost. A copy does no harm: a
-// target that has the run says so, one that has seen its end refuses it, and a copy that is
-// carried out late finds its lease over.
+// Orders and polls without an answer are sent again unchanged, and the first answer counts. So only
+// few starts stay unconfirmed, even where many answers are lost. A copy does no harm: a target where
+// the run is in progress says so, one that has seen the run end refuses the copy, and the lease of a
+// copy that is carried out late has expired.
 //
-// What settling doubt may cost follows what this process has to spare, however many targets
-// it owns: answers that come late for want of processor look like lost ones, and copies of
-// their orders would make them later still.
+// How many copies are sent depends on the CPU that this process has to spare, however many targets
+// it owns. If the process lacks CPU, its answers come late and look like lost ones; copies of their
+// orders would make them later still.
 
-// resending decides when.
+// resendPolicy decides when orders and polls are sent again.
 type resending struct {
-	// mean and deviation are moving averages of how long answers take.
+	// mean and deviation are moving averages of how long answers take, and of how much that varies.
 	mean, deviation time.Duration
-	// usual is a moving average of how long answers take, over so many of them that those of
-	// one burst don't show, least the least that it was lately.
+	// slowMean is a moving average of how long answers take over so many answers that those of a
+	// single burst don't show. minimum follows the least value of slowMean lately.
 	usual, least time.Duration
-	// late is a moving average of how late ticks come.
+	// tickDelay is a moving average of how late ticks come.
 	late time.Duration
 	// stalled says that the last tick came so late that answers may wait to be read.
 	stalled bool
-	// missed and answered count the answers that were missed and that came lately: both fade
-	// by missFading at each tick.
+	// missed and answered count the answers that were missed and that came lately. Both decay by
+	// missDecay at each tick.
 	missed, answered float64
-	// once sends no copies.
+	// noCopies disables all copies.
 	once bool
-	// budget is how many copies may be sent: each answer adds one, up to maxBudget.
+	// budget is how many copies may be sent; each answer adds one, up to maxBudget.
 	budget int
-	// sent counts the copies.
+	// copiesSent counts the copies.
 	sent int
-	// look is how long a look waits while answers get lost.
+	// pollWait is how long a poll may wait at its target while answers are being lost.
 	look time.Duration
 }
 
-// Figures of sending again.
+// Parameters of sending again.
 const (
-	// maxCopies bounds how often an order is sent: the last copy still has a third of the
-	// time in which an order has to be answered.
+	// maxCopies bounds how often an order is sent: the last copy still has a third of the time
+	// within which an order has to be answered.
 	maxCopies = 4
-	// leastResend is five times the usual answer of a target.
+	// minResendInterval is five times the usual answer time of a target.
 	leastResend = 15 * time.Millisecond
-	// mostResend lets all copies be sent within the time of an order.
+	// maxResendInterval allows all copies to be sent within the time of an order.
 	mostResend = 30 * time.Millisecond
-	// meanWeight, deviationWeight and deviationFactor are those of TCP's estimate of when
-	// to send again.
+	// meanWeight, deviationWeight and deviationFactor are those of TCP's retransmission timeout.
 	meanWeight, deviationWeight = 0.125, 0.25
 	deviationFactor             = 4
-	// answerWeight averages over some 60 answers: a job of eight tasks makes a burst of that
-	// many, of which the last is read after the others.
+	// slowMeanWeight averages over some 60 answers: a job of eight tasks makes a burst of that
+	// many, and the last of them is read after all others.
 	answerWeight = 1.0 / 64
-	// leastWeight lets the least time rise within some thousand answers, a few seconds.
+	// minimumWeight lets the minimum rise within some thousand answers, which is a few seconds.
 	leastWeight = 1.0 / 4096
-	// ampleLate and ampleFactor with ampleSlack are the lateness of ticks, and the time of
-	// answers against the least one, up to which there is processor for more looks that
-	// make no first start wait.
+	// There is ample CPU while ticks are at most ampleTickDelay late, and while answers take at
+	// most ampleFactor times the minimum plus ampleSlack. Then more polls delay no first start.
 	ampleLate   = 1500 * time.Microsecond
 	ampleFactor = 1.5
 	ampleSlack  = time.Millisecond
-	// stallGap is twice the time between two ticks, less what timers vary by.
+	// stallGap is twice the time between two ticks, less the variation of timers.
 	stallGap = 2*TickInterval - 5*time.Millisecond
-	// lateWeight averages the lateness of ticks over a sixth of a second.
+	// tickDelayWeight averages the lateness of ticks over a sixth of a second.
 	lateWeight = 0.125
-	// spareLate is the mean lateness of ticks up to which there is processor to spare: a
-	// single server that has work for half of its time makes what comes wait for about as
-	// long as a batch of messages takes, some milliseconds.
+	// spareTickDelay is the mean lateness of ticks up to which there is CPU to spare. A single
+	// server that is busy half of its time delays what arrives by about the time of one batch of
+	// messages, which is some milliseconds.
 	spareLate = 6 * time.Millisecond
-	// promptAnswer is the mean time of answers up to which copies are sent: two thirds of the
-	// longest pause, beyond which the answer would often come after the copy was sent. Ticks
-	// alone don't tell: they come in time while hundreds of answers wait for their turn.
+	// promptAnswer is the mean answer time up to which copies are sent. It is two thirds of
+	// maxResendInterval: with slower answers the answer would often come after the copy was sent.
+	// Ticks alone don't show this: they are on time while hundreds of answers wait to be read.
 	promptAnswer = 20 * time.Millisecond
-	// missFading leaves a third of what was counted a second ago.
+	// missDecay leaves about a third of a count after one second.
 	missFading = 0.98
-	// doubtShare is the share of answers that must be missed for others to be expected to
-	// get lost too. One target that is gone misses one in two hundred of an owner's with 220
-	// targets, which would have all of them looked at five times as often.
+	// lossShare is the share of answers that must be missed for more losses to be expected. For
+	// an owner of 220 targets, a single target that is gone misses one answer in two hundred.
+	// Without this limit it would have all targets polled five times as often.
 	doubtShare = 0.01
-	// maxBudget is the most copies in a row without an answer to anything: those of the
-	// orders that a few targets lose, not of all first looks of a takeover.
+	// maxBudget is the most copies in a row without any answer. It covers the orders lost at a few
+	// targets, but not all first polls of a takeover.
 	maxBudget = 64
-	// lookGrowth and lookDecline change the wait of looks at each tick, so that it is five
-	// times as long within 80 ms of want of processor and back within 300 ms of plenty.
+	// pollWaitGrowth and pollWaitDecline change pollWait at each tick. It grows to five times its
+	// value within 80 ms of lacking CPU, and shrinks back within 300 ms of ample CPU.
 	lookGrowth, lookDecline = 1.5, 0.9
-	// answerTime is how long the first copy of an order may go unanswered while others are
-	// on their way: what the adapter waits for an answer, less what its timer varies by.
+	// answerTimeout is how long the first copy of an order may go unanswered while others are on
+	// their way: the adapter's timeout, less the variation of its timer.
 	answerTime = 110 * time.Millisecond
 )
 
-// newResending has what a process needs to settle doubt about its first orders.
-func newResending(once bool) resending {
-	return resending{once: once, budget: maxBudget, look: disturbedWait}
+// newResendPolicy returns a policy with full budget and short polls, for a process's first orders.
+func newResending(noCopies bool) resending {
+	return resending{once: noCopies, budget: maxBudget, look: disturbedWait}
 }
 
-// tick takes the time since the last tick.
+// tick updates the policy with the time since the last tick.
 func (r *resending) tick(gap time.Duration) {
 	r.missed *= missFading
 	r.answered *= missFading
@@ -106,18 +104,18 @@
 	r.stalled = gap > stallGap
 }
 
-// spare reports whether this process has processor to spare: its ticks come in time, and
-// answers don't wait to be read.
+// hasSpareCPU reports whether this process has CPU to spare: its ticks are on time, and answers
+// don't wait to be read.
 func (r *resending) spare() bool {
 	return !r.stalled && r.late <= spareLate && r.usual <= promptAnswer
 }
 
-// ample reports whether there is so much of it that more looks make no answer later.
+// hasAmpleCPU reports whether there is so much spare CPU that more polls delay no answer.
 func (r *resending) ample() bool {
 	return r.spare() && r.late <= ampleLate && r.usual <= time.Duration(ampleFactor*float64(r.least))+ampleSlack
 }
 
-// pace sets how long looks wait while answers get lost: as short as the processor allows.
+// adjustPollWait makes polls wait shorter while there is ample CPU, and longer otherwise.
 func (r *resending) pace(longest time.Duration) {
 	factor := lookDecline
 	if !r.ample() {
@@ -126,13 +124,13 @@
 	r.look = min(max(time.Duration(factor*float64(r.look)), disturbedWait), longest)
 }
 
-// looksTwice reports whether a second look waits beside each one: answers get lost, and
-// there is the processor for more than short looks.
+// needsSecondPoll reports whether a second poll is to wait at a target beside each first one:
+// answers are being lost, polls are as short as they get, and there is ample CPU for more of them.
 func (s *State) looksTwice(now time.Duration) bool {
 	return s.unsettled(now) && s.resend.ample() && s.resend.look == disturbedWait
 }
 
-// heard counts an answer of a target towards what copies may cost.
+// countAnswer counts an answer of a target and adds it to the budget for copies.
 func (r *resending) heard(verdict work.Verdict) {
 	if !unanswered(verdict) && verdict != work.VerdictUnsent {
 		r.answered++
@@ -140,9 +138,10 @@
 	}
 }
 
-// Answered says how long the answer to one copy of an order took, until it was read.
+// RecordAnswerTime says how long the answer to one copy of an order took until it was read.
 func (s *State) Answered(took time.Duration) { s.resend.learn(took) }
 
+// observe updates the averages with the time that one answer took.
 func (r *resending) learn(took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.deviation = took, took/2
@@ -155,26 +154,27 @@
 	r.mean += time.Duration(meanWeight * float64(took-r.mean))
 }
 
-// pause is how long a copy waits for its answer before the next one is sent.
+// resendInterval is how long a copy waits for its answer before the next one is sent.
 func (r *resending) pause() time.Duration {
 	return min(max(r.mean+deviationFactor*r.deviation, leastResend), mostResend)
 }
 
-// copies are those of one order.
+// orderCopies are the copies of one order or poll.
 type copies struct {
-	// sent is when the last one was sent.
+	// lastSent is when the last one was sent.
 	sent time.Duration
-	// count is how many there are, waiting how many have no answer yet.
+	// count is how many there are, unanswered how many of them have no answer yet.
 	count, waiting int
 }
 
+// add counts a copy that is sent now.
 func (c *copies) add(now time.Duration) {
 	c.sent = now
 	c.count++
 	c.waiting++
 }
 
-// affords spends what a copy costs, where there is that much.
+// takeBudget spends the budget for one copy, and reports whether there was any.
 func (r *resending) affords() bool {
 	if r.once || r.budget == 0 {
 		return false
@@ -184,13 +184,14 @@
 	return true
 }
 
-// due reports whether the next copy is to be sent, and spends what it costs.
+// takeDueCopy reports whether the next copy is due and may be sent, and spends its budget. wait is
+// how long the target may hold back its answer.
 func (r *resending) due(now time.Duration, c *copies, wait time.Duration) bool {
 	return c.count < maxCopies && now-c.sent >= wait+r.pause() && r.spare() && r.affords()
 }
 
-// missAnswer counts an answer that should have come. What a silent target doesn't answer
-// says nothing of the others'.
+// recordMissedAnswer counts an answer that should have come. Those of a silent target say nothing
+// about the other targets and don't count.
 func (s *State) missAnswer(now time.Duration, t *target) {
 	if t.state == usable {
 		s.disturbed = now
@@ -198,7 +199,7 @@
 	}
 }
 
-// startAgain sends a start without an answer again.
+// resendDueStart sends a start again that has had no answer for resendInterval.
 func (s *State) startAgain(now time.Duration, r *run) {
 	if r.state == ordered && r.stop == nil && !s.startsBarred(now) && s.resend.due(now, &r.copies, 0) {
 		s.sendStart(now, r)
@@ -208,8 +209,9 @@
 	}
 }
 
-// startAtOnce sends a start again whose connection broke: no answer will come to that copy,
-// and to ask for it costs less than to stop the run and to start its task elsewhere.
+// resendBrokenStart sends a start again at once after its connection broke, and reports whether it
+// did. No answer to that copy will come, and another copy costs less than to stop the run and start
+// its task elsewhere.
 func (s *State) startAtOnce(now time.Duration, r *run) bool {
 	if r.state != ordered || r.stop != nil || s.startsBarred(now) || r.copies.count >= maxCopies || now-r.ordered >= answerTime || !s.resend.affords() {
 		return false
@@ -218,8 +220,9 @@
 	return true
 }
 
-// askForDue asks a target at once whether a run has ended that should have, while answers get
-// lost: the end of a short task is told in tens of milliseconds, also where looks are long.
+// pollForDueRuns polls a target at once for a run that should have ended, while answers are being
+// lost. So the completion of a short task is known within tens of milliseconds, even while polls
+// wait long.
 func (s *State) askForDue(now time.Duration, t *target) {
 	if !s.unsettled(now) {
 		return
@@ -232,31 +235,33 @@
 	}
 }
 
-// dueFactor and dueSlack are when most runs have ended, and their ends been told.
+// After dueFactor times the expected run time plus dueSlack most runs have ended, and their
+// completions have been reported.
 const (
 	dueFactor = 1.25
 	dueSlack  = 10 * time.Millisecond
 )
 
-// due reports whether a run should have ended by now.
+// shouldHaveEnded reports whether most runs of this expected time would have ended by now.
+// Lasting tasks don't end, and background tasks get too little CPU for their time to tell.
 func (r *run) due(now time.Duration) bool {
 	return !r.task.step.Lasting && !r.task.step.Fills && now-r.ordered > time.Duration(dueFactor*float64(r.expected))+dueSlack
 }
 
-// askAtOnce sends a copy of a look that waits, which asks for an answer at once.
+// pollNow sends a copy of the poll that waits at the target; the copy asks for an answer at once.
 func (s *State) askAtOnce(now time.Duration, t *target) {
 	if !t.looking || !s.resend.due(now, &t.lookCopies, 0) {
 		return
 	}
 	t.lookCopies.add(now)
-	look := t.look
-	look.Wait = 0
-	s.emit(look)
+	poll := t.look
+	poll.Wait = 0
+	s.emit(poll)
 }
 
-// lookAgain sends a look again that should have been answered; it asks for an answer at
-// once. While answers get lost a second look waits beside each one from early on: an end
-// that only a lost look would have told costs a short task its slack.
+// resendPoll sends a poll again that should have been answered; the copy asks for an answer at
+// once. While answers are being lost, a second poll soon waits beside each first one: if a completion is
+// reported only to a lost poll, that costs a short task its slack.
 func (s *State) lookAgain(now time.Duration, t *target) {
 	c := &t.lookCopies
 	switch {
--- a/scheduler/trail.go
+++ b/scheduler/trail.go
@@ -6,22 +6,21 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Trail is what happened to a job, told when it ends badly or late, and for a few
-// others: logs hold no line for each decision about the many that go well.
+// JobHistory lists the events of one job. It is logged when a job ends badly or late, and for a
+// sample of the others: the log has no line for each decision about the many jobs that go well.
 type Trail struct {
 	Job    string
 	Queue  string
 	Result work.Result
 	Reason string
-	// Took is the time since the caller sent the job, Objective what it should
-	// have been.
+	// Took is the time since the caller sent the job. Objective is what it should have been.
 	Took, Objective time.Duration
 	Entries         []TrailEntry
-	// Dropped counts entries beyond the bound.
+	// Dropped counts the entries beyond maxHistory.
 	Dropped int
 }
 
-// TrailEntry is one decision or event.
+// HistoryEntry is one decision or event.
 type TrailEntry struct {
 	// At is the time since the caller sent the job.
 	At     time.Duration
@@ -33,15 +32,15 @@
 
 func (Trail) effect() {}
 
-// Figures of trails.
+// Parameters of job histories.
 const (
-	// maxTrail bounds the entries of a job: four for each task of a usual one.
+	// maxHistory bounds the entries of a job: four for each task of a usual one.
 	maxTrail = 40
-	// sampleEvery is the share of jobs that went well whose trail is told.
+	// sampleEvery is how many jobs end well and on time for each one whose history is logged.
 	sampleEvery = 100
 )
 
-// mark adds an entry to the job's trail.
+// record adds an entry to the job's history.
 func (j *job) mark(now time.Duration, what, task, target, detail string) {
 	if len(j.trail) >= maxTrail {
 		j.trailDropped++
@@ -50,7 +49,7 @@
 	j.trail = append(j.trail, TrailEntry{At: now - j.arrived, What: what, Task: task, Target: target, Detail: detail})
 }
 
-// tell emits the trail of a job that has ended, where it is worth a line.
+// logHistory emits the history of a job that has ended, if the job went badly or is in the sample.
 func (s *State) tell(now time.Duration, j *job, outcome work.Outcome) {
 	s.told++
 	good := outcome.Result == work.Completed && now <= j.objective
