--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// crashBench has a number of usable targets, two of each rack.
+// newRackBench returns a bench with usable targets, two in each rack.
 func crashBench(t *testing.T, targets int) *bench {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -27,7 +27,7 @@
 	b.look(id, work.Held{Clock: 5000})
 }
 
-// begin has the runs of orders begin, and be listed.
+// confirmStarts answers starts as done.
 func (b *bench) begin(starts []StartRun) {
 	for _, start := range starts {
 		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000})
@@ -35,7 +35,7 @@
 	b.do()
 }
 
-// falls ends the lives of targets at one time, as another life at their address tells.
+// loseTargets loses targets at the same time, and returns the effects of the 20 ms after that.
 func (b *bench) falls(ids ...string) []Effect {
 	for _, id := range ids {
 		b.s.fallsSilent(b.now, b.s.targets[id])
@@ -46,7 +46,7 @@
 	return b.pass(20 * ms)
 }
 
-// storedJob has a kept job stored and returns its first orders.
+// startStoredJob has a durable job stored and returns its first starts.
 func (b *bench) storedJob(id string, tasks int) []StartRun {
 	b.s.Submit(b.now, b.keptJob(id, tasks))
 	b.do()
@@ -72,7 +72,7 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.pass(5*time.Second)))
 }
 
-// A job that was given up isn't begun again when its caller hands it in again.
+// A caller that sends a poisoned job again gets the failure again, and nothing is started.
 func TestAJobThatCrashesTargetsIsNotTakenAgain(t *testing.T) {
 	b := crashBench(t, 8)
 	b.submit("j", 1, 1, "")
@@ -96,10 +96,11 @@
 	must.StrContains(t, answers[0].Outcome.Reason, "crashed the targets")
 }
 
-// Tasks that stood beside a culprit run alone, and their ends clear them; nothing joins them.
+// Tasks that ran beside a poison task run isolated. Completing there clears them, and nothing else
+// runs beside them.
 func TestInnocentTasksAreToldApart(t *testing.T) {
 	b := crashBench(t, 1)
-	starts := append(b.storedJob("culprit", 1), b.storedJob("innocent", 2)...)
+	starts := append(b.storedJob("crasher", 1), b.storedJob("neighbour", 2)...)
 	for i := range 8 {
 		b.rackTarget(2 + i)
 	}
@@ -120,7 +121,7 @@
 	must.SliceLen(t, 1, other)
 	must.MapNotContainsKey(t, on, other[0].To.ID)
 	for _, start := range again {
-		if start.Run.Task == "culprit.0.0.0" {
+		if start.Run.Task == "crasher.0.0.0" {
 			must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(start.To.ID)))
 			continue
 		}
@@ -136,12 +137,11 @@
 		}
 	}
 	must.SliceLen(t, 1, ends)
-	must.Eq(t, "innocent", ends[0].Job)
+	must.Eq(t, "neighbour", ends[0].Job)
 	must.Eq(t, work.StateCompleted, ends[0].State)
 }
 
-// A rack that falls speaks against none of the tasks that ran there, and a silent target that
-// answers again clears them.
+// A target that is lost with others of its rack doesn't count against the tasks that ran there.
 func TestTargetsThatFallTogetherBlameNoTask(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -177,8 +177,8 @@
 	must.SliceEmpty(t, task.fallen())
 }
 
-// One job of many such tasks takes no more targets at a time than it has tasks a target, and
-// then a quarter of them at most.
+// A job of many poison tasks first loses all targets that run it. After that its suspects run
+// isolated, on at most a quarter of the service's targets at a time.
 func TestSuspectsTakeABoundedShareOfTheTargets(t *testing.T) {
 	b := crashBench(t, 40)
 	starts := b.storedJob("j", 32)
@@ -200,8 +200,8 @@
 	must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(again[0].To.ID)))
 }
 
-// A target that has shrunk below what runs there takes nothing until that fits, and is no
-// faulty one where it has nothing at all; what it has again is used at once.
+// A target whose capacity shrinks below what runs there takes nothing until that fits. A target
+// without any capacity is not faulty. New capacity is used at once.
 func TestCapacityThatShrinksAndGrows(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
@@ -221,13 +221,13 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
 	b.look("a", work.Held{Clock: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
-	// The entry that was read before says nothing new.
+	// The registry entry was read before and tells nothing new.
 	b.target("a", 0)
 	must.Eq(t, 3, b.s.targets["a"].Capacity.CPU)
 }
 
-// A target that starts again under its ID is another one: what ran there is over, its ends
-// are counted anew, and an old entry or answer changes nothing.
+// A target that restarts under its ID counts as another one: its runs are over, its completions are
+// numbered from the start, and a late entry or answer of the old incarnation changes nothing.
 func TestATargetThatStartsAgainUnderItsID(t *testing.T) {
 	b := newBench(t, Options{})
 	listed := work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Life: 100}
@@ -253,7 +253,8 @@
 	must.SliceLen(t, 1, pickEffects[Answer](b.do()))
 }
 
-// A target that a former owner gives late was there before, and waits for nothing.
+// A target that was listed when the owner began knows the previous owner's token, so that it needs
+// no confirmed claim even if it is seen late.
 func TestATargetThatIsGivenLateDoesNotWaitForTheClaim(t *testing.T) {
 	b := newBench(t, Options{ConfirmClaims: true})
 	b.s.ListedEarly("a")
@@ -264,7 +265,7 @@
 	must.SliceEmpty(t, pickEffects[ConfirmClaim](b.do()))
 }
 
-// A target that comes later is used only once the claim was seen to be this owner's since.
+// A target that comes later is used only once the claim was confirmed since.
 func TestALaterTargetWaitsForTheClaim(t *testing.T) {
 	b := newBench(t, Options{ConfirmClaims: true})
 	b.usable("a", 1)
@@ -274,7 +275,7 @@
 	b.look("b", work.Held{Clock: 5000})
 	must.SliceLen(t, 1, pickEffects[ConfirmClaim](b.do()))
 	must.Eq(t, adopting, b.s.targets["b"].state)
-	// It isn't looked at again and again meanwhile.
+	// Meanwhile it is polled at most twice.
 	must.LessEq(t, 2, len(pickEffects[Look](b.pass(confirmPause))))
 	b.s.ClaimConfirmed(b.now, b.s.targets["b"].since-1)
 	must.Eq(t, adopting, b.s.targets["b"].state)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -102,8 +102,8 @@
 	return best
 }
 
-// fitsBetter reports whether target t suits the task better than another one: first by rank, then by
-// the tighter fit.
+// fitsBetter reports whether target t suits the task better than another one: first by rank, then
+// by the tighter fit.
 func better(now time.Duration, t, than *target, st *step, tk *task) bool {
 	if a, b := t.rank(now, st, tk), than.rank(now, st, tk); a != b {
 		return a < b
@@ -179,7 +179,8 @@
 }
 
 // reserveForGang reserves targets for a gang that has waited for gangReserveDelay. Otherwise small
-// tasks would take each place as it becomes free. One gang of a pool has targets reserved at a time.
+// tasks would take each place as it becomes free. One gang of a pool has targets reserved at a
+// time.
 func (s *State) reserve(now time.Duration, j *job, st *step) {
 	p := j.pool
 	if p.reserved != nil && now-p.reservedAt > reservedTime {
@@ -201,8 +202,9 @@
 	}
 }
 
-// chooseTargets returns the targets to reserve for a gang: those with the most free CPU, of one rack
-// if the gang wants that and a rack can hold it. It returns nil if no choice can hold the gang.
+// chooseTargets returns the targets to reserve for a gang: those with the most free CPU, of one
+// rack if the gang wants that and a rack can hold it. It returns nil if no choice can hold the
+// gang.
 func (s *State) roomFor(now time.Duration, j *job, st *step) []*target {
 	among := j.pool.targets
 	if st.OneRack {
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -11,7 +11,7 @@
 
 func gang(tasks int) work.Step { return work.Step{Tasks: tasks, Gang: true} }
 
-// A gang begins once there is room for all of it, under one number.
+// A gang starts under one run number once there is capacity for all of it.
 func TestGangsBeginTogether(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -27,7 +27,7 @@
 	}
 }
 
-// A gang that no number of targets can hold is refused at once.
+// A gang that the targets can't hold is refused at once.
 func TestGangsThatFitNowhereAreRefused(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 2)
@@ -37,8 +37,8 @@
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
 }
 
-// Where a member can't start, or ends badly, the others are stopped, and all begin anew
-// when the last of them is over.
+// If a member can't start or fails, the other members are stopped. All members start again together
+// once the last run has ended.
 func TestGangsBeginAnewTogether(t *testing.T) {
 	for name, harm := range map[string]func(b *bench, start StartRun){
 		"refused": func(b *bench, start StartRun) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// One member that is done says that all are; the failed runs of a gang count together.
+// One member's completion completes the gang. The failed runs of all members count together.
 func TestGangsEndTogether(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -94,7 +94,7 @@
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.do()))
 }
 
-// Small tasks don't keep a gang from its places for ever.
+// A steady stream of small tasks doesn't starve a gang.
 func TestGangsGetTheirRoom(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	t.Fatal("the gang never began")
+	t.Fatal("the gang never started")
 }
 
 func runsOf(starts []StartRun) []work.Run {
@@ -138,8 +138,7 @@
 	return runs
 }
 
-// A gang that wants one rack waits for it where one can hold it, and is spread where none
-// can.
+// A gang that wants one rack gets one if a rack can hold it, and is spread over racks otherwise.
 func TestGangsOnOneRack(t *testing.T) {
 	for name, test := range map[string]struct {
 		tasks int
@@ -168,7 +167,7 @@
 	}
 }
 
-// While one rack could hold a gang that wants one, it waits for room there.
+// A gang that wants one rack waits for capacity there while the rack could hold it.
 func TestGangsWaitForTheirRack(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// runKept has a kept job of one task stored and begun at target a.
+// startDurableJob has a durable job of one task stored and started at target a.
 func runKept(b *bench) work.Run {
 	b.s.Resumed(b.now)
 	b.usable("a", 4)
@@ -40,7 +40,7 @@
 	return work.Held{Clock: 5100, Ended: []work.End{{Number: number, Run: run, Kind: kind}}}
 }
 
-// seen is the newest end that looks have acknowledged.
+// newestAcknowledged returns the newest completion that polls have acknowledged.
 func seen(effects []Effect) int64 {
 	newest := int64(0)
 	for _, look := range pickEffects[Look](effects) {
@@ -49,7 +49,7 @@
 	return newest
 }
 
-// Nothing of a kept job starts before the store has it, and then its caller is told.
+// Nothing of a durable job starts before the store has it; then its caller is answered.
 func TestKeptJobsAreStoredFirst(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
@@ -68,7 +68,7 @@
 	must.Eq(t, 0, b.s.Pending()["k"])
 }
 
-// What the store didn't take is not run, nor what another owner has.
+// A job that the store didn't take, or that another owner has, is not run.
 func TestWhatIsNotStoredHereIsNotRun(t *testing.T) {
 	for _, outcome := range []work.Outcome{{Result: work.Refused}, {Result: work.Accepted}, {Result: work.Unknown}} {
 		b := newBench(t, Options{})
@@ -83,7 +83,7 @@
 	}
 }
 
-// A job that was handed in twice is one, whether the first answer came or not.
+// A job that is handed in several times runs once, and each request gets an answer.
 func TestKeptJobsHandedInAgain(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
@@ -100,7 +100,7 @@
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
 }
 
-// An end is acknowledged once the store has it, and not before.
+// A completion is acknowledged only once the store has it.
 func TestEndsAreAcknowledgedOnceNoted(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
@@ -118,7 +118,7 @@
 	must.True(t, b.s.AtRest())
 }
 
-// Ends that come after a job's own are acknowledged once that one is noted.
+// A completion that comes after the job's end is acknowledged once the store has the end.
 func TestEndsAfterTheJobsEndWaitForIt(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
@@ -134,10 +134,9 @@
 	must.False(t, b.s.CancelKept(b.now, "j"))
 }
 
-// An owner that has lost its place acknowledges nothing of kept jobs: its successor
-// goes by what is listed.
+// A deposed owner acknowledges no completions of durable jobs: its successor needs them listed.
 func TestAnOwnerWithoutItsPlaceAcknowledgesNothing(t *testing.T) {
-	for name, unknown := range map[string]bool{"its own run": false, "a run that it has given up": true} {
+	for name, unknown := range map[string]bool{"its own run": false, "a run it does not know": true} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			run := runKept(b)
@@ -154,10 +153,10 @@
 	}
 }
 
-// A run that was stopped without an answer to its start may have ended before the stop
-// came: only a later look tells.
+// A run whose start has no answer may have completed before it was stopped. Only a poll sent after
+// the stop shows that.
 func TestAStoppedRunMayHaveBeenDone(t *testing.T) {
-	for name, done := range map[string]bool{"it was done": true, "it never began": false} {
+	for name, done := range map[string]bool{"completed": true, "never started": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.s.Resumed(b.now)
@@ -172,7 +171,7 @@
 			must.SliceLen(t, 1, pickEffects[StopRun](b.do()))
 			b.s.Stopped(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5100})
 			must.SliceEmpty(t, pickEffects[StartRun](b.pass(200*ms)))
-			// The look that was on its way all the while tells nothing of the stop.
+			// The poll that was on its way all the while says nothing of the stop.
 			b.look("a", work.Held{Clock: 5200})
 			must.SliceEmpty(t, pickEffects[StartRun](b.pass(40*ms)))
 			if done {
@@ -187,7 +186,7 @@
 	}
 }
 
-// A job that is taken over goes on where it was.
+// A job that is taken over continues from its stored progress.
 func TestResumedJobs(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
@@ -199,12 +198,12 @@
 	must.Eq(t, "j.0.0.0", starts[0].Run.Task)
 	must.Eq(t, "j.0.0.2", starts[1].Run.Task)
 	must.True(t, b.s.Begun("j"))
-	// One more failed run of the task that has failed before is one too many.
+	// With the failure before the takeover, the task has now failed too often.
 	b.look("a", ended(1, starts[1].Run, work.EndFailed))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.do()))
 }
 
-// A job whose tasks had all ended is over as it is taken over.
+// A job whose tasks had all ended, or failed too often, ends when it is taken over.
 func TestResumedJobsThatAreOver(t *testing.T) {
 	for name, test := range map[string]struct {
 		done  []int
@@ -225,8 +224,8 @@
 	}
 }
 
-// Ends that a former owner left unnoted are noted with the job, and acknowledged where
-// there is no such job any more.
+// The unrecorded completions of a previous owner are stored with their job, and acknowledged at
+// once if that job no longer exists.
 func TestEndsOfAFormerOwner(t *testing.T) {
 	b := newBench(t, Options{})
 	b.target("a", 4)
@@ -249,19 +248,19 @@
 	must.Eq(t, 3, seen(b.pass(100*ms)))
 }
 
-// A job that is taken over counts as pending unless something shows that it has begun.
+// A job that is taken over counts as pending until something shows that it has started.
 func TestResumedJobsMayBePending(t *testing.T) {
 	for name, test := range map[string]struct {
 		progress Progress
 		held     work.Held
 		pending  int
 	}{
-		"nothing is known":      {Progress{}, work.Held{Clock: 5000}, 1},
-		"a task is done":        {Progress{Done: []int{0}}, work.Held{Clock: 5000}, 0},
-		"a run had failed":      {Progress{Fails: map[int]int{0: 1}}, work.Held{Clock: 5000}, 0},
-		"a task has saved work": {Progress{Saved: map[int]string{0: "c"}}, work.Held{Clock: 5000}, 0},
-		"a run goes on":         {Progress{}, work.Held{Clock: 5000, Running: listing(work.Run{Task: "j.0.0.0", Number: 31})}, 0},
-		"an end is listed":      {Progress{}, work.Held{Clock: 5000, Ended: []work.End{{Number: 1, Run: work.Run{Task: "j.0.0.0", Number: 31}, Kind: work.EndDone}}}, 0},
+		"nothing is known":       {Progress{}, work.Held{Clock: 5000}, 1},
+		"a task is done":         {Progress{Done: []int{0}}, work.Held{Clock: 5000}, 0},
+		"a run had failed":       {Progress{Fails: map[int]int{0: 1}}, work.Held{Clock: 5000}, 0},
+		"a task has saved work":  {Progress{Saved: map[int]string{0: "c"}}, work.Held{Clock: 5000}, 0},
+		"a run is in progress":   {Progress{}, work.Held{Clock: 5000, Running: listing(work.Run{Task: "j.0.0.0", Number: 31})}, 0},
+		"a completion is listed": {Progress{}, work.Held{Clock: 5000, Ended: []work.End{{Number: 1, Run: work.Run{Task: "j.0.0.0", Number: 31}, Kind: work.EndDone}}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
@@ -278,12 +277,12 @@
 	}
 }
 
-// A failed run that a former owner had noted, and not acknowledged, is counted once.
+// A failed run counts once if the previous owner stored it but didn't acknowledge it.
 func TestFailedRunsAreCountedOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		noted int64
 		ended bool
-	}{"it is the noted one": {31, false}, "it is another one": {29, true}} {
+	}{"the stored one": {31, false}, "another one": {29, true}} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.target("a", 4)
@@ -300,9 +299,9 @@
 	}
 }
 
-// An owner that leaves hands all kept jobs back. What runs of them goes on for the
-// successor: it isn't stopped, its end isn't acknowledged, and its lease is prolonged for
-// no longer than the successor waits for a target that it can't reach.
+// A leaving owner hands over all durable jobs. Their runs continue for the successor: they aren't
+// stopped and their completions aren't acknowledged. Their leases are extended only for as long as
+// the successor waits for a target that it can't reach.
 func TestLeavingOwnersHandKeptJobsBack(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
@@ -327,7 +326,7 @@
 	must.True(t, b.s.AtRest())
 }
 
-// An owner that has lost its place prolongs nothing that its successor may start anew.
+// A deposed owner extends no lease of a run that its successor may start again.
 func TestAnOwnerWithoutItsPlaceProlongsNothing(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
@@ -339,8 +338,8 @@
 	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
 }
 
-// A job that was taken over and whose end is of no use any more goes behind one that can
-// be in time, and is done all the same.
+// A job that was taken over too late to be of use runs after a job that can be on time, but it does
+// run.
 func TestUselessBacklogGoesBehind(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -361,7 +360,7 @@
 	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.do())[0].Run.Task)
 }
 
-// Whoever waits, and however late it is, a kept job is done.
+// A durable job is done however late it is and whether or not anybody waits.
 func TestKeptJobsAreNeverGivenUp(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -378,7 +377,7 @@
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
-// A run that doesn't end is begun anew, with more patience each time.
+// A run that doesn't end is stopped and started again; each time the timeout grows.
 func TestStuckRunsBeginAnew(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// stepsJob is a kept job of these steps.
+// jobOfSteps returns a durable job of these steps.
 func (b *bench) stepsJob(id string, steps ...work.Step) Submission {
 	sub := b.keptJob(id, 1)
 	for i := range steps {
@@ -24,7 +24,7 @@
 	return sub
 }
 
-// store has a kept job accepted and stored, and returns what that leads to.
+// acceptAndStore submits a durable job, reports it as stored, and returns the effects.
 func (b *bench) store(sub Submission) []Effect {
 	b.s.Submit(b.now, sub)
 	b.do()
@@ -32,7 +32,7 @@
 	return b.do()
 }
 
-// begun answers starts.
+// answerStarts answers starts as done.
 func (b *bench) begun(starts []StartRun) {
 	for _, start := range starts {
 		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000})
@@ -40,7 +40,7 @@
 	b.do()
 }
 
-// A task goes on from what its last run had saved, however that ended.
+// A task continues from the work that its last run had saved, however that run ended.
 func TestTasksGoOnFromWhatTheySaved(t *testing.T) {
 	for name, harm := range map[string]func(b *bench, run work.Run) []Effect{
 		"listed as it ended": func(b *bench, run work.Run) []Effect {
@@ -72,8 +72,8 @@
 	must.Eq(t, "c9", pickEffects[StartRun](b.do())[0].Saved)
 }
 
-// A lasting task is started again however it ends, sooner where it has lasted, and its
-// ends need no note.
+// A lasting task is started again however it ends, after a delay that grows with each short run.
+// Its completions are not stored.
 func TestLastingTasksStartAgain(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -104,8 +104,8 @@
 	must.SliceLen(t, 1, pickEffects[StopRun](b.do()))
 }
 
-// A lasting task is never taken for hung or slow, nor does its target count as one that
-// gives its room back.
+// A lasting task never counts as stuck or slow, and its target doesn't count as one that will give
+// its capacity back.
 func TestLastingTasksAreLeftAlone(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -120,7 +120,7 @@
 	must.Eq(t, 0.0, b.s.pools["s"].flow)
 }
 
-// Occurrences begin when they are due, and may overlap; the job is done with the last.
+// Occurrences start when they are due and may overlap. The job ends with the last one.
 func TestRepeatedJobs(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -156,8 +156,8 @@
 	must.SliceLen(t, 1, pickEffects[JobEnded](end(runsOf(rest)...)))
 }
 
-// A successor goes on with what runs of the jobs that it takes over: it prolongs the
-// lease at once, starts nothing there before it has the jobs, and no task twice.
+// A successor continues the runs of the jobs that it takes over. It extends their leases at once,
+// starts nothing at their targets before it has the jobs, and starts no task twice.
 func TestSuccessorsGoOnWithWhatRuns(t *testing.T) {
 	b := newBench(t, Options{})
 	b.target("a", 2)
@@ -186,7 +186,8 @@
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.do()))
 }
 
-// While the jobs can't be read their runs don't keep a target from other work for long.
+// An inherited run whose job can't be read is stopped after inheritedRunTimeout, so that its target
+// can do other work.
 func TestGuestsHaveTheirTime(t *testing.T) {
 	b := newBench(t, Options{})
 	b.target("a", 2)
@@ -202,7 +203,7 @@
 	must.False(t, b.s.Adopted())
 }
 
-// A gang that a successor finds without one of its members begins anew.
+// A gang that a successor finds with a member missing is restarted.
 func TestBrokenGangsAreNotTakenOver(t *testing.T) {
 	b := newBench(t, Options{})
 	b.target("a", 2)
@@ -218,8 +219,8 @@
 	must.SliceLen(t, 2, pickEffects[StartRun](append(b.do(), b.pass(40*ms)...)))
 }
 
-// A step of a queue with advice starts on targets alone that the adviser names, with the
-// ticket for each, while that is valid; more targets are asked about where those are full.
+// A step of an advised queue starts only on targets that the adviser names, with each target's
+// ticket and while the ticket is valid. When those targets are full, more targets are asked about.
 func TestAdvisedStepsStartWithTickets(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -241,7 +242,7 @@
 	}
 	must.Eq(t, map[string]string{"a": "ta", "b": "tb"}, tickets)
 	b.begun(starts)
-	// All of them are full, another one comes.
+	// All named targets are full; another one appears.
 	b.usable("d", 1)
 	asks = pickEffects[Ask](b.pass(askPause + 20*ms))
 	must.Eq(t, []Ask{{Step: "j.0.0", Targets: []string{"d"}}}, asks)
@@ -249,8 +250,8 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
 }
 
-// A ticket that a target doesn't take is asked for again; without an answer the adviser is
-// left alone for a while.
+// A ticket that its target refuses is asked for again. After a question without an answer the
+// adviser is not asked for askPause.
 func TestTicketsAreAskedForAgain(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -267,7 +268,7 @@
 	must.SliceLen(t, 1, pickEffects[Ask](b.do()))
 }
 
-// The adviser takes a bounded number of questions at a time.
+// At most maxAsking questions to the adviser are open at a time.
 func TestQuestionsAreBounded(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -283,8 +284,8 @@
 	must.SliceLen(t, 1, pickEffects[Ask](b.do()))
 }
 
-// Tasks that fill take no room from others, spread to where most is free, and don't run
-// beside tasks that serve, for which they make room.
+// Background tasks take no capacity from others, go to the targets with the most free capacity, and
+// don't run beside latency-sensitive tasks: they are stopped to make place for those.
 func TestFillingTasks(t *testing.T) {
 	b := newBench(t, Options{})
 	b.s.Resumed(b.now)
@@ -312,7 +313,7 @@
 	b.begun(serving)
 	must.SliceEmpty(t, pickEffects[StartRun](b.pass(100*ms)))
 	must.Eq(t, 0, b.s.targets["a"].fillers)
-	// However long they take, they are not taken for hung.
+	// A background task never counts as stuck.
 	for range 20 {
 		b.look("b", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
 		for _, stop := range pickEffects[StopRun](b.pass(500 * ms)) {
--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -10,21 +10,21 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// remote is a job of one task that another VM has handed in.
+// submitFrom submits a job of one task for an entry VM.
 func (b *bench) remote(id, entry string) Submission {
 	b.s.EntrySeen(entry, b.now+time.Hour)
 	ref := b.submit(id, 1, 1, entry)
 	return b.s.jobs[ref].sub
 }
 
-// asked is the same job, asked for again.
+// askedAgain returns the submission with a new reference, as in a request that replaces it.
 func (b *bench) asked(sub Submission) Submission {
 	b.ref++
 	sub.Ref = b.ref
 	return sub
 }
 
-// A job that runs answers the newest request for it alone, and isn't begun again.
+// A running job answers only the newest request for it, and isn't started again.
 func TestARunningJobIsRejoined(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -35,7 +35,7 @@
 	effects := b.do()
 	must.Eq(t, first.Ref, pickEffects[Answer](effects)[0].Ref)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	// The handler of the broken connection gives up what is no longer its own.
+	// The handler of the broken connection cancels a request that is no longer the job's.
 	b.s.Cancel(b.now, first.Ref)
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.look("a", work.Held{Clock: 5001, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
@@ -44,8 +44,8 @@
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
 }
 
-// The outcome of one that has ended is told again, as it was, to its entry VM alone, until
-// it is forgotten: then nothing is said of whether it ran.
+// The outcome of an ended job is repeated, but only to its entry VM, and until it is forgotten.
+// After that the job is Forgotten, not Absent.
 func TestAnEndedJobIsRejoined(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -53,7 +53,7 @@
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.look("a", work.Held{Clock: 5001, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
-	// Also while the answer itself is still on its way out.
+	// This also holds before the first answer has been sent.
 	again := b.asked(sub)
 	must.Eq(t, Present, b.s.Rejoin(b.now, again, ms, false))
 	answers := pickEffects[Answer](b.do())
@@ -66,7 +66,7 @@
 	must.Eq(t, Forgotten, b.s.Rejoin(b.now, b.asked(sub), unclaimedTime+40*ms, false))
 }
 
-// What never came is absent, but not where outcomes were too many to remember.
+// A job that never arrived is Absent, unless too many outcomes came to remember all of them.
 func TestWhatIsForgottenIsNotAbsent(t *testing.T) {
 	b := newBench(t, Options{})
 	must.Eq(t, Absent, b.s.Rejoin(b.now, Submission{Entry: "e", Job: work.Job{ID: "j"}}, ms, false))
@@ -80,11 +80,11 @@
 	must.Eq(t, Absent, b.s.Rejoin(b.now, Submission{Entry: "e", Job: work.Job{ID: "j"}}, ms, false))
 }
 
-// A part that another owner runs is asked for by its first task.
+// A part that another owner delegated is found by its first task.
 func TestAPartIsRejoined(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 4)
-	// Who has met no job takes no part.
+	// An owner that has seen no job yet takes no parts.
 	b.submit("first", 1, 1, "")
 	b.do()
 	b.s.EntrySeen("e", b.now+time.Hour)
@@ -102,7 +102,7 @@
 	must.Eq(t, Absent, b.s.Rejoin(b.now, whole, ms, false))
 }
 
-// A job that runs is its entry VM's alone: another one that asks for it is told nothing of it.
+// A running job is only found by its own entry VM.
 func TestARunningJobIsItsEntryVMsAlone(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -114,10 +114,10 @@
 	must.SliceEmpty(t, pickEffects[Answer](b.do()))
 }
 
-// What never came is begun by the request that asks for it again, and by no other: the first
-// one, that was read and waited for its turn meanwhile, is not, whatever became of the second.
+// An absent job is started only by the request that asks for it again. The first request, which was
+// read but had to wait meanwhile, doesn't start it, whatever happened to the second one.
 func TestAnAbsentJobIsBegunOnce(t *testing.T) {
-	for name, room := range map[string]int64{"begun": 1, "refused": 0} {
+	for name, room := range map[string]int64{"started": 1, "refused": 0} {
 		b := newBench(t, Options{})
 		b.usable("a", 1)
 		b.s.EntrySeen("e", b.now+time.Hour)
--- a/scheduler/resend.go
+++ b/scheduler/resend.go
@@ -7,9 +7,9 @@
 )
 
 // Orders and polls without an answer are sent again unchanged, and the first answer counts. So only
-// few starts stay unconfirmed, even where many answers are lost. A copy does no harm: a target where
-// the run is in progress says so, one that has seen the run end refuses the copy, and the lease of a
-// copy that is carried out late has expired.
+// few starts stay unconfirmed, even where many answers are lost. A copy does no harm: a target
+// where the run is in progress says so, one that has seen the run end refuses the copy, and the
+// lease of a copy that is carried out late has expired.
 //
 // How many copies are sent depends on the CPU that this process has to spare, however many targets
 // it owns. If the process lacks CPU, its answers come late and look like lost ones; copies of their
@@ -260,8 +260,8 @@
 }
 
 // resendPoll sends a poll again that should have been answered; the copy asks for an answer at
-// once. While answers are being lost, a second poll soon waits beside each first one: if a completion is
-// reported only to a lost poll, that costs a short task its slack.
+// once. While answers are being lost, a second poll soon waits beside each first one: if a
+// completion is reported only to a lost poll, that costs a short task its slack.
 func (s *State) lookAgain(now time.Duration, t *target) {
 	c := &t.lookCopies
 	switch {
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ordered has a job of one task on one of two targets, its start without an answer.
+// orderedRun returns a bench with two targets and a job of one task, whose start has no answer yet.
 func orderedRun(t *testing.T) (*bench, StartRun) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -19,15 +19,15 @@
 	return b, pickEffects[StartRun](b.do())[0]
 }
 
-// copiesIn counts the copies of a start that are sent within a time.
+// copiesSentWithin counts the copies of a start that are sent within a time.
 func copiesIn(b *bench, start StartRun, d time.Duration) int {
 	before := b.starts[start.Run]
 	b.pass(d)
 	return b.starts[start.Run] - before
 }
 
-// A start without an answer is sent again unchanged, a few times; the first answer counts,
-// and the run is neither stopped nor started elsewhere.
+// A start without an answer is sent again unchanged, and the first answer counts. The run is
+// neither stopped nor started elsewhere.
 func TestStartsWithoutAnAnswerAreSentAgain(t *testing.T) {
 	b, start := orderedRun(t)
 	must.Eq(t, 0, copiesIn(b, start, 10*ms))
@@ -40,7 +40,7 @@
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 }
 
-// The copies are bounded, and when none has an answer the run is stopped as ever.
+// At most maxCopies are sent. If none is answered, the run is stopped.
 func TestCopiesAreBounded(t *testing.T) {
 	b, start := orderedRun(t)
 	b.pass(120 * ms)
@@ -50,7 +50,7 @@
 	must.Eq(t, 0, copiesIn(b, start, 200*ms))
 }
 
-// A copy that breaks early doesn't end the others.
+// A copy whose connection breaks doesn't end the wait for the others.
 func TestABrokenCopyLeavesTheOthers(t *testing.T) {
 	b, start := orderedRun(t)
 	b.pass(40 * ms)
@@ -61,8 +61,8 @@
 	must.SliceEmpty(t, pickEffects[StopRun](b.pass(300*ms)))
 }
 
-// A target that refuses one of two copies may have begun the other: the run is only over
-// when its stop or its end says so. One that has seen its end has begun it.
+// A target that refuses one of two copies may have started the run by the other. So the run is over
+// only after its stop or its completion, and a target that has seen it end did start it.
 func TestARefusedCopyTellsNothingOfTheOthers(t *testing.T) {
 	for verdict, stopped := range map[work.Verdict]bool{
 		work.VerdictRoom: true, work.VerdictLate: true, work.VerdictUnhealthy: true, work.VerdictInvalid: true, work.VerdictOld: false,
@@ -80,8 +80,8 @@
 	}
 }
 
-// Nor does the word of another owner's target, or of another life: what one copy may have
-// begun was begun, so that its caller isn't told that nothing had.
+// This also holds if the copy is refused by another owner's target or by another incarnation: the
+// job counts as started, and its caller is told Unknown.
 func TestACopyThatMeetsAnotherOwnerLeavesTheJobBegun(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictGone} {
 		b := newBench(t, Options{})
@@ -97,7 +97,7 @@
 	}
 }
 
-// A process that had no processor adds no copies: the answers may wait to be read.
+// After a tick that comes too late no copies are sent: the answers may be waiting to be read.
 func TestNoCopiesAfterAStall(t *testing.T) {
 	b, start := orderedRun(t)
 	b.now += 60 * ms
@@ -107,8 +107,8 @@
 	must.Eq(t, 1, copiesIn(b, start, 20*ms))
 }
 
-// Stops that are lost are sent again as soon as any order, so that the target's lease goes
-// on being prolonged.
+// An unanswered stop is first sent again as soon as any order, so that the target's lease can be
+// extended again soon.
 func TestStopsAreSentAgainSoon(t *testing.T) {
 	b, start := orderedRun(t)
 	b.s.Started(b.now, "a", start.Run, done(5000))
@@ -118,9 +118,8 @@
 	must.SliceEmpty(t, pickEffects[StopRun](b.pass(60*ms)))
 }
 
-// A look that should have been answered is sent again and asks for an answer at once. What
-// answers an earlier look is not taken for an answer to a later one: it may miss runs that
-// have begun since.
+// A poll that should have been answered is sent again and asks for an answer at once. An answer to
+// an earlier poll does not count for a later one: it may miss runs that have started since.
 func TestLooksWithoutAnAnswerAreSentAgain(t *testing.T) {
 	b, start := orderedRun(t)
 	b.s.Started(b.now, "a", start.Run, done(5000))
@@ -137,10 +136,10 @@
 	must.True(t, b.s.targets["a"].looking)
 }
 
-// While answers get lost a second look waits beside the first one, so that an end is told
-// though one of them is lost; otherwise it doesn't.
+// While answers are being lost, a second poll waits beside the first one, so that a completion is
+// reported even if one of them is lost. Otherwise there is no second poll.
 func TestASecondLookWaitsWhileAnswersGetLost(t *testing.T) {
-	for name, lost := range map[string]bool{"answers are lost": true, "all is well": false} {
+	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
 		if lost {
 			b.disturb()
@@ -161,9 +160,8 @@
 	}
 }
 
-// An owner that is short of processor sends no second looks and no copies: they would only
-// make its answers later still. It does once it has the processor again, however many
-// targets it owns.
+// An owner that lacks CPU sends no second polls and no copies, because they would delay its answers
+// further. It sends them once it has CPU again, however many targets it owns.
 func TestNoCopiesForWantOfProcessor(t *testing.T) {
 	for _, targets := range []int{2, 240} {
 		b, start := orderedRun(t)
@@ -184,8 +182,7 @@
 	}
 }
 
-// Ticks that come late again and again show want of processor, though none is late enough
-// to show it alone.
+// Ticks that are late again and again show a lack of CPU, even if none is late enough alone.
 func TestNoCopiesWhileTicksComeLate(t *testing.T) {
 	b := newBench(t, Options{})
 	b.usable("a", 1)
@@ -205,8 +202,8 @@
 	must.Eq(t, maxCopies, b.starts[start.Run])
 }
 
-// Looks get longer for want of processor, as far as they are while all is well, and short
-// again with plenty of it.
+// While CPU is lacking, polls wait longer, up to their usual wait. With ample CPU they get short
+// again.
 func TestShortLooksFollowTheProcessor(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.disturb()
@@ -223,8 +220,8 @@
 	must.Eq(t, disturbedWait, b.s.lookWait(b.now))
 }
 
-// One target that doesn't answer, of many that do, is no reason to look at the others more
-// often; a hundredth of all answers is. What a silent target doesn't answer doesn't count.
+// If a single target of many doesn't answer, the others aren't polled more often; if a hundredth of
+// all answers is missing, they are. Answers missing from a silent target don't count.
 func TestFewMissedAnswersDisturbNobody(t *testing.T) {
 	b, _ := orderedRun(t)
 	lost := b.s.targets["a"]
@@ -243,8 +240,8 @@
 	must.False(t, b.s.unsettled(b.now))
 }
 
-// Answers that come later than they did show that more looks would make them later still,
-// long before the process is short of processor for copies.
+// Answers that get slower show that more polls would slow them further. That ends second polls long
+// before the process lacks the CPU for copies.
 func TestLooksEndBeforeCopies(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.disturb()
@@ -259,10 +256,10 @@
 	must.False(t, b.s.looksTwice(b.now))
 }
 
-// While answers get lost a run that should have ended is asked for, though its target's look
-// waits; otherwise the look tells of it.
+// While answers are being lost, a target is polled for a run that should have ended, even though a
+// poll waits there. Otherwise the waiting poll reports it.
 func TestDueEndsAreAskedFor(t *testing.T) {
-	for name, lost := range map[string]bool{"answers are lost": true, "all is well": false} {
+	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
 		b.s.Started(b.now, "a", start.Run, done(5000))
 		b.s.resend.look = DefaultLookWait
@@ -280,7 +277,7 @@
 	}
 }
 
-// The answers of one burst, of which the last are read late, show no want of processor.
+// A burst of answers, the last of which are read late, doesn't count as a lack of CPU.
 func TestABurstOfAnswersIsNoWantOfProcessor(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.disturb()
@@ -293,8 +290,8 @@
 	must.True(t, b.s.looksTwice(b.now))
 }
 
-// Where nothing is answered, copies are bounded for all targets together: those of a
-// takeover's first looks would take the processor that its first answers need.
+// Without any answers, the copies to all targets together are bounded. The copies of a takeover's
+// first polls would otherwise take the CPU that its first answers need.
 func TestCopiesWithoutAnyAnswerAreBounded(t *testing.T) {
 	b := newBench(t, Options{})
 	for i := range 240 {
@@ -321,7 +318,7 @@
 	must.Eq(t, mostResend, r.pause())
 }
 
-// A start whose connection breaks is sent again at once: no answer to it will come.
+// A start whose connection breaks is sent again at once, because no answer to it will come.
 func TestABrokenStartIsSentAgainAtOnce(t *testing.T) {
 	b, start := orderedRun(t)
 	broken := work.OrderAnswer{Verdict: work.VerdictBroken}
@@ -334,7 +331,7 @@
 	must.Eq(t, start.Run, pickEffects[StopRun](b.do())[0].Run)
 }
 
-// One that broke when its answer was due already is stopped like any other.
+// A start whose connection breaks only when its answer was due is stopped.
 func TestAStartThatBreaksLateIsStopped(t *testing.T) {
 	b, start := orderedRun(t)
 	b.s.Started(b.now+answerTime, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictBroken})
