--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// beginsCulprit has a run crash its target if its job is one of the culprits.
+// scheduleCrash has a run crash its target after a while if its job is a poison job.
 func (w *world) beginsCulprit(t *fakeTarget, task string, r *fakeRun) {
 	id, _, _ := strings.Cut(task, ".")
 	if !w.culprits[id] {
@@ -25,9 +25,9 @@
 			return
 		}
 		w.crashed[task]++
-		// One target may have fallen with others, which excuses it; one that is lost while its
-		// owner dies, before that is noted, counts for nobody. The platform bars the third start
-		// after three lost targets.
+		// One lost target may be a correlated loss. One that is lost while its owner dies, before
+		// the loss is stored, isn't counted. The platform refuses the third start after three lost
+		// targets.
 		if most := mostCrashes + 1 + w.allowance(id); w.crashed[task] > most {
 			w.violations = append(w.violations, fmt.Sprintf("%v: %s crashes target %d, beyond %d", w.now, task, w.crashed[task], most))
 		}
@@ -39,9 +39,10 @@
 	})
 }
 
-// allowance is how many targets more a task may take for each owner that was lost: callers'
-// jobs are known to their owner alone, and of kept ones a note may be lost with it while the
-// store is away, and a target may fall under the former owner beside the successor.
+// extraCrashes is how many more targets a task may crash for the owners that were lost. Only the
+// owner knows the losses of callers' jobs. For a durable job, a loss that isn't stored yet may be
+// lost with its owner while the store is away, and a target may be lost under the previous owner
+// beside one under the successor.
 func (w *world) allowance(id string) int {
 	if strings.HasPrefix(id, "kept") {
 		return 2 * (len(w.owners) - 1)
@@ -49,7 +50,8 @@
 	return (mostCrashes + 1) * (len(w.owners) - 1)
 }
 
-// fallsByItself remembers the tasks under which a target falls without their fault.
+// markBystanders remembers the jobs that run on a target which is lost for another reason than
+// their tasks.
 func (t *fakeTarget) fallsByItself() {
 	for task := range t.runs {
 		id, _, _ := strings.Cut(task, ".")
@@ -57,18 +59,18 @@
 	}
 }
 
-// mayBlame reports whether a job may be given up for crashing targets: it does, or it had the
-// bad luck that targets fell under it.
+// mayBePoisoned reports whether a job may fail as poisoned: its tasks crash targets, or targets
+// were lost under them for other reasons.
 func (w *world) mayBlame(id string) bool { return w.culprits[id] || w.struck[id] }
 
 func (w *world) blamed(id string) {
 	if !w.mayBlame(id) {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s is blamed for targets that others crashed", w.now, id))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s fails as poisoned, but other jobs crashed its targets", w.now, id))
 	}
 }
 
-// confirmClaim has the store tell an owner whether the claim is still its own, unless it is cut
-// off from it.
+// confirmClaim has the store tell an owner that the claim is still its own, unless another owner
+// has it or the store is away.
 func (w *world) confirmClaim(o *fakeOwner) {
 	asOf := w.now
 	w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
@@ -81,15 +83,15 @@
 	})
 }
 
-// endFormer ends the owners before the newest one where targets restart: what one that lives on
-// unknowing does at a target which has restarted unnoticed is a case of its own.
+// endPredecessors kills the owners before the newest one in worlds where targets restart. What a
+// previous owner that lives on does at a target that has restarted unnoticed is tested separately.
 func (w *world) endFormer() {
 	for _, o := range w.owners[:len(w.owners)-1] {
 		o.dead = true
 	}
 }
 
-// restart ends a target's life; another begins under its ID.
+// restart ends a target's incarnation. Another one starts under the same ID after a while.
 func (t *fakeTarget) restart() {
 	if t.down {
 		return
@@ -113,7 +115,7 @@
 	})
 }
 
-// tell has the owners read the target's entry, as it is then, after a while.
+// announce has the owners read the target's entry, as it is by then, after a delay.
 func (t *fakeTarget) tell(delay time.Duration) {
 	w := t.world
 	for _, o := range w.owners {
@@ -127,26 +129,26 @@
 	}
 }
 
-// resize changes what a target has in all.
+// resize changes a target's capacity.
 func (t *fakeTarget) resize(capacity int64) {
 	t.free += capacity - t.capacity
 	t.capacity, t.resized = capacity, t.world.now
 	t.tell(time.Duration(t.world.random.IntN(800)) * ms)
 }
 
-// lateLimit is the longest that an order is on its way, with the time until an owner has read
-// an entry.
+// maxEntryDelay is the longest time for which an order is on its way, plus the time until an owner
+// has read a changed entry.
 const lateLimit = 5 * time.Second
 
-// checkLimit looks at a start at a target that doesn't guard its room.
+// checkStartFits checks a start at a target that doesn't guard its own capacity.
 func (w *world) checkLimit(t *fakeTarget) {
 	if int64(len(t.runs)) >= t.capacity && w.now-t.resized > lateLimit {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s has %d and gets one more run than that", w.now, t.id, t.capacity))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s has capacity for %d runs and starts one more", w.now, t.id, t.capacity))
 	}
 }
 
-// checkRoom looks at an order: what runs at its target and the new run must fit, as soon as the
-// owner may know the room.
+// checkOrderFits checks a start that an owner orders: the runs of its target and the new one must
+// fit once the owner may know the target's capacity.
 func (w *world) checkRoom(o *fakeOwner, e StartRun) {
 	t := w.targets[e.To.ID]
 	if o.token < t.fence {
@@ -157,13 +159,13 @@
 	}
 }
 
-// TestFuzzCrashingTasks plays tasks that crash each target that starts them, beside innocent
-// ones and all other faults. No task may take more targets than allowed, through takeovers,
-// planned stops, lost connections, parts of other owners, gangs, repeats, cancels and jobs handed
-// in again; no innocent job may be blamed, and all that is to hold otherwise holds.
+// TestFuzzCrashingTasks plays tasks that crash every target that starts them, beside harmless ones
+// and all other faults. No task may crash more targets than allowed through takeovers, planned
+// stops, lost connections, delegated parts, gangs, repeats, cancels and jobs handed in again. No
+// harmless job may fail as poisoned, and all other invariants hold.
 func TestFuzzCrashingTasks(t *testing.T) {
 	checks(t, 100)
-	crashes, blamed := 0, 0
+	crashes, poisoned := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		w := playCrashing(rt, true)
 		for _, n := range w.crashed {
@@ -171,16 +173,16 @@
 		}
 		for id, r := range w.kept.jobs {
 			if r.state == work.StateFailed && w.culprits[id] {
-				blamed++
+				poisoned++
 			}
 		}
 	})
-	t.Logf("%d targets crashed by tasks, %d kept jobs given up", crashes, blamed)
-	must.Greater(t, 0, blamed)
+	t.Logf("%d targets crashed by tasks, %d durable jobs failed as poisoned", crashes, poisoned)
+	must.Greater(t, 0, poisoned)
 }
 
-// playCrashing plays a history of crashing tasks; alone says that a former owner doesn't live on
-// where targets restart under their IDs.
+// playCrashing plays a random history of crashing tasks. If alone is set, no previous owner lives
+// on where targets restart under their IDs.
 func playCrashing(rt *rapid.T, alone bool) *world {
 	share := func(name string) float64 { return float64(rapid.IntRange(0, 4).Draw(rt, name)) / 100 }
 	w := newWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(2, 8).Draw(rt, "targets"), worldFaults{
@@ -200,7 +202,7 @@
 		strikeCrashing(rt, w)
 		w.run(time.Duration(rapid.IntRange(0, 400).Draw(rt, "pause")) * ms)
 		if len(w.violations) > 0 {
-			rt.Fatalf("broken: %v%s", w.violations, w.trails())
+			rt.Fatalf("invariants broken: %v%s", w.violations, w.trails())
 		}
 	}
 	w.kept.away, w.faults = false, worldFaults{}
@@ -209,12 +211,12 @@
 	}
 	w.takeOver()
 	w.settleKept()
-	// Suspects take their turns: each may need two trials.
+	// Suspects take turns, and each may need two isolated runs.
 	for end := w.now + time.Duration(1+len(w.kept.jobs))*30*time.Second; w.now < end && len(w.unended()) > 0; {
 		w.run(time.Second)
 	}
 	w.run(10 * time.Second)
-	// A task that lasts may be between two runs.
+	// A lasting task may be between two runs.
 	for tries := 0; tries < 20 && len(w.unended()) > 0; tries++ {
 		w.run(200 * ms)
 	}
@@ -223,8 +225,8 @@
 	return w
 }
 
-// A former owner that doesn't know of its successor may use an idle target that has restarted
-// unnoticed, before the successor knows of that target: no task may run at both.
+// A previous owner that doesn't know of its successor may use an idle target that has restarted
+// unnoticed, before the successor knows of that target. No task may run at both.
 func TestRestartsBesideAFormerOwner(t *testing.T) {
 	checks(t, 1)
 	must.NoError(t, flag.Set("rapid.seed", "129"))
@@ -232,9 +234,10 @@
 	rapid.Check(t, func(rt *rapid.T) { playCrashing(rt, false) })
 }
 
-// trails tells what happened to the jobs that haven't ended.
+// describeOpenJobs returns the histories of the jobs that haven't ended or broke an invariant, and
+// the state of all targets.
 func (w *world) trails() string {
-	var told strings.Builder
+	var text strings.Builder
 	ids := w.unended()
 	for _, violation := range w.violations {
 		for id := range w.kept.jobs {
@@ -245,47 +248,47 @@
 	}
 	for _, id := range ids {
 		r := w.kept.jobs[id]
-		fmt.Fprintf(&told, "\n%s is %v, culprit %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.culprits[id], r.done, r.crashed, r.sub.Job.Repeats, r.sub.Job.Steps)
+		fmt.Fprintf(&text, "\n%s is %v, poison %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.culprits[id], r.done, r.crashed, r.sub.Job.Repeats, r.sub.Job.Steps)
 		for _, o := range w.owners {
 			j := o.state.byID[id]
 			if j == nil {
 				continue
 			}
-			fmt.Fprintf(&told, "\n%s at %s, arrived %v, dead %v frozen %v", id, o.name, j.arrived, o.dead, o.frozen)
+			fmt.Fprintf(&text, "\n%s at %s, arrived %v, dead %v frozen %v", id, o.name, j.arrived, o.dead, o.frozen)
 			for _, e := range j.trail {
-				fmt.Fprintf(&told, "\n%s %v %s %s %s %s", id, e.At, e.What, e.Task, e.Target, e.Detail)
+				fmt.Fprintf(&text, "\n%s %v %s %s %s %s", id, e.At, e.What, e.Task, e.Target, e.Detail)
 			}
 			for _, tk := range j.tasks {
-				fmt.Fprintf(&told, "\n%s has %d falls, unsettled %v, room %v", tk.name, len(tk.falls), tk.unsettled(), tk.room != nil)
+				fmt.Fprintf(&text, "\n%s has %d losses, unresolved %v, reserved %v", tk.name, len(tk.falls), tk.unsettled(), tk.room != nil)
 				if tk.run != nil {
 					t := tk.run.target
-					fmt.Fprintf(&told, ", runs on %s, state %v, down %v, failed looks %d, missing %v, stop %+v, run %v", t.ID, t.state, w.targets[t.ID].down, t.failedLooks, t.missing, tk.run.stop, tk.run.state)
+					fmt.Fprintf(&text, ", runs on %s, state %v, down %v, failed polls %d, missing %v, stop %+v, run %v", t.ID, t.state, w.targets[t.ID].down, t.failedLooks, t.missing, tk.run.stop, tk.run.state)
 				}
 			}
 		}
 	}
 	for _, t := range w.owner().state.sortedTargets() {
-		fmt.Fprintf(&told, "\n%s state %v, barred %v, later %v, %d runs, %d trials, down %v, capacity %v, free %v, suspected %v, trial %v, reserved %v, prolongs %v, pool trials %d, settling %v", t.ID, t.state, t.barred, t.later, len(t.runs), t.trials, w.targets[t.ID].down, t.Capacity.CPU, t.free.CPU, t.health.suspected, t.trial != nil, t.reserved != nil, w.owner().state.prolongs(w.now, t), t.pool.trials, w.owner().state.settling)
+		fmt.Fprintf(&text, "\n%s state %v, fenced %v, later %v, %d runs, %d isolated runs, down %v, capacity %v, free %v, suspected %v, isolated %v, reserved %v, lease extended %v, pool isolated %d, stopping %v", t.ID, t.state, t.barred, t.later, len(t.runs), t.trials, w.targets[t.ID].down, t.Capacity.CPU, t.free.CPU, t.health.suspected, t.trial != nil, t.reserved != nil, w.owner().state.prolongs(w.now, t), t.pool.trials, w.owner().state.settling)
 	}
-	return told.String()
+	return text.String()
 }
 
 func strikeCrashing(rt *rapid.T, w *world) {
 	target := w.targets[rapid.SampledFrom(w.targetIDs()).Draw(rt, "target")]
-	switch rapid.SampledFrom([]string{"culprit", "kept culprit", "innocent", "innocent", "kept", "fall", "resize", "other"}).Draw(rt, "what") {
-	case "culprit":
+	switch rapid.SampledFrom([]string{"poison", "durable poison", "harmless", "harmless", "durable", "loss", "resize", "other"}).Draw(rt, "what") {
+	case "poison":
 		c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: rapid.IntRange(1, 4).Draw(rt, "tasks")}
 		w.callers[c.id] = c
 		w.culprits[c.id] = true
 		w.submit(c)
-	case "kept culprit":
+	case "durable poison":
 		w.culprits[fmt.Sprintf("kept%d", w.refs+1)] = true
 		w.handIn(w.drawJob(rt), false)
-	case "innocent":
+	case "harmless":
 		w.call(rapid.IntRange(1, 4).Draw(rt, "tasks"))
-	case "kept":
+	case "durable":
 		w.handIn(w.drawJob(rt), false)
-	case "fall":
+	case "loss":
 		target.fallsByItself()
 		if w.restarts {
 			target.restart()
@@ -296,15 +299,15 @@
 		target.resize(int64(rapid.IntRange(1, fakeCPU).Draw(rt, "capacity")))
 	case "other":
 		for _, at := range w.targets {
-			// Targets that fall silent or hang may look like ones that fell.
+			// Targets that fall silent or hang may look like lost ones.
 			at.fallsByItself()
 		}
 		strike(rt, w)
 	}
 }
 
-// TestFuzzCapacity plays targets that don't guard their capacity, while it shrinks, to nothing
-// as well, and grows: nothing is started that doesn't fit, and what is kept gets done.
+// TestFuzzCapacity plays targets that don't guard their capacity while it shrinks, even to nothing,
+// and grows. Nothing is started that doesn't fit, and all durable jobs end.
 func TestFuzzCapacity(t *testing.T) {
 	checks(t, 300)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -321,10 +324,10 @@
 		w.run(200 * ms)
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 			target := w.targets[rapid.SampledFrom(w.targetIDs()).Draw(rt, "target")]
-			switch rapid.SampledFrom([]string{"call", "call", "kept", "resize", "resize", "other"}).Draw(rt, "what") {
+			switch rapid.SampledFrom([]string{"call", "call", "durable", "resize", "resize", "other"}).Draw(rt, "what") {
 			case "call":
 				w.call(rapid.IntRange(1, 6).Draw(rt, "tasks"))
-			case "kept":
+			case "durable":
 				w.handIn(w.drawJob(rt), false)
 			case "resize":
 				target.resize(int64(rapid.IntRange(0, fakeCPU+2).Draw(rt, "capacity")))
@@ -336,7 +339,7 @@
 			}
 			w.run(time.Duration(rapid.IntRange(0, 700).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
-				rt.Fatalf("broken: %v", w.violations)
+				rt.Fatalf("invariants broken: %v", w.violations)
 			}
 		}
 		for _, id := range w.targetIDs() {
--- a/scheduler/kept_world_test.go
+++ b/scheduler/kept_world_test.go
@@ -16,15 +16,15 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// keptStore is what the store has of kept jobs; only the owner that holds the fence
-// writes.
+// fakeJobStore is the store of durable jobs. Only the owner that holds the store's fence writes to
+// it.
 type keptStore struct {
 	holder *fakeOwner
 	jobs   map[string]*keptRecord
 	away   bool
 }
 
-// keptRecord is a kept job in the store.
+// jobRecord is a durable job in the store.
 type keptRecord struct {
 	sub   Submission
 	done  map[int]bool
@@ -34,29 +34,30 @@
 	lastFailed map[int]int64
 	crashed    map[int][]Crash
 	state      work.State
-	// asked is set once a caller has cancelled the job.
+	// cancelRequested is set once a caller has cancelled the job.
 	asked bool
 }
 
-// noteDelay bounds the time until the store has a note.
+// maxStoreDelay bounds the time in ms until the store has a record.
 const noteDelay = 60
 
-// note carries out a write of an owner after a while, if it still holds the fence.
-func (w *world) note(o *fakeOwner, write func(), told func()) {
+// writeLater carries out a write of an owner after a while if the owner still holds the fence, and
+// then calls confirm. While the store is away it tries again.
+func (w *world) note(o *fakeOwner, write func(), confirm func()) {
 	w.after(time.Duration(1+w.random.IntN(noteDelay))*ms, func() {
 		switch {
 		case w.kept.holder != o:
 		case w.kept.away:
-			w.note(o, write, told)
+			w.note(o, write, confirm)
 		default:
 			write()
-			w.after(ms, func() { w.hear(o, told) })
+			w.after(ms, func() { w.hear(o, confirm) })
 		}
 	})
 }
 
-// takeOverJobs has an owner take the fence and the jobs once it has barred others from
-// the targets.
+// takeOverJobs has an owner take the store's fence and the jobs, once it has fenced other owners
+// off the targets or has waited for 2.5 s.
 func (w *world) takeOverJobs(o *fakeOwner, began time.Duration) {
 	if o.dead || w.kept.holder != nil && w.kept.holder.token > o.token {
 		return
@@ -81,7 +82,8 @@
 	w.carryOut(o)
 }
 
-// carryOutKept has the store note what an owner wants kept.
+// carryOutStoreEffect carries out the effects of an owner that write to the store or ask the
+// adviser.
 func (w *world) carryOutKept(o *fakeOwner, effect Effect) {
 	switch e := effect.(type) {
 	case Keep:
@@ -94,8 +96,8 @@
 	case TaskDone:
 		w.note(o, func() { w.kept.jobs[e.Job].done[e.Task] = true }, func() { o.state.Noted(e.End) })
 	case TaskFailed:
-		// An owner writes the whole of what it knows of a job, so that a note that is stored
-		// before an older one holds that too, and an older one never hides a newer one.
+		// An owner writes all that it knows of a job. So a write that is stored before an older one
+		// includes that one, and an older write never hides a newer one.
 		if o.fails[e.Job] == nil {
 			o.fails[e.Job] = maps.Clone(w.kept.jobs[e.Job].fails)
 		}
@@ -118,17 +120,17 @@
 		w.note(o, func() {
 			r := w.kept.jobs[e.Job]
 			if e.State == work.StateCancelled && !r.asked {
-				w.violations = append(w.violations, e.Job+" was cancelled by nobody")
+				w.violations = append(w.violations, e.Job+" was cancelled but no caller asked for it")
 			}
 			if e.State == work.StateFailed && !w.hasFailed(r) && !w.mayBlame(e.Job) {
-				w.violations = append(w.violations, e.Job+" is said to have failed, and no task has so often")
+				w.violations = append(w.violations, e.Job+" is stored as failed, but no task failed that often")
 			}
 			r.state = e.State
 		}, func() { o.state.EndNoted(e.Job) })
 	}
 }
 
-// handIn has a caller hand in a job that is to be kept.
+// submitDurable has a caller submit a durable job to the current owner.
 func (w *world) handIn(job work.Job, advised bool) {
 	o := w.owner()
 	if o.dead || o.frozen || o.cut || !o.accepting {
@@ -147,7 +149,7 @@
 	w.carryOut(o)
 }
 
-// cancelKept has a caller cancel the first job that hasn't ended.
+// cancelDurable has a caller cancel the first durable job that hasn't ended.
 func (w *world) cancelKept() {
 	o := w.owner()
 	for _, id := range slices.Sorted(maps.Keys(w.kept.jobs)) {
@@ -160,24 +162,24 @@
 	}
 }
 
-// startsKept looks at the start of a kept job's task.
+// checkDurableStart checks the start of a durable job's task.
 func (w *world) startsKept(task string) {
 	w.startedAt[task] = w.now
 	if w.acknowledged[task] {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts though its end was taken note of: %s", w.now, task, w.acknowledgedBy[task]))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts after its completion was acknowledged: %s", w.now, task, w.acknowledgedBy[task]))
 	}
 	id, _, _ := strings.Cut(task, ".")
 	if !strings.HasPrefix(id, "kept") {
 		return
 	}
 	if w.kept.jobs[id] == nil {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts and isn't stored", w.now, task))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts but is not stored", w.now, task))
 		return
 	}
 	w.startsInOrder(task)
 }
 
-// unended lists the stored jobs that haven't ended, and those that last and don't run.
+// unendedJobs lists the stored jobs that haven't ended, except lasting ones that run.
 func (w *world) unended() []string {
 	var open []string
 	for id, r := range w.kept.jobs {
@@ -189,9 +191,9 @@
 	return open
 }
 
-// Whatever happens to owners, targets, orders and the store, no task of a kept job runs
-// twice at one time or after its end was acknowledged, nothing runs of a job that isn't
-// stored, and every stored job ends once things are calm.
+// Whatever faults owners, targets, orders and the store have: no task of a durable job has two runs
+// at a time, or a run after its completion was acknowledged; nothing runs of a job that isn't
+// stored; and every stored job ends once the faults are over.
 func TestFuzzKeptJobs(t *testing.T) {
 	checks(t, 600)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -206,7 +208,7 @@
 			strikeKept(rt, w)
 			w.run(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
-				rt.Fatalf("broken: %v", w.violations)
+				rt.Fatalf("invariants broken: %v", w.violations)
 			}
 		}
 		w.kept.away = false
@@ -225,17 +227,17 @@
 	})
 }
 
-// settleKept lets time go on until all stored jobs have ended, for up to 4 s a job and
-// what a target without an answer takes.
+// runUntilJobsEnd lets time pass until all stored jobs have ended: up to 4 s for each job, and the
+// time for a target that doesn't answer.
 func (w *world) settleKept() {
-	// What is on its way is stored, or not.
+	// What is on its way is stored by then, or never.
 	w.run(time.Second)
 	for end := w.now + time.Duration(5+len(w.kept.jobs))*4*time.Second; w.now < end && (len(w.unended()) > 0 || !w.owner().accepting); {
 		w.run(200 * ms)
 	}
 }
 
-// checks sets how many histories the test plays, unless the command line says so.
+// setChecks sets how many histories the test plays, unless the command line does.
 func checks(t *testing.T, count int) {
 	t.Helper()
 	asked := false
@@ -248,8 +250,8 @@
 }
 
 func strikeKept(rt *rapid.T, w *world) {
-	switch rapid.SampledFrom([]string{"kept", "kept", "kept", "kept", "cancel", "store", "leave", "other"}).Draw(rt, "action") {
-	case "kept":
+	switch rapid.SampledFrom([]string{"submit", "submit", "submit", "submit", "cancel", "store", "leave", "other"}).Draw(rt, "action") {
+	case "submit":
 		w.handIn(w.drawJob(rt), rapid.IntRange(0, 3).Draw(rt, "advised") == 0)
 	case "cancel":
 		w.cancelKept()
--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -16,7 +16,7 @@
 // wallBase is the time since 1970 at the world's time zero.
 const wallBase = 1000 * time.Hour
 
-// fakeGang is a gang of which some members run.
+// fakeGang is one try of a gang, of which some members run.
 type fakeGang struct {
 	members map[string]*gangMember
 	saved   string
@@ -27,7 +27,7 @@
 	run    *fakeRun
 }
 
-// drawJob draws a job of one of the kinds.
+// drawJob draws a random job: plain, with steps, a gang, lasting or repeated.
 func (w *world) drawJob(rt *rapid.T) work.Job {
 	step := work.Step{Tasks: rapid.IntRange(1, 4).Draw(rt, "tasks"), Each: work.Resources{CPU: 1}, Estimate: time.Duration(w.longest/2) * ms}
 	job := work.Job{Steps: []work.Step{step}}
@@ -40,7 +40,7 @@
 		job.Steps[0].Gang, job.Steps[0].Tasks = true, 2
 	case "lasting":
 		if w.lasting {
-			// More of them would leave no room for anything else.
+			// More lasting jobs would leave no capacity for anything else.
 			break
 		}
 		w.lasting = true
@@ -56,10 +56,10 @@
 	return job
 }
 
-// taskPlace is a task's place in its job.
+// taskPlace says which task of its job a task is.
 type taskPlace struct{ occurrence, step, index int }
 
-// find takes the name of a kept job's task apart; nil for any other task.
+// parseTask returns the stored job and the place of a durable job's task; nil for any other task.
 func (w *world) find(task string) (*keptRecord, taskPlace) {
 	parts := strings.Split(task, ".")
 	r := w.kept.jobs[parts[0]]
@@ -78,29 +78,30 @@
 	return r != nil && r.sub.Job.Steps[p.step].Lasting
 }
 
-// startsInOrder looks at a start of a stored job's task.
+// checkStartOrder checks that a durable task starts after the steps before it, when it is due, and
+// not after too many failures.
 func (w *world) startsInOrder(task string) {
 	r, p := w.find(task)
 	step := r.sub.Job.Steps[p.step]
-	broken := func(what string) {
+	violate := func(what string) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts %s", w.now, task, what))
 	}
 	for _, before := range step.After {
 		for i := range r.sub.Job.Steps[before].Tasks {
 			if !w.done[fmt.Sprintf("%s.%d.%d.%d", r.sub.Job.ID, p.occurrence, before, i)] {
-				broken("before its step's turn")
+				violate("before the steps that it depends on are done")
 			}
 		}
 	}
 	if due := r.sub.Job.Repeats.Due(p.occurrence); due > w.now+wallBase {
-		broken("before it is due")
+		violate("before it is due")
 	}
 	if !step.Lasting && w.failed[task] >= r.sub.Queue.MaxAttempts {
-		broken("though it has failed too often")
+		violate("though it has failed too often")
 	}
 }
 
-// savesAs is who may go on from what a task has saved.
+// saveKey names who shares a task's saved work: its gang, or the task alone.
 func (w *world) savesAs(task string) string {
 	if r, p := w.find(task); r != nil && r.sub.Job.Steps[p.step].Gang {
 		return task[:strings.LastIndex(task, ".")]
@@ -108,8 +109,8 @@
 	return task
 }
 
-// beginKept plays the work of gangs and of lasting tasks, and what tasks save; it reports
-// whether the run ends by itself in no other way.
+// playDurableRun plays what a durable task saves, and the work of gangs and lasting tasks. It
+// reports whether it also plays the end of the run.
 func (w *world) beginKept(t *fakeTarget, r *fakeRun, order work.Order) bool {
 	record, p := w.find(order.Run.Task)
 	if record == nil {
@@ -148,7 +149,7 @@
 
 func gangKey(as string, run int64) string { return fmt.Sprintf("%s run %d", as, run) }
 
-// joinGang has a member of a gang wait for the others, and work with them.
+// joinGang has a member of a gang wait for the others and then work with them.
 func (w *world) joinGang(t *fakeTarget, r *fakeRun, order work.Order, step work.Step) {
 	key := gangKey(w.savesAs(order.Run.Task), r.number)
 	g := w.gangs[key]
@@ -157,7 +158,7 @@
 		w.gangs[key] = g
 	}
 	if g.saved != order.Saved {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s begins from %q, others of its gang from %q", w.now, order.Run.Task, order.Saved, g.saved))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, others of its gang from %q", w.now, order.Run.Task, order.Saved, g.saved))
 	}
 	g.members[order.Run.Task] = &gangMember{target: t, run: r}
 	if len(g.members) < step.Tasks {
@@ -180,7 +181,8 @@
 	})
 }
 
-// endKept takes note of how a run ended.
+// recordRunEnd records how a run ended. If a gang's member ends without completing, the other
+// members end as broken.
 func (w *world) endKept(task string, r *fakeRun, kind work.EndKind) {
 	record, p := w.find(task)
 	if record == nil {
@@ -215,7 +217,7 @@
 	}
 }
 
-// runsWhole reports whether each task of a job that lasts runs, or has just ended.
+// allTasksRun reports whether every task of a lasting job runs.
 func (w *world) runsWhole(r *keptRecord) bool {
 	for i := range r.sub.Job.Steps[0].Tasks {
 		task := fmt.Sprintf("%s.0.0.%d", r.sub.Job.ID, i)
@@ -226,7 +228,7 @@
 	return true
 }
 
-// runningKept lists the tasks of kept jobs that run.
+// runningDurable lists the tasks of durable jobs that run.
 func (w *world) runningKept() []string {
 	var tasks []string
 	for task, n := range w.running {
@@ -238,10 +240,10 @@
 	return tasks
 }
 
-// ticketTime is how long the adviser's tickets are valid.
+// ticketValidity is how long the adviser's tickets are valid.
 const ticketTime = 400 * ms
 
-// advise plays the adviser, whose answer is lost as often as a target's.
+// advise plays the adviser. Its answers are lost as often as a target's.
 func (w *world) advise(o *fakeOwner, e Ask) {
 	w.after(time.Duration(1+w.random.IntN(80))*ms, func() {
 		tickets := map[string]string{}
@@ -260,15 +262,15 @@
 	})
 }
 
-// ticket makes a ticket and remembers until when it is valid.
+// issueTicket makes a ticket and remembers until when it is valid.
 func (w *world) ticket(step, target string) string {
 	ticket := fmt.Sprintf("%s on %s at %v", step, target, w.now)
 	w.tickets[ticket] = w.now + ticketTime
 	return ticket
 }
 
-// admits reports whether a target takes a start, which needs a ticket where the job's
-// queue has advice.
+// acceptsTicket reports whether a target accepts a start. If the job's queue is advised, the start
+// needs a valid ticket for the step and the target.
 func (w *world) admits(t *fakeTarget, order work.Order) bool {
 	r, _ := w.find(order.Run.Task)
 	if r == nil || !r.sub.Queue.Advised {
