--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -261,9 +261,9 @@
 		}
 	}
 	listed := make(map[work.Run]bool, len(held.Running))
-	for _, on := range held.Running {
-		listed[on.Run] = true
-		s.seenRunning(now, t, on)
+	for _, entry := range held.Running {
+		listed[entry.Run] = true
+		s.seenRunning(now, t, entry)
 	}
 	s.missed(now, t, listed)
 	for unknown := range t.strangers {
@@ -291,11 +291,11 @@
 }
 
 // handleListedRun takes a run that the target lists as running.
-func (s *State) seenRunning(now time.Duration, t *target, on work.Running) {
-	if r := t.runs[on.Run.Task]; r != nil && r.Run == on.Run {
+func (s *State) seenRunning(now time.Duration, t *target, listed work.Running) {
+	if r := t.runs[listed.Run.Task]; r != nil && r.Run == listed.Run {
 		r.listed = true
-		if on.Saved != "" {
-			r.saved = on.Saved
+		if listed.Saved != "" {
+			r.saved = listed.Saved
 		}
 		if r.state != running && r.stop == nil {
 			s.began(r)
@@ -305,17 +305,17 @@
 		}
 		return
 	}
-	if !s.goesOn(now, t, on) {
-		s.stopStranger(now, t, on.Run)
+	if !s.goesOn(now, t, listed) {
+		s.stopStranger(now, t, listed.Run)
 	}
 }
 
 // stopUnknownRun stops a run whose owner or job this owner does not know.
-func (s *State) stopStranger(now time.Duration, t *target, on work.Run) {
-	if t.strangers[on] == nil {
-		s.emit(Note{What: "stranger stopped", Task: on.Task, Target: t.ID})
-		t.strangers[on] = &orderTry{asked: now, sent: now}
-		s.emit(StopRun{To: t.address(), Run: on})
+func (s *State) stopStranger(now time.Duration, t *target, unknown work.Run) {
+	if t.strangers[unknown] == nil {
+		s.emit(Note{What: "stranger stopped", Task: unknown.Task, Target: t.ID})
+		t.strangers[unknown] = &orderTry{asked: now, sent: now}
+		s.emit(StopRun{To: t.address(), Run: unknown})
 	}
 }
 
@@ -410,8 +410,8 @@
 	if t.awaitsClaim(s) && now < t.look.At+confirmPause {
 		return
 	}
-	waits := len(t.unnoted) > 0
-	if waits && now < t.look.At+unnotedPause {
+	unrecorded := len(t.unnoted) > 0
+	if unrecorded && now < t.look.At+unnotedPause {
 		return
 	}
 	poll := Look{To: t.address(), At: now, Seen: t.ackable()}
@@ -428,7 +428,7 @@
 		s.prolong(now, t, &poll)
 	case t.state == adopting:
 	case len(t.runs) > 0:
-		if t.failedLooks == 0 && !waits {
+		if t.failedLooks == 0 && !unrecorded {
 			poll.Wait = s.lookWait(now)
 		}
 		if s.prolongs(now, t) {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -19,12 +19,14 @@
 	objective, latest, useful time.Duration
 	// deadline is when the caller stops waiting; 0 means never.
 	deadline time.Duration
-	arrived  time.Duration
+	// arrived is when the caller sent the job, or when its newest occurrence became due.
+	arrived time.Duration
 	// submitted is when this owner took the job. firstOrdered is when it first ordered a run of
 	// it; 0 before.
 	submitted, first time.Duration
 	// sortKey orders the waiting jobs: the smallest is placed first.
-	key  time.Duration
+	key time.Duration
+	// late jobs can't meet their objective any more.
 	late bool
 	// useless jobs are past usefulUntil. Only durable jobs get here: they run all the same.
 	useless bool
@@ -77,7 +79,7 @@
 	advice *advice
 	// backgroundCPU is what a background task wants of its target's processor, in thousandths
 	// of a core. clearedTarget is the target whose background tasks were stopped at clearedAt to
-	// make place for this latency-sensitive step.
+	// make room for this latency-sensitive step.
 	filling int64
 	held    *target
 	cleared time.Duration
@@ -142,6 +144,7 @@
 	return max(time.Duration(k.ratio*float64(declared)), time.Millisecond)
 }
 
+// estimateOf returns the estimate of a queue, a new one if there is none yet.
 func (s *State) kindOf(queue string) *kind {
 	k := s.kinds[queue]
 	if k == nil {
@@ -166,6 +169,8 @@
 	usefulFactor = 3
 )
 
+// newJob returns the job of a submission with all its steps and tasks. The State doesn't hold it
+// yet.
 func (s *State) newJob(now time.Duration, sub Submission) *job {
 	before := sub.waitedBefore()
 	sub.Age += before
@@ -209,6 +214,7 @@
 	return max(sub.Queue.Timeout-sub.Wait, 0)
 }
 
+// addStep appends a step of an occurrence, and its tasks, to the job.
 func (j *job) addStep(occurrence, index int, declared work.Step) {
 	st := &step{
 		Step: declared, job: j, place: len(j.steps), open: declared.Tasks, expected: j.kind.expect(declared.Estimate),
@@ -309,6 +315,7 @@
 	s.waiting = slices.Insert(s.waiting, at, j)
 }
 
+// compareJobs orders waiting jobs by their sort key.
 func compareJobs(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.sub.Ref, b.sub.Ref))
 }
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -58,28 +58,28 @@
 
 // continueListedRun takes a run of a previous owner that a target lists, and reports whether it
 // may continue.
-func (s *State) goesOn(now time.Duration, t *target, on work.Running) bool {
-	if !keptRun(on.Run) || t.strangers[on.Run] != nil || s.leaving {
+func (s *State) goesOn(now time.Duration, t *target, listed work.Running) bool {
+	if !keptRun(listed.Run) || t.strangers[listed.Run] != nil || s.leaving {
 		return false
 	}
 	if s.resumed {
-		tk := s.pendingTask(on.Run.Task)
+		tk := s.pendingTask(listed.Run.Task)
 		if tk == nil || tk.step.Gang {
 			return false
 		}
-		s.adoptRun(now, t, tk, on)
+		s.adoptRun(now, t, tk, listed)
 		return true
 	}
-	g, known := t.guests[on.Run]
+	g, known := t.guests[listed.Run]
 	if !known {
 		g.since = now
 	}
 	if now-g.since > guestPatience {
-		delete(t.guests, on.Run)
+		delete(t.guests, listed.Run)
 		return false
 	}
-	g.saved = on.Saved
-	t.guests[on.Run] = g
+	g.saved = listed.Saved
+	t.guests[listed.Run] = g
 	return true
 }
 
@@ -99,15 +99,15 @@
 }
 
 // continueRun assigns a run that a previous owner ordered to its task.
-func (s *State) adoptRun(now time.Duration, t *target, tk *task, on work.Running) {
+func (s *State) adoptRun(now time.Duration, t *target, tk *task, listed work.Running) {
 	st := tk.step
 	st.pending = slices.DeleteFunc(st.pending, func(other *task) bool { return other == tk })
 	s.emit(Note{What: "run goes on", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID})
 	tk.job.mark(now, "goes on", tk.name, t.ID, "")
 	tk.job.traced = true
 	s.occupy(t, &run{
-		Run: on.Run, task: tk, target: t, state: running, ordered: now, until: t.lease.until,
-		expected: st.expected, saved: on.Saved, adopted: true, listed: true,
+		Run: listed.Run, task: tk, target: t, state: running, ordered: now, until: t.lease.until,
+		expected: st.expected, saved: listed.Saved, adopted: true, listed: true,
 	})
 }
 
@@ -294,13 +294,13 @@
 // assignInheritedRuns assigns the inherited runs of a target to their tasks, and stops those that
 // have none.
 func (s *State) seat(now time.Duration, t *target) {
-	for _, on := range t.sortedGuests() {
-		saved := t.guests[on].saved
-		delete(t.guests, on)
-		if tk := s.pendingTask(on.Task); tk != nil && t.runs[on.Task] == nil {
-			s.adoptRun(now, t, tk, work.Running{Run: on, Saved: saved})
+	for _, inherited := range t.sortedGuests() {
+		saved := t.guests[inherited].saved
+		delete(t.guests, inherited)
+		if tk := s.pendingTask(inherited.Task); tk != nil && t.runs[inherited.Task] == nil {
+			s.adoptRun(now, t, tk, work.Running{Run: inherited, Saved: saved})
 		} else {
-			s.stopStranger(now, t, on)
+			s.stopStranger(now, t, inherited)
 		}
 	}
 	s.use(now, t)
@@ -310,8 +310,8 @@
 // sortedInheritedRuns returns the target's inherited runs, sorted by task.
 func (t *target) sortedGuests() []work.Run {
 	runs := make([]work.Run, 0, len(t.guests))
-	for on := range t.guests {
-		runs = append(runs, on)
+	for inherited := range t.guests {
+		runs = append(runs, inherited)
 	}
 	slices.SortFunc(runs, func(a, b work.Run) int { return strings.Compare(a.Task, b.Task) })
 	return runs
