--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -25,8 +25,8 @@
 	// lossesToFail is how many targets must have been lost under a task, the last of them while
 	// the task ran isolated, for its job to fail.
 	crashesToFail = 2
-	// maxLosses is how many targets a task may lose, isolated or not, beside one correlated
-	// loss.
+	// maxLosses is how many targets must have been lost under a task for its job to fail even if
+	// the task did not run isolated. A correlated loss is not among them.
 	mostCrashes = 3
 	// correlationWindow is how far apart the losses of targets that have one cause show: idle
 	// targets are polled only when they are used.
@@ -179,7 +179,8 @@
 	}
 }
 
-// recordTaskLoss records the loss of a run's target against the run's task.
+// recordTaskLoss records the loss of a run's target against the run's task, or as the task's one
+// correlated loss. The loss of a draining target doesn't count.
 func (s *State) fallsUnder(now time.Duration, r *run) {
 	t, tk := r.target, r.task
 	if tk.complete || tk.job.dropped || s.leaving || t.Draining || !t.fell {
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -157,6 +157,7 @@
 	return total
 }
 
+// racks returns the racks of the pool's targets, sorted.
 func (p *pool) racks() []string {
 	var racks []string
 	for _, t := range p.targets {
@@ -168,6 +169,7 @@
 	return racks
 }
 
+// onRack returns the pool's targets on a rack.
 func (p *pool) onRack(rack string) []*target {
 	var on []*target
 	for _, t := range p.targets {
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -60,7 +60,8 @@
 func (TaskSaved) effect()  {}
 func (JobEnded) effect()   {}
 
-// isDurable reports whether the job is stored, and runs whether or not anybody waits for it.
+// isDurable reports whether the job is stored before it is accepted, and then runs whether or not
+// anybody waits for it.
 func (j *job) kept() bool { return j.sub.Job.Kept }
 
 // store has an admitted job stored before anything of it starts.
--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// Rejoin takes a request that replaces one whose connection broke; the old request was sent some
-// time ago. It answers the new request with the outcome of the job, or of the part of one, as soon
-// as there is an outcome. If the job is Absent and begin is set, Rejoin hands the job in. The old
-// request may still be on its way within this process; it doesn't start the job any more. A
-// Forgotten job gets no answer.
+// Rejoin takes a request that replaces one whose connection broke, and returns what is known of the
+// job. ago is the time since the old request was sent. Rejoin answers the new request with the
+// outcome of the job, or of the part of one, as soon as there is an outcome. If the job is Absent
+// and begin is set, Rejoin hands the job in. The old request may still be on its way within this
+// process; it doesn't start the job any more. A Forgotten job gets no answer.
 func (s *State) Rejoin(now time.Duration, sub Submission, ago time.Duration, begin bool) Presence {
 	if j := s.byID[sub.key()]; j != nil && !j.kept() && j.sub.Entry == sub.Entry {
 		j.mark(now, "asked again", "", "", "its connection broke")
--- a/scheduler/repeat.go
+++ b/scheduler/repeat.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// startDueOccurrences makes the occurrences placeable that are due by now. The job's place among
-// the waiting jobs is that of its newest occurrence.
+// startDueOccurrences lets the steps of all occurrences start that are due by now. A job's place
+// among the waiting jobs is that of its newest occurrence.
 func (s *State) callDue(now time.Duration) {
 	for j := range s.repeated {
 		due := s.dueSteps(now, j)
@@ -42,7 +42,7 @@
 	}
 }
 
-// resetTimes counts the job's objective and usefulness from now on.
+// resetTimes restarts the job's objective and usefulness for an occurrence that is due now.
 func (j *job) begin(now time.Duration) {
 	objective, chain := j.objective-j.arrived, j.chain()
 	j.arrived, j.late, j.useless = now, false, false
