--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -63,6 +63,7 @@
 // were lost under them for other reasons.
 func (w *world) mayBlame(id string) bool { return w.culprits[id] || w.struck[id] }
 
+// checkPoisoned notes a violation if a job that failed as poisoned may not do so.
 func (w *world) blamed(id string) {
 	if !w.mayBlame(id) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s fails as poisoned, but other jobs crashed its targets", w.now, id))
