--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -320,7 +320,7 @@
 	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.sub.Ref, b.sub.Ref))
 }
 
-// requeue updates a job's sort key and moves the job to its new place among the waiting ones.
+// reorder updates a job's sort key and moves the job to its new place among the waiting ones.
 func (s *State) reorder(j *job) {
 	if j.queued {
 		at, _ := slices.BinarySearchFunc(s.waiting, j, compareJobs)
--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// recordRunEnd records how a run ended. If a gang's member ends without completing, the other
-// members end as broken.
+// recordDurableEnd records how a durable run ended. If a gang's member ends without completing, the
+// other members end as broken.
 func (w *world) endKept(task string, r *fakeRun, kind work.EndKind) {
 	record, p := w.find(task)
 	if record == nil {
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -71,7 +71,7 @@
 	s.touch(least)
 }
 
-// startOnReserved starts the suspects of a step whose reserved target can take them now.
+// startReservedSuspects starts the suspects of a step whose reserved target can take them now.
 func (s *State) placeInRoom(now time.Duration, j *job, st *step) {
 	st.pending = slices.DeleteFunc(st.pending, func(tk *task) bool {
 		t := tk.room
@@ -83,7 +83,7 @@
 	})
 }
 
-// releaseReserved frees the target that is reserved for a suspect.
+// unreserveForSuspect frees the target that is reserved for a suspect.
 func (s *State) letRoom(tk *task) {
 	t := tk.room
 	if t == nil {
