--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -20,6 +20,7 @@
 	return b
 }
 
+// addRackTarget adds a usable target; two successive indexes share a rack.
 func (b *bench) rackTarget(i int) {
 	id, rack := fmt.Sprintf("t%02d", i), fmt.Sprintf("r%d", i/2)
 	b.listed(work.Target{ID: id, Rack: rack, Labels: []string{"kind", rack}, Capacity: work.Resources{CPU: 4}})
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -274,6 +274,7 @@
 	return text.String()
 }
 
+// injectCrashingStep plays one random event: a job is submitted, or a fault occurs.
 func strikeCrashing(rt *rapid.T, w *world) {
 	target := w.targets[rapid.SampledFrom(w.targetIDs()).Draw(rt, "target")]
 	switch rapid.SampledFrom([]string{"poison", "durable poison", "harmless", "harmless", "durable", "loss", "resize", "other"}).Draw(rt, "what") {
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -9,6 +9,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
+// gangStep returns a gang step of this many tasks.
 func gang(tasks int) work.Step { return work.Step{Tasks: tasks, Gang: true} }
 
 // A gang starts under one run number once there is capacity for all of it.
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -11,6 +11,7 @@
 
 const maxFails = 2
 
+// durableJob returns the submission of a durable job with one step of this many tasks.
 func (b *bench) keptJob(id string, tasks int) Submission {
 	b.ref++
 	return Submission{
@@ -36,6 +37,7 @@
 	return start.Run
 }
 
+// heldWithCompletion returns a poll's answer that lists one completion and no runs.
 func ended(number int64, run work.Run, kind work.EndKind) work.Held {
 	return work.Held{Clock: 5100, Ended: []work.End{{Number: number, Run: run, Kind: kind}}}
 }
--- a/scheduler/kept_world_test.go
+++ b/scheduler/kept_world_test.go
@@ -139,6 +139,7 @@
 	w.handInTo(o, job, advised)
 }
 
+// submitDurableTo submits a durable job to the given owner.
 func (w *world) handInTo(o *fakeOwner, job work.Job, advised bool) {
 	w.refs++
 	job.ID, job.Kept = fmt.Sprintf("kept%d", w.refs), true
@@ -249,6 +250,8 @@
 	t.Cleanup(func() { _ = flag.Set("rapid.checks", "100") })
 }
 
+// injectDurableStep plays one random event: a durable job is submitted or cancelled, or a fault
+// occurs.
 func strikeKept(rt *rapid.T, w *world) {
 	switch rapid.SampledFrom([]string{"submit", "submit", "submit", "submit", "cancel", "store", "leave", "other"}).Draw(rt, "action") {
 	case "submit":
--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -22,6 +22,7 @@
 // jobRef identifies a job, or a part of one, of an entry VM.
 type jobRef struct{ entry, key string }
 
+// ref returns the reference of a submission's job or part.
 func (sub Submission) ref() jobRef { return jobRef{entry: sub.Entry, key: sub.key()} }
 
 // recentOutcome is the outcome of a job that its entry VM may not have received.
