--- a/work/configuration.go
+++ b/work/configuration.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Route is a queue with the requests that reach it.
+// Route assigns the requests of a host and a path prefix to a queue.
 type Route struct {
 	Host, Prefix string
 	Queue        Queue
@@ -16,7 +16,7 @@
 	MaxBodyBytes int64
 }
 
-// Find returns the route with the longest prefix of the path.
+// FindRoute returns the host's route with the longest prefix of the path.
 func (c Configuration) Find(host, path string) (Route, bool) {
 	best, found := Route{}, false
 	for _, route := range c.Routes {
--- a/work/orders.go
+++ b/work/orders.go
@@ -1,37 +1,40 @@
 package work
 
-// Verdict is what a target's answer to an order says.
+// Verdict classifies the result of an order, which is a start, a stop or a poll that an owner
+// sends to a target.
 type Verdict int
 
 // The verdicts of orders.
 const (
-	// VerdictUnknown says that the order may have been carried out, or may be yet.
+	// VerdictUnknown means that no usable answer came: the target may have carried out the
+	// order, or may still do so.
 	VerdictUnknown Verdict = iota
-	// VerdictDone says that the order was carried out, now or before.
+	// VerdictDone means that the target carried out the order, now or earlier.
 	VerdictDone
-	// VerdictUnsent says that the order never left this VM.
+	// VerdictUnsent means that the order never left this VM.
 	VerdictUnsent
-	// VerdictFenced says that the target has seen a higher fencing token.
+	// VerdictFenced means that the target has seen a higher fencing token.
 	VerdictFenced
-	// VerdictOld says that the target has seen the end of this run or a later one.
+	// VerdictStaleRun means that on this target the run, or a later run of its task, has
+	// already ended.
 	VerdictOld
-	// VerdictLate says that the lease asked for is over already.
+	// VerdictLeaseExpired means that the requested lease is already over on the target's clock.
 	VerdictLate
-	// VerdictRoom says that the task doesn't fit.
+	// VerdictNoCapacity means that the task doesn't fit on the target.
 	VerdictRoom
-	// VerdictGone says that another life of the target answers at its address.
+	// VerdictMisdirected means that another incarnation of the target answers at its address.
 	VerdictGone
-	// VerdictUnhealthy says that the target did nothing and asks to be left alone.
+	// VerdictUnhealthy means that the target did nothing and asks for no orders for now.
 	VerdictUnhealthy
-	// VerdictInvalid says that the target takes the order for malformed.
+	// VerdictInvalid means that the target rejects the order as malformed.
 	VerdictInvalid
-	// VerdictOvertaken says that the target did nothing, since it has seen a newer
-	// token of the same owner: the order can be given again.
+	// VerdictStaleToken means that the target did nothing, because it has seen a newer
+	// token of the same owner. The order can be sent again.
 	VerdictOvertaken
-	// VerdictTicket says that the adviser's ticket doesn't hold there.
+	// VerdictInvalidTicket means that the target doesn't accept the adviser's ticket.
 	VerdictTicket
-	// VerdictBroken says what VerdictUnknown does, and that no answer will come: the
-	// connection broke.
+	// VerdictConnectionLost means the same as VerdictUnknown, and that no answer will come,
+	// because the connection broke.
 	VerdictBroken
 )
 
@@ -42,73 +45,75 @@
 	VerdictTicket: "ticket", VerdictBroken: "broken",
 }
 
-// String names the verdict in logs and metrics.
+// String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Address names one life of a target.
+// TargetAddress identifies one incarnation of a target and says where to reach it.
 type Address struct {
 	ID, Address string
 }
 
-// Run is one start of a task.
+// RunID identifies one start of a task. Later runs of a task have higher numbers.
 type Run struct {
 	Task   string
 	Number int64
 }
 
-// Order has a target start a run.
+// StartOrder tells a target to start a run.
 type Order struct {
 	Run Run
-	// Payload is the job's.
+	// Payload is the payload of the job.
 	Payload string
-	// Saved is what an earlier run of the task saved of its work; empty where there is
-	// none.
+	// SavedState is what an earlier run of the task saved of its work; empty if none did.
 	Saved string
-	// Ticket is the adviser's for this target; empty where the queue has no advice.
+	// Ticket is the adviser's ticket for this target; empty if the queue needs no advice.
 	Ticket string
-	// Until is the end of the lease on the target's clock, in milliseconds.
+	// LeaseUntilMS is the end of the lease on the target's clock.
 	Until int64
 }
 
-// OrderAnswer is the answer to an order.
+// OrderAnswer is a target's answer to a start or a stop.
 type OrderAnswer struct {
 	Verdict Verdict
-	// Clock is the target's steady clock in milliseconds; 0 when it didn't tell.
+	// ClockMS is the target's monotonic clock; 0 if the answer didn't contain it.
 	Clock int64
 }
 
-// EndKind is how a run ended.
+// CompletionKind says how a run ended.
 type EndKind string
 
-// The kinds of ends that matter here; all others lost their work.
+// The completion kinds that the scheduler tells apart. After any other kind the work of the
+// run is lost.
 const (
 	EndDone    EndKind = "done"
 	EndFailed  EndKind = "failed"
 	EndStopped EndKind = "stopped"
 )
 
-// End is the end of a run. Ends of one life of a target are numbered from 1.
+// Completion is a target's record of how a run ended. The completions of one incarnation of a
+// target are numbered from 1.
 type End struct {
 	Number int64
 	Run    Run
 	Kind   EndKind
-	// Saved is what the task has saved of its work; empty where there is nothing.
+	// SavedState is what the task has saved of its work; empty if nothing.
 	Saved string
 }
 
-// Running is a run that a target lists.
+// RunningRun is a run that a target lists as running.
 type Running struct {
 	Run Run
-	// Saved is what the task has saved of its work so far; empty where there is nothing.
+	// SavedState is what the task has saved of its work so far; empty if nothing.
 	Saved string
 }
 
-// Held is what a target tells of itself.
+// PollAnswer is a target's answer to a poll.
 type Held struct {
+	// ClockMS is the target's monotonic clock.
 	Clock int64
-	// Life is that of Target, Capacity what the target has in all now; 0 and nil where it
-	// doesn't tell.
-	Life     int64
+	// Incarnation is that of Target; 0 if the target doesn't report it.
+	Life int64
+	// Capacity is the target's present total capacity; nil if the target doesn't report it.
 	Capacity *Resources
 	Running  []Running
 	Ended    []End
--- a/work/state.go
+++ b/work/state.go
@@ -1,13 +1,13 @@
 package work
 
-// State is what is known of a kept job.
+// JobState is the state of a durable job.
 type State int
 
-// The states of kept jobs. The last three are final.
+// The states of durable jobs. The last three are final.
 const (
-	// StateAbsent says that there is no such job.
+	// StateAbsent means that no such job is stored.
 	StateAbsent State = iota
-	// StateQueued jobs have no task that has begun.
+	// StateQueued means that no task of the job has started.
 	StateQueued
 	StateRunning
 	StateCompleted
@@ -15,7 +15,7 @@
 	StateCancelled
 )
 
-// Final reports whether a state stays as it is.
+// IsFinal reports whether the state can't change any more.
 func (s State) Final() bool { return s >= StateCompleted }
 
 var stateNames = map[State]string{
@@ -23,5 +23,5 @@
 	StateCompleted: "completed", StateFailed: "failed", StateCancelled: "cancelled",
 }
 
-// String names the state in logs and to callers.
+// String returns the name of the state in logs and in answers to callers.
 func (s State) String() string { return stateNames[s] }
