--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,6 +1,14 @@
-// Package owner carries out what the scheduler decides for the targets of one
-// group: one goroutine feeds messages to the decisions and sends their orders, and
-// each order has a goroutine of its own that waits for its answer.
+// Package owner runs the scheduler of one group of targets under the fencing token of a claim.
+//
+// Its input are submissions, the answers of targets, the registry of targets, cordons, and the
+// keepalives of entry VMs. Its output are orders to targets, outcomes of submissions, and
+// records of durable jobs in the store. The package scheduler makes the decisions.
+//
+// One goroutine, the loop, handles messages and carries out the effects that the scheduler's
+// State returns; no other goroutine uses the State. Each order has a goroutine of its own that
+// waits for the answer and posts it to the loop. Changes of the registry and of cordons go
+// ahead of all other messages. A start that has become too old is decided again, not sent.
+// Once a target has seen the higher token of another owner, all jobs are given up.
 package owner
 
 import (
@@ -26,22 +34,24 @@
 
 // Sizes and times of an owner.
 const (
-	// submissionsRoom is a second of the grown sites' jobs at one owner.
+	// submissionQueueSize holds the jobs that one owner gets in a second at fully grown sites.
 	submissionsRoom = 512
-	// answersRoom holds the answers of all targets of a failure domain at once.
+	// answerQueueSize holds one answer of each target of a failure domain.
 	answersRoom = 4096
-	// newsRoom holds the news of a few readings.
+	// urgentQueueSize holds the changes of a few reads of the registry.
 	newsRoom = 16
-	// staleOrder is how long the start of a run may wait in this process to be sent: what
-	// decided it, that its target doesn't leave or that its failure domain isn't cordoned, may
-	// be over. It is decided anew then.
+	// maxStartAge is how long the start of a run may wait in this process before it is sent.
+	// A later one is decided again: by then its target may be leaving, or its failure domain
+	// may be cordoned.
 	staleOrder = 250 * time.Millisecond
-	// batch bounds the messages between two rounds of placing.
+	// maxBatch bounds the messages handled between two rounds of placing.
 	batch = 64
-	// registryWait bounds how long a dead connection to the store goes unnoticed,
-	// below the bound on draining targets.
+	// registryFeedWait is how long a request for changes of the registry may wait. It bounds
+	// how long a dead connection to the store goes unnoticed, and is below the time within
+	// which a draining target has to be noticed.
 	registryWait = 1200 * time.Millisecond
-	// registryPace gathers the heartbeats of targets into a few reads a second.
+	// registryInterval is the minimum time between two such requests, so that the heartbeats
+	// of targets come in a few reads a second.
 	registryPace = 500 * time.Millisecond
 )
 
@@ -59,42 +69,43 @@
 	// Token is the fencing token of the claim.
 	Token    int64
 	Schedule scheduler.Options
-	// RejoinTime is how long a job goes on whose connection broke; 0 takes the default.
+	// RejoinTimeout is how long a job continues after its connection broke; 0 means
+	// DefaultRejoinTimeout.
 	RejoinTime time.Duration
 	Log        *slog.Logger
-	// Count counts what is noted and how submissions end; it must not block.
+	// Count counts events and the results of submissions; it must not block.
 	Count func(what, label string)
-	// Observe takes times and Gauge values; they must not block.
+	// Observe records durations and Gauge values; they must not block.
 	Observe func(what string, took time.Duration)
 	Gauge   func(what string, value float64)
-	// Former asks an owner that hands over what it has released; nil when there is
-	// none.
+	// AskPredecessor asks the previous owner, which hands over its targets, which of them it
+	// has released; nil if there is no handover.
 	Former func(ctx context.Context) (Released, error)
-	// Lend has another owner run a part of a job.
+	// Delegate has another owner run a part of a job and returns the outcome of the part.
 	Lend func(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome
-	// Jobs keeps the jobs that outlast their requests; nil where none are taken.
+	// Jobs stores the durable jobs; nil if none are accepted.
 	Jobs *jobstore.Keeper
-	// Heard is told when the store has answered about the registry; it may be nil.
+	// StoreAnswered is called when the store has answered about the registry; it may be nil.
 	Heard func(now time.Duration)
-	// StoreClock is the store's clock, if it is known.
+	// StoreClock returns the store's clock, if it is known.
 	StoreClock func() (clock time.Duration, known bool)
-	// Cordons is what is known of cordoned failure domains, ConfirmCordons asks the store
-	// anew, whose answer comes by CordonsChanged; nil where there are no cordons.
+	// Cordons returns the cordoned failure domains as far as this VM knows them.
+	// ConfirmCordons reads them from the store. Both are nil if there are no cordons.
 	Cordons        func() cordon.View
 	ConfirmCordons func(ctx context.Context) (cordon.View, error)
-	// ConfirmClaim asks the store whether the claim is still this owner's; nil where nobody
-	// tells, which has targets used unasked.
+	// ConfirmClaim asks the store whether the claim is still this owner's; with nil, targets
+	// are used without asking.
 	ConfirmClaim func(ctx context.Context) (bool, error)
-	// Advise asks the adviser which targets may run a step; nil where there is none.
+	// Advise asks the adviser which targets may run a step; nil if there is no adviser.
 	Advise func(ctx context.Context, step string, targets []string) (tickets map[string]string, valid time.Duration, err error)
-	// Sized tells how many targets there are; it must not block, and may be nil.
+	// SetTargetCount is called with the number of targets; it must not block, and may be nil.
 	Sized func(targets int)
-	// Hungry says that tasks wait for a place, so that the room of other owners
-	// matters; it must not block.
+	// NeedsCapacity is called while tasks that other owners could run wait for a place, so
+	// that the free capacity of those owners is learned soon; it must not block.
 	Hungry func()
 }
 
-// Owner orders the targets of a group.
+// Owner schedules jobs onto the targets of a group.
 type Owner struct {
 	options Options
 	targets Targets
@@ -103,37 +114,42 @@
 	submissions *ring.Ring[message]
 	vouches     vouches
 	answers     chan message
-	// news is what the operator and the registry say: it never waits behind answers.
-	news    chan message
-	state   *scheduler.State
+	// urgent holds changes of cordons and of the registry, which never wait behind answers.
+	news  chan message
+	state *scheduler.State
+	// waiters holds where the outcome of each submission goes.
 	waiting map[scheduler.Ref]chan work.Outcome
-	// made is when it was made, on the boot clock.
-	made     time.Duration
-	lastRef  scheduler.Ref
-	lent     map[scheduler.Part]context.CancelFunc
+	// createdAt is when New returned this owner, on the boot clock.
+	made    time.Duration
+	lastRef scheduler.Ref
+	// delegated holds what gives up each part that another owner runs.
+	lent map[scheduler.Part]context.CancelFunc
+	// loads holds the published load of each service.
 	loads    atomic.Pointer[map[string]scheduler.Load]
 	services map[string]bool
 	registry registry
 	reader   reader
-	// deposed is set once a target has seen another owner.
+	// deposed is set once a target has seen the higher token of another owner.
 	deposed bool
 	token   atomic.Int64
-	jobs    atomic.Int64
-	kept    keptJobs
-	lag     lag
-	// cordoned is the version of the view of cordons that was taken last.
+	// openJobs is the published number of jobs that have still to end or to be recorded.
+	jobs atomic.Int64
+	kept keptJobs
+	lag  lag
+	// cordonsVersion is the version of the newest view of cordons.
 	cordoned int64
-	// loadsAt is when the loads were published.
+	// loadsAt is when the loads were last published.
 	loadsAt time.Duration
-	// statusAt is when the last status was logged.
+	// statusAt is when the status was last logged.
 	statusAt time.Duration
-	done     chan struct{}
+	// done is closed when the loop has ended.
+	done chan struct{}
 }
 
-// message changes the state; it runs on the owner's goroutine.
+// message is a function that the loop calls. Only there it may use the State.
 type message func(now time.Duration)
 
-// New makes an owner that doesn't order anything before Run.
+// New returns an owner that sends no order before Run.
 func New(o Options, targets Targets, store mirror.Source) *Owner {
 	if o.RejoinTime == 0 {
 		o.RejoinTime = DefaultRejoinTime
@@ -162,14 +178,14 @@
 	return owner
 }
 
-// Raise takes a higher fencing token for the same claim.
+// RaiseToken sets a higher fencing token for the same claim.
 func (o *Owner) Raise(token int64) {
 	if old := o.token.Load(); token > old && o.token.CompareAndSwap(old, token) {
 		o.options.Log.Info("token raised", "group", o.options.Group, "token", token)
 	}
 }
 
-// Run orders targets until the context ends.
+// Run schedules jobs onto the targets until the context ends.
 func (o *Owner) Run(ctx context.Context) error {
 	o.readClocks(bootclock.Now())
 	o.options.Log.Info("owning targets", "group", o.options.Group, "token", o.options.Token)
@@ -199,7 +215,7 @@
 	return err
 }
 
-// post hands a message to the loop, waiting for room.
+// post queues a message for the loop and blocks while the queue is full.
 func (o *Owner) post(ctx context.Context, m message) {
 	select {
 	case o.answers <- m:
@@ -208,8 +224,8 @@
 	}
 }
 
-// postNews hands the loop a message that goes before all answers and submissions: a target
-// that leaves, or a cordon, has to be known in time also where the owner is behind.
+// postUrgent queues a message that the loop handles before all answers and submissions. A
+// leaving target or a cordon has to be known in time also when the loop is behind.
 func (o *Owner) postNews(ctx context.Context, m message) {
 	select {
 	case o.news <- m:
@@ -218,7 +234,7 @@
 	}
 }
 
-// takeNews takes all news that waits.
+// handleUrgent handles all urgent messages that are queued.
 func (o *Owner) takeNews() {
 	for {
 		select {
@@ -230,6 +246,7 @@
 	}
 }
 
+// loop handles messages and ticks, and applies the effects after each, until the context ends.
 func (o *Owner) loop(ctx context.Context) {
 	ticker := time.NewTicker(scheduler.TickInterval)
 	defer ticker.Stop()
@@ -254,7 +271,7 @@
 	}
 }
 
-// tick does what time alone decides.
+// tick handles what changes by time alone.
 func (o *Owner) tick(now time.Duration) {
 	o.lag.tick(now)
 	o.readClocks(now)
@@ -262,7 +279,7 @@
 	o.status()
 }
 
-// readClocks tells the decisions the time of day and the store's clock.
+// readClocks gives the State the time of day and the store's clock.
 func (o *Owner) readClocks(now time.Duration) {
 	o.state.Wall(now, time.Duration(time.Now().UnixNano()))
 	if clock, known := o.options.StoreClock(); known {
@@ -270,7 +287,8 @@
 	}
 }
 
-// drain takes what waits already, so that one round of placing serves it all.
+// handleBatch handles the messages that are queued already, so that one round of placing
+// serves them all.
 func (o *Owner) drain() {
 	for range batch {
 		select {
@@ -284,10 +302,11 @@
 	}
 }
 
-// loadsInterval paces the look at how busy the targets are.
+// loadsInterval is the minimum time between two publications of the loads.
 const loadsInterval = 2 * time.Millisecond
 
-// publish tells others of this process how busy the owner is.
+// publish updates what the other goroutines of the process read: the number of jobs, whether
+// durable jobs can be taken over, the number of targets, and the loads.
 func (o *Owner) publish() {
 	o.jobs.Store(int64(o.state.Jobs() + o.state.Unnoted()))
 	o.kept.adopted.Store(o.mayOpen())
@@ -310,7 +329,7 @@
 	o.loads.Store(&loads)
 }
 
-// end answers all that still waits.
+// abandonAll ends all jobs and answers their callers.
 func (o *Owner) end() {
 	o.state.Abandon(bootclock.Now())
 	for _, effect := range o.state.Effects(bootclock.Now()) {
@@ -320,7 +339,7 @@
 	}
 }
 
-// Loads is how busy the targets are, by service.
+// Loads returns the load of the targets by service, with the delay of the loop added.
 func (o *Owner) Loads() map[string]scheduler.Load {
 	if loads := o.loads.Load(); loads != nil {
 		return delayed(*loads, o.lag.behind(bootclock.Now()))
@@ -328,9 +347,11 @@
 	return nil
 }
 
-// Jobs is the number of jobs that have still to end or to be noted.
+// OpenJobs returns the number of jobs that have still to end or to be recorded in the store.
 func (o *Owner) Jobs() int { return int(o.jobs.Load()) }
 
+// applyEffects carries out what the State wants done. What waits for an answer gets a
+// goroutine.
 func (o *Owner) carryOut(ctx context.Context, effects []scheduler.Effect) {
 	sent := bootclock.Now()
 	for _, effect := range effects {
@@ -365,6 +386,7 @@
 	}
 }
 
+// sendStart starts a run on a target, unless the decision to do so is older than maxStartAge.
 func (o *Owner) start(ctx context.Context, e scheduler.StartRun, sent time.Duration) {
 	token, began := o.token.Load(), bootclock.Now()
 	answer := work.OrderAnswer{Verdict: work.VerdictOvertaken}
@@ -380,6 +402,7 @@
 	})
 }
 
+// sendStop stops a run on a target.
 func (o *Owner) stop(ctx context.Context, e scheduler.StopRun, sent time.Duration) {
 	token := o.token.Load()
 	answer := o.targets.Stop(ctx, e.To, e.Run, token)
@@ -391,21 +414,23 @@
 	})
 }
 
+// poll asks a target for its runs and completions.
 func (o *Owner) look(ctx context.Context, e scheduler.Look, sent time.Duration) {
 	token := o.token.Load()
-	held, verdict := o.targets.Look(ctx, e.To, token, e.Until, e.Seen, e.Wait)
+	answer, verdict := o.targets.Look(ctx, e.To, token, e.Until, e.Seen, e.Wait)
 	verdict = scheduler.Settle(verdict, token, o.token.Load())
 	o.options.Count("looks", verdict.String())
 	o.post(ctx, func(now time.Duration) {
+		// A long poll waits at the target, so its time says nothing about this process.
 		if e.Wait == 0 {
 			o.answered(verdict, now-sent)
 		}
-		o.state.Looked(now, e.To.ID, e.At, held, verdict)
+		o.state.Looked(now, e.To.ID, e.At, answer, verdict)
 	})
 }
 
-// answered tells how long a target's answer took, from the order's leaving the decisions to
-// its being read, so that it shows what this process makes it wait.
+// recordAnswerTime tells the State how long an answer took, from the decision to send the
+// order until the loop handles the answer. That includes the delays within this process.
 func (o *Owner) answered(verdict work.Verdict, took time.Duration) {
 	switch verdict {
 	case work.VerdictUnknown, work.VerdictBroken, work.VerdictUnsent:
@@ -414,7 +439,7 @@
 	}
 }
 
-// advise asks the adviser.
+// askAdviser asks the adviser which targets may run a step.
 func (o *Owner) advise(ctx context.Context, e scheduler.Ask) {
 	var tickets map[string]string
 	var valid time.Duration
@@ -433,10 +458,10 @@
 	o.post(ctx, func(now time.Duration) { o.state.Advised(now, e, tickets, valid, err == nil) })
 }
 
-// errNoAdviser says that the settings name no adviser.
-var errNoAdviser = errs.Tag("no adviser").Errorf("the settings name no adviser: give its address as advice")
+// errNoAdviser is returned for a queue that requires advice when no adviser is configured.
+var errNoAdviser = errs.Tag("no adviser").Errorf("no adviser is configured: set \"advice\" to its address")
 
-// fenced gives up all jobs once: another owner orders the targets now.
+// stepDown gives up all jobs, once, because another owner has the targets now.
 func (o *Owner) fenced(e scheduler.Deposed) {
 	if o.deposed {
 		return
@@ -446,6 +471,7 @@
 	o.state.Abandon(bootclock.Now())
 }
 
+// logEvent logs and counts an event of the scheduler.
 func (o *Owner) note(n scheduler.Note) {
 	o.options.Count("notes", n.What)
 	level := slog.LevelInfo
@@ -457,8 +483,8 @@
 		slog.String("detail", n.Detail), slog.Duration("age", n.Age))
 }
 
-// tell logs what happened to a job, its lines together so that none of them is
-// left out alone.
+// logHistory logs what happened to a job, in a single log line so that the log's limit drops
+// all of it or nothing.
 func (o *Owner) tell(e scheduler.Trail) {
 	level := slog.LevelWarn
 	if e.Result == work.Completed && e.Took <= e.Objective {
