--- a/owner/cordon.go
+++ b/owner/cordon.go
@@ -7,7 +7,8 @@
 	"github.com/burdockward/burdockward/cordon"
 )
 
-// TakeCordons takes what is known of cordoned failure domains.
+// UpdateCordons applies a view of the cordoned failure domains, unless it is unknown or older
+// than the last one.
 func (o *Owner) TakeCordons(ctx context.Context, view cordon.View) {
 	if !view.Known() {
 		return
@@ -21,7 +22,7 @@
 	})
 }
 
-// confirmCordon asks the store whether the failure domain is cordoned.
+// confirmCordon reads from the store whether the failure domain is cordoned.
 func (o *Owner) confirmCordon(ctx context.Context) {
 	view, err := o.options.ConfirmCordons(ctx)
 	if err != nil {
--- a/owner/delegate.go
+++ b/owner/delegate.go
@@ -7,13 +7,13 @@
 	"github.com/burdockward/burdockward/scheduler"
 )
 
-// RoomAt takes another owner's word of its places. It is dropped when this owner is
-// busy: the next one follows.
+// UpdateCapacityOf sets the free capacity that another owner reports for a service. The report
+// is dropped while the submission queue is full, because the next one follows soon.
 func (o *Owner) RoomAt(owner, service string, room scheduler.Room) {
 	o.submissions.Offer(func(now time.Duration) { o.state.RoomAt(now, owner, service, room) })
 }
 
-// lend has another owner run a part.
+// delegate has another owner run a part of a job and passes the outcome to the State.
 func (o *Owner) lend(ctx context.Context, e scheduler.Lend) {
 	ctx, cancel := context.WithCancel(ctx)
 	o.lent[e.Part] = cancel
@@ -27,7 +27,7 @@
 	}()
 }
 
-// withdraw gives up a part.
+// giveUpPart cancels the request to the owner that runs a part.
 func (o *Owner) withdraw(e scheduler.Withdraw) {
 	if cancel := o.lent[e.Part]; cancel != nil {
 		cancel()
--- a/owner/durable.go
+++ b/owner/durable.go
@@ -13,39 +13,41 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// keptJobs is what an owner holds of jobs that outlast their requests.
+// durableJobs is an owner's state about durable jobs, which outlast their requests.
 type keptJobs struct {
-	// open says that the store's jobs were read and that new ones may be accepted.
+	// accepting is set once the jobs in the store were read, so that new ones may be accepted.
 	open bool
-	// ending holds the jobs whose end is being noted, watched those who wait for the
-	// note of a job's end.
-	ending  map[string]bool
+	// ending holds the jobs whose end is being recorded in the store.
+	ending map[string]bool
+	// endWaiters holds, for each job, the channels to close when its end is recorded.
 	watched map[string][]chan struct{}
-	// adopted says that nothing of a former owner runs at the targets any more.
+	// canTakeOver is the published result of canTakeOverJobs.
 	adopted atomic.Bool
-	// readAt is when the registry was read and all targets were given.
+	// registryReadAt is when the registry was read and the handover of targets had ended.
 	readAt time.Duration
-	// pending is the count of jobs of which nothing has begun, as of countedAt.
+	// pending counts by queue the jobs of which nothing has started, as of pendingCountedAt.
 	pending   atomic.Pointer[map[string]int32]
 	countedAt time.Duration
 }
 
-// Times of taking over kept jobs.
+// Times of durable jobs.
 const (
-	// adoptPatience is how long a target that doesn't answer keeps the jobs from being
-	// taken over: a lease, and the time until the registry drops a target that is gone.
+	// takeOverTimeout is how long targets that don't answer delay taking over the jobs: a
+	// lease plus the time until the registry drops a target that is gone.
 	adoptPatience = 2500 * time.Millisecond
-	// openPause paces the tries.
+	// takeOverRetryInterval is the time between two attempts to take over the jobs.
 	openPause = 50 * time.Millisecond
-	// endWait is how long an answer waits for the end of a job that is running: twice
-	// the usual time in which an end is listed and noted. Callers ask as soon as a job should
-	// have ended, and not again before a short objective has passed.
+	// jobEndTimeout is how long JobState waits for the end of a running job: twice the usual
+	// time in which a completion is polled and recorded. Callers ask as soon as a job should
+	// have ended, and ask again only after a short objective.
 	endWait = 80 * time.Millisecond
-	// unstoredRetry is told while jobs can't be stored.
+	// unstoredRetryAfter is told to callers while jobs can't be stored.
 	unstoredRetry = time.Second
 )
 
-// mayOpen reports whether former owners can't acknowledge an end any more.
+// canTakeOverJobs reports whether previous owners can no longer acknowledge completions: those
+// that aren't in the store are then still at their targets. Targets that don't answer delay this
+// by at most takeOverTimeout.
 func (o *Owner) mayOpen() bool {
 	if !o.registry.read || o.registry.handover {
 		return false
@@ -57,12 +59,11 @@
 	return o.state.Adopted() || now-o.kept.readAt > adoptPatience
 }
 
-// openJobs takes over the jobs of the group once former owners are barred from its
-// targets.
+// takeOverJobs reads the durable jobs of the group from the store once canTakeOverJobs holds.
 func (o *Owner) openJobs(ctx context.Context) {
 	ticker := time.NewTicker(openPause)
 	defer ticker.Stop()
-	failed := false
+	logged := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -72,14 +73,14 @@
 		if !o.kept.adopted.Load() {
 			continue
 		}
-		kept, err := o.options.Jobs.Open(ctx, o.token.Load())
+		jobs, err := o.options.Jobs.Open(ctx, o.token.Load())
 		if err == nil {
-			o.post(ctx, func(now time.Duration) { o.resume(now, kept) })
+			o.post(ctx, func(now time.Duration) { o.resume(now, jobs) })
 			return
 		}
-		if !failed {
+		if !logged {
 			o.options.Log.Warn("kept jobs not taken over", "group", o.options.Group, "error", err)
-			failed = true
+			logged = true
 		}
 		if errors.Is(err, jobstore.ErrSuperseded) {
 			return
@@ -87,12 +88,12 @@
 	}
 }
 
-// resume goes on with the jobs of a former owner.
-func (o *Owner) resume(now time.Duration, kept []jobstore.Kept) {
+// resumeJobs continues the durable jobs of previous owners and starts accepting new ones.
+func (o *Owner) resume(now time.Duration, jobs []jobstore.Kept) {
 	o.kept.open = true
-	o.options.Log.Info("kept jobs taken over", "group", o.options.Group, "jobs", len(kept))
+	o.options.Log.Info("kept jobs taken over", "group", o.options.Group, "jobs", len(jobs))
 	clock, _ := o.options.StoreClock()
-	for _, job := range kept {
+	for _, job := range jobs {
 		o.lastRef++
 		o.state.Resume(now, scheduler.Submission{
 			Ref: o.lastRef, Job: job.Job, Queue: job.Queue, Age: max(clock-job.Arrived, 0),
@@ -104,7 +105,7 @@
 	o.state.Resumed(now)
 }
 
-// crashesOf are the targets lost under tasks, as the scheduler has them.
+// schedulerCrashes converts the stored target losses, by task, to the scheduler's type.
 func crashesOf(stored map[int][]jobstore.Crash) map[int][]scheduler.Crash {
 	crashes := map[int][]scheduler.Crash{}
 	for task, list := range stored {
@@ -115,8 +116,8 @@
 	return crashes
 }
 
-// mayAccept answers a kept job that can't be stored or is known already; it reports
-// whether the job is to be looked at further.
+// admitDurable reports whether a durable job is new and can be stored. Otherwise it answers
+// the caller.
 func (o *Owner) mayAccept(sub scheduler.Submission) bool {
 	outcome := work.Outcome{Result: work.Accepted}
 	if !o.kept.open {
@@ -128,7 +129,7 @@
 	return false
 }
 
-// keep has the store note what the scheduler wants kept.
+// record writes an effect of a durable job to the store.
 func (o *Owner) keep(ctx context.Context, effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Keep:
@@ -154,7 +155,7 @@
 	}
 }
 
-// accepted takes how the storing of a job ended, or that this can't be told now.
+// jobStored gives the State the result of storing a job, or that the result is not known yet.
 func (o *Owner) accepted(now time.Duration, id string, r jobstore.Result) {
 	o.options.Count("acceptances", r.String())
 	if r == jobstore.Doubtful {
@@ -164,11 +165,12 @@
 	o.state.Stored(now, id, acceptance(r), r == jobstore.Stored)
 }
 
+// completionRecorded tells the State that a completion is in the store and may be acknowledged.
 func (o *Owner) noted(ctx context.Context, end scheduler.EndRef) {
 	o.post(ctx, func(time.Duration) { o.state.Noted(end) })
 }
 
-// acceptance is what a caller is told of its job.
+// storeOutcome returns the outcome that the caller gets for the result of storing its job.
 func acceptance(r jobstore.Result) work.Outcome {
 	switch r {
 	case jobstore.Stored, jobstore.Known:
@@ -180,24 +182,24 @@
 	}
 }
 
-// endNoted tells those who wait for the end of a job.
+// jobEndRecorded wakes those who wait until the end of a job is in the store.
 func (o *Owner) endNoted(id string) {
 	o.state.EndNoted(id)
 	delete(o.kept.ending, id)
-	for _, noted := range o.kept.watched[id] {
-		close(noted)
+	for _, recorded := range o.kept.watched[id] {
+		close(recorded)
 	}
 	delete(o.kept.watched, id)
 }
 
-// watch has a channel closed when the end of a job is noted.
-func (o *Owner) watch(id string, noted chan struct{}) {
-	o.kept.watched[id] = append(o.kept.watched[id], noted)
+// addEndWaiter has a channel closed when the end of a job is recorded.
+func (o *Owner) watch(id string, recorded chan struct{}) {
+	o.kept.watched[id] = append(o.kept.watched[id], recorded)
 }
 
-// unwatch takes back a watch.
-func (o *Owner) unwatch(id string, noted chan struct{}) {
-	rest := slices.DeleteFunc(o.kept.watched[id], func(other chan struct{}) bool { return other == noted })
+// removeEndWaiter undoes addEndWaiter.
+func (o *Owner) unwatch(id string, recorded chan struct{}) {
+	rest := slices.DeleteFunc(o.kept.watched[id], func(other chan struct{}) bool { return other == recorded })
 	if len(rest) == 0 {
 		delete(o.kept.watched, id)
 		return
@@ -205,9 +207,9 @@
 	o.kept.watched[id] = rest
 }
 
-// JobState tells how a kept job stands; false means that this owner doesn't know it. A
-// job that is running is given a moment to end: callers ask when they expect that, and
-// ask again only much later.
+// JobState returns the state of a durable job, or false if this owner doesn't know the job.
+// For a running job it waits up to jobEndTimeout for the end: callers ask when they expect the
+// end, and ask again only much later.
 func (o *Owner) JobState(ctx context.Context, id string) (work.State, bool) {
 	if o.options.Jobs == nil {
 		return work.StateAbsent, false
@@ -218,17 +220,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, endWait)
 	defer cancel()
-	noted := make(chan struct{})
-	begun := make(chan bool, 1)
+	recorded := make(chan struct{})
+	started := make(chan bool, 1)
 	o.post(ctx, func(time.Duration) {
 		running := o.kept.ending[id] || o.state.Begun(id)
 		if running {
-			o.watch(id, noted)
+			o.watch(id, recorded)
 		}
-		begun <- running
+		started <- running
 	})
 	select {
-	case running := <-begun:
+	case running := <-started:
 		if !running {
 			return work.StateQueued, true
 		}
@@ -238,31 +240,31 @@
 		return state, true
 	}
 	select {
-	case <-noted:
+	case <-recorded:
 		return o.options.Jobs.State(id)
 	case <-o.done:
 	case <-ctx.Done():
-		o.post(context.WithoutCancel(ctx), func(time.Duration) { o.unwatch(id, noted) })
+		o.post(context.WithoutCancel(ctx), func(time.Duration) { o.unwatch(id, recorded) })
 	}
 	return work.StateRunning, true
 }
 
-// CancelJob cancels a kept job and tells how it stands once that is noted; false means
-// that this owner doesn't know it.
+// CancelJob cancels a durable job and returns its state once the end is recorded, or false if
+// this owner doesn't know the job.
 func (o *Owner) CancelJob(ctx context.Context, id string) (work.State, bool) {
 	if o.options.Jobs == nil {
 		return work.StateAbsent, false
 	}
-	noted := make(chan struct{})
+	recorded := make(chan struct{})
 	o.post(ctx, func(now time.Duration) {
 		if o.state.CancelKept(now, id) || o.kept.ending[id] {
-			o.watch(id, noted)
+			o.watch(id, recorded)
 			return
 		}
-		close(noted)
+		close(recorded)
 	})
 	select {
-	case <-noted:
+	case <-recorded:
 	case <-o.done:
 		return work.StateAbsent, false
 	case <-ctx.Done():
@@ -271,11 +273,11 @@
 	return o.options.Jobs.State(id)
 }
 
-// pendingInterval paces the count of jobs of which nothing has begun: callers are told
-// what may be 2 s old.
+// pendingInterval is the minimum time between two counts of pending jobs. Callers may get a
+// count that is up to 2 s old.
 const pendingInterval = 200 * time.Millisecond
 
-// countPending counts the jobs of which nothing has begun for those who ask.
+// countPending publishes the number of pending jobs.
 func (o *Owner) countPending(now time.Duration) {
 	if now-o.kept.countedAt < pendingInterval {
 		return
@@ -285,7 +287,7 @@
 	o.kept.pending.Store(&pending)
 }
 
-// PendingJobs counts the kept jobs of which nothing has begun, by queue.
+// PendingJobs returns the number of durable jobs of which nothing has started, by queue.
 func (o *Owner) PendingJobs() map[string]int32 {
 	if pending := o.kept.pending.Load(); pending != nil {
 		return *pending
--- a/owner/keepalives.go
+++ b/owner/keepalives.go
@@ -7,22 +7,23 @@
 	"github.com/burdockward/burdockward/scheduler"
 )
 
-// vouches are the words of entry VMs, of which there are many and none is urgent: they
-// wait for the owner's next message or tick. That saved 1 to 5 % of the processor time of a
-// calm day.
+// keepalives collects the keepalives of entry VMs until the loop's next message or tick. There
+// are many of them and none is urgent. Collecting them saves 1 to 5 % of the processor time
+// under low load.
 type vouches struct {
 	mu sync.Mutex
-	// until is when each entry VM's last word ends, givenUp the jobs that it has given up.
-	until   map[string]time.Duration
+	// until is when the keepalive of each entry VM expires.
+	until map[string]time.Duration
+	// givenUpJobs lists the jobs that each entry VM has given up.
 	givenUp map[string][]string
 }
 
-// maxGivenUp bounds the jobs of an entry VM that wait to be given up; each is named again
-// in the next pings.
+// maxGivenUpJobs bounds the collected jobs of an entry VM. A job beyond it is named again in the
+// entry VM's next pings.
 const maxGivenUp = 4096
 
-// Vouched says that an entry VM stands for its callers until a time, but for the jobs it
-// has given up.
+// RecordKeepalive records that the callers of an entry VM still wait, until the given time, for
+// all its jobs except those that it has given up.
 func (o *Owner) Vouched(entry string, until time.Duration, givenUp []string) {
 	v := &o.vouches
 	v.mu.Lock()
@@ -36,7 +37,7 @@
 	}
 }
 
-// pass tells the decisions what was said since the last call.
+// deliver gives the State what was collected since the last call.
 func (v *vouches) pass(now time.Duration, state *scheduler.State) {
 	v.mu.Lock()
 	until, givenUp := v.until, v.givenUp
--- a/owner/lag.go
+++ b/owner/lag.go
@@ -9,40 +9,42 @@
 	"github.com/burdockward/burdockward/scheduler"
 )
 
-// An owner that has less processor than its targets' work needs falls behind: what arrives
-// waits longer and longer to be read, until callers, targets and entry VMs take it for dead,
-// and its jobs are lost. So it tells how far it is behind, which turns entry VMs to others,
-// and refuses new jobs before that comes to be a loss.
+// An owner with too little processor time for its targets falls behind: messages wait longer and
+// longer, until callers, targets and entry VMs take the owner for dead and its jobs are lost.
+// To prevent that, an owner adds its delay to the loads that it reports, so that entry VMs choose
+// other owners, and above a threshold it refuses new jobs.
 
-// Figures of falling behind.
+// Limits of the delay.
 const (
-	// lagSlack is the longest pause that a quota of processor makes by itself.
+	// lagTolerance is the longest pause that a processor quota causes by itself.
 	lagSlack = 100 * time.Millisecond
-	// lagLimit is from where on new jobs are refused: well within the silence after which
-	// others give an owner up.
+	// shedThreshold is the delay above which new jobs are refused. It is well below the
+	// silence after which others give an owner up.
 	lagLimit = 150 * time.Millisecond
-	// lagFading leaves a tenth of what a job has waited after ten ticks without a new one.
+	// lagDecay, applied at each tick, leaves a tenth of the last wait after ten ticks without a
+	// new submission.
 	lagFading = 0.8
 )
 
-// lag measures how far the goroutine that decides is behind. It is safe for concurrent use.
+// lag measures the delay of the loop. It is safe for concurrent use.
 type lag struct {
-	// ticked is when it last ticked, on the boot clock; 0 before the first time.
+	// lastTick is when the loop last ticked, on the boot clock; 0 before the first tick.
 	ticked atomic.Int64
-	// waited is how long the last submission waited to be read, in nanoseconds.
+	// lastWait is how long the last submission waited for the loop, in nanoseconds.
 	waited atomic.Int64
 }
 
-// tick says that the goroutine ticks.
+// recordTick records a tick of the loop and lets the last wait decay.
 func (l *lag) tick(now time.Duration) {
 	l.ticked.Store(int64(now))
 	l.waited.Store(int64(lagFading * float64(l.waited.Load())))
 }
 
-// read says that a submission was read that had waited.
+// recordWait records how long a submission waited for the loop.
 func (l *lag) read(waited time.Duration) { l.waited.Store(int64(waited)) }
 
-// behind is how long what arrives now has to wait, as far as that is more than usual.
+// delay returns how long a message that arrives now will wait for the loop, or 0 if that is
+// within lagTolerance.
 func (l *lag) behind(now time.Duration) time.Duration {
 	behind := time.Duration(l.waited.Load())
 	if ticked := time.Duration(l.ticked.Load()); ticked > 0 {
@@ -54,24 +56,24 @@
 	return behind
 }
 
-// delayed are the loads of an owner that is behind: all waits are longer by as much, and it
-// has no room for others' tasks.
+// withDelay adds the delay of the loop to all waits in the loads. An owner that is behind
+// offers no capacity for other owners' tasks.
 func delayed(loads map[string]scheduler.Load, behind time.Duration) map[string]scheduler.Load {
 	if behind == 0 {
 		return loads
 	}
-	later := maps.Clone(loads)
-	for service, load := range later {
+	result := maps.Clone(loads)
+	for service, load := range result {
 		for i := range load.Wait {
 			load.Wait[i] += behind
 		}
 		load.Room = scheduler.Room{}
-		later[service] = load
+		result[service] = load
 	}
-	return later
+	return result
 }
 
-// tooFarBehind reports whether new jobs are to be refused, and when to come back.
+// shouldShed reports whether new jobs have to be refused, and after what time to try again.
 func (o *Owner) tooFarBehind() (retry time.Duration, is bool) {
 	behind := o.lag.behind(bootclock.Now())
 	return behind, behind > lagLimit
--- a/owner/reader.go
+++ b/owner/reader.go
@@ -9,49 +9,49 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// reader makes news of what the store tells of the registry. Each target writes its entry
-// once a heartbeat, and most of that says nothing new: it is left out here, so that the
-// decisions take time for what has changed alone, and a target that leaves isn't behind the
-// heartbeats of all others.
+// registryReader extracts the changes from what the store returns of the registry. Each target
+// rewrites its entry at each heartbeat, mostly without a change. Those rows are dropped here:
+// the loop spends time on changes alone, and the message that a target leaves doesn't wait
+// behind the heartbeats of all others.
 type reader struct {
 	domain string
-	// last holds what was last passed on.
+	// known holds the entry of each target as of the last read.
 	last  map[string]work.Target
 	log   *slog.Logger
 	count func(what, label string)
 }
 
-// news is what has changed in the registry.
+// registryChanges is what has changed in the registry.
 type news struct {
-	// changes are in the order in which they came.
+	// changes are in the order in which the store returned them.
 	changes []change
-	// whole says that present is all there is.
+	// snapshot is set if all rows were read; present then holds all targets of the domain.
 	whole   bool
 	present map[string]bool
 }
 
-// change is that of one entry.
+// targetChange is the change of one entry.
 type change struct {
 	id string
-	// target is nil where the entry names no target of the failure domain any more.
+	// target is nil if the entry no longer describes a target of the failure domain.
 	target *work.Target
 }
 
-// empty reports whether there is nothing to take.
+// isEmpty reports whether there is nothing to apply.
 func (n news) empty() bool { return !n.whole && len(n.changes) == 0 }
 
-// maxFaultyLines bounds the lines on faulty rows of one reading: hundreds of them would take
-// the place of all else that is logged in that second.
+// maxUnreadableRowLogs bounds the log lines on unreadable rows of one read. Hundreds of them
+// would use up the log's limit, so that other lines of that second would be dropped.
 const maxFaultyLines = 8
 
-// read takes an answer of the store.
+// read returns the changes in an answer of the store.
 func (r *reader) read(update mirror.Update) news {
 	n := news{whole: update.Whole}
 	if n.whole {
 		r.last = map[string]work.Target{}
 		n.present = map[string]bool{}
 	}
-	faulty := 0
+	unreadable := 0
 	for _, row := range update.Rows.Rows {
 		if row.Deleted {
 			r.drop(&n, row.Key)
@@ -61,7 +61,7 @@
 		switch {
 		case err != nil:
 			r.count("rows_unreadable", string(platform.TargetsTable))
-			if faulty++; faulty <= maxFaultyLines {
+			if unreadable++; unreadable <= maxFaultyLines {
 				r.log.Warn("row not understood", "table", platform.TargetsTable, "key", row.Key, "version", row.Version, "error", err)
 			}
 			r.drop(&n, row.Key)
@@ -71,13 +71,13 @@
 			r.pass(&n, target)
 		}
 	}
-	if faulty > maxFaultyLines {
-		r.log.Warn("more rows not understood", "table", platform.TargetsTable, "rows", faulty-maxFaultyLines)
+	if unreadable > maxFaultyLines {
+		r.log.Warn("more rows not understood", "table", platform.TargetsTable, "rows", unreadable-maxFaultyLines)
 	}
 	return n
 }
 
-// pass passes a target on that is new or has changed.
+// addIfChanged adds a target to the changes if it is new or has changed.
 func (r *reader) pass(n *news, target work.Target) {
 	if n.whole {
 		n.present[target.ID] = true
@@ -90,8 +90,8 @@
 	n.changes = append(n.changes, change{id: target.ID, target: &target})
 }
 
-// sameTarget reports whether two entries say the same of a target; that it gets warm is no
-// news.
+// sameTarget reports whether two entries of a target, the older one first, are equal. Progress
+// of the warm-up is no change.
 func sameTarget(a, b work.Target) bool {
 	if a.WarmIn > b.WarmIn {
 		a.WarmIn = b.WarmIn
@@ -99,7 +99,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// drop passes on that an entry names no target of the failure domain any more, if it did.
+// remove adds to the changes that an entry no longer describes a target of the failure domain,
+// if it did before.
 func (r *reader) drop(n *news, id string) {
 	if _, known := r.last[id]; known {
 		delete(r.last, id)
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -11,16 +11,17 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// registry is what the platform's store lists, kept apart from what the scheduler
-// may use while a former owner hands over.
+// registry holds the targets that the platform's store lists. While the previous owner hands
+// over, the scheduler gets only those that it has released.
 type registry struct {
 	listed map[string]work.Target
-	// read is set once the store has told what is listed.
+	// snapshotRead is set once the whole registry was read.
 	read bool
-	// handover is set while targets that aren't taken are the former owner's.
+	// handoverPending is set while targets that aren't in handedOver belong to the previous
+	// owner.
 	handover bool
 	taken    map[string]bool
-	// released are the targets that this owner gave to its successor.
+	// released lists the targets that this owner gave to its successor.
 	released []string
 }
 
@@ -28,14 +29,14 @@
 	return registry{listed: map[string]work.Target{}, handover: handover, taken: map[string]bool{}}
 }
 
-// tookRegistry reads what the store tells and passes on what is new.
+// registryUpdated extracts the changes from an update and posts them to the loop.
 func (o *Owner) tookRegistry(ctx context.Context, update mirror.Update) {
 	if n := o.reader.read(update); !n.empty() {
 		o.postNews(ctx, func(now time.Duration) { o.listed(now, n) })
 	}
 }
 
-// listed takes news of the registry.
+// applyRegistryChanges adds new and changed targets, and removes those that are gone.
 func (o *Owner) listed(now time.Duration, n news) {
 	for _, c := range n.changes {
 		if c.target == nil {
@@ -59,15 +60,16 @@
 	}
 }
 
-// unlist takes a target off the list whose entry is gone, or names no target of this
-// failure domain any more. Others than the target may have written it: the target is used
-// a little longer, until its own word may be back.
+// unlist removes a target whose entry is gone or no longer describes a target of this failure
+// domain. Since another writer may have done that, the scheduler uses the target a little
+// longer, until the target may have rewritten its entry.
 func (o *Owner) unlist(now time.Duration, id string) {
 	delete(o.registry.listed, id)
 	o.state.TargetMissing(now, id)
 }
 
-// offer passes a target on to the scheduler if it is this owner's.
+// addTarget gives a target to the scheduler, unless it still belongs to the previous owner or
+// already to the successor.
 func (o *Owner) offer(now time.Duration, target work.Target) {
 	if o.registry.handover && !o.registry.taken[target.ID] || slices.Contains(o.registry.released, target.ID) {
 		return
@@ -78,20 +80,20 @@
 
 // Times of a handover.
 const (
-	// handoverPause paces the questions to the former owner.
+	// handoverPollInterval is the time between two requests to the previous owner.
 	handoverPause = 40 * time.Millisecond
 )
 
-// takeOver asks the former owner for its targets until it has given all, or is
-// silent.
+// takeOverTargets asks the previous owner for its targets until it has released all of them or
+// has been silent for heartbeat.Silence.
 func (o *Owner) takeOver(ctx context.Context) {
-	heard := bootclock.Now()
+	lastAnswer := bootclock.Now()
 	for ctx.Err() == nil {
 		released, err := o.options.Former(ctx)
 		if err == nil {
-			heard = bootclock.Now()
+			lastAnswer = bootclock.Now()
 		}
-		silent := bootclock.Now()-heard > heartbeat.Silence
+		silent := bootclock.Now()-lastAnswer > heartbeat.Silence
 		o.post(ctx, func(now time.Duration) { o.takeTargets(now, released, silent) })
 		if released.All || silent {
 			o.options.Log.Info("handover ended", "group", o.options.Group, "silent", silent)
@@ -101,6 +103,9 @@
 	}
 }
 
+// applyReleased gives the scheduler the targets that the previous owner has released, and the
+// remaining ones once that owner has released all or is silent. Until the registry can be read,
+// the previous owner's copy of it is used.
 func (o *Owner) takeTargets(now time.Duration, released Released, silent bool) {
 	for _, id := range released.Targets {
 		o.registry.taken[id] = true
--- a/owner/rejoin.go
+++ b/owner/rejoin.go
@@ -8,16 +8,16 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// A connection between two VMs may break while both go on. The job that was asked for over
-// it goes on as well for a moment, so that the entry VM, which says at once what it has
-// given up, can ask for the answer over another connection.
+// A connection between an entry VM and an owner may break while both keep running. A job that
+// was requested over it continues for RejoinTimeout, so that the entry VM can ask for the answer
+// over another connection. If the entry VM has given the job up, its next ping says so.
 
-// DefaultRejoinTime is how long a job goes on whose connection broke: a few round trips
-// between failure domains, and the next ping, which tells what is given up.
+// DefaultRejoinTimeout is how long a job continues after its connection broke. It allows for a
+// few round trips between failure domains and for the next ping, which names the jobs given up.
 const DefaultRejoinTime = 80 * time.Millisecond
 
-// awaitRejoin waits for another request to take the place of one whose connection broke,
-// which then has its outcome, or for the job's end.
+// awaitRejoin waits up to RejoinTimeout until another request has taken the place of one whose
+// connection broke, or until the job has ended. The outcome channel gets a value either way.
 func (o *Owner) awaitRejoin(outcome chan work.Outcome) {
 	timer := time.NewTimer(o.options.RejoinTime)
 	defer timer.Stop()
@@ -28,30 +28,32 @@
 	}
 }
 
-// Rejoin waits for the outcome of a job of which the owner was asked some time ago, over a
-// connection that broke. A job that is absent has one only where it is begun then.
+// Rejoin waits for the outcome of a job that was requested some time ago over a connection that
+// broke. If the job is absent and begin is set, it is submitted now; if begin is not set, there
+// is no outcome to wait for.
 func (o *Owner) Rejoin(ctx context.Context, sub scheduler.Submission, ago time.Duration, begin bool) (work.Outcome, scheduler.Presence) {
 	outcome := make(chan work.Outcome, 1)
 	presence := make(chan scheduler.Presence, 1)
 	var ref scheduler.Ref
 	o.post(ctx, func(now time.Duration) {
 		ref = o.await(&sub, outcome)
-		// Another owner in this process may have been given it before this one was made.
+		// If this owner is newer than the request, an earlier owner in this process may have
+		// got the job.
 		mine := now-ago > o.made
-		here := o.state.Rejoin(now, sub, ago, begin && mine)
-		if here == scheduler.Absent && !mine {
-			here = scheduler.Forgotten
+		found := o.state.Rejoin(now, sub, ago, begin && mine)
+		if found == scheduler.Absent && !mine {
+			found = scheduler.Forgotten
 		}
-		if !answers(here, begin) {
+		if !answers(found, begin) {
 			delete(o.waiting, ref)
 		}
-		presence <- here
+		presence <- found
 	})
-	var here scheduler.Presence
+	var found scheduler.Presence
 	select {
-	case here = <-presence:
-		if !answers(here, begin) {
-			return work.Outcome{Result: work.Unknown, Reason: "the connection broke, and the owner knows the job no more"}, here
+	case found = <-presence:
+		if !answers(found, begin) {
+			return work.Outcome{Result: work.Unknown, Reason: "the connection broke, and the owner knows the job no more"}, found
 		}
 	case <-o.done:
 		return work.Outcome{Result: work.Unknown, Reason: "the owner has ended"}, scheduler.Forgotten
@@ -60,22 +62,22 @@
 	}
 	select {
 	case result := <-outcome:
-		return result, here
+		return result, found
 	case <-o.done:
 		select {
 		case result := <-outcome:
-			return result, here
+			return result, found
 		default:
-			return work.Outcome{Result: work.Unknown, Reason: "the owner has ended"}, here
+			return work.Outcome{Result: work.Unknown, Reason: "the owner has ended"}, found
 		}
 	case <-ctx.Done():
 	}
 	o.awaitRejoin(outcome)
 	o.post(context.WithoutCancel(ctx), func(now time.Duration) { o.state.Cancel(now, ref) })
-	return work.Outcome{Result: work.Unknown, Reason: "the caller left"}, here
+	return work.Outcome{Result: work.Unknown, Reason: "the caller left"}, found
 }
 
-// answers reports whether a job that is asked for again has an answer of the owner's.
-func answers(here scheduler.Presence, begin bool) bool {
-	return here == scheduler.Present || here == scheduler.Absent && begin
+// hasAnswer reports whether this owner will have the outcome of a job that is requested again.
+func answers(found scheduler.Presence, begin bool) bool {
+	return found == scheduler.Present || found == scheduler.Absent && begin
 }
--- a/owner/status.go
+++ b/owner/status.go
@@ -6,10 +6,10 @@
 	"github.com/burdockward/burdockward/bootclock"
 )
 
-// statusInterval paces the lines that tell how busy an owner is.
+// statusInterval is the time between two status lines.
 const statusInterval = time.Second
 
-// status logs how busy the owner is, once a statusInterval.
+// logStatus logs and exports how busy the owner is, once each statusInterval.
 func (o *Owner) status() {
 	now := bootclock.Now()
 	if now-o.statusAt < statusInterval {
@@ -33,7 +33,7 @@
 	}
 }
 
-// cordonedValue is 1 while nothing may be started on the targets.
+// cordonedValue returns the gauge's value: 1 while nothing may be started on the targets.
 func cordonedValue(cordoned bool) int {
 	if cordoned {
 		return 1
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -10,10 +10,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// fullRetry is told when the owner has more submissions than it can look at.
+// queueFullRetryAfter is told to callers when the submission queue is full.
 const fullRetry = time.Second
 
-// Submit runs a job to its end. The end of the context gives it up.
+// Submit runs a job and returns its outcome. The end of the context gives the job up. A durable
+// job has its outcome as soon as it is stored.
 func (o *Owner) Submit(ctx context.Context, sub scheduler.Submission) work.Outcome {
 	if retry, is := o.tooFarBehind(); is {
 		o.options.Count("jobs", "shed")
@@ -21,10 +22,10 @@
 	}
 	outcome := make(chan work.Outcome, 1)
 	var ref scheduler.Ref
-	taken := make(chan struct{})
+	handled := make(chan struct{})
 	arrived := time.Now()
-	accepted := o.submissions.Offer(func(now time.Duration) {
-		defer close(taken)
+	queued := o.submissions.Offer(func(now time.Duration) {
+		defer close(handled)
 		ref = o.await(&sub, outcome)
 		waited := time.Since(arrived)
 		o.lag.read(waited)
@@ -34,7 +35,7 @@
 		}
 		o.state.Submit(now, sub)
 	})
-	if !accepted {
+	if !queued {
 		return work.Outcome{Result: work.Refused, Reason: "too many submissions at once", RetryAfter: fullRetry}
 	}
 	select {
@@ -47,11 +48,11 @@
 	if sub.Entry != "" && !sub.Job.Kept {
 		o.awaitRejoin(outcome)
 	}
-	o.cancel(ctx, taken, &ref)
+	o.cancel(ctx, handled, &ref)
 	return work.Outcome{Result: work.Unknown, Reason: "the caller left"}
 }
 
-// await makes an outcome channel that of a submission's answer.
+// addWaiter gives a submission its reference and has its outcome sent to a channel.
 func (o *Owner) await(sub *scheduler.Submission, outcome chan work.Outcome) scheduler.Ref {
 	o.lastRef++
 	sub.Ref = o.lastRef
@@ -59,8 +60,8 @@
 	return sub.Ref
 }
 
-// afterEnd takes the answer that the loop gave at its end; a submission that it
-// never took was not run.
+// outcomeAfterEnd returns the outcome that the loop sent before it ended. A submission that the
+// loop never handled was not run.
 func (o *Owner) afterEnd(outcome chan work.Outcome) work.Outcome {
 	select {
 	case result := <-outcome:
@@ -70,28 +71,29 @@
 	}
 }
 
-// cancel gives up a submission once the loop has taken it.
-func (o *Owner) cancel(ctx context.Context, taken chan struct{}, ref *scheduler.Ref) {
+// cancel gives up a submission once the loop has handled it.
+func (o *Owner) cancel(ctx context.Context, handled chan struct{}, ref *scheduler.Ref) {
 	o.post(context.WithoutCancel(ctx), func(now time.Duration) {
 		select {
-		case <-taken:
+		case <-handled:
 			o.state.Cancel(now, *ref)
 		default:
-			// Still in the ring behind this message: look again afterwards.
-			go o.cancelLater(taken, ref)
+			// The submission is still queued: wait until the loop has handled it.
+			go o.cancelLater(handled, ref)
 		}
 	})
 }
 
-func (o *Owner) cancelLater(taken chan struct{}, ref *scheduler.Ref) {
+// cancelLater waits until the loop has handled a submission, then cancels it.
+func (o *Owner) cancelLater(handled chan struct{}, ref *scheduler.Ref) {
 	select {
-	case <-taken:
+	case <-handled:
 		o.post(context.Background(), func(now time.Duration) { o.state.Cancel(now, *ref) })
 	case <-o.done:
 	}
 }
 
-// answer tells a caller how its submission ended.
+// answerCaller sends the outcome of a submission to the goroutine that waits for it.
 func (o *Owner) answer(e scheduler.Answer) {
 	if waiter := o.waiting[e.Ref]; waiter != nil {
 		delete(o.waiting, e.Ref)
@@ -101,7 +103,7 @@
 	}
 }
 
-// observe takes how long a job waited and ran.
+// observeTimes records how long a job waited and ran.
 func (o *Owner) observe(times scheduler.Times) {
 	if times != (scheduler.Times{}) {
 		o.options.Observe("job_wait", times.Wait)
@@ -109,23 +111,24 @@
 	}
 }
 
-// Leave stops taking jobs and hands back those of which nothing was started.
+// Leave stops accepting jobs and returns those of which nothing was started to their callers.
 func (o *Owner) Leave(ctx context.Context) {
 	o.post(ctx, o.state.Leave)
 }
 
-// Released is what an owner tells its successor.
+// Released is an owner's answer to its successor, which takes over its targets.
 type Released struct {
-	// Targets are used no more by the former owner.
+	// Targets lists the targets that the answering owner no longer uses.
 	Targets []string
-	// All says that it uses none any more.
+	// All means that it uses no target any more.
 	All bool
-	// Listed is the registry as the former owner knows it, since the successor may
+	// Registry is the registry as the answering owner knows it, because the successor may
 	// be cut off from the store.
 	Listed []work.Target
 }
 
-// Release takes targets out of use that nothing runs on, for a successor.
+// Release stops using the targets on which nothing runs, and returns all that were released for
+// the successor so far.
 func (o *Owner) Release(ctx context.Context) Released {
 	answer := make(chan Released, 1)
 	o.post(ctx, func(time.Duration) {
