--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -1,7 +1,13 @@
-// Package ownership agrees, through the platform's store, on which VM owns a group
-// of targets. A claim is a row that is written under the condition that it hasn't
-// changed; the version of the written row is the owner's fencing token, which
-// therefore rises with each owner.
+// Package ownership decides which VM owns a group of targets.
+//
+// Its input are the claims in the platform's store, the heartbeats of owners and the processor
+// share of this VM. Its output are the claims that it writes for this VM or, when this VM leaves,
+// for a successor.
+//
+// A claim is a row that is written only if it hasn't changed since it was read. The version of
+// the written row is the owner's fencing token, so the token rises with each owner. While the
+// store is away, an owner can hand its claim over directly. The claim then keeps its version,
+// and the number of such handovers orders the claims; the successor writes it to the store later.
 package ownership
 
 import (
@@ -12,15 +18,15 @@
 	"github.com/burdockward/burdockward/link/linkpb"
 )
 
-// Held is a claim. Its version, that of the row in the store, is the fencing token,
-// also after it was passed on by its owner while the store was away.
+// GroupClaim is the claim of a group. Its version is the version of the row in the store and the
+// fencing token, also after its owner handed it over while the store was away.
 type Held struct {
 	Group   string
 	Claim   *linkpb.Claim
 	Version int64
 }
 
-// Newer reports whether a claim goes before another of the same group.
+// IsNewerThan reports whether the claim replaces another claim of the same group.
 func (h Held) Newer(than Held) bool {
 	if h.Version != than.Version {
 		return h.Version > than.Version
@@ -28,44 +34,45 @@
 	return h.Claim.GetPassed() > than.Claim.GetPassed()
 }
 
-// Wire is the message of a claim.
+// ToWire returns the claim as a message.
 func (h Held) Wire() *linkpb.Owned {
 	return &linkpb.Owned{Group: h.Group, Claim: h.Claim, Version: h.Version}
 }
 
-// FromWire is the claim of a message.
+// FromWire returns the claim in a message.
 func FromWire(wire *linkpb.Owned) Held {
 	return Held{Group: wire.GetGroup(), Claim: wire.GetClaim(), Version: wire.GetVersion()}
 }
 
-// Belief is what a decision about a group rests on.
+// Observation is what a VM knows when it decides whether to claim a group.
 type Belief struct {
-	// Held is the claim in the store; nil while nobody has claimed the group.
+	// Current is the newest known claim; nil while nobody has claimed the group.
 	Held *Held
-	// VM and Life are this VM's.
+	// VM and Incarnation are those of this VM.
 	VM   string
 	Life uint64
-	// Silent is how long the owner has not been heard.
+	// OwnerSilent is the time since the owner's last heartbeat.
 	Silent time.Duration
-	// Dead says that the owner's process has certainly ended.
+	// OwnerDead means that the owner's process has certainly ended.
 	Dead bool
-	// Waited is how long the claim has been known as it is.
+	// ClaimAge is how long this VM has known the claim in its present version or, without
+	// a claim, how long this VM has run.
 	Waited time.Duration
-	// Patience is what this VM waits beyond the usual, so that the strongest VM
-	// claims first and the others see it.
+	// ClaimDelay is how long this VM waits beyond the usual time, so that the strongest VM
+	// claims first and the others see its claim.
 	Patience time.Duration
 }
 
-// Take decides whether to claim a group.
+// ShouldClaim reports whether this VM should write a claim of the group now.
 func Take(b Belief) bool {
 	switch {
 	case b.Held == nil:
 		return b.Waited >= b.Patience
 	case b.Held.Claim.GetLife() == b.Life:
-		// A claim that was passed on isn't in the store yet.
+		// A claim that was handed over directly isn't in the store yet.
 		return b.Held.Claim.GetPassed() > 0
 	case b.Held.Claim.GetVm() == b.VM:
-		// An earlier life of this VM, which has ended.
+		// The owner is an earlier incarnation of this VM, which has ended.
 		return true
 	case b.Dead:
 		return b.Waited >= b.Patience
@@ -74,33 +81,34 @@
 	}
 }
 
-// Figures of the patience.
+// Parameters of the claim delay.
 const (
-	// weakShare of a core is too little to own a grown failure domain, whose owner
-	// was seen to use up to a fifth of a core in the mean.
+	// weakCPUShare is the share of a core below which a VM is too weak to own a fully grown
+	// failure domain, whose owner uses up to a fifth of a core on average.
 	weakShare = 0.3
-	// weakPatience lets any stronger VM claim first.
+	// weakClaimDelay lets any stronger VM claim first.
 	weakPatience = 200 * time.Millisecond
-	// drawSteps and drawStep keep VMs of equal strength apart by more than a
-	// write to the store takes.
+	// claimDelaySteps and claimDelayStep separate the claims of equally strong VMs by more
+	// than a write to the store takes.
 	drawSteps = 8
 	drawStep  = 15 * time.Millisecond
 )
 
-// PatienceOf derives a VM's patience from its share of a core and its name.
+// ClaimDelay returns how long a VM delays its claims, derived from its share of a core and its
+// name.
 func PatienceOf(vm string, cpuShare float64) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(vm))
-	draw := time.Duration(hash.Sum32()%drawSteps) * drawStep
+	delay := time.Duration(hash.Sum32()%drawSteps) * drawStep
 	if cpuShare < weakShare {
-		return weakPatience + draw
+		return weakPatience + delay
 	}
-	return draw
+	return delay
 }
 
-// Successor chooses the VM that takes over from a leaving owner: the strongest of
-// the failure domain, among equals the one that started last, since it is the
-// least likely to be the next to leave.
+// ChooseSuccessor returns the VM that takes over from a leaving owner: the strongest of the
+// failure domain. Among equals it is the one that started last, as the least likely one to leave
+// next.
 func Successor(domain string, pingers []heartbeat.Pinger) (heartbeat.Pinger, bool) {
 	var best heartbeat.Pinger
 	found := false
@@ -115,20 +123,22 @@
 	return best, found
 }
 
-// muchStronger times an owner's share of a core is what another VM must have for the
-// owner to hand over to it unasked.
+// handOverFactor is how many times an owner's share of a core another VM must have for the owner
+// to hand over to it without leaving itself.
 const muchStronger = 2
 
-// settledTime is how long a VM has to be heard before it is given a group unasked: one
-// that has just started has read the claims and the configuration by then.
+// minSuccessorAge is how long the pings of a VM must have come before an owner that isn't leaving
+// hands over to it. By then a VM that has just started has read the claims and the configuration.
 const settledTime = 250 * time.Millisecond
 
-// Stronger reports whether a VM should own a group instead of its present owner.
+// ShouldHandOver reports whether the best successor should own a group instead of its present
+// owner, whose share of a core is own.
 func Stronger(domain string, own int32, pingers []heartbeat.Pinger, now time.Duration) bool {
 	best, ok := Successor(domain, pingers)
 	return ok && best.CPUShare >= muchStronger*own && now-best.First >= settledTime
 }
 
+// isBetterSuccessor reports whether ChooseSuccessor prefers a to b.
 func better(a, b heartbeat.Pinger) bool {
 	if a.CPUShare != b.CPUShare {
 		return a.CPUShare > b.CPUShare
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -19,18 +19,19 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// claimsTable holds a row for each group.
+// claimsTable has a row for each group.
 const claimsTable platform.Table = "owners"
 
 // Times of the keeper.
 const (
-	// feedWait bounds how long a dead connection to the store goes unnoticed.
+	// feedTimeout bounds how long a dead connection to the store goes unnoticed.
 	feedWait = 3 * time.Second
-	// decideInterval is a fraction of the heartbeat's silence.
+	// decideInterval is the time between two decisions, a fraction of heartbeat.Silence.
 	decideInterval = 40 * time.Millisecond
-	// writePause paces the tries of a claim.
+	// claimRetryInterval is the minimum time between two attempts to write a claim.
 	writePause = 250 * time.Millisecond
-	// handOverWrite bounds the write of a handover: the grace of a stop is short.
+	// handOverWriteTimeout bounds the write of a handover, because a stopping process has
+	// little time.
 	handOverWrite = 400 * time.Millisecond
 )
 
@@ -41,7 +42,7 @@
 	Get(ctx context.Context, table platform.Table, part, key string) (platform.Rows, error)
 }
 
-// Peers tells what was heard of owners.
+// Peers returns what is known of an owner from its heartbeats.
 type Peers interface {
 	View(life uint64) (heartbeat.View, bool)
 }
@@ -50,19 +51,19 @@
 type Options struct {
 	Self  heartbeat.Self
 	Group string
-	// Patience is what this VM waits beyond the usual; nil for nothing.
+	// ClaimDelay returns how long this VM delays its claims; nil means no delay.
 	Patience func() time.Duration
 	Log      *slog.Logger
-	// Changed is told of all claims after each change; it must not block.
+	// ClaimsChanged is called with all claims after each change; it must not block.
 	Changed func([]Held)
-	// Heard is told when the store has answered; it must not block, and may be nil.
+	// StoreAnswered is called when the store has answered; it must not block, and may be nil.
 	Heard func(now time.Duration)
-	// Count counts the changes of owners; it must not block.
+	// Count counts changes of owners and unreadable rows; it must not block.
 	Count func(what, label string)
 }
 
-// Keeper keeps the claims and takes the group of its own failure domain when its
-// owner is gone.
+// Keeper follows the claims of all groups, and claims the group of its own failure domain when
+// that group's owner is gone.
 type Keeper struct {
 	options Options
 	store   Store
@@ -70,18 +71,18 @@
 
 	mu     sync.Mutex
 	claims map[string]Held
-	// known is when each claim was first seen as it is.
+	// seenAt is when each claim was first seen in its present version.
 	known map[string]time.Duration
-	// read says that the store or a peer has told what claims there are.
+	// claimsRead is set once the claims were read from the store.
 	read    bool
 	started time.Duration
 	leaving bool
 	lastTry time.Duration
-	// dead holds the lives of owners that have certainly ended.
+	// deadOwners holds the incarnations of owners whose processes have certainly ended.
 	dead map[uint64]bool
 }
 
-// New makes a keeper that claims nothing before it has read the claims.
+// New returns a keeper that claims nothing before it has read the claims.
 func New(o Options, store Store, peers Peers) *Keeper {
 	if o.Patience == nil {
 		o.Patience = func() time.Duration { return 0 }
@@ -92,7 +93,7 @@
 	}
 }
 
-// Run follows the claims and decides until the context ends.
+// Run follows the claims, and claims the group whenever it should, until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -102,22 +103,22 @@
 	return g.Wait()
 }
 
-// Leave stops claiming.
+// Leave stops writing claims for this VM.
 func (k *Keeper) Leave() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leaving = true
 }
 
-// Died says that a life of a VM has certainly ended, so that nothing needs to wait
-// for its silence.
-func (k *Keeper) Died(life uint64) {
+// OwnerDied records that an incarnation of a VM has certainly ended, so that a claim of its group
+// needn't wait until it has been silent.
+func (k *Keeper) Died(incarnation uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, held := range k.claims {
-		if held.Claim.GetLife() == life && !k.dead[life] {
-			k.options.Log.Warn("owner died", "group", held.Group, "owner", held.Claim.GetVm())
-			k.dead[life] = true
+	for _, claim := range k.claims {
+		if claim.Claim.GetLife() == incarnation && !k.dead[incarnation] {
+			k.options.Log.Warn("owner died", "group", claim.Group, "owner", claim.Claim.GetVm())
+			k.dead[incarnation] = true
 		}
 	}
 }
@@ -126,17 +127,18 @@
 func (k *Keeper) Claim() (Held, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, ok := k.claims[k.options.Group]
-	return held, ok
+	claim, ok := k.claims[k.options.Group]
+	return claim, ok
 }
 
-// Claims lists the claims by group.
+// Claims returns the claims of all groups, sorted by group.
 func (k *Keeper) Claims() []Held {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.list()
 }
 
+// sortedClaims is Claims for callers that hold the lock.
 func (k *Keeper) list() []Held {
 	list := slices.Collect(maps.Values(k.claims))
 	slices.SortFunc(list, func(a, b Held) int {
@@ -148,16 +150,17 @@
 	return list
 }
 
-// Merge takes claims that another VM has read.
+// Merge adds claims that another VM has read, wherever they are newer.
 func (k *Keeper) Merge(claims []Held) {
 	k.mu.Lock()
-	for _, held := range claims {
-		k.adopt(held)
+	for _, claim := range claims {
+		k.adopt(claim)
 	}
 	k.mu.Unlock()
 	k.notify()
 }
 
+// applyUpdate adds the claims in rows of the store.
 func (k *Keeper) take(update mirror.Update) {
 	k.mu.Lock()
 	k.read = true
@@ -167,7 +170,7 @@
 		}
 		claim := &linkpb.Claim{}
 		if err := proto.Unmarshal(row.Value, claim); err != nil {
-			// Whoever wrote it owns nothing; the next claim needs its version.
+			// An unreadable claim has no owner, but the next claim needs the row's version.
 			k.options.Count("rows_unreadable", string(claimsTable))
 			k.options.Log.Warn("row not understood", "table", claimsTable, "key", row.Key, "version", row.Version, "error", err)
 			claim = &linkpb.Claim{}
@@ -178,7 +181,7 @@
 	k.notify()
 }
 
-// adopt keeps the newer of two claims.
+// keepNewer keeps a claim if it is newer than the known one of its group.
 func (k *Keeper) adopt(held Held) {
 	old, known := k.claims[held.Group]
 	if known && !held.Newer(old) {
@@ -194,6 +197,7 @@
 
 func (k *Keeper) notify() { k.options.Changed(k.Claims()) }
 
+// decide calls claimIfDue at each decideInterval until the context ends.
 func (k *Keeper) decide(ctx context.Context) {
 	ticker := time.NewTicker(decideInterval)
 	defer ticker.Stop()
@@ -207,7 +211,8 @@
 	}
 }
 
-// consider claims the group where its owner is gone.
+// claimIfDue writes a claim for this VM if ShouldClaim says so, unless the claims aren't read yet,
+// this VM leaves, or the last attempt is too recent.
 func (k *Keeper) consider(ctx context.Context) {
 	now := bootclock.Now()
 	k.mu.Lock()
@@ -234,23 +239,25 @@
 	}
 }
 
+// observe returns what is known of the group now. The caller holds the lock. An owner that was
+// never heard counts as silent since its claim was first seen.
 func (k *Keeper) belief(now time.Duration) Belief {
-	b := Belief{VM: k.options.Self.VM, Life: k.options.Self.Life, Patience: k.options.Patience(), Waited: now - k.started}
-	held, ok := k.claims[k.options.Group]
+	o := Belief{VM: k.options.Self.VM, Life: k.options.Self.Life, Patience: k.options.Patience(), Waited: now - k.started}
+	claim, ok := k.claims[k.options.Group]
 	if !ok {
-		return b
+		return o
 	}
-	b.Held = &held
-	b.Waited = now - k.known[held.Group]
-	b.Silent = b.Waited
-	b.Dead = k.dead[held.Claim.GetLife()]
-	if view, ok := k.peers.View(held.Claim.GetLife()); ok && view.Heard > 0 {
-		b.Silent = now - view.Heard
+	o.Held = &claim
+	o.Waited = now - k.known[claim.Group]
+	o.Silent = o.Waited
+	o.Dead = k.dead[claim.Claim.GetLife()]
+	if view, ok := k.peers.View(claim.Claim.GetLife()); ok && view.Heard > 0 {
+		o.Silent = now - view.Heard
 	}
-	return b
+	return o
 }
 
-// write puts a claim and takes it over at once, ahead of the feed.
+// writeClaim writes a claim to the store and merges it immediately, before the feed returns it.
 func (k *Keeper) write(ctx context.Context, claim *linkpb.Claim, expected int64) error {
 	value, err := proto.Marshal(claim)
 	if err != nil {
@@ -258,44 +265,44 @@
 	}
 	version, err := k.store.Put(ctx, claimsTable, k.options.Group, value, expected)
 	if err != nil {
-		// A lost answer is settled by the feed: the row tells who owns the group.
+		// If the answer was lost, the row in the feed shows who owns the group.
 		return err
 	}
 	k.Merge([]Held{{Group: k.options.Group, Claim: claim, Version: version}})
 	return nil
 }
 
-// ErrNoSuccessor says that no other VM of the failure domain is known.
+// ErrNoSuccessor means that no other VM of the failure domain is known.
 var ErrNoSuccessor = errors.New("no successor: no other VM of the failure domain sends heartbeats")
 
-// Confirm asks the store whether no newer claim of the group lies there than this VM's own.
+// ConfirmOwnership asks the store whether this VM's claim is still the newest one of the group.
 func (k *Keeper) Confirm(ctx context.Context) (bool, error) {
 	rows, err := k.store.Get(ctx, claimsTable, "", k.options.Group)
 	if err != nil {
 		return false, err
 	}
-	held, known := k.Claim()
-	if !known || held.Claim.GetLife() != k.options.Self.Life {
+	claim, known := k.Claim()
+	if !known || claim.Claim.GetLife() != k.options.Self.Life {
 		return false, nil
 	}
-	return len(rows.Rows) == 0 || rows.Rows[0].Version <= held.Version, nil
+	return len(rows.Rows) == 0 || rows.Rows[0].Version <= claim.Version, nil
 }
 
-// Passer tells another VM that it owns a group now.
+// ClaimSender tells another VM directly that it owns a group now.
 type Passer interface {
-	Pass(ctx context.Context, address string, held Held) error
+	Pass(ctx context.Context, address string, claim Held) error
 }
 
-// HandOver makes another VM the owner of the group, which this VM owns: through the
-// store, or by word while the store is away. Either way only this VM, which the
-// targets obey, gives its place.
-func (k *Keeper) HandOver(ctx context.Context, pingers []heartbeat.Pinger, passer Passer) error {
+// HandOver makes another VM the owner of the group, which this VM owns: through the store or,
+// while the store is away, by a direct message. Both are safe, because only this VM holds the
+// token that the targets accept, and so only this VM can give up the claim.
+func (k *Keeper) HandOver(ctx context.Context, pingers []heartbeat.Pinger, sender Passer) error {
 	to, ok := Successor(k.options.Self.FailureDomain, pingers)
 	if !ok {
 		return ErrNoSuccessor
 	}
 	k.mu.Lock()
-	held := k.claims[k.options.Group]
+	own := k.claims[k.options.Group]
 	k.mu.Unlock()
 	claim := &linkpb.Claim{
 		Vm: to.VM, Life: to.Life, Control: to.Control, Heartbeat: to.Heartbeat,
@@ -303,15 +310,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, handOverWrite)
 	defer cancel()
-	err := k.write(ctx, claim, held.Version)
+	err := k.write(ctx, claim, own.Version)
 	if err == nil || errors.Is(err, platform.ErrConflict) {
 		return err
 	}
 	k.options.Log.Warn("passing the claim on without the store", "group", k.options.Group, "to", to.VM, "error", err)
-	claim.Passed = held.Claim.GetPassed() + 1
-	passed := Held{Group: k.options.Group, Claim: claim, Version: held.Version}
-	// An answer that is lost changes nothing: the successor may own the group.
-	err = passer.Pass(context.WithoutCancel(ctx), to.Control, passed)
-	k.Merge([]Held{passed})
+	claim.Passed = own.Claim.GetPassed() + 1
+	handedOver := Held{Group: k.options.Group, Claim: claim, Version: own.Version}
+	// The claim is merged also if no answer came, because the successor may own the group.
+	err = sender.Pass(context.WithoutCancel(ctx), to.Control, handedOver)
+	k.Merge([]Held{handedOver})
 	return err
 }
