--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -1,9 +1,10 @@
-// Package cordon holds which failure domains the operator has cordoned: nothing is started
-// on their targets until the cordon is taken back, and what runs there ends there.
+// Package cordon holds which failure domains the operator has cordoned: nothing is started on
+// their targets until the cordon is removed, and what runs there runs to its end.
 //
-// A View is the operator's word as of one version of the store. Of two views the one with
-// the higher version holds, wherever it came from: the store itself, or another VM where the
-// store turns this one away. So an old word neither lifts a cordon nor brings one back.
+// Its input are the rows of the operator's table and the views of other VMs, which are needed
+// while the store refuses this VM. Its output is the newest View and a call for each change. A
+// View is the set of cordons at one version of the store. The View with the higher version always
+// wins, wherever it came from, so an outdated one neither removes a cordon nor restores one.
 package cordon
 
 import (
@@ -15,22 +16,21 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// View is which failure domains are cordoned as of one version of the store. It doesn't
-// change.
+// View is the set of cordoned failure domains at one version of the store. It is immutable.
 type View struct {
-	// Version is the store's; 0 says that nothing is known.
+	// Version is the version of the store; 0 means that nothing is known.
 	Version int64
-	// Domains are the cordoned failure domains in ascending order.
+	// Domains lists the cordoned failure domains in ascending order.
 	Domains []string
 }
 
-// Known reports whether the view says anything.
+// IsKnown reports whether the view was read from the store, by this VM or another one.
 func (v View) Known() bool { return v.Version > 0 }
 
-// Has reports whether a failure domain is cordoned.
+// IsCordoned reports whether a failure domain is cordoned.
 func (v View) Has(domain string) bool { return slices.Contains(v.Domains, domain) }
 
-// Wire is the view as VMs tell each other; nil while nothing is known.
+// ToWire returns the view as a message between VMs; nil while nothing is known.
 func (v View) Wire() *linkpb.Cordons {
 	if !v.Known() {
 		return nil
@@ -38,20 +38,20 @@
 	return &linkpb.Cordons{Version: v.Version, Domains: v.Domains}
 }
 
-// FromWire is the view that another VM tells of.
+// FromWire returns the view in a message of another VM.
 func FromWire(w *linkpb.Cordons) View {
 	return View{Version: w.GetVersion(), Domains: w.GetDomains()}
 }
 
-// Reader makes views of what the store tells of the operator's table.
+// Reader makes views from the updates of the operator's table.
 type Reader struct {
-	// domains are the cordoned ones as of the newest update.
+	// cordoned holds the cordoned failure domains as of the newest update.
 	domains map[string]bool
-	// Ignored is told of each row that names no failure domain of the deployment.
+	// RowIgnored is called for each cordon row that names no failure domain.
 	Ignored func(row platform.Row, err error)
 }
 
-// Take returns the view after an update.
+// Apply applies an update and returns the view after it.
 func (r *Reader) Take(update mirror.Update) View {
 	if update.Whole || r.domains == nil {
 		r.domains = map[string]bool{}
@@ -76,24 +76,24 @@
 	return view
 }
 
-// Board holds the newest view that this process has seen. It is safe for concurrent use.
+// LatestView holds the newest view that this process has seen. It is safe for concurrent use.
 type Board struct {
-	// Changed is told each view that says something else than the one before, and where it
-	// came from, one at a time.
+	// Changed is called, one call at a time, for the first known view and for each view that
+	// differs from the one before; from says where the view came from.
 	Changed func(from string, before, after View)
 
 	mu   sync.Mutex
 	view View
 }
 
-// View is the newest view.
+// View returns the newest view.
 func (b *Board) View() View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
 }
 
-// Offer takes a view that is newer than the one held.
+// Update replaces the view by one with a higher version and ignores any other.
 func (b *Board) Offer(view View, from string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,4 +1,9 @@
-// Package mirror follows tables of the platform's store through its outages.
+// Package mirror follows tables of the platform's store through the store's outages.
+//
+// Its input are a full read of a table and then the feed of its changes. Its output is an Update
+// for each non-empty answer. After an outage the feed continues from the last version seen. When
+// the store no longer has the history since that version, the table is read in full again, and
+// that Update is marked as a snapshot.
 package mirror
 
 import (
@@ -11,39 +16,39 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// Source is the part of the store that a mirror reads.
+// Source is the part of the store that Follow reads.
 type Source interface {
 	Read(ctx context.Context, table platform.Table) (platform.Rows, error)
 	Feed(ctx context.Context, table platform.Table, after int64, wait time.Duration) (platform.Rows, error)
 }
 
-// Options of a mirror.
+// Options of Follow.
 type Options struct {
 	Table platform.Table
-	// Wait is how long a feed waits by itself; it also bounds how long a dead
-	// connection goes unnoticed.
+	// FeedWait is how long the store holds a feed request back while there is no change. It
+	// also bounds how long a dead connection goes unnoticed.
 	Wait time.Duration
-	// Pace is the least time between two feeds, so that rows which change all the
-	// time come in batches. A feed that is behind goes on without a pause: where more rows
-	// change than one answer holds, it would fall behind for good.
+	// MinInterval is the minimum time between two feed requests, so that rows which change all
+	// the time come in batches. A feed that is behind continues without a pause. Otherwise it
+	// would never catch up where more rows change in MinInterval than one answer holds.
 	Pace time.Duration
 	Log  *slog.Logger
-	// Heard is told when the store has answered; it must not block, and may be nil.
+	// StoreAnswered is called when the store has answered; it must not block, and may be nil.
 	Heard func(now time.Duration)
 }
 
-// retryPause is the pause after a failed call: ten tries within the bound in which
+// retryInterval is the pause after a failed call. It allows ten attempts within the time in which
 // a configuration has to be in force.
 const retryPause = 200 * time.Millisecond
 
-// Update is news of a table.
+// Update is a batch of rows of a table.
 type Update struct {
 	platform.Rows
-	// Whole says that the rows are all there are.
+	// Snapshot means that the table has no other rows than these.
 	Whole bool
 }
 
-// Follow reads a table and passes on its changes until the context ends.
+// Follow reads a table and calls take with its rows and later changes until the context ends.
 func Follow(ctx context.Context, source Source, o Options, take func(Update)) error {
 	f := follower{source: source, options: o, take: take}
 	for ctx.Err() == nil {
@@ -58,13 +63,13 @@
 	source  Source
 	options Options
 	take    func(Update)
-	// after is the version to resume from; 0 before the first whole read.
+	// version is the version to resume from; 0 before a full read.
 	after int64
-	// lost is when the store was lost; 0 while it answers.
+	// lostAt is when the store stopped answering; 0 while it answers.
 	lost time.Duration
 }
 
-// step reads once and reports whether to go on without a pause.
+// readOnce makes one call and reports whether the next one may follow without retryInterval.
 func (f *follower) step(ctx context.Context) bool {
 	began := bootclock.Now()
 	rows, err := f.read(ctx)
@@ -92,6 +97,7 @@
 	return true
 }
 
+// fetch returns the whole table, or its changes if it was read before.
 func (f *follower) read(ctx context.Context) (platform.Rows, error) {
 	if f.after == 0 {
 		return f.source.Read(ctx, f.options.Table)
@@ -99,6 +105,7 @@
 	return f.source.Feed(ctx, f.options.Table, f.after, f.options.Wait)
 }
 
+// storeLost logs the first failed call after an answer.
 func (f *follower) away(ctx context.Context, err error) {
 	if f.lost == 0 && ctx.Err() == nil {
 		f.lost = bootclock.Now()
@@ -106,6 +113,7 @@
 	}
 }
 
+// storeRegained logs the first answer after a failed call.
 func (f *follower) back() {
 	if f.lost != 0 {
 		f.options.Log.Info("store regained", "table", f.options.Table, "away", bootclock.Now()-f.lost)
--- a/processor/processor.go
+++ b/processor/processor.go
@@ -1,5 +1,10 @@
-// Package processor measures what of its processor a VM has: VMs are slowed down by their
-// neighbours and by quotas, and one that owns targets needs to know.
+// Package processor measures what share of a core a VM really has, since other VMs on its host
+// and quotas slow it down.
+//
+// Its input are the share that the settings declare and the time that a fixed piece of work takes
+// at regular intervals. Its output is the declared share times the present speed, as a fraction
+// of the best speed seen. VMs use it to decide which of them owns targets. Until enough samples
+// were taken, and within the usual variation of speed, the VM counts as running at full speed.
 package processor
 
 import (
@@ -9,35 +14,36 @@
 	"time"
 )
 
-// Figures of the measure.
+// Parameters of the measurement.
 const (
-	// interval paces the samples: a slowed VM shows in half a second, for less than a
-	// thousandth of a core.
+	// sampleInterval is the time between two samples. A slowdown shows within half a second,
+	// and sampling takes less than a thousandth of a core.
 	interval = 100 * time.Millisecond
-	// recent is how many samples tell the present speed. The fastest of them counts, since
-	// a sample that others interrupt takes longer, and none takes less than it needs.
+	// recentSamples is how many samples give the present speed. The fastest of them counts,
+	// because interruptions can only make a sample slower.
 	recent = 5
-	// samplePasses over sampleBytes take some 50 microseconds of a core: a thousand times
-	// what a clock is off by, and little of its caches.
+	// samplePasses over sampleBytes take some 50 microseconds of a core. That is a thousand
+	// times the error of the clock, and uses little of the core's caches.
 	samplePasses = 32
 	sampleBytes  = 64 << 10
-	// steady is the speed from which a processor counts as undisturbed: its caches and its
-	// clock vary by as much.
+	// undisturbedSpeed is the speed from which a processor counts as undisturbed, because its
+	// caches and its clock frequency cause variations of that size.
 	steady = 0.7
 )
 
-// Speed estimates the present speed of a processor against the best that was seen of it.
+// Speed estimates the present speed of a processor as a fraction of its best speed.
 // The zero value is ready to use.
 type Speed struct {
 	samples [recent]time.Duration
 	count   int
-	// best is the least time that two samples in a row kept to: one alone may be a clock's
-	// error, which would make all later ones look slow.
+	// best is the shortest time within which two samples in a row were done. A single short
+	// sample may be an error of the clock, which would make all later samples look slow.
 	best time.Duration
+	// previous is the sample before.
 	last time.Duration
 }
 
-// Add takes how long a sample took. Clocks that stand still tell nothing.
+// Add adds the duration of a sample. It ignores samples during which the clock didn't advance.
 func (s *Speed) Add(took time.Duration) {
 	if took <= 0 {
 		return
@@ -50,8 +56,8 @@
 	s.last = took
 }
 
-// Share is the present speed against the best, from 0 to 1; 1 before there are enough
-// samples to tell.
+// Fraction returns the present speed as a fraction of the best one, from 0 to 1. It is 1 while
+// there are too few samples.
 func (s *Speed) Share() float64 {
 	if s.count < recent {
 		return 1
@@ -60,8 +66,8 @@
 	for _, took := range s.samples {
 		fastest = min(fastest, took)
 	}
-	if share := float64(s.best) / float64(fastest); share < steady {
-		return share
+	if fraction := float64(s.best) / float64(fastest); fraction < steady {
+		return fraction
 	}
 	return 1
 }
@@ -72,25 +78,25 @@
 	share    atomic.Int64
 }
 
-// NewMeter makes a meter of a VM whose settings declare a share of a core.
+// NewMeter returns a meter for a VM whose settings declare this share of a core.
 func NewMeter(declared float64) *Meter {
 	m := &Meter{declared: declared}
 	m.set(1)
 	return m
 }
 
-// perMille is the unit in which shares are told.
+// perMille is the number of units in a core.
 const perMille = 1000
 
 func (m *Meter) set(speed float64) { m.share.Store(int64(m.declared * speed * perMille)) }
 
-// PerMille is the share of a core at the present speed, in thousandths.
+// PerMille returns the share of a core at the present speed, in thousandths.
 func (m *Meter) PerMille() int32 { return int32(m.share.Load()) }
 
-// Share is the share of a core at the present speed.
+// Share returns the share of a core at the present speed.
 func (m *Meter) Share() float64 { return float64(m.share.Load()) / perMille }
 
-// Run measures until the context ends.
+// Run takes samples until the context ends.
 func (m *Meter) Run(ctx context.Context) {
 	var speed Speed
 	data := make([]byte, sampleBytes)
@@ -109,7 +115,7 @@
 	}
 }
 
-// sample is work of a fixed size.
+// runSample does work of a fixed size.
 func sample(data []byte) {
 	sum := uint32(0)
 	for range samplePasses {
@@ -118,5 +124,5 @@
 	sink.Store(sum)
 }
 
-// sink keeps the work of a sample from being left out.
+// sampleResult keeps the compiler from omitting the work of a sample.
 var sink atomic.Uint32
