--- a/owner/cordon_test.go
+++ b/owner/cordon_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// runCordoned has an owner run that knows of cordons what view says at its start.
+// runCordonedOwner runs an owner that knows a view of the cordons when it starts.
 func runCordoned(t *testing.T, target *fencingTarget, view cordon.View) *Owner {
 	t.Helper()
 	options := testOptions()
@@ -21,8 +21,9 @@
 
 var closed = cordon.View{Version: 5, Domains: []string{"domain"}}
 
-// An owner that begins in a cordoned failure domain starts nothing; old words, and words of
-// other failure domains, don't change that, and the newest one does at once.
+// An owner that starts in a cordoned failure domain starts no runs. Older views, and newer ones
+// that change only other failure domains, don't change that; a newer view without the cordon does
+// at once.
 func TestAnOwnerGoesByTheNewestWord(t *testing.T) {
 	target := newFencingTarget()
 	o := runCordoned(t, target, closed)
@@ -37,7 +38,7 @@
 	must.Eq(t, work.Completed, (<-submit(t, o, "4")).Result)
 }
 
-// An owner that knows nothing yet keeps jobs until it does.
+// An owner that knows no view of the cordons yet holds jobs back until it gets one.
 func TestAnOwnerWaitsForTheFirstWord(t *testing.T) {
 	target := newFencingTarget()
 	o := runCordoned(t, target, cordon.View{})
--- a/owner/keepalives_test.go
+++ b/owner/keepalives_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// What an entry VM has said is known before a job of it is looked at, and each word is
-// passed on once.
+// The keepalives of an entry VM and the jobs that it has given up reach the State before its jobs
+// are placed, and are delivered once. Of several keepalives the one that expires last counts.
 func TestVouchesArePassedOn(t *testing.T) {
 	o := &Owner{state: scheduler.New(scheduler.Options{})}
 	o.state.Listed()
--- a/owner/lag_test.go
+++ b/owner/lag_test.go
@@ -18,10 +18,10 @@
 		want           time.Duration
 	}{
 		"before the first tick":   {0, 0, 0},
-		"in time":                 {time.Second, 5 * ms, 0},
+		"on time":                 {time.Second, 5 * ms, 0},
 		"paused by its quota":     {time.Second - lagSlack, 0, 0},
-		"stands still":            {time.Second - 300*ms, 0, 300 * ms},
-		"jobs wait to be read":    {time.Second, 200 * ms, 200 * ms},
+		"paused process":          {time.Second - 300*ms, 0, 300 * ms},
+		"submissions wait":        {time.Second, 200 * ms, 200 * ms},
 		"both, the longer counts": {time.Second - 300*ms, 200 * ms, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// What jobs have waited is forgotten when none come any more.
+// The recorded wait decays with the ticks when no submissions come any more.
 func TestLagFades(t *testing.T) {
 	var l lag
 	l.read(time.Second)
@@ -43,8 +43,8 @@
 	must.Zero(t, l.behind(12*scheduler.TickInterval))
 }
 
-// An owner whose decisions stand still refuses new jobs at once and tells when to come back,
-// and its loads turn entry VMs and other owners away from it.
+// An owner whose loop is far behind refuses new jobs at once with a time to retry after. Its loads
+// show longer waits and no capacity, so that entry VMs and other owners avoid it.
 func TestAnOwnerThatIsBehindShedsJobs(t *testing.T) {
 	o, _ := idle(t)
 	o.loads.Store(&map[string]scheduler.Load{"service": {FreeCPU: 10, Room: scheduler.Room{Places: [scheduler.Priorities]int{1, 1, 1}}}})
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -22,7 +22,7 @@
 	targetStart = int64(1_000_000)
 )
 
-// oneTarget is a store that lists one target of a service.
+// oneTarget is a store whose registry lists one target of a service.
 type oneTarget struct{}
 
 func (oneTarget) Read(context.Context, platform.Table) (platform.Rows, error) {
@@ -38,8 +38,9 @@
 	return platform.Rows{}, ctx.Err()
 }
 
-// fencingTarget keeps the highest token and ends each run when it is told to. An
-// order can be held on its way: it then meets the fence as it is when it is let go.
+// fencingTarget is a fake target that refuses tokens below the highest it has seen. It completes
+// each run at its start. A start or a poll can be held on its way: it is checked against the
+// highest token only after its release.
 type fencingTarget struct {
 	mu      sync.Mutex
 	fence   int64
@@ -48,9 +49,9 @@
 	running map[work.Run]bool
 	began   time.Time
 	starts  []work.Run
-	// held starts and looks wait for their channel.
+	// heldStart and heldPoll, when set, hold the next start or poll until they are closed.
 	heldStart, heldLook chan struct{}
-	// waits is told of each order that is held.
+	// heldOrders gets the kind of each order that is held.
 	waits chan string
 }
 
@@ -60,7 +61,8 @@
 
 func (f *fencingTarget) clock() int64 { return targetStart + time.Since(f.began).Milliseconds() }
 
-// fenced must be called with the lock held.
+// isFenced reports whether a token is too low, and otherwise records it. The caller holds the
+// lock.
 func (f *fencingTarget) fenced(token int64) bool {
 	if token < f.fence {
 		return true
@@ -69,8 +71,8 @@
 	return false
 }
 
-// pass waits where an order is held.
-func (f *fencingTarget) pass(ctx context.Context, what string, held *chan struct{}) {
+// waitIfHeld blocks an order of a kind for as long as it is held.
+func (f *fencingTarget) pass(ctx context.Context, kind string, held *chan struct{}) {
 	f.mu.Lock()
 	gate := *held
 	*held = nil
@@ -78,7 +80,7 @@
 	if gate == nil {
 		return
 	}
-	f.waits <- what
+	f.waits <- kind
 	select {
 	case <-gate:
 	case <-ctx.Done():
@@ -109,22 +111,22 @@
 }
 
 func (f *fencingTarget) Look(ctx context.Context, _ work.Address, token, _, seen int64, _ time.Duration) (work.Held, work.Verdict) {
-	f.pass(ctx, "look", &f.heldLook)
+	f.pass(ctx, "poll", &f.heldLook)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fenced(token) {
 		return work.Held{Clock: f.clock()}, work.VerdictFenced
 	}
-	held := work.Held{Clock: f.clock()}
-	for _, end := range f.ended {
-		if end.Number > seen {
-			held.Ended = append(held.Ended, end)
+	answer := work.Held{Clock: f.clock()}
+	for _, completion := range f.ended {
+		if completion.Number > seen {
+			answer.Ended = append(answer.Ended, completion)
 		}
 	}
-	return held, work.VerdictDone
+	return answer, work.VerdictDone
 }
 
-// hold has the next order of a kind wait until the returned function is called.
+// hold has the next order of a kind, given by its field, wait until release is called.
 func (f *fencingTarget) hold(gate *chan struct{}) (release func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +143,7 @@
 	}
 }
 
-// run has an owner order a target until the test ends.
+// runOwner runs an owner of a target until the test ends.
 func run(t *testing.T, target *fencingTarget) *Owner {
 	t.Helper()
 	return runWith(t, testOptions(), target)
@@ -160,7 +162,7 @@
 	return o
 }
 
-// submit hands in a job of one task.
+// submit submits a job of one task.
 func submit(t *testing.T, o *Owner, id string) chan work.Outcome {
 	t.Helper()
 	outcome := make(chan work.Outcome, 1)
@@ -174,9 +176,10 @@
 	return outcome
 }
 
-// An owner that was given its claim by word writes it to the store later, and its
-// token rises while orders are on their way. Those that reach their target behind
-// the first order under the new token are refused, but no other owner is.
+// An owner that got its claim directly from its predecessor writes it to the store later, which
+// raises its token while orders are on their way. Orders that reach the target after the first
+// one with the new token are refused. The owner must not take that for another owner's token and
+// give up its jobs.
 func TestLooksThatTheOwnersNewTokenOvertakesCostNothing(t *testing.T) {
 	target := newFencingTarget()
 	o := run(t, target)
@@ -184,7 +187,7 @@
 
 	release := target.hold(&target.heldLook)
 	first := submit(t, o, "2")
-	must.Eq(t, "look", <-target.waits)
+	must.Eq(t, "poll", <-target.waits)
 	o.Raise(6)
 	second := submit(t, o, "3")
 	must.True(t, eventually(func() bool { return target.seen(6) }))
@@ -194,7 +197,7 @@
 	must.Eq(t, work.Completed, (<-submit(t, o, "4")).Result)
 }
 
-// A start that is refused this way did nothing and is sent again.
+// A start that is refused for the owner's own newer token did nothing and is sent again.
 func TestStartsThatTheOwnersNewTokenOvertakesAreSentAgain(t *testing.T) {
 	target := newFencingTarget()
 	o := run(t, target)
@@ -209,7 +212,8 @@
 	must.Eq(t, work.Completed, (<-first).Result)
 }
 
-// A higher token of another owner ends this one's work.
+// Once a target has seen the higher token of another owner, this owner gives up its jobs and
+// answers new ones with Moved.
 func TestAnotherOwnersTokenDeposes(t *testing.T) {
 	target := newFencingTarget()
 	o := run(t, target)
@@ -227,7 +231,7 @@
 	return f.fence == token
 }
 
-// eventually waits for a condition that is sure to come.
+// eventually waits up to some seconds for a condition and reports whether it came to hold.
 func eventually(holds func() bool) bool {
 	for range 5000 {
 		if holds() {
@@ -238,8 +242,8 @@
 	return false
 }
 
-// A start that waited too long in its own process isn't sent: its target may be leaving by
-// then. It is decided anew.
+// A start that waited too long in the owner's process isn't sent, because its target may be
+// leaving by then. The scheduler decides again.
 func TestStaleStartsAreNotSent(t *testing.T) {
 	target := newFencingTarget()
 	o := run(t, target)
--- a/owner/reader_test.go
+++ b/owner/reader_test.go
@@ -19,12 +19,12 @@
 	return &reader{domain: "domain", log: slog.New(slog.DiscardHandler), count: func(string, string) {}}
 }
 
-// Of a thousand heartbeats the one that says that its target leaves is passed on, and none of
-// the others; nothing of other failure domains is.
+// Of a thousand rewritten entries only the one that has changed, because its target leaves, is
+// returned. Entries of other failure domains never are.
 func TestHeartbeatsThatSayNothingNewAreLeftOut(t *testing.T) {
 	const rows = 1000
-	beats := func(whole bool, draining int) mirror.Update {
-		u := mirror.Update{Whole: whole}
+	heartbeats := func(snapshot bool, draining int) mirror.Update {
+		u := mirror.Update{Whole: snapshot}
 		for i := range rows {
 			domain, state := "domain", wire.Ready
 			if i%3 > 0 {
@@ -38,16 +38,16 @@
 		return u
 	}
 	r := newReader()
-	must.SliceLen(t, (rows+2)/3, r.read(beats(true, -1)).changes)
-	must.True(t, r.read(beats(false, -1)).empty())
-	changes := r.read(beats(false, 600)).changes
+	must.SliceLen(t, (rows+2)/3, r.read(heartbeats(true, -1)).changes)
+	must.True(t, r.read(heartbeats(false, -1)).empty())
+	changes := r.read(heartbeats(false, 600)).changes
 	must.SliceLen(t, 1, changes)
 	must.Eq(t, "i-600", changes[0].id)
 	must.True(t, changes[0].target.Draining)
-	must.True(t, r.read(beats(false, 600)).empty())
+	must.True(t, r.read(heartbeats(false, 600)).empty())
 }
 
-// The last of several changes of one entry in one answer holds.
+// Of several changes of one entry in one answer, the last one applies.
 func TestChangesKeepTheirOrder(t *testing.T) {
 	listed := platform.Row{Key: "i", Value: entryOf(t, "domain", wire.Ready)}
 	gone := platform.Row{Key: "i", Deleted: true}
@@ -55,9 +55,9 @@
 		rows []platform.Row
 		want bool
 	}{
-		"comes and goes": {[]platform.Row{listed, gone}, false},
-		"goes and comes": {[]platform.Row{gone, listed}, true},
-		"all in all":     {[]platform.Row{listed, gone, listed, gone, gone, listed}, true},
+		"listed, deleted":    {[]platform.Row{listed, gone}, false},
+		"deleted, listed":    {[]platform.Row{gone, listed}, true},
+		"six, listed at end": {[]platform.Row{listed, gone, listed, gone, gone, listed}, true},
 	} {
 		o, _ := idle(t)
 		o.listed(0, o.reader.read(mirror.Update{Whole: true}))
@@ -67,7 +67,7 @@
 	}
 }
 
-// That a target gets warm is no news, and that it is cold again is.
+// Progress of a target's warm-up is no change, but becoming cold again is one.
 func TestWarmingUpIsNoNews(t *testing.T) {
 	cold := func(ms float64) mirror.Update {
 		value, err := json.Marshal(wire.Target{
@@ -86,18 +86,18 @@
 	must.SliceLen(t, 1, r.read(cold(4000)).changes)
 }
 
-// News goes before all that waits already: a target that leaves has to be known in time also
-// where the owner is behind.
+// Urgent messages are handled before those that are queued already: a leaving target has to be
+// known in time also when the loop is behind.
 func TestNewsGoesBeforeAnswers(t *testing.T) {
 	o, _ := idle(t)
 	var order []string
 	for range 100 {
 		o.post(t.Context(), func(time.Duration) { order = append(order, "answer") })
 	}
-	o.postNews(t.Context(), func(time.Duration) { order = append(order, "news") })
+	o.postNews(t.Context(), func(time.Duration) { order = append(order, "urgent") })
 	ctx, end := context.WithCancel(t.Context())
 	o.post(t.Context(), func(time.Duration) { end() })
 	o.loop(ctx)
-	must.SliceContains(t, order[:2], "news")
+	must.SliceContains(t, order[:2], "urgent")
 	must.SliceLen(t, 101, order)
 }
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -25,12 +25,12 @@
 	return value
 }
 
-// update is news of one entry.
-func update(whole bool, id string, value []byte) mirror.Update {
-	return mirror.Update{Whole: whole, Rows: platform.Rows{Version: 2, Rows: []platform.Row{{Key: id, Value: value, Version: 2}}}}
+// updateOfOne is an update of one entry.
+func update(snapshot bool, id string, value []byte) mirror.Update {
+	return mirror.Update{Whole: snapshot, Rows: platform.Rows{Version: 2, Rows: []platform.Row{{Key: id, Value: value, Version: 2}}}}
 }
 
-// idle is an owner that doesn't run, for what it makes of the registry.
+// newIdleOwner returns an owner that doesn't run, and its count of unreadable rows.
 func idle(t *testing.T) (o *Owner, unreadable *int) {
 	t.Helper()
 	unreadable = new(int)
@@ -43,8 +43,8 @@
 	return New(options, newFencingTarget(), oneTarget{}), unreadable
 }
 
-// A target whose entry names no target any more, or another failure domain, is used no
-// longer than one whose entry is gone; the others hold.
+// A target whose entry becomes unreadable, or names another failure domain, is used no longer than
+// a target whose entry is deleted. The other entries stay listed.
 func TestEntriesThatTurnFaultyAreNotListed(t *testing.T) {
 	for name, value := range map[string][]byte{
 		"not readable":           []byte("\xff"),
@@ -52,15 +52,15 @@
 		"a state without a name": entryOf(t, "domain", "resting"),
 		"another failure domain": entryOf(t, "elsewhere", wire.Ready),
 	} {
-		for _, whole := range []bool{false, true} {
+		for _, snapshot := range []bool{false, true} {
 			o, unreadable := idle(t)
 			now := time.Second
 			o.listed(now, o.reader.read(update(true, targetID, entryOf(t, "domain", wire.Ready))))
 			o.listed(now, o.reader.read(update(false, "other", entryOf(t, "domain", wire.Ready))))
 			must.MapLen(t, 2, o.registry.listed)
-			o.listed(now, o.reader.read(update(whole, targetID, value)))
+			o.listed(now, o.reader.read(update(snapshot, targetID, value)))
 			must.MapNotContainsKey(t, o.registry.listed, targetID, must.Sprint(name))
-			if !whole {
+			if !snapshot {
 				must.MapContainsKey(t, o.registry.listed, "other")
 			}
 			must.Eq(t, name != "another failure domain", *unreadable == 1)
@@ -70,8 +70,7 @@
 	}
 }
 
-// An entry that can't be read from the start names no target, and one that becomes
-// readable does.
+// An entry that is unreadable from the start adds no target until it becomes readable.
 func TestFaultyEntriesAreNeverUsed(t *testing.T) {
 	o, unreadable := idle(t)
 	o.listed(time.Second, o.reader.read(update(true, targetID, []byte("{"))))
@@ -81,30 +80,30 @@
 	must.Eq(t, 1, o.state.Summary().Draining)
 }
 
-// A registry of which a third of the rows is another writer's: each of the others is used, and
-// a few lines tell of the faulty ones, all of which are counted.
+// When another writer has made a third of the rows unreadable, every other row is used. All
+// unreadable rows are counted, but only a few are logged.
 func TestAThirdOfTheRegistryIsFaulty(t *testing.T) {
 	const rows = 1100
 	lines := &bytes.Buffer{}
 	o, unreadable := idle(t)
 	o.reader.log = slog.New(slog.NewJSONHandler(lines, nil))
-	faulty := [][]byte{[]byte("\xff\x00"), nil, []byte("null"), []byte("[]"), []byte(`{"address":7}`), entryOf(t, "domain", "resting")}
+	unreadableValues := [][]byte{[]byte("\xff\x00"), nil, []byte("null"), []byte("[]"), []byte(`{"address":7}`), entryOf(t, "domain", "resting")}
 	var read platform.Rows
 	for i := range rows {
 		value := entryOf(t, "domain", wire.Ready)
 		if i%3 == 0 {
-			value = faulty[i/3%len(faulty)]
+			value = unreadableValues[i/3%len(unreadableValues)]
 		}
 		read.Rows = append(read.Rows, platform.Row{Key: fmt.Sprintf("i-%04d", i), Value: value, Version: int64(i + 1)})
 	}
 	o.listed(time.Second, o.reader.read(mirror.Update{Whole: true, Rows: read}))
-	const good = rows - (rows+2)/3
-	must.MapLen(t, good, o.registry.listed)
-	must.Eq(t, good, o.state.Summary().Targets)
-	must.Eq(t, rows-good, *unreadable)
+	const readable = rows - (rows+2)/3
+	must.MapLen(t, readable, o.registry.listed)
+	must.Eq(t, readable, o.state.Summary().Targets)
+	must.Eq(t, rows-readable, *unreadable)
 	must.Eq(t, maxFaultyLines+1, strings.Count(lines.String(), "\n"))
-	must.StrContains(t, lines.String(), fmt.Sprintf(`"rows":%d`, rows-good-maxFaultyLines))
-	// They come right one after the other.
+	must.StrContains(t, lines.String(), fmt.Sprintf(`"rows":%d`, rows-readable-maxFaultyLines))
+	// A row that becomes readable is used again.
 	o.listed(2*time.Second, o.reader.read(update(false, "i-0000", entryOf(t, "domain", wire.Ready))))
-	must.Eq(t, good+1, o.state.Summary().Targets)
+	must.Eq(t, readable+1, o.state.Summary().Targets)
 }
