--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -17,8 +17,8 @@
 	return platform.Row{Key: wire.CordonPrefix + domain, Version: version, Deleted: deleted, Value: []byte("{}")}
 }
 
-func news(version int64, whole bool, rows ...platform.Row) mirror.Update {
-	return mirror.Update{Whole: whole, Rows: platform.Rows{Version: version, Rows: rows}}
+func news(version int64, snapshot bool, rows ...platform.Row) mirror.Update {
+	return mirror.Update{Whole: snapshot, Rows: platform.Rows{Version: version, Rows: rows}}
 }
 
 func TestReaderFollowsTheTable(t *testing.T) {
@@ -26,11 +26,11 @@
 	must.Eq(t, View{Version: 3}, r.Take(news(3, true, platform.Row{Key: platform.ConfigurationKey, Version: 2})))
 	must.Eq(t, View{Version: 5, Domains: []string{"a", "b"}}, r.Take(news(5, false, row("b", 4, false), row("a", 5, false))))
 	must.Eq(t, View{Version: 7, Domains: []string{"b"}}, r.Take(news(7, false, row("a", 7, true))))
-	// History was lost: what is not read any more was taken back.
+	// After a lost history a snapshot comes: cordons that it lacks were removed.
 	must.Eq(t, View{Version: 9, Domains: []string{"c"}}, r.Take(news(9, true, row("c", 8, false))))
 }
 
-// A row that names no failure domain closes none, and is told of.
+// A cordon row that names no failure domain is reported and otherwise ignored.
 func TestARowWithoutADomainClosesNothing(t *testing.T) {
 	ignored := 0
 	r := Reader{Ignored: func(_ platform.Row, err error) {
@@ -42,7 +42,7 @@
 	must.Eq(t, 1, ignored)
 }
 
-// What a row says besides its key doesn't matter: it is there until it is taken back.
+// The value of a cordon row doesn't matter: the cordon applies until the row is deleted.
 func TestACordonWithAnyValueHolds(t *testing.T) {
 	r := Reader{}
 	for i, value := range [][]byte{nil, []byte("\xff"), []byte(`["x"]`)} {
@@ -54,8 +54,8 @@
 }
 
 func TestBoardTellsOfChangesOnly(t *testing.T) {
-	var told []string
-	b := Board{Changed: func(from string, _, after View) { told = append(told, fmt.Sprint(from, after.Domains)) }}
+	var changes []string
+	b := Board{Changed: func(from string, _, after View) { changes = append(changes, fmt.Sprint(from, after.Domains)) }}
 	must.False(t, b.View().Known())
 	must.Nil(t, b.View().Wire())
 	b.Offer(View{}, "nobody")
@@ -65,19 +65,19 @@
 	b.Offer(View{Version: 5}, "late peer")
 	b.Offer(FromWire(View{Version: 8, Domains: []string{"a"}}.Wire()), "store")
 	b.Offer(View{Version: 9}, "store")
-	must.Eq(t, []string{"store[]", "peer[a]", "store[]"}, told)
+	must.Eq(t, []string{"store[]", "peer[a]", "store[]"}, changes)
 }
 
-// Words of several VMs that follow the table through lost history and stale readings arrive
-// late, twice and in any order: none of them ever goes back, and with the newest word all
-// agree with the table.
+// Several VMs follow the table through lost history and stale reads, and send each other their
+// views, which arrive late, twice and in any order. No VM's view ever goes back to a lower
+// version, and each view equals the table at its version.
 func TestFuzzBoards(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := map[int64][]string{1: nil}
 		version := int64(1)
-		var words []View
-		boards := []*Board{{}, {}, {}}
-		for _, b := range boards {
+		var views []View
+		latest := []*Board{{}, {}, {}}
+		for _, b := range latest {
 			held := int64(0)
 			b.Changed = func(_ string, _, after View) {
 				if after.Version < held {
@@ -90,7 +90,7 @@
 		at := []int64{0, 0, 0}
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 2).Draw(rt, "vm")
-			switch rapid.SampledFrom([]string{"change", "feed", "whole", "stale", "gossip"}).Draw(rt, "action") {
+			switch rapid.SampledFrom([]string{"change", "feed", "snapshot", "stale", "gossip"}).Draw(rt, "action") {
 			case "change":
 				version++
 				domain := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "domain")
@@ -110,24 +110,24 @@
 				for v := at[i] + 1; v <= version; v++ {
 					rows = append(rows, changed(table, v))
 				}
-				words = append(words, readers[i].Take(news(version, false, rows...)))
+				views = append(views, readers[i].Take(news(version, false, rows...)))
 				at[i] = version
-				boards[i].Offer(words[len(words)-1], "store")
-			case "whole", "stale":
+				latest[i].Offer(views[len(views)-1], "store")
+			case "snapshot", "stale":
 				v := max(version-int64(rapid.IntRange(0, 3).Draw(rt, "behind")), 1)
 				var rows []platform.Row
 				for _, domain := range table[v] {
 					rows = append(rows, row(domain, v, false))
 				}
-				words = append(words, readers[i].Take(news(v, true, rows...)))
+				views = append(views, readers[i].Take(news(v, true, rows...)))
 				at[i] = v
-				boards[i].Offer(words[len(words)-1], "store")
+				latest[i].Offer(views[len(views)-1], "store")
 			case "gossip":
-				if len(words) > 0 {
-					boards[i].Offer(rapid.SampledFrom(words).Draw(rt, "word"), "peer")
+				if len(views) > 0 {
+					latest[i].Offer(rapid.SampledFrom(views).Draw(rt, "view"), "peer")
 				}
 			}
-			for _, b := range boards {
+			for _, b := range latest {
 				if view := b.View(); view.Known() && !slices.Equal(view.Domains, table[view.Version]) {
 					rt.Fatalf("version %d has %v, held is %v", view.Version, table[view.Version], view.Domains)
 				}
@@ -136,7 +136,7 @@
 	})
 }
 
-// changed is the row that a version of the table wrote or dropped.
+// changedRow returns the row that a version of the table wrote or deleted.
 func changed(table map[int64][]string, version int64) platform.Row {
 	for _, domain := range table[version] {
 		if !slices.Contains(table[version-1], domain) {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -12,13 +12,13 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// step is what the fake store answers to one call.
+// reply is the fake store's answer to one call.
 type step struct {
 	rows platform.Rows
 	err  error
 }
 
-// fakeSource answers in turn, and then not at all.
+// fakeSource returns its replies in turn and blocks after the last one.
 type fakeSource struct {
 	steps []step
 	calls []string
@@ -74,7 +74,7 @@
 	must.False(t, updates[1].Whole)
 }
 
-// Through an outage the feed goes on from where it was.
+// After an outage the feed continues from the last version.
 func TestResumesAfterAnOutage(t *testing.T) {
 	away := step{err: platform.ErrStoreAway.Errorf("away")}
 	source := &fakeSource{steps: []step{{rows: rows(5, "a")}, away, away, {rows: rows(9, "b")}}}
@@ -95,8 +95,8 @@
 	must.SliceEmpty(t, updates[1].Rows.Rows)
 }
 
-// busySource is a table of which each row changes once an interval; an answer holds so many
-// changes at most.
+// busySource is a table of which each row changes once in each interval. An answer holds at most
+// answerRows changes.
 type busySource struct {
 	rows     int
 	interval time.Duration
@@ -105,7 +105,7 @@
 
 const answerRows = 500
 
-// version is that of the newest change.
+// version returns the version of the newest change.
 func (b busySource) version() int64 {
 	return 1 + int64(time.Since(b.began))*int64(b.rows)/int64(b.interval)
 }
@@ -127,22 +127,23 @@
 	return answer, nil
 }
 
-// A table that changes faster than paced answers could tell is followed all the same: the
-// news of 3,000 rows that change every 1.5 seconds is never older than one pace and a bit.
+// Follow keeps up with a table that changes faster than one answer in each MinInterval can hold.
+// With 3,000 rows that change every 1.5 seconds, the changes are never older than MinInterval and
+// 100 ms.
 func TestFollowsATableThatIsBusierThanItsPace(t *testing.T) {
-	const pace = 500 * time.Millisecond
+	const minInterval = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		source := busySource{rows: 3000, interval: 1500 * time.Millisecond, began: time.Now()}
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 		defer cancel()
-		behind, newest := int64(0), int64(0)
-		err := Follow(ctx, source, Options{Table: "t", Wait: time.Second, Pace: pace, Log: slog.New(slog.DiscardHandler)},
+		maxBehind, newest := int64(0), int64(0)
+		err := Follow(ctx, source, Options{Table: "t", Wait: time.Second, Pace: minInterval, Log: slog.New(slog.DiscardHandler)},
 			func(u Update) {
-				behind = max(behind, source.version()-newest)
+				maxBehind = max(maxBehind, source.version()-newest)
 				newest = u.Version
 			})
 		must.NoError(t, err)
 		perSecond := float64(source.rows) / source.interval.Seconds()
-		must.LessEq(t, (pace + 100*time.Millisecond).Seconds(), float64(behind)/perSecond)
+		must.LessEq(t, (minInterval + 100*time.Millisecond).Seconds(), float64(maxBehind)/perSecond)
 	})
 }
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -44,7 +44,7 @@
 
 // Peers returns what is known of an owner from its heartbeats.
 type Peers interface {
-	View(life uint64) (heartbeat.View, bool)
+	View(incarnation uint64) (heartbeat.View, bool)
 }
 
 // Options of a Keeper.
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -18,30 +18,30 @@
 const ms = time.Millisecond
 
 func TestTake(t *testing.T) {
-	held := func(vm string, life uint64, passed int32) *Held {
-		return &Held{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: vm, Life: life, Passed: passed}}
+	held := func(vm string, incarnation uint64, handovers int32) *Held {
+		return &Held{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: vm, Life: incarnation, Passed: handovers}}
 	}
 	for name, test := range map[string]struct {
 		belief Belief
 		want   bool
 	}{
-		"nobody yet, patient":    {Belief{Waited: 10 * ms, Patience: 20 * ms}, false},
-		"nobody":                 {Belief{Waited: 30 * ms, Patience: 20 * ms}, true},
-		"mine":                   {Belief{Held: held("v", 1, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: time.Hour}, false},
-		"mine by word":           {Belief{Held: held("v", 1, 1), VM: "v", Life: 1}, true},
-		"my former life":         {Belief{Held: held("v", 2, 0), VM: "v", Life: 1}, true},
-		"owner well":             {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: 50 * ms, Waited: time.Hour}, false},
+		"no claim, delayed":      {Belief{Waited: 10 * ms, Patience: 20 * ms}, false},
+		"no claim":               {Belief{Waited: 30 * ms, Patience: 20 * ms}, true},
+		"own claim":              {Belief{Held: held("v", 1, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: time.Hour}, false},
+		"own, handed over":       {Belief{Held: held("v", 1, 1), VM: "v", Life: 1}, true},
+		"earlier incarnation":    {Belief{Held: held("v", 2, 0), VM: "v", Life: 1}, true},
+		"owner alive":            {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: 50 * ms, Waited: time.Hour}, false},
 		"owner silent":           {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Second, Waited: time.Hour}, true},
-		"owner silent, patient":  {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: heartbeat.Silence, Waited: time.Hour, Patience: ms}, false},
+		"owner silent, delayed":  {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: heartbeat.Silence, Waited: time.Hour, Patience: ms}, false},
 		"claim is new":           {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: 100 * ms}, false},
 		"owner dead":             {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms}, true},
-		"owner dead, be patient": {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms, Patience: 20 * ms}, false},
+		"owner dead, delayed":    {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms, Patience: 20 * ms}, false},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, Take(test.belief)) })
 	}
 }
 
-// Whatever their names, weak VMs let strong ones claim first.
+// The delay of a weak VM is longer than that of a strong one, whatever their names are.
 func TestStrongVMsClaimFirst(t *testing.T) {
 	for _, weak := range []string{"a", "b", "c", "d", "e", "f"} {
 		for _, strong := range []string{"u", "v", "w", "x", "y", "z"} {
@@ -55,12 +55,12 @@
 	must.True(t, Stronger("d", 192, pingers, time.Second))
 	must.False(t, Stronger("d", 500, pingers, time.Second))
 	must.False(t, Stronger("e", 192, pingers, time.Second))
-	// A strong one that was slowed down to a fifth is weak, and so is its like.
+	// An owner that is slowed down to a fifth hands over, but not to a VM that is as slow.
 	must.True(t, Stronger("d", 160, pingers, time.Second))
 	pingers[0].CPUShare = 160
 	must.False(t, Stronger("d", 160, pingers, time.Second))
 	pingers[0].CPUShare = 800
-	// One that has just started may not know the claims yet.
+	// A VM that has just started may not know the claims yet.
 	must.False(t, Stronger("d", 192, pingers, settledTime-ms))
 }
 
@@ -76,7 +76,7 @@
 	must.Eq(t, "young", best.VM)
 }
 
-// fakeStore holds one row; fail is what the next writes answer.
+// fakeStore holds one row. While err is set, reads of the row and writes fail with it.
 type fakeStore struct {
 	version int64
 	value   []byte
@@ -114,8 +114,8 @@
 
 type fakeViews struct{ views map[uint64]heartbeat.View }
 
-func (f fakeViews) View(life uint64) (heartbeat.View, bool) {
-	view, ok := f.views[life]
+func (f fakeViews) View(incarnation uint64) (heartbeat.View, bool) {
+	view, ok := f.views[incarnation]
 	return view, ok
 }
 
@@ -143,7 +143,7 @@
 	must.Eq(t, 1, seen[0].Claim.GetLife())
 }
 
-// A lost answer decides nothing: the row tells who owns the group.
+// After a lost answer to a write, the row in the store shows who owns the group.
 func TestLostAnswerIsSettledByTheRow(t *testing.T) {
 	store := &fakeStore{fail: platform.ErrStoreUnknown.Errorf("lost")}
 	k := newKeeper(store, func([]Held) {})
@@ -175,8 +175,8 @@
 	held Held
 }
 
-func (f *fakePasser) Pass(_ context.Context, address string, held Held) error {
-	f.to, f.held = address, held
+func (f *fakePasser) Pass(_ context.Context, address string, claim Held) error {
+	f.to, f.held = address, claim
 	return nil
 }
 
@@ -186,26 +186,26 @@
 	store := &fakeStore{version: 5}
 	k := newKeeper(store, func([]Held) {})
 	k.Merge([]Held{{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: "v", Life: 1}}})
-	passer := &fakePasser{}
-	must.NoError(t, k.HandOver(t.Context(), successor, passer))
-	must.Eq(t, "", passer.to)
+	sender := &fakePasser{}
+	must.NoError(t, k.HandOver(t.Context(), successor, sender))
+	must.Eq(t, "", sender.to)
 	claim, _ := k.Claim()
 	must.Eq(t, 2, claim.Claim.GetLife())
 	must.Eq(t, 15, claim.Version)
 	must.Eq(t, 1, claim.Claim.GetFormer().GetLife())
 }
 
-// Without the store the holder gives its claim away under the same token, and the
-// successor writes it once the store is back.
+// While the store is away, the owner hands its claim over directly under the same token. The
+// successor writes it to the store once the store is back.
 func TestHandOverByWord(t *testing.T) {
 	store := &fakeStore{version: 5, fail: platform.ErrStoreAway.Errorf("away")}
 	k := newKeeper(store, func([]Held) {})
 	k.Merge([]Held{{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: "v", Life: 1}}})
-	passer := &fakePasser{}
-	must.NoError(t, k.HandOver(t.Context(), successor, passer))
-	must.Eq(t, "w:1", passer.to)
-	must.Eq(t, 5, passer.held.Version)
-	must.Eq(t, 1, passer.held.Claim.GetPassed())
+	sender := &fakePasser{}
+	must.NoError(t, k.HandOver(t.Context(), successor, sender))
+	must.Eq(t, "w:1", sender.to)
+	must.Eq(t, 5, sender.held.Version)
+	must.Eq(t, 1, sender.held.Claim.GetPassed())
 
 	store.fail = nil
 	next := New(Options{
@@ -213,7 +213,7 @@
 		Log: slog.New(slog.DiscardHandler), Changed: func([]Held) {}, Count: func(string, string) {},
 	}, store, fakeViews{})
 	next.readNothing()
-	next.Merge([]Held{passer.held})
+	next.Merge([]Held{sender.held})
 	next.consider(t.Context())
 	claim, _ := next.Claim()
 	must.Eq(t, 15, claim.Version)
@@ -238,20 +238,20 @@
 	must.Eq(t, 1, store.puts)
 }
 
-// A claim that is written anew by the same life is no change of owner.
+// A claim that the same incarnation writes again is no change of owner.
 func TestChangesOfOwnersAreCounted(t *testing.T) {
 	k := newKeeper(&fakeStore{}, func([]Held) {})
 	counts := map[string]int{}
 	k.options.Count = func(what, label string) { counts[what+" "+label]++ }
-	for version, life := range []uint64{7, 7, 8, 7} {
-		k.Merge([]Held{{Group: "g", Claim: &linkpb.Claim{Vm: "o", Life: life}, Version: int64(version + 1)}})
+	for version, incarnation := range []uint64{7, 7, 8, 7} {
+		k.Merge([]Held{{Group: "g", Claim: &linkpb.Claim{Vm: "o", Life: incarnation}, Version: int64(version + 1)}})
 	}
 	k.Merge([]Held{{Group: "g", Claim: &linkpb.Claim{Vm: "o", Life: 9}, Version: 1}})
 	must.Eq(t, map[string]int{"owner_changes g": 3}, counts)
 }
 
-// A claim that can't be read is nobody's: once its owner would have been heard, it is
-// claimed anew over the version that lies there.
+// An unreadable claim has no owner. After the time within which an owner would have been heard, it
+// is replaced under the condition that the row still has its version.
 func TestAnUnreadableClaimIsTakenOver(t *testing.T) {
 	counted := 0
 	k := New(Options{
--- a/processor/bench_test.go
+++ b/processor/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkSample tells what a sample costs: some 30 to 60 microseconds.
+// BenchmarkSample shows the cost of a sample: some 30 to 60 microseconds.
 func BenchmarkSample(b *testing.B) {
 	data := make([]byte, sampleBytes)
 	for b.Loop() {
--- a/processor/processor_test.go
+++ b/processor/processor_test.go
@@ -16,7 +16,7 @@
 		samples []time.Duration
 		want    float64
 	}{
-		"too few to tell":               {[]time.Duration{50 * us, 50 * us, 500 * us}, 1},
+		"too few samples":               {[]time.Duration{50 * us, 50 * us, 500 * us}, 1},
 		"steady":                        {[]time.Duration{50 * us, 50 * us, 50 * us, 50 * us, 50 * us, 50 * us}, 1},
 		"interrupted samples":           {[]time.Duration{50 * us, 50 * us, 900 * us, 400 * us, 50 * us, 700 * us, 800 * us}, 1},
 		"slowed down":                   {[]time.Duration{50 * us, 50 * us, 200 * us, 250 * us, 210 * us, 900 * us, 200 * us}, 0.25},
@@ -25,7 +25,7 @@
 		"slowed down from the start":    {[]time.Duration{200 * us, 200 * us, 200 * us, 200 * us, 200 * us}, 1},
 		"faster than at the start":      {[]time.Duration{200 * us, 50 * us, 50 * us, 50 * us, 50 * us, 50 * us}, 1},
 		"one error of the clock":        {[]time.Duration{50 * us, us, 50 * us, 50 * us, 50 * us, 50 * us, 50 * us}, 1},
-		"a clock that stands still":     {[]time.Duration{0, 0, 0, 0, 0, 0, 0}, 1},
+		"a clock that doesn't advance":  {[]time.Duration{0, 0, 0, 0, 0, 0, 0}, 1},
 		"one sample of a fast interval": {[]time.Duration{50 * us, 50 * us, 200 * us, 200 * us, 50 * us, 200 * us, 200 * us}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// A meter tells the declared share until it has measured less, and ends with its context.
+// A meter returns the declared share until it has measured less, and ends with its context.
 func TestMeter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMeter(0.192)
@@ -46,7 +46,7 @@
 		must.Eq(t, 0.192, m.Share())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		// The bubble's clock stands still while a sample is taken.
+		// The clock of the synctest bubble doesn't advance during a sample.
 		m.Run(ctx)
 		must.Eq(t, 192, m.PerMille())
 		m.set(0.25)
