--- a/owner/owner.go
+++ b/owner/owner.go
@@ -55,7 +55,9 @@
 	registryPace = 500 * time.Millisecond
 )
 
-// Targets sends orders to targets.
+// Targets sends orders to targets. Poll acknowledges the completions up to the number seen,
+// extends the leases of all runs until a time on the target's clock (0 leaves them), and waits for
+// the next completion, at most for wait.
 type Targets interface {
 	Start(ctx context.Context, to work.Address, order work.Order, token int64) work.OrderAnswer
 	Stop(ctx context.Context, to work.Address, run work.Run, token int64) work.OrderAnswer
@@ -111,9 +113,11 @@
 	targets Targets
 	store   mirror.Source
 
+	// submissions holds the messages of Submit, which refuses jobs while it is full.
 	submissions *ring.Ring[message]
 	vouches     vouches
-	answers     chan message
+	// answers holds the messages of post, most of which are answers to orders.
+	answers chan message
 	// urgent holds changes of cordons and of the registry, which never wait behind answers.
 	news  chan message
 	state *scheduler.State
@@ -122,7 +126,7 @@
 	// createdAt is when New returned this owner, on the boot clock.
 	made    time.Duration
 	lastRef scheduler.Ref
-	// delegated holds what gives up each part that another owner runs.
+	// delegated holds, for each part that another owner runs, the function that gives it up.
 	lent map[scheduler.Part]context.CancelFunc
 	// loads holds the published load of each service.
 	loads    atomic.Pointer[map[string]scheduler.Load]
@@ -353,15 +357,15 @@
 // applyEffects carries out what the State wants done. What waits for an answer gets a
 // goroutine.
 func (o *Owner) carryOut(ctx context.Context, effects []scheduler.Effect) {
-	sent := bootclock.Now()
+	decided := bootclock.Now()
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case scheduler.StartRun:
-			go o.start(ctx, e, sent)
+			go o.start(ctx, e, decided)
 		case scheduler.StopRun:
-			go o.stop(ctx, e, sent)
+			go o.stop(ctx, e, decided)
 		case scheduler.Look:
-			go o.look(ctx, e, sent)
+			go o.look(ctx, e, decided)
 		case scheduler.Ask:
 			go o.advise(ctx, e)
 		case scheduler.Lend:
@@ -387,35 +391,35 @@
 }
 
 // sendStart starts a run on a target, unless the decision to do so is older than maxStartAge.
-func (o *Owner) start(ctx context.Context, e scheduler.StartRun, sent time.Duration) {
+func (o *Owner) start(ctx context.Context, e scheduler.StartRun, decided time.Duration) {
 	token, began := o.token.Load(), bootclock.Now()
 	answer := work.OrderAnswer{Verdict: work.VerdictOvertaken}
-	if began-sent <= staleOrder {
+	if began-decided <= staleOrder {
 		answer = o.targets.Start(ctx, e.To, e.Order, token)
 	}
 	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
 	o.options.Count("starts", answer.Verdict.String())
 	o.options.Observe("start_answer", bootclock.Now()-began)
 	o.post(ctx, func(now time.Duration) {
-		o.answered(answer.Verdict, now-sent)
+		o.answered(answer.Verdict, now-decided)
 		o.state.Started(now, e.To.ID, e.Run, answer)
 	})
 }
 
 // sendStop stops a run on a target.
-func (o *Owner) stop(ctx context.Context, e scheduler.StopRun, sent time.Duration) {
+func (o *Owner) stop(ctx context.Context, e scheduler.StopRun, decided time.Duration) {
 	token := o.token.Load()
 	answer := o.targets.Stop(ctx, e.To, e.Run, token)
 	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
 	o.options.Count("stops", answer.Verdict.String())
 	o.post(ctx, func(now time.Duration) {
-		o.answered(answer.Verdict, now-sent)
+		o.answered(answer.Verdict, now-decided)
 		o.state.Stopped(now, e.To.ID, e.Run, answer)
 	})
 }
 
 // poll asks a target for its runs and completions.
-func (o *Owner) look(ctx context.Context, e scheduler.Look, sent time.Duration) {
+func (o *Owner) look(ctx context.Context, e scheduler.Look, decided time.Duration) {
 	token := o.token.Load()
 	answer, verdict := o.targets.Look(ctx, e.To, token, e.Until, e.Seen, e.Wait)
 	verdict = scheduler.Settle(verdict, token, o.token.Load())
@@ -423,7 +427,7 @@
 	o.post(ctx, func(now time.Duration) {
 		// A long poll waits at the target, so its time says nothing about this process.
 		if e.Wait == 0 {
-			o.answered(verdict, now-sent)
+			o.answered(verdict, now-decided)
 		}
 		o.state.Looked(now, e.To.ID, e.At, answer, verdict)
 	})
@@ -458,7 +462,7 @@
 	o.post(ctx, func(now time.Duration) { o.state.Advised(now, e, tickets, valid, err == nil) })
 }
 
-// errNoAdviser is returned for a queue that requires advice when no adviser is configured.
+// errNoAdviser is logged for a queue that requires advice while no adviser is configured.
 var errNoAdviser = errs.Tag("no adviser").Errorf("no adviser is configured: set \"advice\" to its address")
 
 // stepDown gives up all jobs, once, because another owner has the targets now.
