--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -182,17 +182,17 @@
 }
 
 // keepNewer keeps a claim if it is newer than the known one of its group.
-func (k *Keeper) adopt(held Held) {
-	old, known := k.claims[held.Group]
-	if known && !held.Newer(old) {
+func (k *Keeper) adopt(claim Held) {
+	old, known := k.claims[claim.Group]
+	if known && !claim.Newer(old) {
 		return
 	}
-	if old.Claim.GetLife() != held.Claim.GetLife() {
-		k.options.Count("owner_changes", held.Group)
+	if old.Claim.GetLife() != claim.Claim.GetLife() {
+		k.options.Count("owner_changes", claim.Group)
 	}
-	k.claims[held.Group] = held
-	k.known[held.Group] = bootclock.Now()
-	k.options.Log.Info("owner changed", "group", held.Group, "owner", held.Claim.GetVm(), "token", held.Version)
+	k.claims[claim.Group] = claim
+	k.known[claim.Group] = bootclock.Now()
+	k.options.Log.Info("owner changed", "group", claim.Group, "owner", claim.Claim.GetVm(), "token", claim.Version)
 }
 
 func (k *Keeper) notify() { k.options.Changed(k.Claims()) }
@@ -216,8 +216,8 @@
 func (k *Keeper) consider(ctx context.Context) {
 	now := bootclock.Now()
 	k.mu.Lock()
-	belief := k.belief(now)
-	wanted := k.read && !k.leaving && now-k.lastTry >= writePause && Take(belief)
+	observed := k.belief(now)
+	wanted := k.read && !k.leaving && now-k.lastTry >= writePause && Take(observed)
 	if wanted {
 		k.lastTry = now
 	}
@@ -225,14 +225,14 @@
 	if !wanted {
 		return
 	}
-	k.options.Log.Info("claiming", "group", k.options.Group, "silent", belief.Silent, "waited", belief.Waited)
+	k.options.Log.Info("claiming", "group", k.options.Group, "silent", observed.Silent, "waited", observed.Waited)
 	claim := &linkpb.Claim{
 		Vm: k.options.Self.VM, Life: k.options.Self.Life,
 		Control: k.options.Self.Control, Heartbeat: k.options.Self.Heartbeat,
 	}
 	expected := int64(0)
-	if belief.Held != nil {
-		expected = belief.Held.Version
+	if observed.Held != nil {
+		expected = observed.Held.Version
 	}
 	if err := k.write(ctx, claim, expected); err != nil {
 		k.options.Log.Warn("claim not written", "group", k.options.Group, "error", err)
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -25,17 +25,17 @@
 		belief Belief
 		want   bool
 	}{
-		"no claim, delayed":      {Belief{Waited: 10 * ms, Patience: 20 * ms}, false},
-		"no claim":               {Belief{Waited: 30 * ms, Patience: 20 * ms}, true},
-		"own claim":              {Belief{Held: held("v", 1, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: time.Hour}, false},
-		"own, handed over":       {Belief{Held: held("v", 1, 1), VM: "v", Life: 1}, true},
-		"earlier incarnation":    {Belief{Held: held("v", 2, 0), VM: "v", Life: 1}, true},
-		"owner alive":            {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: 50 * ms, Waited: time.Hour}, false},
-		"owner silent":           {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Second, Waited: time.Hour}, true},
-		"owner silent, delayed":  {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: heartbeat.Silence, Waited: time.Hour, Patience: ms}, false},
-		"claim is new":           {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: 100 * ms}, false},
-		"owner dead":             {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms}, true},
-		"owner dead, delayed":    {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms, Patience: 20 * ms}, false},
+		"no claim, delayed":     {Belief{Waited: 10 * ms, Patience: 20 * ms}, false},
+		"no claim":              {Belief{Waited: 30 * ms, Patience: 20 * ms}, true},
+		"own claim":             {Belief{Held: held("v", 1, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: time.Hour}, false},
+		"own, handed over":      {Belief{Held: held("v", 1, 1), VM: "v", Life: 1}, true},
+		"earlier incarnation":   {Belief{Held: held("v", 2, 0), VM: "v", Life: 1}, true},
+		"owner alive":           {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: 50 * ms, Waited: time.Hour}, false},
+		"owner silent":          {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Second, Waited: time.Hour}, true},
+		"owner silent, delayed": {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: heartbeat.Silence, Waited: time.Hour, Patience: ms}, false},
+		"claim is new":          {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Silent: time.Hour, Waited: 100 * ms}, false},
+		"owner dead":            {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms}, true},
+		"owner dead, delayed":   {Belief{Held: held("w", 2, 0), VM: "v", Life: 1, Dead: true, Waited: 10 * ms, Patience: 20 * ms}, false},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, Take(test.belief)) })
 	}
