--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,13 @@
-// Package node joins the duties of an entry VM on the prepared machines into one
-// process.
+// Package node runs one entry VM as a process. It opens the sockets, starts the entry, the
+// heartbeats, the claim keeper, the relay server and, while this VM holds the claim of its
+// group, the owner of the targets.
+//
+// Its input is the settings file, the platform's store, the tables of other VMs and their
+// heartbeats. From these it decides which configuration and which cordons are in force here,
+// whether an owner runs in this process, and when it hands its group over to another VM.
+//
+// Invariants: the configuration never goes back to an older version; at most one owner starts
+// tasks in this process, beside at most one that hands over to its successor.
 package node
 
 import (
@@ -29,22 +37,22 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// configurationWait bounds how long a dead connection to the store goes unnoticed. Within
-// the bound of 2 s in which a configuration has to be in force other VMs tell of it, as
-// soon as their next heartbeat says that they have a newer one.
+// configurationWait bounds how long a dead connection to the store goes unnoticed. It may exceed
+// the 2 s within which a new configuration has to be in force: this VM then fetches it from
+// another VM whose heartbeat reports a newer version.
 const configurationWait = 3 * time.Second
 
 // Options of a Node.
 type Options struct {
 	Settings platform.Settings
-	// LoadSettings reads the settings again; Reload asks for that.
+	// LoadSettings reads the settings file again; a signal on Reload triggers it.
 	LoadSettings func() (platform.Settings, error)
 	Reload       <-chan os.Signal
 	Log          *slog.Logger
-	// Count counts, Observe takes times; they must not block.
+	// Count increments a counter, Observe records a duration; they must not block.
 	Count   func(what, label string)
 	Observe func(what string, took time.Duration)
-	// Gauge sets the present value of something; it must not block.
+	// Gauge sets the value of a gauge; it must not block.
 	Gauge func(what string, value float64)
 }
 
@@ -67,31 +75,33 @@
 	ages     ages
 	leaving  atomic.Bool
 	requests atomic.Int64
-	// asking is set while an owner is suspected to have ended.
+	// probingOwner is set while probeOwner checks whether an owner's process has ended.
 	asking atomic.Bool
 	clock  storeClock
 	ctx    context.Context
 	duties *errgroup.Group
 
-	// settings are the newest that were read; only followSettings uses them.
+	// settings are the last ones read; only followSettings uses them.
 	settings platform.Settings
-	// processor is what this VM has of a core.
+	// processor measures this VM's share of a core.
 	processor *processor.Meter
-	// seed is the seed that was asked last.
+	// lastSeed is the index of the seed that was asked last.
 	seed int
 
 	mu sync.Mutex
-	// own is the owner in this process, former is one that hands over.
+	// current is the owner that runs in this process, outgoing one that hands over to its
+	// successor.
 	own, former *ownedGroup
 }
 
-// ownedGroup is a group that this process owns or hands over.
+// ownedGroup is an owner in this process with the claim that it runs under.
 type ownedGroup struct {
 	*owner.Owner
 	held ownership.Held
 	end  context.CancelFunc
 }
 
+// owner returns the owner, or nil for a nil group.
 func (g *ownedGroup) owner() *owner.Owner {
 	if g == nil {
 		return nil
@@ -99,7 +109,7 @@
 	return g.Owner
 }
 
-// New opens the node's sockets.
+// New creates a Node and opens its sockets; Run starts to serve them.
 func New(o Options) (*Node, error) {
 	s := o.Settings
 	n := &Node{
@@ -141,7 +151,7 @@
 	return n, err
 }
 
-// storeCall counts a call to the store.
+// recordStoreCall records the result and the duration of a call to the store.
 func (o Options) storeCall(call string, err error, took time.Duration) {
 	result := "ok"
 	if err != nil {
@@ -151,13 +161,13 @@
 	o.Observe("store_"+call, took)
 }
 
-// unreadable tells of a row that another writer left unreadable.
+// reportUnreadableRow counts and logs a row of the store that can't be decoded.
 func (o Options) unreadable(table platform.Table, key string, err error) {
 	o.Count("rows_unreadable", string(table))
 	o.Log.Warn("row not understood", "table", table, "key", key, "error", err)
 }
 
-// Run serves until the context ends, then leaves in good order.
+// Run serves until the context ends, then hands over, answers its callers and stops.
 func (n *Node) Run(ctx context.Context) error {
 	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -193,13 +203,15 @@
 	return err
 }
 
+// applyOperatorRows applies an update of the operator's table.
 func (n *Node) tookOperatorRows(update mirror.Update) {
-	// The cordons go first: whoever has a configuration knows of them.
+	// The cordons come first, so that a VM that has a configuration also knows the cordons.
 	n.cordons.take(update)
 	n.config.take(update)
 }
 
-// claimed is told of all claims after a change.
+// claimsChanged takes all claims after a change: it sets the owners to ping and starts or ends the
+// owner in this process.
 func (n *Node) claimed(claims []ownership.Held) {
 	owners := make([]heartbeat.Owner, 0, len(claims))
 	for _, held := range claims {
@@ -214,7 +226,7 @@
 	n.beats.Follow(owners)
 }
 
-// settle starts or ends the owner in this process as the claim says.
+// applyClaim starts, updates or ends the owner in this process according to its group's claim.
 func (n *Node) settle(held ownership.Held) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -230,7 +242,8 @@
 	}
 }
 
-// lose ends the owner in this process, at once or when its successor has all.
+// endOwner ends the owner in this process: at once, or, if the new claim names it as the
+// predecessor, after the successor has taken over all targets.
 func (n *Node) lose(held ownership.Held) {
 	if held.Claim.GetFormer().GetLife() != n.self.Life {
 		n.own.end()
@@ -244,6 +257,7 @@
 	n.former.Leave(n.ctx)
 }
 
+// startOwner starts an owner with its router under a claim of this process.
 func (n *Node) startOwner(held ownership.Held) *ownedGroup {
 	ctx, end := context.WithCancel(n.ctx)
 	options := owner.Options{
@@ -264,9 +278,9 @@
 			return tickets.ByTarget, tickets.Valid, err
 		}
 	}
-	if former := held.Claim.GetFormer(); former != nil {
+	if predecessor := held.Claim.GetFormer(); predecessor != nil {
 		options.Former = func(ctx context.Context) (owner.Released, error) {
-			return n.calls.Release(ctx, former.GetControl(), held.Group, held.Version)
+			return n.calls.Release(ctx, predecessor.GetControl(), held.Group, held.Version)
 		}
 	}
 	router := n.newRouter()
@@ -277,7 +291,8 @@
 	return &ownedGroup{Owner: o, held: held, end: end}
 }
 
-// suspectOwner finds out whether an owner's process has ended, one at a time.
+// probeOwner checks in the background whether an owner's process has ended, and tells the claim
+// keeper if so. Only one owner is checked at a time.
 func (n *Node) suspectOwner(suspect heartbeat.Owner) {
 	if !n.asking.CompareAndSwap(false, true) {
 		return
@@ -290,13 +305,14 @@
 	}()
 }
 
+// currentOwner returns the owner that starts tasks in this process, or nil.
 func (n *Node) owned() *owner.Owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.own.owner()
 }
 
-// forgetFormer ends an owner that has handed over all.
+// endOutgoing ends an owner that has handed over all its targets.
 func (n *Node) forgetFormer(o *owner.Owner) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -306,19 +322,20 @@
 	}
 }
 
-// handingOver is the owner in this process that hands over, or nil.
+// outgoingOwner returns the owner in this process that hands over, or nil.
 func (n *Node) handingOver() *owner.Owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.former.owner()
 }
 
+// localOwner returns the current owner of a group if it runs in this process.
 func (n *Node) local(group string) (entry.Local, bool) {
 	o := n.owned()
 	return o, o != nil && group == n.group
 }
 
-// Vouched implements heartbeat.Listener.
+// ReceiveKeepalive implements heartbeat.Listener.
 func (n *Node) Vouched(entry string, until time.Duration, givenUp []string) {
 	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
 		if o != nil {
@@ -335,19 +352,19 @@
 	}
 	var loads []*linkpb.Load
 	for service, load := range o.Loads() {
-		wire := &linkpb.Load{Group: n.group, Service: service, FreeCpu: load.FreeCPU, Cpu: load.CPU}
+		sent := &linkpb.Load{Group: n.group, Service: service, FreeCpu: load.FreeCPU, Cpu: load.CPU}
 		for _, wait := range load.Wait {
-			wire.WaitUs = append(wire.WaitUs, wait.Microseconds())
+			sent.WaitUs = append(sent.WaitUs, wait.Microseconds())
 		}
 		for _, places := range load.Room.Places {
-			wire.Places = append(wire.Places, int32(places))
+			sent.Places = append(sent.Places, int32(places))
 		}
-		loads = append(loads, wire)
+		loads = append(loads, sent)
 	}
 	return loads
 }
 
-// Pending implements heartbeat.Listener.
+// PendingJobs implements heartbeat.Listener.
 func (n *Node) Pending() map[string]int32 {
 	if o := n.owned(); o != nil {
 		return o.PendingJobs()
@@ -355,13 +372,13 @@
 	return nil
 }
 
-// Late implements heartbeat.Listener.
+// ReportLateHeartbeat implements heartbeat.Listener.
 func (n *Node) Late(vm string, gap time.Duration) {
 	n.options.Count("notes", "heartbeat late")
 	n.log.Warn("heartbeat late", "vm", vm, "gap", gap)
 }
 
-// Owned implements heartbeat.Listener.
+// Claim implements heartbeat.Listener.
 func (n *Node) Owned() *linkpb.Owned {
 	if held, ok := n.keeper.Claim(); ok {
 		return held.Wire()
@@ -369,7 +386,7 @@
 	return nil
 }
 
-// Learned implements heartbeat.Listener.
+// ReceiveClaim implements heartbeat.Listener.
 func (n *Node) Learned(owned *linkpb.Owned) {
 	for _, known := range n.keeper.Claims() {
 		if known.Group == owned.GetGroup() && !ownership.FromWire(owned).Newer(known) {
@@ -388,7 +405,8 @@
 // CPUShare implements heartbeat.Listener.
 func (n *Node) CPUShare() int32 { return n.processor.PerMille() }
 
-// patience is what this VM waits before it claims, which the processor that it has decides.
+// claimDelay is how much longer than usual this VM waits before it claims the group; it depends
+// on the VM's share of a core.
 func (n *Node) patience() time.Duration {
 	return ownership.PatienceOf(n.self.VM, n.processor.Share())
 }
@@ -425,7 +443,8 @@
 	return outcome
 }
 
-// ready reports whether callers are served here.
+// isReady reports whether this VM can serve callers: it has a configuration, does not leave, and
+// reaches an owner of targets.
 func (n *Node) ready() bool {
 	if n.leaving.Load() || n.config.held.Load() == nil {
 		return false
