--- a/node/ages.go
+++ b/node/ages.go
@@ -8,19 +8,20 @@
 	"github.com/burdockward/burdockward/bootclock"
 )
 
-// ages holds when the store last answered about what this VM believes, on the boot
-// clock; 0 before the first answer.
+// storeReadTimes holds when the store last answered about each table that this VM mirrors, on the
+// boot clock; 0 before the first answer.
 type ages struct{ configuration, claims, registry atomic.Int64 }
 
-// heard returns what takes the time of an answer.
+// recorder returns a function that stores the time of an answer in at.
 func (*ages) heard(at *atomic.Int64) func(time.Duration) {
 	return func(now time.Duration) { at.Store(int64(now)) }
 }
 
-// gaugeInterval paces the gauges: they are scraped every few seconds.
+// gaugeInterval is the time between two updates of the gauges, which are scraped every few seconds.
 const gaugeInterval = time.Second
 
-// gauge sets the ages of what is believed, until the context ends.
+// publishGauges sets the gauges of this VM at each interval, among them the ages of the mirrored
+// tables, until the context ends.
 func (n *Node) gauge(ctx context.Context) {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
--- a/node/calls.go
+++ b/node/calls.go
@@ -14,7 +14,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// runFor runs a job for another VM.
+// runForPeer runs a job for another VM. It refuses orders whose keepalive has expired already.
 func (n *Node) runFor(ctx context.Context, order link.Order) work.Outcome {
 	if order.Given != (link.Given{}) {
 		return n.rejoin(ctx, order)
@@ -27,19 +27,22 @@
 	return o.Submit(ctx, submissionOf(order))
 }
 
-// vouchedUntil is until when the entry VM of an order stands for its caller.
+// keepaliveEnd returns when an order's own keepalive expires, on this VM's boot clock: the owner
+// then gives the job up unless a later keepalive of the entry VM has arrived.
 func vouchedUntil(order link.Order) time.Duration {
 	return time.Duration(order.Stamp) + heartbeat.Vouch
 }
 
+// submissionFromOrder converts an order of another VM to a submission.
 func submissionOf(order link.Order) scheduler.Submission {
 	return scheduler.Submission{
 		Entry: order.Entry, Job: order.Job, Queue: order.Queue, Age: order.Age, Wait: order.Wait, Part: order.Part,
 	}
 }
 
-// rejoin answers a job for another VM that had given it to this one before. What never came
-// to this life is begun now; what an owner that has ended since may have begun is unknown.
+// rejoin answers a repeated request for a job, whose first connection broke. It asks the outgoing
+// owner first, then the current one. A job that never reached this incarnation is started now. The
+// outcome is unknown where an owner that has ended since may have started the job.
 func (n *Node) rejoin(ctx context.Context, order link.Order) work.Outcome {
 	outcome := work.Outcome{Result: work.Unknown, Reason: "the connection broke, and who owned the targets then has ended"}
 	presence := scheduler.Forgotten
@@ -56,8 +59,7 @@
 	return outcome
 }
 
-// owners are the owner in this process and the one that hands over, as far as there
-// are any.
+// localOwners lists the owners in this process: the current one and the one that hands over.
 func (n *Node) owners() []*owner.Owner {
 	var owners []*owner.Owner
 	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
@@ -68,17 +70,17 @@
 	return owners
 }
 
-// askOwners asks the owners in this process about a kept job.
-func (n *Node) askOwners(ask func(*owner.Owner) (work.State, bool)) work.State {
+// askOwners returns the state of a durable job from the first owner in this process that knows it.
+func (n *Node) askOwners(query func(*owner.Owner) (work.State, bool)) work.State {
 	for _, o := range n.owners() {
-		if state, known := ask(o); known {
+		if state, known := query(o); known {
 			return state
 		}
 	}
 	return work.StateAbsent
 }
 
-// handler returns what other VMs may call.
+// handler returns the HTTP handler for the calls of other VMs.
 func (n *Node) handler() http.Handler { return link.NewServer(peerCalls{n}) }
 
 // peerCalls implements link.Handler.
@@ -90,7 +92,7 @@
 
 func (p peerCalls) Release(ctx context.Context, _ string) owner.Released {
 	if p.node.owned() != nil {
-		// The successor knows of its claim before this VM does.
+		// The successor has learned of its claim before this VM has, which still uses its targets.
 		return owner.Released{}
 	}
 	o := p.node.handingOver()
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -9,24 +9,25 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// configuration holds the newest configuration that this process has seen; it
-// never goes back to an older one.
+// configuration holds the newest configuration that this process has seen. It never goes back to
+// an older version, whichever source sends it.
 type configuration struct {
 	log  *slog.Logger
 	held atomic.Pointer[heldConfiguration]
 }
 
+// heldConfiguration is a decoded configuration with its encoded form.
 type heldConfiguration struct {
 	work.Configuration
-	// raw is the row's value, for other VMs.
+	// raw is the value of the store's row, which is sent to other VMs.
 	raw []byte
 }
 
-// offer takes a configuration if it is newer, and reports whether it is.
+// updateIfNewer puts a configuration in force if its version is newer, and reports whether it did.
 func (c *configuration) offer(raw []byte, from string) bool {
 	decoded, err := platform.DecodeConfiguration(raw)
 	if err != nil {
-		c.log.Error("configuration not understood", "from", from, "error", err)
+		c.log.Error("cannot decode configuration", "from", from, "error", err)
 		return false
 	}
 	next := &heldConfiguration{Configuration: decoded, raw: raw}
@@ -42,6 +43,7 @@
 	}
 }
 
+// applyUpdate takes the configuration from an update of the operator's table.
 func (c *configuration) take(update mirror.Update) {
 	for _, row := range update.Rows.Rows {
 		if row.Key == platform.ConfigurationKey && !row.Deleted {
@@ -50,6 +52,7 @@
 	}
 }
 
+// version returns the version in force; 0 before the first.
 func (c *configuration) version() int64 {
 	if held := c.held.Load(); held != nil {
 		return held.Version
--- a/node/cordons.go
+++ b/node/cordons.go
@@ -10,7 +10,8 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// cordons follow the operator's word on failure domains in which nothing is to be started.
+// cordons tracks the failure domains in which the operator allows no starts. The reader decodes the
+// store's rows; the board holds the newest view.
 type cordons struct {
 	reader cordon.Reader
 	board  cordon.Board
@@ -21,15 +22,16 @@
 	c.board.Changed = n.cordonsChanged
 }
 
-// take passes on what the store tells.
+// applyUpdate applies an update of the operator's table.
 func (c *cordons) take(update mirror.Update) { c.board.Offer(c.reader.Take(update), "store") }
 
+// reportUnreadableCordon counts and logs a row of the operator's table that is no valid cordon.
 func (n *Node) cordonIgnored(row platform.Row, err error) {
 	n.options.Count("rows_unreadable", string(platform.OperatorTable))
 	n.log.Warn("row not understood", "table", platform.OperatorTable, "key", row.Key, "version", row.Version, "error", err)
 }
 
-// cordonsChanged tells the owners in this process of a new view.
+// cordonsChanged logs a new view of the cordons and passes it to the owners in this process.
 func (n *Node) cordonsChanged(from string, before, after cordon.View) {
 	for _, domain := range after.Domains {
 		if known := slices.Contains(n.options.Settings.FailureDomains, domain); !before.Has(domain) {
@@ -47,7 +49,7 @@
 	}
 }
 
-// confirmCordons reads the cordons anew, past what this process has heard before.
+// confirmCordons reads the cordons from the store, regardless of what this process knows already.
 func (n *Node) confirmCordons(ctx context.Context) (cordon.View, error) {
 	rows, err := n.store.Read(ctx, platform.OperatorTable)
 	if err != nil {
@@ -55,14 +57,14 @@
 	}
 	reader := cordon.Reader{Ignored: n.cordonIgnored}
 	view := reader.Take(mirror.Update{Rows: rows, Whole: true})
-	n.cordons.board.Offer(view, "store, asked again")
+	n.cordons.board.Offer(view, "store, read again")
 	return view, nil
 }
 
 // Cordons implements heartbeat.Listener.
 func (n *Node) Cordons() *linkpb.Cordons { return n.cordons.board.View().Wire() }
 
-// Cordoned implements heartbeat.Listener.
+// ReceiveCordons implements heartbeat.Listener.
 func (n *Node) Cordoned(from string, cordons *linkpb.Cordons) {
 	n.cordons.board.Offer(cordon.FromWire(cordons), from)
 }
