--- a/node/servers.go
+++ b/node/servers.go
@@ -14,38 +14,40 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// Times of the HTTP servers.
+// Timeouts of the HTTP servers.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// closeTimeout is left of the platform's grace when the servers close.
+	// closeTimeout is the part of the platform's grace period that is left when the servers close.
 	closeTimeout = 500 * time.Millisecond
 )
 
-// maxHeaderBytes is enough for callers, whose headers are few.
+// maxHeaderBytes is enough for callers, which send few headers.
 const maxHeaderBytes = 16 << 10
 
-// callerShare is the part of a process's sockets that callers may have open: each request
-// may need another one to an owner, and an owner has its targets' as well. Callers beyond it
-// wait until others end or are closed, three seconds for those that send nothing.
+// callerSocketDivisor limits callers to one third of the process's sockets: each request may need
+// another socket to an owner, and an owner also needs sockets to its targets. Further callers wait
+// until a connection ends; one that sends nothing is closed after three seconds.
 const callerShare = 3
 
-// maxOwners bounds the owners that this VM carries orders for, with those that have lost their
-// place and whose connection isn't closed yet.
+// maxRelayedOwners bounds the owners for which this VM relays orders. It includes former owners
+// whose connection isn't closed yet.
 const maxOwners = 64
 
-// servers are the HTTP servers of a node with their listeners.
+// servers holds the HTTP servers of a node and their listeners.
 type servers struct {
 	control, ready, frontend *openServer
-	// relay takes owners whose orders this VM carries.
+	// relay accepts connections of owners whose orders this VM relays.
 	relay net.Listener
 }
 
+// openServer is an HTTP server with its open listener.
 type openServer struct {
 	http     *http.Server
 	listener net.Listener
 }
 
+// listen opens the listeners of all servers; it closes those already open if one fails.
 func listen(s platform.Settings, n *Node) (servers, error) {
 	var open servers
 	for _, h := range []struct {
@@ -80,6 +82,7 @@
 
 func (s servers) all() []*openServer { return []*openServer{s.frontend, s.ready, s.control} }
 
+// serve runs the HTTP servers on goroutines of the group until they are closed.
 func (s servers) serve(g *errgroup.Group) {
 	for _, open := range s.all() {
 		g.Go(func() error {
@@ -91,14 +94,14 @@
 	}
 }
 
-// closeFrontend takes no new callers and lets requests in flight end within a time.
+// closeFrontend stops accepting callers and waits up to a time for requests in flight.
 func (s servers) closeFrontend(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	_ = s.frontend.http.Shutdown(ctx)
 }
 
-// close lets requests in flight end for a while.
+// close stops all HTTP servers and waits up to closeTimeout for requests in flight.
 func (s servers) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/node/settings.go
+++ b/node/settings.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// settingsInterval paces the look at the settings file, which may change without a
-// signal.
+// settingsPollInterval is the time between two reads of the settings file, which may change
+// without a signal.
 const settingsInterval = 2 * time.Second
 
-// followSettings reads the settings again at each signal and from time to time.
+// followSettings reloads the settings at each signal and each interval until the context ends.
 func (n *Node) followSettings(ctx context.Context) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -26,17 +26,17 @@
 	}
 }
 
-// reload takes what a running process can take from changed settings: the address
-// of the store. All else needs a start.
-func (n *Node) reload(asked bool) {
+// reload reads the settings again and applies the only one that can change in a running process,
+// the address of the store. All others need a restart.
+func (n *Node) reload(signalled bool) {
 	s, err := n.options.LoadSettings()
 	if err != nil {
-		n.log.Warn("settings not read again, going on with those at hand", "error", err)
+		n.log.Warn("cannot reload settings; the previous ones stay in force", "error", err)
 		return
 	}
 	changed := !reflect.DeepEqual(s, n.settings)
-	if asked || changed {
-		n.log.Info("settings read again", "asked", asked, "changed", changed, "store", s.Store)
+	if signalled || changed {
+		n.log.Info("settings read again", "asked", signalled, "changed", changed, "store", s.Store)
 	}
 	if s.Store != n.settings.Store {
 		n.store.Move(s.Store)
