--- a/node/delegate.go
+++ b/node/delegate.go
@@ -11,10 +11,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ownerName names an owner to the scheduler.
+// ownerName returns the name under which the scheduler knows the owner of an incarnation.
 func ownerName(life uint64) string { return strconv.FormatUint(life, 16) }
 
-// Heard implements heartbeat.Listener.
+// ReceiveLoads implements heartbeat.Listener. It tells the current owner the free capacity of
+// another owner, to which it may delegate tasks.
 func (n *Node) Heard(life uint64, loads []*linkpb.Load) {
 	o := n.owned()
 	if o == nil || life == n.self.Life {
@@ -31,7 +32,8 @@
 	}
 }
 
-// lend has another owner run a part of a job, for which this VM vouches.
+// delegate has another owner run a part of a job. This VM acts as the part's entry VM: it sends
+// the keepalives for it.
 func (n *Node) lend(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome {
 	for _, held := range n.keeper.Claims() {
 		if ownerName(held.Claim.GetLife()) != owner {
--- a/node/leave.go
+++ b/node/leave.go
@@ -9,22 +9,24 @@
 	"github.com/burdockward/burdockward/ownership"
 )
 
-// Times of a planned stop, within the platform's grace of 6 s.
+// Timing of a planned stop, within the platform's grace period of 6 s.
 const (
-	// rotationTime is until the platform has missed two readiness checks, one a
-	// second, and sends no new connections.
+	// drainDelay is the time until two readiness checks, sent once a second, have failed and the
+	// platform sends no new connections.
 	rotationTime = 2200 * time.Millisecond
-	// leaveMargin is kept of the grace for closing.
+	// closeMargin is the part of the grace period that is reserved for closing the servers.
 	leaveMargin = 700 * time.Millisecond
-	// handOverPause paces the tries to hand over.
+	// handOverRetryInterval is the pause between two attempts to hand over.
 	handOverPause = 250 * time.Millisecond
-	// handOverTime bounds the tries: a store that is away for longer won't help.
+	// handOverTimeout bounds the attempts: a store that is unavailable for longer does not come
+	// back in time.
 	handOverTime = 2 * time.Second
-	// leavePause paces the looks at what is left.
+	// busyCheckInterval is the pause between two checks for requests and jobs in progress.
 	leavePause = 20 * time.Millisecond
 )
 
-// leave hands over what this VM owns and waits until its callers are answered.
+// leave hands over the group if this VM owns it, and waits within the grace period until its
+// callers are answered.
 func (n *Node) leave(ctx context.Context) {
 	began := bootclock.Now()
 	deadline := began + n.options.Settings.Grace - leaveMargin
@@ -33,7 +35,7 @@
 	n.keeper.Leave()
 	n.handOver(ctx, began)
 	sleepUntil(began + rotationTime)
-	// From here on callers get no new connection, and an answer on those they have.
+	// From now on the frontend accepts no connections but answers on those that are open.
 	n.servers.closeFrontend(deadline - bootclock.Now())
 	for bootclock.Now() < deadline && n.busy() {
 		time.Sleep(leavePause)
@@ -43,6 +45,8 @@
 
 func sleepUntil(at time.Duration) { time.Sleep(at - bootclock.Now()) }
 
+// handOver tries to hand the group over to another VM. If all attempts fail, the owner stops
+// taking jobs and hands back those of which nothing has started.
 func (n *Node) handOver(ctx context.Context, began time.Duration) {
 	if n.owned() == nil {
 		return
@@ -52,7 +56,7 @@
 		if err == nil {
 			return
 		}
-		n.log.Warn("not handed over", "group", n.group, "error", err)
+		n.log.Warn("handover failed", "group", n.group, "error", err)
 		time.Sleep(handOverPause)
 	}
 	if o := n.owned(); o != nil {
@@ -60,7 +64,7 @@
 	}
 }
 
-// busy reports whether callers or a successor still wait for this VM.
+// isBusy reports whether requests of callers or jobs of an owner are still in progress here.
 func (n *Node) busy() bool {
 	if n.requests.Load() > 0 {
 		return true
@@ -73,21 +77,22 @@
 	return false
 }
 
-// Times of yielding.
+// Timing of handovers to a stronger VM.
 const (
-	// yieldInterval paces the look for a VM that should own the group instead: when all
-	// VMs start again, the strong ones may come a fraction of a second later.
+	// yieldCheckInterval is the time between two checks for a stronger VM. When all VMs restart
+	// at once, the strong ones may come up a fraction of a second later than the weak ones.
 	yieldInterval = 250 * time.Millisecond
-	// yieldPause outlasts a handover.
+	// yieldRetryInterval is the time between two attempts; it is longer than a handover takes.
 	yieldPause = 3 * time.Second
 )
 
-// yield hands the group to a VM of the failure domain with much more processor, if there is
-// one: a weak VM may have claimed it while the others were away, or this one was slowed down.
+// yieldToStronger hands the group over to a VM of the failure domain that has a much larger share
+// of a core, if there is one: this VM may have claimed the group while the others were down, or
+// may have been slowed down since.
 func (n *Node) yield(ctx context.Context) {
 	ticker := time.NewTicker(yieldInterval)
 	defer ticker.Stop()
-	tried := bootclock.Now() - yieldPause
+	lastAttempt := bootclock.Now() - yieldPause
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,14 +100,14 @@
 		case <-ticker.C:
 		}
 		now, pingers := bootclock.Now(), n.beats.Pingers()
-		if n.Leaving() || n.owned() == nil || now-tried < yieldPause ||
+		if n.Leaving() || n.owned() == nil || now-lastAttempt < yieldPause ||
 			!ownership.Stronger(n.self.FailureDomain, n.processor.PerMille(), pingers, now) {
 			continue
 		}
-		tried = now
+		lastAttempt = now
 		n.log.Info("handing over to a VM with more processor", "group", n.group, "cpu_per_mille", n.processor.PerMille())
 		if err := n.keeper.HandOver(ctx, pingers, n.calls); err != nil {
-			n.log.Warn("not handed over to a stronger VM", "group", n.group, "error", err)
+			n.log.Warn("handover to a stronger VM failed", "group", n.group, "error", err)
 		}
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// peersInterval paces the look for news that other VMs have and the store doesn't
-// give: a few tries within the bound in which a configuration has to be in force.
+// peerPollInterval is the time between two checks for newer tables at other VMs. It allows a few
+// attempts within the bound in which a new configuration has to be in force.
 const peersInterval = 200 * time.Millisecond
 
-// askPeers takes the configuration and the claims from other VMs where theirs is
-// newer, since the store may turn this VM away.
+// pollPeers fetches the tables of other VMs whose configuration is newer, since the store may be
+// unreachable from this VM. It returns when the context ends.
 func (n *Node) askPeers(ctx context.Context) {
 	ticker := time.NewTicker(peersInterval)
 	defer ticker.Stop()
@@ -24,6 +24,8 @@
 	}
 }
 
+// fetchFromNewerPeer takes the store clock, the cordons, the configuration and the claims from a VM
+// that has a newer configuration, if one is known.
 func (n *Node) askNewer(ctx context.Context) {
 	address := n.newerPeer()
 	if address == "" {
@@ -31,7 +33,7 @@
 	}
 	tables, err := n.calls.Tables(ctx, address)
 	if err != nil {
-		n.log.Warn("peer not asked", "address", address, "error", err)
+		n.log.Warn("cannot fetch tables from a peer", "address", address, "error", err)
 		return
 	}
 	n.clock.offer(tables.StoreClock)
@@ -42,8 +44,8 @@
 	n.keeper.Merge(tables.Claims)
 }
 
-// newerPeer is the address of a VM that has a newer configuration, or of a seed
-// while there is none at all.
+// newerPeer returns the address of a VM that has a newer configuration, or "". While this VM has no
+// configuration at all, it returns the seeds in turn.
 func (n *Node) newerPeer() string {
 	version := n.config.version()
 	if seeds := n.options.Settings.Seeds; version == 0 && len(seeds) > 0 {
--- a/node/relays.go
+++ b/node/relays.go
@@ -8,10 +8,10 @@
 	"github.com/burdockward/burdockward/relay"
 )
 
-// relayPatience is how long a VM may be silent that carries orders: several heartbeats.
+// relaySilenceTimeout is how long a VM may be silent and still relay orders: several heartbeats.
 const relayPatience = 5 * heartbeat.Interval
 
-// newRouter makes what sends the orders of an owner in this process.
+// newRouter creates the router that sends the orders of an owner in this process.
 func (n *Node) newRouter() *relay.Router {
 	return relay.NewRouter(relay.Options{
 		Direct: n.targets,
@@ -25,7 +25,7 @@
 	})
 }
 
-// relayCandidates are the other VMs of the failure domain that are heard.
+// relayCandidates lists the other VMs of the failure domain that send heartbeats and do not leave.
 func (n *Node) relayCandidates() []relay.VM {
 	now := bootclock.Now()
 	var vms []relay.VM
@@ -38,7 +38,7 @@
 	return vms
 }
 
-// relayServer carries the orders of owners in other processes.
+// relayServer creates the server that forwards the orders of owners in other processes.
 func (n *Node) relayServer() *relay.Server {
 	return &relay.Server{
 		Targets: n.targets, Log: n.log, Count: n.options.Count,
