--- a/entry/choose.go
+++ b/entry/choose.go
@@ -1,5 +1,3 @@
-// Package entry takes jobs from callers and has them run by an owner of targets,
-// the nearest one unless another has a place sooner.
 package entry
 
 import (
@@ -13,45 +11,46 @@
 type Candidate struct {
 	Group string
 	Owner heartbeat.Owner
-	// Near owners are in this VM's failure domain.
+	// Near says that the owner is in this VM's failure domain.
 	Near bool
-	// Self is this VM.
+	// Self says that the owner runs in this process.
 	Self bool
 	// Wait is the forecast wait of jobs of the same priority.
 	Wait time.Duration
-	// Free is the share of its processor that is free.
+	// FreeShare is the share of the processor capacity of the owner's targets that is free.
 	Free float64
-	// Full says that the owner has refused this job already.
+	// HasRefused says that the owner has refused this job already.
 	Full bool
-	// Doubted says that the owner's answers have stayed out, though it isn't given up yet.
+	// Unconfirmed says that the owner has not answered for more than unconfirmedAfter, but is not
+	// considered lost yet.
 	Doubted bool
 	View    heartbeat.View
 }
 
-// Figures of the choice.
+// Parameters of the choice.
 const (
-	// farPenalty is what a far owner's wait must be shorter by: its forecast is an
-	// interval of heartbeats old, and other VMs see it as well.
+	// farPenalty is by how much a far owner's wait must be shorter than a near owner's: its
+	// forecast may be one heartbeat interval old, and other VMs act on it as well.
 	farPenalty = 25 * time.Millisecond
-	// farFree is the free share at which a far owner counts as having room.
+	// minFarFreeShare is the free share from which a far owner counts as having free capacity.
 	farFree = 0.1
-	// doubtTime is how long an owner may be silent and get new jobs: two heartbeats in a row
-	// may be lost. What is sent to one that has died is lost with it, and it takes
-	// heartbeat.Silence to be sure of that.
+	// unconfirmedAfter is how long an owner may be silent and still get new jobs: two heartbeats
+	// in a row may be lost. Jobs sent to an owner that has died are lost with it, and it takes
+	// heartbeat.SilenceTimeout until its death is certain.
 	doubtTime = 125 * time.Millisecond
 )
 
-// Choose returns the index of the owner to ask, or -1. Draw is a random number
-// from 0 to 1: when owners elsewhere have room, only some of the VMs turn to them
-// at a time. Doubted owners are asked where there are no others.
+// Choose returns the index of the owner to ask, or -1. It prefers owners that are not Unconfirmed.
+// Draw is a random number from 0 to 1, which keeps a share of the jobs near: otherwise all VMs
+// would send to the same far owner at the same time.
 func Choose(candidates []Candidate, draw float64) int {
-	if trusted := choose(candidates, draw, false); trusted >= 0 {
-		return trusted
+	if confirmed := choose(candidates, draw, false); confirmed >= 0 {
+		return confirmed
 	}
 	return choose(candidates, draw, true)
 }
 
-// choose chooses among those that are doubted, or are not.
+// chooseAmong returns the index of the best candidate whose Unconfirmed equals the argument, or -1.
 func choose(candidates []Candidate, draw float64, doubted bool) int {
 	best := -1
 	for i, c := range candidates {
@@ -73,9 +72,10 @@
 	return best
 }
 
-// stayShare of the jobs stay near even where an owner elsewhere has room.
+// nearShare is the share of the jobs that stay near even when a far owner has free capacity.
 const stayShare = 0.3
 
+// cost returns the forecast wait by which candidates are compared.
 func (c Candidate) cost() time.Duration {
 	if c.Near {
 		return c.Wait
@@ -83,7 +83,7 @@
 	return c.Wait + farPenalty
 }
 
-// measure fills in the load of a service from an owner's heartbeat.
+// setLoad sets the wait and the free share of a service from the loads in an owner's heartbeat.
 func (c *Candidate) measure(loads []*linkpb.Load, service string, priority int) {
 	for _, load := range loads {
 		if load.GetGroup() != c.Group || load.GetService() != service {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,3 +1,11 @@
+// Package entry receives jobs from callers and has an owner of targets run each of them. From the
+// claims, the heartbeats of the owners and the cordons it decides which owner to ask: the one in
+// this VM's failure domain, unless another one is forecast to start the job sooner.
+//
+// A job that an owner refuses is offered to another one for a short time. A job that an owner hands
+// back (Moved) is sent again, until it could no longer meet its objective. A job whose outcome is
+// unknown may have started: it is not sent again, and its owner is told to give it up. An owner in
+// a cordoned failure domain, or one that has been silent for too long, is not asked.
 package entry
 
 import (
@@ -16,17 +24,18 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Peers is what heartbeats tell of owners.
+// Peers gives what heartbeats have reported about owners, and tells them of jobs that are given up.
 type Peers interface {
 	View(life uint64) (heartbeat.View, bool)
 	GiveUp(owner uint64, job string)
 }
 
-// Remote runs jobs at other VMs.
+// Remote calls owners at other VMs.
 type Remote interface {
-	// RunUntil gives the job up when the caller has left or the owner is silent.
+	// RunWhileAlive runs a job; it returns early when the caller leaves (ctx) or the owner is
+	// considered lost (alive).
 	RunUntil(ctx, alive context.Context, to heartbeat.Owner, order link.Order) work.Outcome
-	// State and Cancel ask an owner about kept jobs.
+	// State and Cancel ask an owner about a durable job.
 	State(ctx context.Context, address, id string) (work.State, error)
 	Cancel(ctx context.Context, address, id string) (work.State, error)
 }
@@ -35,7 +44,7 @@
 type Local interface {
 	Submit(ctx context.Context, sub scheduler.Submission) work.Outcome
 	Loads() map[string]scheduler.Load
-	// JobState and CancelJob report false where the owner doesn't know the job.
+	// JobState and CancelJob report false when the owner doesn't know the job.
 	JobState(ctx context.Context, id string) (work.State, bool)
 	CancelJob(ctx context.Context, id string) (work.State, bool)
 	PendingJobs() map[string]int32
@@ -48,31 +57,31 @@
 	FailureDomain string
 	Log           *slog.Logger
 	Count         func(what, label string)
-	// Claims lists the owners.
+	// Claims lists the claims of all groups, which name their owners.
 	Claims func() []ownership.Held
-	// Local is the owner in this process of a group, if any.
+	// LocalOwner returns the owner of a group if it runs in this process.
 	Local func(group string) (Local, bool)
-	// DomainOf gives the failure domain of a group.
+	// DomainOf returns the failure domain of a group.
 	DomainOf func(group string) string
-	// Cordoned reports whether nothing may be started in a failure domain; nil says that
-	// there are no cordons.
+	// IsCordoned reports whether nothing may be started in a failure domain; nil means that there
+	// are no cordons.
 	Cordoned func(domain string) bool
-	// Lost is told of owners whose connection broke; it must not block.
+	// OwnerLost is called with each owner whose connection broke; it must not block.
 	Lost func(owner heartbeat.Owner)
-	// Find reads from the store how a kept job stands.
+	// FindJob reads the state of a durable job from the store.
 	Find func(ctx context.Context, id string) (work.State, error)
 }
 
-// Entry has jobs run.
+// Entry receives jobs and dispatches them to owners. It is safe for concurrent use.
 type Entry struct {
 	options Options
 	peers   Peers
 	remote  Remote
-	// found is when an owner was last there to ask, on the boot clock.
+	// lastOwnerSeen is when there was last an owner to ask, on the boot clock.
 	found atomic.Int64
 }
 
-// New makes an Entry.
+// New creates an Entry.
 func New(o Options, peers Peers, remote Remote) *Entry {
 	if o.Cordoned == nil {
 		o.Cordoned = func(string) bool { return false }
@@ -82,38 +91,41 @@
 	return e
 }
 
-// Times of an entry.
+// Timing of an entry.
 const (
-	// offerTime is how long a refused job is offered to another owner: one that has
-	// waited in a queue is told the truth instead of waiting in the next.
+	// reofferTimeout is the age up to which a refused job is offered to another owner. A job that
+	// has already waited in one queue is refused to its caller instead of waiting in the next.
 	offerTime = 10 * time.Millisecond
-	// lookAgain paces the look for an owner while there is none.
+	// ownerRetryInterval is the pause before owners are looked up again, while there is none or
+	// the one asked has handed the job back.
 	lookAgain = 10 * time.Millisecond
-	// refusedRetry is told when no owner can be reached: about the time that
-	// another VM takes to claim its place.
+	// noOwnerRetryAfter is sent to callers while no owner can be reached: about the time that
+	// another VM takes to claim the group.
 	refusedRetry = time.Second
-	// cordonedRetry is told while every failure domain is cordoned: the operator decides
-	// when one may be used again.
+	// cordonedRetryAfter is sent to callers while every failure domain is cordoned; the operator
+	// decides when one may be used again.
 	cordonedRetry = 2 * time.Second
-	// hopeTime is how long jobs wait for an owner after the last one was seen: a
-	// silence, a claim and the first looks. A VM that has none for longer is cut
-	// off, and says so at once.
+	// ownerWaitTimeout is how long jobs wait for an owner after the last one was seen: enough for
+	// the silence timeout, a claim and the first polls of targets. A VM without an owner for
+	// longer is cut off from all of them and refuses jobs at once.
 	hopeTime = heartbeat.Silence + 300*time.Millisecond
 )
 
-// request is a job on its way.
+// request is a job that is being dispatched.
 type request struct {
 	job     work.Job
 	queue   work.Queue
 	arrived time.Duration
-	wait    time.Duration
-	// full holds the groups that have refused the job.
+	// wait is how long the caller waits; 0 means no bound.
+	wait time.Duration
+	// refusedBy holds the groups that have refused the job.
 	full map[string]bool
-	// latest is when the job has to start to be answered within its objective.
+	// latestStart is when the job has to start to be answered within its objective.
 	latest time.Duration
 }
 
-// Dispatch runs a job to its end. The end of the context gives it up.
+// Dispatch has a job run and returns its outcome, which it counts and logs. The job is given up
+// when the context ends.
 func (e *Entry) Dispatch(ctx context.Context, job work.Job, queue work.Queue, wait time.Duration) work.Outcome {
 	arrived := bootclock.Now()
 	r := &request{
@@ -123,7 +135,7 @@
 	outcome := e.dispatch(ctx, r)
 	e.options.Count("requests", outcome.Result.String())
 	if outcome.Result == work.Refused || outcome.Result == work.Unknown {
-		// What follows a colon differs from case to case.
+		// The text after a colon has details that would make too many labels.
 		cause, _, _ := strings.Cut(outcome.Reason, ":")
 		e.options.Count("requests_"+outcome.Result.String(), cause)
 	}
@@ -135,28 +147,29 @@
 	return outcome
 }
 
+// dispatch asks one owner after another until one runs the job or all have refused it.
 func (e *Entry) dispatch(ctx context.Context, r *request) work.Outcome {
 	refusal := work.Outcome{Result: work.Refused, Reason: "no owner of targets can be reached", RetryAfter: refusedRetry}
 	for {
 		candidates := e.candidates(r)
-		at := Choose(candidates, rand.Float64())
-		if at >= 0 {
+		chosen := Choose(candidates, rand.Float64())
+		if chosen >= 0 {
 			e.found.Store(int64(bootclock.Now()))
 		}
-		if at < 0 && len(r.full) > 0 {
+		if chosen < 0 && len(r.full) > 0 {
 			return refusal
 		}
-		if at < 0 && e.allCordoned() {
+		if chosen < 0 && e.allCordoned() {
 			return work.Outcome{Result: work.Refused, Reason: "every failure domain is cordoned", RetryAfter: cordonedRetry}
 		}
-		if at >= 0 {
-			outcome := e.run(ctx, r, candidates[at])
+		if chosen >= 0 {
+			outcome := e.run(ctx, r, candidates[chosen])
 			switch outcome.Result {
 			case work.Moved:
 			case work.Refused:
 				refusal = outcome
-				r.full[candidates[at].Group] = true
-				if worse(candidates, at, outcome) || bootclock.Now()-r.arrived > offerTime {
+				r.full[candidates[chosen].Group] = true
+				if worse(candidates, chosen, outcome) || bootclock.Now()-r.arrived > offerTime {
 					return refusal
 				}
 				continue
@@ -176,7 +189,8 @@
 	}
 }
 
-// worse reports whether no other owner is likely to take a refused job.
+// noBetterOwner reports whether no other owner is worth asking after a refusal: each has refused
+// the job too, or its forecast wait with farPenalty is no shorter than the refusal's retry delay.
 func worse(candidates []Candidate, refused int, outcome work.Outcome) bool {
 	for i, c := range candidates {
 		if i != refused && !c.Full && c.Wait+farPenalty < outcome.RetryAfter {
@@ -186,7 +200,7 @@
 	return true
 }
 
-// candidates lists the owners that answer.
+// candidates lists the owners that can be asked: not cordoned and not silent.
 func (e *Entry) candidates(r *request) []Candidate {
 	var list []Candidate
 	for _, held := range e.options.Claims() {
@@ -207,7 +221,7 @@
 	return list
 }
 
-// allCordoned reports whether there are owners, and none of them may start anything.
+// allCordoned reports whether there are owners and all of them are in cordoned failure domains.
 func (e *Entry) allCordoned() bool {
 	claims := e.options.Claims()
 	for _, held := range claims {
@@ -218,6 +232,7 @@
 	return len(claims) > 0
 }
 
+// fillCandidate sets what is known of an owner, and reports whether the owner can be asked.
 func (e *Entry) fill(c *Candidate, held ownership.Held, r *request) bool {
 	if c.Self {
 		local, ok := e.options.Local(c.Group)
@@ -240,7 +255,7 @@
 	return true
 }
 
-// run has one owner run the job.
+// runAt has one owner run the job.
 func (e *Entry) run(ctx context.Context, r *request, c Candidate) work.Outcome {
 	age := bootclock.Now() - r.arrived
 	if c.Self {
