--- a/entry/durable.go
+++ b/entry/durable.go
@@ -12,11 +12,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ErrHomeAway says that a kept job's owner can't be asked at the moment; ask again
-// later.
-const ErrHomeAway = errs.Tag("the job's owner is away")
+// ErrOwnerUnavailable says that a durable job's owner can't be asked at the moment; the caller may
+// try again later.
+const ErrHomeAway = errs.Tag("job owner unavailable")
 
-// State tells how a kept job stands: its owner knows, or else the store.
+// State returns the state of a durable job, from the owner that knows it or else from the store.
 func (e *Entry) State(ctx context.Context, id string) (work.State, error) {
 	state := e.ask(ctx, func(ctx context.Context, held ownership.Held) work.State {
 		if local, ok := e.local(held); ok {
@@ -33,7 +33,8 @@
 	return e.options.Find(ctx, id)
 }
 
-// Cancel cancels a kept job for good and tells how it stands then.
+// Cancel cancels a durable job for good and returns its state after that. The error is
+// ErrOwnerUnavailable if no owner knows the job and the store has it as unfinished.
 func (e *Entry) Cancel(ctx context.Context, id string) (work.State, error) {
 	state := e.ask(ctx, func(ctx context.Context, held ownership.Held) work.State {
 		if local, ok := e.local(held); ok {
@@ -50,13 +51,13 @@
 	}
 	state, err := e.options.Find(ctx, id)
 	if err == nil && state != work.StateAbsent && !state.Final() {
-		return state, ErrHomeAway.Errorf("job %s is %s and can't be cancelled now", id, state)
+		return state, ErrHomeAway.Errorf("job %s is %s and cannot be cancelled now", id, state)
 	}
 	return state, err
 }
 
-// Pending counts the kept jobs of a queue of which nothing has begun. An owner that is
-// cut off counts with what it last said: it accepts nothing without the store.
+// PendingJobs counts the durable jobs of a queue of which nothing has started. A silent owner
+// counts with what it last reported: it accepts no durable job without the store.
 func (e *Entry) Pending(queue string) int {
 	pending := int32(0)
 	for _, held := range e.options.Claims() {
@@ -69,22 +70,22 @@
 	return int(pending)
 }
 
-// ask asks all owners at once and returns what the one says that knows the job.
-func (e *Entry) ask(ctx context.Context, one func(context.Context, ownership.Held) work.State) work.State {
+// askAll asks all owners at once and returns the state from the one that knows the job.
+func (e *Entry) ask(ctx context.Context, query func(context.Context, ownership.Held) work.State) work.State {
 	var found atomic.Int64
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.each(func(held ownership.Held) {
-		if state := one(ctx, held); state != work.StateAbsent {
+		if state := query(ctx, held); state != work.StateAbsent {
 			found.Store(int64(state))
-			// The others can't know it.
+			// Only one owner knows a job: the other calls are not needed any more.
 			cancel()
 		}
 	})
 	return work.State(found.Load())
 }
 
-// each calls a function for each owner that is alive, side by side, and waits for all.
+// forEachLiveOwner calls a function concurrently for each owner that is alive, and waits for all.
 func (e *Entry) each(call func(ownership.Held)) {
 	var calls sync.WaitGroup
 	for _, held := range e.options.Claims() {
@@ -96,6 +97,7 @@
 	calls.Wait()
 }
 
+// localOwner returns the owner under a claim if it runs in this process.
 func (e *Entry) local(held ownership.Held) (Local, bool) {
 	if held.Claim.GetLife() != e.options.Life {
 		return nil, false
@@ -103,11 +105,13 @@
 	return e.options.Local(held.Group)
 }
 
+// isAlive reports whether the owner under a claim has answered heartbeats and is not lost.
 func (e *Entry) alive(held ownership.Held) bool {
 	view, ok := e.peers.View(held.Claim.GetLife())
 	return ok && view.Stamp > 0 && view.Alive.Err() == nil
 }
 
+// logUnanswered logs the error of an owner that did not answer, unless the context has ended.
 func (e *Entry) unanswered(ctx context.Context, held ownership.Held, id string, err error) {
 	if err != nil && ctx.Err() == nil {
 		e.options.Log.LogAttrs(ctx, slog.LevelWarn, "owner not asked",
