--- a/relay/plan.go
+++ b/relay/plan.go
@@ -8,55 +8,56 @@
 	"time"
 )
 
-// VM is one that can carry orders.
+// VM is a VM that can relay orders.
 type VM struct {
 	Name string
-	// Life tells processes of a VM apart.
+	// Incarnation distinguishes the processes of a VM.
 	Life uint64
-	// Address takes connections of owners.
+	// Address accepts connections of owners.
 	Address string
-	// CPU is what the VM has of a core now.
+	// CPU is the VM's present share of a core.
 	CPU float64
 }
 
-// Budget is what the owner's own process may spend on its targets.
+// Budget describes the resources of the owner's own process.
 type Budget struct {
-	// CPU is what the VM has of a core now.
+	// CPU is the VM's present share of a core.
 	CPU float64
-	// Sockets and MemoryMB are its limits.
+	// Sockets and MemoryMB are the limits of the process.
 	Sockets  int
 	MemoryMB int64
 }
 
-// Load is what the targets of an owner ask of those who carry its orders.
+// Load is the work of sending orders to the targets of an owner.
 type Load struct {
 	Targets int
-	// Calls is how many orders and looks are sent in a second.
+	// Calls is the number of orders and polls sent per second.
 	Calls float64
 }
 
-// What targets cost whoever sends orders to them.
+// Costs of a target for the process that sends its orders, and the limits for them.
 const (
-	// callCost is the processor time of an order or a look with its answer, over an open
+	// callCost is the processor time of an order or a poll with its answer, over an open
 	// connection.
 	callCost = 80 * time.Microsecond
-	// firstLookCost is that of a first look, with the opening of its connection.
+	// firstPollCost is the processor time of a first poll, which opens the connection.
 	firstLookCost = 300 * time.Microsecond
-	// adoptionTime is within what all targets of a new owner should have been looked at.
+	// takeoverPollTime is the time within which a new owner should have polled all its targets.
 	adoptionTime = 100 * time.Millisecond
-	// busyShare of a processor may go into steady calls.
+	// steadyCallShare is the share of a processor that calls may use in steady operation.
 	busyShare = 0.3
-	// socketsOfTarget are a look's and those of a few orders at one time; socketShare of a
-	// process's sockets may be targets'.
+	// socketsPerTarget covers a poll and a few simultaneous orders; targetSocketShare is the
+	// share of a process's sockets that may be used for targets.
 	socketsOfTarget = 4
 	socketShare     = 1.0 / 3
-	// megabytesOfTarget is what its connections hold; memoryShare of a VM's memory may be
-	// targets'.
+	// megabytesPerTarget is the memory of a target's connections; targetMemoryShare is the share
+	// of a VM's memory that may be used for targets.
 	megabytesOfTarget = 0.1
 	memoryShare       = 0.25
 )
 
-// perTarget is the processor that one target takes, in cores.
+// coresPerTarget returns the processor capacity that one target needs, in cores: enough for the
+// polls after a takeover and for the steady calls.
 func (l Load) perTarget() float64 {
 	adopting := firstLookCost.Seconds() / adoptionTime.Seconds()
 	if l.Targets == 0 {
@@ -65,40 +66,43 @@
 	return max(adopting, l.Calls/float64(l.Targets)*callCost.Seconds()/busyShare)
 }
 
-// targets is how many targets a process can carry, by whichever of its means is short first.
+// maxTargets returns how many targets a process can send orders to, limited by processor, sockets
+// or memory, whichever is exhausted first.
 func (b Budget) targets(l Load) float64 {
 	return min(b.CPU/l.perTarget(), socketShare*float64(b.Sockets)/socketsOfTarget, memoryShare*float64(b.MemoryMB)/megabytesOfTarget)
 }
 
-// Figures of plans.
+// Parameters of plans.
 const (
-	// relayPart of what a VM could carry is asked of a relay, which has callers of its own.
+	// relayShare is the share of a relay's capacity that a plan uses: a relay has callers of its
+	// own.
 	relayPart = 0.5
-	// spareRelays is by how much relays can carry more than they have to.
+	// relayReserve is the ratio of the relays' planned capacity to what they have to relay.
 	spareRelays = 1.25
-	// settled is how far what the owner can carry may move without a new plan.
+	// replanThreshold is the relative change of a capacity below which the plan stays as it is.
 	settled = 0.3
-	// enough is the share of what the owner can carry below which it does without relays,
-	// after calmTime.
+	// releaseShare is the share of the owner's own capacity: once its targets stay below it for
+	// releaseDelay, the relays are released.
 	enough   = 0.7
 	calmTime = 5 * time.Second
 )
 
-// Plan says who carries the orders to the targets of an owner. The zero value has the owner do
-// it alone.
+// Plan says which process sends the orders to the targets of an owner. With the zero value the
+// owner sends all orders itself.
 type Plan struct {
-	// Own is how many targets the owner carries itself, while there are relays.
+	// OwnTargets is for how many targets the owner sends the orders itself, while there are
+	// relays.
 	Own    float64
 	Relays []VM
-	// calm is since when the owner could do without; 0 while it couldn't.
+	// unneededSince is when the owner first could do without relays; 0 while it needs them.
 	calm time.Duration
 }
 
-// Next is the plan from now on: relays that are still there keep their targets.
+// Next returns the plan that follows p. Relays that are still candidates keep their targets.
 func (p Plan) Next(now time.Duration, own Budget, load Load, candidates []VM) Plan {
-	can := own.targets(load)
-	need := float64(load.Targets) - can
-	if need <= 0 && len(p.Relays) > 0 && float64(load.Targets) > enough*can {
+	capacity := own.targets(load)
+	need := float64(load.Targets) - capacity
+	if need <= 0 && len(p.Relays) > 0 && float64(load.Targets) > enough*capacity {
 		need = 1
 	}
 	if need <= 0 {
@@ -114,25 +118,26 @@
 	} else {
 		p.calm = 0
 	}
-	relays, carried := p.staying(load, candidates)
+	relays, relayed := p.staying(load, candidates)
 	for _, vm := range strongest(candidates) {
-		if carried >= spareRelays*need {
+		if relayed >= spareRelays*need {
 			break
 		}
 		if !slices.ContainsFunc(relays, func(r VM) bool { return r.Life == vm.Life }) {
 			relays = append(relays, vm)
-			carried += relayPart * vm.CPU / load.perTarget()
+			relayed += relayPart * vm.CPU / load.perTarget()
 		}
 	}
 	next := Plan{Own: p.Own, Relays: relays, calm: p.calm}
-	if own := max(min(can, float64(load.Targets)), 1); p.Own == 0 || math.Abs(own-p.Own) > settled*p.Own {
+	if own := max(min(capacity, float64(load.Targets)), 1); p.Own == 0 || math.Abs(own-p.Own) > settled*p.Own {
 		next.Own = own
 	}
 	return next
 }
 
-// staying are the relays that are still candidates, with what they carry.
-func (p Plan) staying(load Load, candidates []VM) (relays []VM, carried float64) {
+// remainingRelays returns the relays that are still candidates and the number of targets that they
+// can relay together.
+func (p Plan) staying(load Load, candidates []VM) (relays []VM, relayed float64) {
 	for _, relay := range p.Relays {
 		for _, vm := range candidates {
 			if vm.Life != relay.Life {
@@ -142,26 +147,27 @@
 				vm.CPU = relay.CPU
 			}
 			relays = append(relays, vm)
-			carried += relayPart * vm.CPU / load.perTarget()
+			relayed += relayPart * vm.CPU / load.perTarget()
 		}
 	}
-	return relays, carried
+	return relays, relayed
 }
 
+// byCPU returns the VMs by descending share of a core.
 func strongest(vms []VM) []VM {
 	return slices.SortedFunc(slices.Values(vms), func(a, b VM) int {
 		return cmp.Or(cmp.Compare(b.CPU, a.CPU), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// Same reports whether two plans give each target to the same VM.
+// SameAssignment reports whether two plans assign each target to the same VM.
 func (p Plan) Same(other Plan) bool {
 	return p.Own == other.Own && slices.Equal(p.Relays, other.Relays)
 }
 
 var hashSeed = maphash.MakeSeed()
 
-// draw is a number from 0 to 1 that a target and a VM always have.
+// hashDraw returns a number from 0 to 1 that depends only on a target and a VM.
 func draw(target, vm string) float64 {
 	var h maphash.Hash
 	h.SetSeed(hashSeed)
@@ -171,8 +177,9 @@
 	return (float64(h.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
-// RelayOf is the place of the relay that carries a target's orders; -1 where the owner does.
-// Each one has a share by its weight, and where one goes only its own targets move.
+// RelayIndex returns the index of the relay that sends a target's orders; -1 if the owner does.
+// It uses weighted rendezvous hashing: each process gets a share of the targets according to its
+// weight, and only the targets of a relay that leaves are assigned anew.
 func (p Plan) RelayOf(target string, perTarget float64) int {
 	if len(p.Relays) == 0 {
 		return -1
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,10 +1,12 @@
-// Package relay has other VMs of a failure domain send an owner's orders to its targets. The
-// owner alone decides; a relay opens the connections, waits for the answers and decodes them,
-// which is most of what a target costs a processor, and passes on what they say. So an owner
-// keeps one queue over all its targets however weak its own processor is.
+// Package relay lets an owner send orders to its targets through other VMs of its failure domain.
+// The Router, at the owner, decides which VM sends the orders of each target. Its input is the
+// processor, sockets and memory of the owner's process, the number of targets, the rate of calls
+// and the VMs that can relay. The Server, at a relay, forwards orders to targets and returns their
+// answers. It opens the connections, waits and decodes, which is most of the processor time that a
+// target costs. So an owner can keep one queue over all its targets even with a weak processor.
 //
-// A relay keeps no state: an order carries the owner's fencing token, and one whose relay is
-// lost counts as unanswered, like any other whose answer gets lost.
+// Invariants: only the owner decides what runs where. A relay keeps no state: each order carries
+// the owner's fencing token, and an order whose relay is lost counts as unanswered.
 package relay
 
 import (
@@ -22,7 +24,7 @@
 	Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict)
 }
 
-// maxFrame bounds a message: the runs and the ends that a target lists at one time.
+// maxMessageBytes bounds a message; the largest lists all runs and completions of a target.
 const maxFrame = 1 << 20
 
 func runToWire(r work.Run) *linkpb.Run { return &linkpb.Run{Task: r.Task, Number: r.Number} }
--- a/relay/router.go
+++ b/relay/router.go
@@ -13,67 +13,71 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Figures of routers.
+// Parameters of routers.
 const (
-	// planInterval paces the look at who should carry what: two heartbeats.
+	// planInterval is the time between two plans: two heartbeats.
 	planInterval = 100 * time.Millisecond
-	// answerSlack is added to the time in which a relay has a target's answer.
+	// answerSlack is added to the time within which a relay receives a target's answer.
 	answerSlack = 10 * time.Millisecond
-	// orderTime and lookTime are how long a relay waits for a target.
+	// orderTimeout and pollTimeout are how long a relay waits for a target; that of a poll comes
+	// on top of the poll's own wait.
 	orderTime = 120 * time.Millisecond
 	lookTime  = 120 * time.Millisecond
-	// freshStore is the age of what the store told the owner up to which others may start
-	// runs for it: one that is cut off from the store doesn't know which targets leave, and
-	// a relay that isn't would start runs there in its name.
+	// maxStoreAge is the age of the owner's last answer from the store up to which any relay may
+	// start runs for it. An owner that is cut off from the store doesn't know which targets
+	// leave, and a relay with access to the store would start runs there in its name.
 	freshStore = 2 * time.Second
-	// callWeight is the weight of the newest plan's calls in the moving average.
+	// rateWeight is the weight of the newest interval's calls in the moving average.
 	callWeight = 0.2
-	// firstLooks is how many looks without a wait the owner has on their way itself at one
-	// time: others would only make their answers wait to be read.
+	// maxFirstPolls bounds the simultaneous polls without a wait that the owner itself sends: with
+	// more of them, answers would only wait to be read.
 	firstLooks = 32
-	// maxRoutes bounds the routes that are remembered: those of targets that have left stay until
-	// the next plan.
+	// maxRoutes bounds the cached routes; those of targets that have left stay until the next
+	// plan.
 	maxRoutes = 16384
-	// connectTime is how long looks wait for a relay that is being connected to.
+	// connectTimeout is how long polls wait for a connection to a relay that is being opened.
 	connectTime = 60 * time.Millisecond
 )
 
 // Options of a Router.
 type Options struct {
-	// Direct sends orders from this VM.
+	// Direct sends orders to targets from this VM.
 	Direct Targets
-	// Budget is what this process may spend, Candidates are the VMs that can carry orders.
+	// Budget returns the resources of this process, Candidates the VMs that can relay orders.
 	Budget     func() Budget
 	Candidates func() []VM
-	// StoreAge is how long ago the store last told the owner of its targets.
+	// StoreAge returns how long ago the store last answered the owner about its targets.
 	StoreAge func() time.Duration
 	Log      *slog.Logger
-	// Count counts who sends starts; it must not block.
+	// Count counts the starts by route; it must not block.
 	Count func(what, label string)
-	// Gauge sets the present value of something; it must not block.
+	// Gauge sets the value of a gauge; it must not block.
 	Gauge func(what string, value float64)
 }
 
-// Router sends an owner's orders itself or by relays, as many of them as the owner's own
-// processor, sockets and memory can't carry. It is safe for concurrent use.
+// Router sends an owner's orders to its targets: directly as far as the processor, sockets and
+// memory of the owner's process allow, and through relays beyond that. It is safe for concurrent
+// use.
 type Router struct {
 	options Options
-	calls   atomic.Int64
-	// targets is how many the owner has.
+	// calls counts the orders and polls since the last plan.
+	calls atomic.Int64
+	// targets is the number of the owner's targets.
 	targets atomic.Int64
-	first   chan struct{}
-	// grown wakes Run when their number has changed.
+	// firstPolls has an item for each first poll in progress that the owner itself sends.
+	first chan struct{}
+	// targetsChanged wakes Run when the number of targets has changed.
 	grown chan struct{}
 
 	mu        sync.RWMutex
 	plan      Plan
 	perTarget float64
 	streams   map[uint64]*stream
-	// routes are the streams of targets, nil for the owner itself, by the present plan.
+	// routes caches the stream of each target under the present plan; nil where the owner sends.
 	routes map[string]*stream
 }
 
-// NewRouter makes a router that sends all orders itself before Run.
+// NewRouter creates a router. It sends all orders directly until Run makes a plan.
 func NewRouter(o Options) *Router {
 	return &Router{
 		options: o, first: make(chan struct{}, firstLooks), grown: make(chan struct{}, 1), streams: map[uint64]*stream{}, routes: map[string]*stream{},
@@ -81,7 +85,7 @@
 	}
 }
 
-// Targets tells how many targets there are.
+// SetTargets sets the number of the owner's targets.
 func (r *Router) Targets(n int) {
 	if r.targets.Swap(int64(n)) != int64(n) {
 		select {
@@ -91,7 +95,8 @@
 	}
 }
 
-// Run keeps the plan until the context ends.
+// Run makes a new plan at each interval and each change of the number of targets, until the
+// context ends. Then it closes the connections to relays.
 func (r *Router) Run(ctx context.Context) {
 	defer r.close()
 	ticker := time.NewTicker(planInterval)
@@ -113,7 +118,8 @@
 	}
 }
 
-// decide takes the next plan.
+// replan puts the next plan in force. If it differs from the last one, it clears the routes and
+// connects to new relays.
 func (r *Router) decide(ctx context.Context, now time.Duration, load Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +148,7 @@
 	r.options.Gauge("relays", float64(len(next.Relays)))
 }
 
-// forgetStreams closes the connections that no plan uses any more.
+// closeUnusedStreams closes the idle connections to relays that the plan doesn't use any more.
 func (r *Router) forgetStreams(now time.Duration) {
 	for life, s := range r.streams {
 		used := slices.ContainsFunc(r.plan.Relays, func(vm VM) bool { return vm.Life == life })
@@ -161,7 +167,8 @@
 	}
 }
 
-// route is the stream that carries a target's orders; nil where the owner sends them.
+// routeOf returns the stream to the relay that the plan assigns to a target; nil if the owner
+// sends its orders directly.
 func (r *Router) route(target string) *stream {
 	r.calls.Add(1)
 	r.mu.RLock()
@@ -183,7 +190,8 @@
 	return s
 }
 
-// usable is the stream that carries a target's orders now; nil where the owner sends them.
+// usableStream returns the stream for a target's next order; nil if the owner sends it directly,
+// since the plan says so or its relay can't be used at the moment.
 func (r *Router) usable(target string) *stream {
 	s := r.route(target)
 	if s == nil || !s.answers(bootclock.Now()) {
@@ -212,12 +220,13 @@
 	return r.order(ctx, s, to, &linkpb.Carry{Token: token, What: &linkpb.Carry_Stop{Stop: &linkpb.CarryStop{Run: runToWire(run)}}})
 }
 
+// sendOrder has a relay send a start or a stop and waits for the answer.
 func (r *Router) order(ctx context.Context, s *stream, to work.Address, carry *linkpb.Carry) work.OrderAnswer {
 	answer := s.call(ctx, to, carry, orderTime+answerSlack, true)
 	return work.OrderAnswer{Verdict: work.Verdict(answer.GetVerdict()), Clock: answer.GetClockMs()}
 }
 
-// Look implements Targets.
+// Poll implements Targets. An owner polls without a wait when it first asks a target.
 func (r *Router) Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict) {
 	if s := r.route(to.ID); s != nil {
 		s.awaitConnection(ctx)
