--- a/relay/server.go
+++ b/relay/server.go
@@ -17,33 +17,33 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Figures of a relay.
+// Sizes and times of a relay.
 const (
-	// maxCarried bounds the orders of one owner on their way: a look and a few orders for
-	// each of several hundred targets.
+	// maxForwarded bounds the orders and polls of one owner in progress: a poll and a few orders
+	// for each of several hundred targets.
 	maxCarried = 2048
-	// answersRoom holds answers that wait to be written together.
+	// answerQueueSize is the number of answers that may wait to be written together.
 	answersRoom = 256
-	// staleCarry is how long an order may wait in this process to be sent: what decided it may
-	// be over.
+	// staleOrderAge is how long a start may wait in this process to be sent: the state on which it
+	// was decided may have changed since.
 	staleCarry = 100 * time.Millisecond
-	// acceptPause follows a connection that could not be taken.
+	// acceptRetryPause is the pause after a connection that could not be accepted.
 	acceptPause = 50 * time.Millisecond
-	// bufferBytes gathers the messages of a moment into one write.
+	// bufferBytes is enough to write messages that arrive together at once.
 	bufferBytes = 16 << 10
 )
 
-// Server carries the orders of owners.
+// Server forwards the orders of owners to their targets.
 type Server struct {
 	Targets Targets
 	Log     *slog.Logger
-	// StoreAge is how long ago the store last answered this VM.
+	// StoreAge returns how long ago the store last answered this VM.
 	StoreAge func() time.Duration
-	// Count counts what is carried; it must not block.
+	// Count counts the forwarded orders and polls; it must not block.
 	Count func(what, label string)
 }
 
-// Serve takes connections of owners until the context ends.
+// Serve accepts connections of owners until the context ends.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -58,7 +58,7 @@
 			return err
 		}
 		if err != nil {
-			// The process is short of descriptors: owners send their orders themselves meanwhile.
+			// The process has no free descriptors; owners send their orders themselves meanwhile.
 			s.Log.Warn("connection of an owner not taken", "error", err)
 			sleep(ctx, acceptPause)
 			continue
@@ -67,6 +67,7 @@
 	}
 }
 
+// sleep waits for a pause or the end of the context.
 func sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -76,7 +77,7 @@
 	}
 }
 
-// carry serves one owner.
+// serveOwner serves the connection of one owner until it breaks or the context ends.
 func (s *Server) carry(ctx context.Context, conn net.Conn) {
 	owner := conn.RemoteAddr().String()
 	s.Log.Info("carrying orders", "owner", owner)
@@ -96,6 +97,8 @@
 	s.Log.Info("no longer carrying orders", "owner", owner, "error", err)
 }
 
+// readOrders reads orders and forwards each on its own goroutine, until the connection breaks.
+// Orders beyond maxForwarded are answered as unsent.
 func (s *Server) read(ctx context.Context, conn net.Conn, answers chan<- proto.Message) error {
 	reader := bufio.NewReaderSize(conn, bufferBytes)
 	room := make(chan struct{}, maxCarried)
@@ -118,6 +121,7 @@
 	}
 }
 
+// sendAnswer queues the answer to an order to be written.
 func (s *Server) answer(ctx context.Context, answers chan<- proto.Message, order *linkpb.Carry, answer *linkpb.Carried) {
 	answer.Sequence = order.GetSequence()
 	answer.StoreAgeUs = s.StoreAge().Microseconds()
@@ -127,7 +131,8 @@
 	}
 }
 
-// send sends an order to its target.
+// forward sends an order to its target and returns the answer. A start that has waited too long
+// is not sent.
 func (s *Server) send(ctx context.Context, order *linkpb.Carry, taken time.Duration) *linkpb.Carried {
 	to := work.Address{ID: order.GetId(), Address: order.GetAddress()}
 	switch what := order.GetWhat().(type) {
@@ -152,12 +157,12 @@
 	}
 }
 
+// orderAnswerToWire converts the answer to a start or a stop.
 func orderAnswer(a work.OrderAnswer) *linkpb.Carried {
 	return &linkpb.Carried{Verdict: int32(a.Verdict), ClockMs: a.Clock}
 }
 
-// writeAll writes messages, those that wait together, until the context ends or the
-// connection breaks.
+// writeMessages writes messages until the context ends or the connection breaks.
 func writeAll(ctx context.Context, conn net.Conn, messages <-chan proto.Message) {
 	writer := bufio.NewWriterSize(conn, bufferBytes)
 	for {
@@ -172,6 +177,7 @@
 	}
 }
 
+// writeQueued writes a message and all that are queued behind it, and then flushes the writer.
 func writeWaiting(writer *bufio.Writer, message proto.Message, messages <-chan proto.Message) error {
 	for {
 		if _, err := protodelim.MarshalTo(writer, message); err != nil {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -16,47 +16,53 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Figures of streams.
+// Sizes and times of streams.
 const (
-	// dialTime is many round trips within a failure domain.
+	// dialTimeout is many round trips within a failure domain.
 	dialTime = 200 * time.Millisecond
-	// ordersRoom holds orders that wait to be written together.
+	// orderQueueSize is the number of orders that may wait to be written together.
 	ordersRoom = 512
-	// silentTime is how long a relay may answer nothing while orders wait that a target
-	// answers at once, beyond the pause that a quota of processor makes: the owner sends them
-	// itself then.
+	// silenceTimeout is how long a relay may answer nothing while prompt calls wait; after that
+	// the owner sends its orders itself. It is longer than the pause of a process that has used up
+	// its processor quota.
 	silentTime = 120 * time.Millisecond
-	// restTime is how long a relay is left alone whose connection broke.
+	// reconnectDelay is how long a relay is not used after its connection broke.
 	restTime = 3 * time.Second
 )
 
-// stream is the connection to one relay.
+// stream is an owner's connection to one relay.
 type stream struct {
 	vm  VM
 	log *slog.Logger
-	// ready is closed once the connection is open, or can't be.
+	// dialed is closed once the connection is open or could not be opened.
 	ready  chan struct{}
 	orders chan proto.Message
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	open    bool
-	broken  time.Duration
+	mu   sync.Mutex
+	open bool
+	// brokenAt is when the connection broke; 0 before that.
+	broken time.Duration
+	// lastSequence is the sequence number of the newest call, pending holds the calls that wait
+	// for an answer by theirs.
 	last    uint64
 	waiting map[uint64]*call
-	// answered is when the relay last answered anything, prompt how many orders wait that
-	// should be answered at once, since when there are any.
+	// lastAnswer is when the relay last answered any call, promptSince since when prompt calls
+	// have been pending, promptCalls how many are.
 	answered, since time.Duration
 	prompt          int
-	age             time.Duration
+	// relayStoreAge is how long ago the store last answered the relay, by its last answer.
+	age time.Duration
 }
 
-// call is an order on its way.
+// call is an order or a poll that waits for its answer.
 type call struct {
 	answer chan *linkpb.Carried
+	// prompt says that a healthy target answers at once.
 	prompt bool
 }
 
+// openStream starts to connect to a relay and returns at once.
 func openStream(ctx context.Context, vm VM, log *slog.Logger) *stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stream{
@@ -68,7 +74,7 @@
 
 func (s *stream) close() { s.cancel() }
 
-// run connects, and reads answers until the connection breaks.
+// run connects to the relay, and reads answers until the connection breaks.
 func (s *stream) run(ctx context.Context) {
 	defer s.cancel()
 	dialer := net.Dialer{Timeout: dialTime}
@@ -99,6 +105,7 @@
 	s.open, s.answered = true, bootclock.Now()
 }
 
+// readAnswers delivers answers until the connection breaks.
 func (s *stream) read(conn net.Conn) error {
 	reader := bufio.NewReaderSize(conn, bufferBytes)
 	for {
@@ -110,6 +117,7 @@
 	}
 }
 
+// deliver passes an answer to the call that waits for it, if it still does.
 func (s *stream) take(answer *linkpb.Carried) {
 	s.mu.Lock()
 	c := s.waiting[answer.GetSequence()]
@@ -122,7 +130,7 @@
 	}
 }
 
-// forget takes an order off those that wait. The caller holds the lock.
+// removeCall removes a call from the pending ones. The caller holds the lock.
 func (s *stream) forget(sequence uint64) {
 	if c := s.waiting[sequence]; c != nil {
 		delete(s.waiting, sequence)
@@ -132,7 +140,7 @@
 	}
 }
 
-// breaks answers all that waits: nothing will come to it.
+// failPending marks the connection as broken and answers all pending calls with VerdictBroken.
 func (s *stream) breaks() {
 	s.mu.Lock()
 	waiting := s.waiting
@@ -144,7 +152,8 @@
 	}
 }
 
-// call has the relay send an order. A prompt one is answered at once by a target that is well.
+// call has the relay send an order or a poll and waits for the answer. The verdict is
+// VerdictUnsent if the call was not written, VerdictUnknown if there is no answer in time.
 func (s *stream) call(ctx context.Context, to work.Address, carry *linkpb.Carry, within time.Duration, prompt bool) *linkpb.Carried {
 	c := &call{answer: make(chan *linkpb.Carried, 1), prompt: prompt}
 	s.mu.Lock()
@@ -179,42 +188,43 @@
 	return &linkpb.Carried{Verdict: int32(work.VerdictUnknown)}
 }
 
+// cancelCall removes a call that is not waited for any more.
 func (s *stream) abandon(sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forget(sequence)
 }
 
-// lost reports whether the connection broke.
+// isLost reports whether the connection broke or could not be opened.
 func (s *stream) lost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.broken > 0
 }
 
-// answers reports whether the relay can be used now.
+// isUsable reports whether the relay is connected and answers prompt calls.
 func (s *stream) answers(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open && (s.prompt == 0 || now-max(s.answered, s.since) <= silentTime)
 }
 
-// idle reports whether the stream can be forgotten: nothing waits for it, and its VM was left
-// alone long enough where it broke.
+// canClose reports whether the stream can be removed: no call is pending, and if the connection
+// broke, reconnectDelay has passed.
 func (s *stream) idle(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting) == 0 && (s.broken == 0 || now-s.broken > restTime)
 }
 
-// storeAge is how long ago the store last answered the relay.
+// storeAge returns how long ago the store had answered the relay when the relay last answered.
 func (s *stream) storeAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.age
 }
 
-// awaitConnection waits a moment for a connection that is being opened.
+// awaitConnection waits up to connectTimeout for a connection that is being opened.
 func (s *stream) awaitConnection(ctx context.Context) {
 	select {
 	case <-s.ready:
