--- a/link/convert.go
+++ b/link/convert.go
@@ -1,4 +1,3 @@
-// Package link joins the entry VMs: the calls that they make of each other.
 package link
 
 import (
@@ -8,6 +7,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
+// micros converts a duration to microseconds, the unit of all durations on the wire.
 func micros(d time.Duration) int64 { return d.Microseconds() }
 
 func duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/link/link.go
+++ b/link/link.go
@@ -1,3 +1,10 @@
+// Package link implements the calls between entry VMs over HTTP: to run a job at an owner, to ask
+// for the state of a durable job or cancel it, to hand a group over to a successor, and to fetch
+// what another VM last read from the store. Client makes them, NewServer serves them.
+//
+// The client decides what an error of a call means for a job. If no connection was opened, the job
+// was not started and may go to another owner (Moved). If a connection broke later, the client asks
+// the same owner again for the job's outcome; without an answer the outcome is Unknown.
 package link
 
 import (
@@ -16,58 +23,61 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Order is a job on its way from the VM that took it to an owner.
+// Order asks an owner to run a job.
 type Order struct {
 	Group string
-	// Entry is the life of the VM that took the job.
+	// Entry is the heartbeat.EntryID of the VM that received the job.
 	Entry string
-	// Stamp is the newest of the owner's clock that the entry VM has seen.
+	// Timestamp is the newest reading of the owner's clock that the entry VM has received.
 	Stamp int64
 	Job   work.Job
 	Queue work.Queue
 	// Age is the time since the caller sent the job, Wait how long the caller
 	// waits from then on; 0 means no bound.
 	Age, Wait time.Duration
-	// Part names the tasks where the job is a part that another owner hands over.
+	// Part names the tasks if the order is a part of a job that another owner delegates.
 	Part []string
-	// Given says that the job was asked for before; zero for a first request.
+	// Previous is the earlier request for the same job; zero in a first request.
 	Given Given
 }
 
-// Given is a job that an owner's process was given over a connection that has broken: its
-// answer is due to the next request.
+// PreviousRequest is a request for a job whose connection broke. The job's outcome goes to the
+// request that follows it.
 type Given struct {
+	// Incarnation is the owner's process that received the earlier request.
 	Life uint64
-	Ago  time.Duration
+	// Ago is the time since the earlier request.
+	Ago time.Duration
 }
 
 // Tables is what a VM last read from the store.
 type Tables struct {
-	// Configuration is as it lies in the store; empty before the first.
+	// Configuration is encoded as in the store; empty before the first.
 	Configuration []byte
 	Claims        []ownership.Held
-	// StoreClock is the store's clock; 0 while the VM doesn't know it.
+	// StoreClock is the VM's estimate of the store's clock; 0 while it has none.
 	StoreClock time.Duration
 	Cordons    cordon.View
 }
 
-// Handler serves the calls of other VMs.
+// Handler serves the calls of other VMs. Its methods correspond to those of linkpb.Fleet.
 type Handler interface {
 	Run(ctx context.Context, order Order) work.Outcome
-	// Release tells a successor what it may take.
+	// Release returns the targets that the successor of this VM may use.
 	Release(ctx context.Context, group string) owner.Released
-	// State and Cancel tell how a kept job stands, which is absent where this VM
-	// doesn't run it.
+	// State returns the state of a durable job, Cancel cancels it and returns its state; absent
+	// if no owner in this VM knows the job.
 	State(ctx context.Context, id string) work.State
 	Cancel(ctx context.Context, id string) work.State
 	Tables() Tables
-	// Pass takes over a group from its present owner.
+	// Pass makes this VM the owner of a group, by a claim that the present owner hands over.
 	Pass(held ownership.Held)
 }
 
-// NewServer serves a Handler over HTTP.
+// NewServer returns the HTTP handler that serves calls from a Handler.
 func NewServer(h Handler) http.Handler { return linkpb.NewFleetServer(server{h}) }
 
+// server converts between messages and the types of Handler.
 type server struct{ handler Handler }
 
 // Run implements linkpb.Fleet.
@@ -128,19 +138,19 @@
 	dialTimeout = 300 * time.Millisecond
 	// callTimeout bounds calls that don't wait for a job.
 	callTimeout = 400 * time.Millisecond
-	// cancelTimeout lets a slow store note the end.
+	// cancelTimeout leaves time for a slow store to record the cancellation.
 	cancelTimeout = 2 * time.Second
-	// maxIdle keeps a connection for each job that is usually on its way to one
-	// owner.
+	// maxIdleConnections is the usual number of simultaneous jobs from one VM at one owner; each
+	// of them has a connection of its own.
 	maxIdle = 128
-	// bufferBytes holds most requests and answers.
+	// bufferBytes is the size of most requests and answers.
 	bufferBytes = 2 << 10
 )
 
 // Client calls other VMs.
 type Client struct{ http *http.Client }
 
-// NewClient makes a client of all VMs.
+// NewClient creates a client for calls to any VM.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -152,11 +162,13 @@
 	}}}
 }
 
+// fleet returns a client for the VM at an address.
 func (c *Client) fleet(address string) linkpb.Fleet {
 	return linkpb.NewFleetProtobufClient("http://"+address, c.http)
 }
 
-// run asks another VM to run a job. The end of the context gives it up there.
+// run asks another VM to run a job. When the context ends, the other VM gives the job up unless
+// it is asked for again soon.
 func (c *Client) run(ctx context.Context, address string, order Order) (*linkpb.RunReply, error) {
 	return c.fleet(address).Run(ctx, &linkpb.RunRequest{
 		Group:  order.Group,
@@ -173,13 +185,14 @@
 	})
 }
 
-// maxRejoins is how often in a row a job is asked for again whose connection breaks.
+// maxRejoins bounds how often the outcome of a job is asked for again after its connection broke.
 const maxRejoins = 3
 
-// RunUntil runs a job at another VM while that VM is alive. Where the connection breaks
-// the job goes on there, and its answer is fetched over another one: of the jobs in hand
-// when a third of the VMs have half of their connections reset, most are answered in time
-// that would have been given up.
+// RunWhileAlive runs a job at another VM until the job ends, the caller leaves (ctx) or the VM is
+// considered lost (alive). If the connection breaks, the job continues there and its outcome is
+// fetched over another connection. When a third of the VMs have half of their connections reset,
+// most of the jobs in progress are still answered in time instead of being given up. Durable jobs
+// are not asked for again.
 func (c *Client) RunUntil(ctx, alive context.Context, to heartbeat.Owner, order Order) work.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -203,7 +216,7 @@
 	return work.Outcome{Result: work.Unknown, Reason: "the owner was lost: " + err.Error()}
 }
 
-// Release asks a former owner which targets it uses no more.
+// Release asks the previous owner which targets it does not use any more.
 func (c *Client) Release(ctx context.Context, address, group string, token int64) (owner.Released, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -218,7 +231,7 @@
 	return released, nil
 }
 
-// State asks an owner how a kept job stands.
+// State asks an owner for the state of a durable job.
 func (c *Client) State(ctx context.Context, address, id string) (work.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -226,7 +239,7 @@
 	return work.State(reply.GetState()), err
 }
 
-// Cancel has an owner cancel a kept job.
+// Cancel has an owner cancel a durable job and returns its state.
 func (c *Client) Cancel(ctx context.Context, address, id string) (work.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -234,7 +247,7 @@
 	return work.State(reply.GetState()), err
 }
 
-// Tables asks another VM what it last read from the store.
+// Tables fetches what another VM last read from the store.
 func (c *Client) Tables(ctx context.Context, address string) (Tables, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -249,7 +262,7 @@
 	return tables, nil
 }
 
-// Refuses reports whether nothing listens at an address though its machine answers:
+// RefusesConnection reports whether the machine at an address answers but refuses the connection:
 // the process there has ended.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -261,7 +274,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Pass makes another VM the owner of a group that this VM owns.
+// Pass hands a claim over to another VM, which becomes the owner of a group that this VM owns.
 func (c *Client) Pass(ctx context.Context, address string, held ownership.Held) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
