--- a/heartbeat/book.go
+++ b/heartbeat/book.go
@@ -1,11 +1,3 @@
-// Package heartbeat lets entry VMs and the owners of targets know of each other's
-// life, by datagrams.
-//
-// An entry VM pings each owner; the owner answers with a stamp of its own clock,
-// which the next ping brings back. So the owner knows, on its own clock, until
-// when it may count on the entry VM: for Vouch after the stamp. The entry VM gives
-// up an owner, and what it runs, only when it has heard nothing for Silence, which
-// is longer. What an entry VM has given up is therefore being stopped already.
 package heartbeat
 
 import (
@@ -16,23 +8,25 @@
 	"github.com/burdockward/burdockward/link/linkpb"
 )
 
-// Figures of the heartbeat.
+// Parameters of the heartbeat.
 const (
 	// Interval is the time between two pings.
 	Interval = 50 * time.Millisecond
-	// Vouch outlasts the loss of three datagrams in a row, with room for delays.
+	// KeepaliveTimeout is how long after its timestamp a keepalive is valid. It outlasts the loss
+	// of three datagrams in a row, with a margin for delays.
 	Vouch = 320 * time.Millisecond
-	// Silence is Vouch with the time for a stop at a target.
+	// SilenceTimeout is how long an owner may be silent before it is considered lost:
+	// KeepaliveTimeout and the time that a stop at a target takes.
 	Silence = 420 * time.Millisecond
-	// givenUpMemory repeats a given up job in three pings.
+	// givenUpRetention is how long a job that was given up is named in pings: in three of them.
 	givenUpMemory = 3 * Interval
-	// pingerMemory is how long an entry VM counts as live.
+	// pingerTimeout is how long an entry VM counts as alive after its last ping.
 	pingerMemory = Silence
-	// maxPingers bounds the entry VMs that are remembered.
+	// maxPingers bounds the entry VMs that are kept in memory.
 	maxPingers = 4096
 )
 
-// Owner is the owner of targets as its claim names it.
+// Owner is the owner of a group of targets as its claim names it.
 type Owner struct {
 	VM        string
 	Life      uint64
@@ -43,49 +37,54 @@
 // View is what an entry VM knows of an owner.
 type View struct {
 	Owner
-	// Stamp is the newest of the owner's clock, 0 before the first answer.
+	// Timestamp is the newest reading of the owner's clock; 0 before the first answer.
 	Stamp int64
 	Loads []*linkpb.Load
-	// Pending counts the owner's kept jobs of which nothing has begun, by queue.
+	// PendingJobs counts the owner's durable jobs of which nothing has started, by queue.
 	Pending map[string]int32
-	// Heard is when the newest answer came.
+	// LastHeard is when the newest answer arrived.
 	Heard time.Duration
-	// Alive ends when the owner has been silent for too long or another has its
-	// place.
+	// Alive ends when the owner has been silent for SilenceTimeout.
 	Alive context.Context
-	// ConfigurationVersion is the owner's.
+	// ConfigurationVersion is the version in force at the owner.
 	ConfigurationVersion int64
 }
 
-// Pinger is an entry VM as its pings tell.
+// Pinger is an entry VM as its pings describe it.
 type Pinger struct {
 	VM                 string
 	Life               uint64
 	FailureDomain      string
 	Control, Heartbeat string
-	// CPUShare is what it has of a core, in thousandths.
+	// CPUShare is the VM's share of a core, in thousandths.
 	CPUShare             int32
 	Leaving              bool
 	ConfigurationVersion int64
-	// First and Heard are when the first and the newest ping came.
+	// FirstHeard and LastHeard are when the first and the newest ping arrived.
 	First, Heard time.Duration
 }
 
-// EntryID names one life of an entry VM.
+// EntryID names one incarnation of an entry VM.
 func EntryID(vm string, life uint64) string { return vm + "/" + strconv.FormatUint(life, 16) }
 
-// book is the state of the duty.
+// peerTable holds what pings and answers have reported. It is not safe for concurrent use.
 type book struct {
-	views   map[uint64]*view
+	// views holds the owners by their incarnation.
+	views map[uint64]*view
+	// pingers holds the entry VMs by their EntryID.
 	pingers map[string]*Pinger
+	// givenUp holds when each job was given up.
 	givenUp map[string]time.Duration
 }
 
+// view is a View with its bookkeeping.
 type view struct {
 	View
+	// since is when pinging the owner began.
 	since time.Duration
-	end   context.CancelFunc
-	// wanted views are of owners that hold a claim.
+	// cancelAlive ends View.Alive.
+	end context.CancelFunc
+	// hasClaim says that the owner still holds a claim.
 	wanted bool
 }
 
@@ -93,7 +92,7 @@
 	return &book{views: map[uint64]*view{}, pingers: map[string]*Pinger{}, givenUp: map[string]time.Duration{}}
 }
 
-// follow sets the owners to ping.
+// setOwners sets the owners that hold claims. Previous owners stay until they are silent.
 func (b *book) follow(now time.Duration, owners []Owner) {
 	wanted := map[uint64]bool{}
 	for _, owner := range owners {
@@ -108,13 +107,15 @@
 	b.expire(now)
 }
 
+// newView creates the view of an owner that has not answered yet.
 func newView(now time.Duration, owner Owner) *view {
 	v := &view{View: View{Owner: owner}, since: now}
 	v.Alive, v.end = context.WithCancel(context.Background())
 	return v
 }
 
-// answered takes an owner's answer, and returns the time since the last one.
+// recordPong takes an owner's answer and returns the time since the last one. It ignores answers of
+// unknown owners and those that are older than the newest.
 func (b *book) answered(now time.Duration, pong *linkpb.Pong) (gap time.Duration) {
 	v := b.views[pong.GetLife()]
 	if v == nil || pong.GetStamp() < v.Stamp {
@@ -134,14 +135,16 @@
 	return gap
 }
 
-// expire gives up silent owners and forgets what is old.
+// expire ends Alive of silent owners, and removes silent previous owners, silent entry VMs and old
+// jobs that were given up.
 func (b *book) expire(now time.Duration) {
 	for life, v := range b.views {
 		if now-max(v.Heard, v.since) <= Silence {
 			continue
 		}
 		v.end()
-		// One that hands over still answers for what it runs.
+		// An owner that has handed over its claim is kept only while it answers: until then it
+		// may still run jobs.
 		if !v.wanted {
 			delete(b.views, life)
 		}
@@ -158,7 +161,8 @@
 	}
 }
 
-// pinged takes an entry VM's ping, and returns the time since the last one.
+// recordPing takes an entry VM's ping and returns the time since the last one. It ignores unknown
+// entry VMs beyond maxPingers.
 func (b *book) pinged(now time.Duration, ping *linkpb.Ping) (gap time.Duration) {
 	id := EntryID(ping.GetVm(), ping.GetLife())
 	p := b.pingers[id]
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -1,3 +1,14 @@
+// Package heartbeat tells entry VMs and owners of targets whether the other is alive. It uses
+// datagrams, and also carries loads, claims, cordons and configuration versions.
+//
+// An entry VM pings each owner. The owner answers with a timestamp of its own clock, which the next
+// ping echoes. Such an echo is a keepalive: it shows the owner, by its own clock alone, that the
+// entry VM was alive after the timestamp. The owner keeps an entry VM's jobs for KeepaliveTimeout
+// after the newest timestamp. The entry VM considers an owner lost, and the jobs there given up,
+// only after SilenceTimeout without an answer.
+//
+// Invariant: SilenceTimeout is longer than KeepaliveTimeout, so when an entry VM gives up a silent
+// owner, that owner is already stopping the VM's jobs.
 package heartbeat
 
 import (
@@ -16,10 +27,10 @@
 	"github.com/burdockward/burdockward/link/linkpb"
 )
 
-// maxDatagram bounds what is read; pings and pongs are a few hundred bytes.
+// maxDatagram bounds the datagrams that are read; pings and pongs have a few hundred bytes.
 const maxDatagram = 8 << 10
 
-// Self is what a VM tells of itself.
+// Self describes this VM in its pings and answers.
 type Self struct {
 	VM                 string
 	Life               uint64
@@ -27,30 +38,31 @@
 	Control, Heartbeat string
 }
 
-// Listener hears what arrives. Its methods must not block.
+// Listener gives what this VM reports in heartbeats and takes what others report. Its methods must
+// not block.
 type Listener interface {
-	// Vouched says that an entry VM stands for its callers until a time on the
-	// boot clock, but for the jobs it has given up.
+	// ReceiveKeepalive says that the callers of an entry VM still wait for their jobs, except
+	// those given up. It is valid until a time on the boot clock.
 	Vouched(entry string, until time.Duration, givenUp []string)
-	// Loads is what to answer to a ping; nil when this VM owns nothing.
+	// Loads returns the loads of this VM's targets by service; nil if it owns none.
 	Loads() []*linkpb.Load
-	// Pending counts this VM's kept jobs of which nothing has begun, by queue.
+	// PendingJobs counts this VM's durable jobs of which nothing has started, by queue.
 	Pending() map[string]int32
 	ConfigurationVersion() int64
 	Leaving() bool
-	// CPUShare is what this VM has of a core now, in thousandths.
+	// CPUShare returns this VM's present share of a core, in thousandths.
 	CPUShare() int32
-	// Owned is the claim of this VM's group; nil before the first.
+	// Claim returns the claim of this VM's group; nil before the first.
 	Owned() *linkpb.Owned
-	// Heard takes the loads that an owner tells of.
+	// ReceiveLoads takes the loads that an owner reports.
 	Heard(owner uint64, loads []*linkpb.Load)
-	// Late hears of a gap between two heartbeats of a VM that is longer than usual.
+	// ReportLateHeartbeat takes an unusually long gap between two heartbeats of a VM.
 	Late(vm string, gap time.Duration)
-	// Cordons is what this VM knows of cordoned failure domains; nil before the first word.
+	// Cordons returns the cordoned failure domains; nil before they are known.
 	Cordons() *linkpb.Cordons
-	// Cordoned takes what another VM knows of them.
+	// ReceiveCordons takes the cordoned failure domains that another VM reports.
 	Cordoned(from string, cordons *linkpb.Cordons)
-	// Learned takes the claim that an owner knows of its group.
+	// ReceiveClaim takes the claim of its group that an owner reports.
 	Learned(owned *linkpb.Owned)
 }
 
@@ -59,14 +71,14 @@
 	self     Self
 	listener Listener
 	conn     *net.UDPConn
-	// hurried is when Hurry last asked, on the boot clock.
+	// lastLoadRequest is when RequestLoads last pinged, on the boot clock.
 	hurried atomic.Int64
 
 	mu   sync.Mutex
 	book *book
 }
 
-// New opens the socket at self.Heartbeat.
+// New creates a Service and opens its socket at self.HeartbeatAddress.
 func New(self Self, l Listener) (*Service, error) {
 	address, err := net.ResolveUDPAddr("udp4", self.Heartbeat)
 	if err != nil {
@@ -79,7 +91,7 @@
 	return &Service{self: self, listener: l, conn: conn, book: newBook()}, nil
 }
 
-// Run sends and answers until the context ends.
+// Run sends pings and answers those of others until the context ends.
 func (s *Service) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	context.AfterFunc(ctx, func() { _ = s.conn.Close() })
@@ -88,7 +100,7 @@
 	return g.Wait()
 }
 
-// Follow sets the owners to ping, and pings new ones at once.
+// SetOwners sets the owners that hold claims, and pings all owners at once.
 func (s *Service) Follow(owners []Owner) {
 	s.mu.Lock()
 	s.book.follow(bootclock.Now(), owners)
@@ -107,7 +119,7 @@
 	return v.View, true
 }
 
-// Pingers lists the entry VMs that were heard lately.
+// Pingers lists the entry VMs whose last ping is not older than pingerTimeout.
 func (s *Service) Pingers() []Pinger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +130,8 @@
 	return pingers
 }
 
-// GiveUp tells the owner that runs a job that it is no longer wanted, at once and, as
-// datagrams get lost, in the next pings.
+// GiveUp tells an owner that nobody waits for a job any more: at once and, as datagrams get lost,
+// again in the next pings.
 func (s *Service) GiveUp(owner uint64, job string) {
 	s.mu.Lock()
 	s.book.givenUp[job] = bootclock.Now()
@@ -127,6 +139,7 @@
 	s.ping(func(life uint64) bool { return life == owner })
 }
 
+// pingPeriodically pings all owners at each interval until the context ends.
 func (s *Service) send(ctx context.Context) {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -143,11 +156,12 @@
 	}
 }
 
-// hurryInterval is several ways between failure domains: a place that gets free is
-// known elsewhere within it.
+// minLoadRequestInterval is several times the network latency between failure domains. Capacity
+// that becomes free is known to the owners that ask for it within this time.
 const hurryInterval = 8 * time.Millisecond
 
-// Hurry asks all owners for their loads, unless it was done just now.
+// RequestLoads pings all owners for their loads, unless it has done so within
+// minLoadRequestInterval.
 func (s *Service) Hurry() {
 	now := int64(bootclock.Now())
 	last := s.hurried.Load()
@@ -156,24 +170,26 @@
 	}
 }
 
-// pingAll pings each owner but this VM itself.
+// pingAll pings each owner except this VM itself.
 func (s *Service) pingAll() {
 	s.ping(func(uint64) bool { return true })
 }
 
+// pingWhere pings the owners whose incarnation the predicate accepts.
 func (s *Service) ping(wanted func(life uint64) bool) {
 	for _, p := range s.pings(wanted) {
 		s.write(p.address, p.ping)
 	}
 }
 
-// outgoing is a ping with its address. Two lives of a VM, of which one has ended,
+// outgoingPing is a ping with its address. Two incarnations of a VM, of which one has ended, may
 // share an address for a while.
 type outgoing struct {
 	address string
 	ping    *linkpb.Ping
 }
 
+// preparePings returns the pings to the owners that the predicate accepts, except this VM.
 func (s *Service) pings(wanted func(life uint64) bool) []outgoing {
 	version, leaving, share := s.listener.ConfigurationVersion(), s.listener.Leaving(), s.listener.CPUShare()
 	cordons := s.listener.Cordons()
@@ -198,7 +214,8 @@
 	return pings
 }
 
-// write loses the datagram where it can't be sent: the next one follows soon.
+// write sends a message to an address. A datagram that can't be sent is dropped, since the next one
+// follows soon.
 func (s *Service) write(address string, message proto.Message) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -207,6 +224,7 @@
 	s.writeTo(to, message)
 }
 
+// writeTo encodes a message behind its kind byte and sends it.
 func (s *Service) writeTo(to netip.AddrPort, message proto.Message) {
 	kind := kindPing
 	if _, ok := message.(*linkpb.Pong); ok {
@@ -218,12 +236,13 @@
 	}
 }
 
-// The first byte of a datagram.
+// Kinds of datagrams, by their first byte.
 const (
 	kindPing byte = 1
 	kindPong byte = 2
 )
 
+// receive handles datagrams until the context ends.
 func (s *Service) receive(ctx context.Context) error {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -238,6 +257,7 @@
 	}
 }
 
+// handleDatagram decodes a ping or a pong and passes it on; it drops all else.
 func (s *Service) take(kind byte, body []byte, from netip.AddrPort) {
 	switch kind {
 	case kindPing:
@@ -263,15 +283,17 @@
 	}
 }
 
-// lateGap is three heartbeats that didn't come.
+// lateGap is the gap that three missing heartbeats leave.
 const lateGap = 4 * Interval
 
+// reportLate reports the gap between two heartbeats of a VM if it is longer than lateGap.
 func (s *Service) late(vm string, gap time.Duration) {
 	if gap > lateGap {
 		s.listener.Late(vm, gap)
 	}
 }
 
+// handlePing records a ping, passes on its keepalive and answers it.
 func (s *Service) pinged(ping *linkpb.Ping, from netip.AddrPort) {
 	now := bootclock.Now()
 	s.mu.Lock()
