--- a/bootclock/bootclock.go
+++ b/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock reads a steady clock that goes on while the machine is
-// suspended, which the clock behind time.Now does not.
+// Package bootclock reads a monotonic clock that also advances while the machine is suspended,
+// unlike the monotonic clock behind time.Now.
 package bootclock
 
 import (
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine was booted.
+// Now returns the time since the machine was booted.
 func Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// The clock exists since Linux 2.6.39; without it nothing can be timed.
-		panic("no boot clock: run on Linux: " + err.Error())
+		// Linux has this clock since 2.6.39; without it no timeout works.
+		panic("CLOCK_BOOTTIME is unavailable, Linux is required: " + err.Error())
 	}
 	return time.Duration(now.Nano())
 }
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,6 +1,7 @@
-// Package oplog writes structured log lines without ever holding up what logs: lines
-// go through a bounded queue, and only so many a second. Lines that explain failures
-// go first; what is left out is counted, and told in a line of its own.
+// Package oplog writes structured log lines without blocking the code that logs. Lines go through
+// a bounded queue to one writer, and the number of lines per second is limited. It decides by
+// level which lines are written: part of each second is reserved for lines of level Warn and above.
+// Lines beyond the limit are counted, and the next second reports their number in a line.
 package oplog
 
 import (
@@ -14,27 +15,27 @@
 	"github.com/burdockward/burdockward/ring"
 )
 
-// Options of a Log; zero values take the defaults.
+// Options of a Log; zero values stand for the defaults.
 type Options struct {
 	// LinesPerSecond bounds the lines of each second.
 	LinesPerSecond int
-	// FailureShare of them is kept for lines of level Warn and above.
+	// FailureShare is the share of them that is reserved for lines of level Warn and above.
 	FailureShare float64
-	// Queue is how many lines may wait for a slow reader.
+	// QueueSize is how many lines may wait for a slow reader.
 	Queue int
-	// Now is the clock; nil takes time.Now.
+	// Now returns the current time; nil stands for time.Now.
 	Now func() time.Time
 }
 
 // Defaults of Options.
 const (
-	// DefaultLinesPerSecond is some 30 KB/s of lines, and under 1 % of the
-	// processor of a VM with 0.4 core.
+	// DefaultLinesPerSecond makes about 30 KB/s of lines, and takes under 1 % of the processor of
+	// a VM with 0.4 core.
 	DefaultLinesPerSecond = 200
-	// DefaultFailureShare keeps most of a second for the lines of failed requests
+	// DefaultFailureShare reserves most of a second for the lines of failed requests, for times
 	// when everything fails at once.
 	DefaultFailureShare = 0.6
-	// DefaultQueue is five seconds of lines.
+	// DefaultQueueSize holds the lines of five seconds.
 	DefaultQueue = 1000
 )
 
@@ -54,7 +55,7 @@
 	return o
 }
 
-// Log is the sink of a process's log lines.
+// Log is the destination of a process's log lines.
 type Log struct {
 	options Options
 	lines   *ring.Ring[[]byte]
@@ -62,7 +63,8 @@
 	done    chan struct{}
 
 	mu sync.Mutex
-	// second is the second that the counts belong to.
+	// second is the Unix time that the counts belong to; belowWarn and failures are the lines
+	// written below level Warn and from it on, omitted those that were not written.
 	second   int64
 	plain    int
 	failures int
@@ -77,7 +79,7 @@
 	return l
 }
 
-// write hands on lines; a reader that has stopped holds up only this goroutine.
+// write writes the queued lines to w. A reader that has stopped blocks only this goroutine.
 func (l *Log) write(w io.Writer) {
 	for {
 		select {
@@ -90,6 +92,7 @@
 	}
 }
 
+// flush writes the lines that are still queued and closes done.
 func (l *Log) flush(w io.Writer) {
 	for {
 		select {
@@ -102,10 +105,10 @@
 	}
 }
 
-// closeTime bounds the wait for a slow reader at the end.
+// closeTimeout bounds the wait for a slow reader in Close.
 const closeTime = 200 * time.Millisecond
 
-// Close writes what waits, as far as the reader takes it in a short time.
+// Close writes the queued lines, as far as the reader accepts them within closeTimeout.
 func (l *Log) Close() {
 	timer := time.NewTimer(closeTime)
 	defer timer.Stop()
@@ -120,7 +123,8 @@
 	}
 }
 
-// Write implements io.Writer for slog's handlers; it never blocks.
+// Write implements io.Writer for slog's handlers. It never blocks and drops a line if the queue is
+// full.
 func (l *Log) Write(line []byte) (int, error) {
 	if !l.lines.Offer(append([]byte(nil), line...)) {
 		l.dropped.Add(1)
@@ -128,41 +132,41 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that the reader was too slow for.
+// Dropped returns the number of lines dropped because the reader was too slow.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Logger returns a logger of JSON lines.
+// Logger returns a logger that writes JSON lines to the Log.
 func (l *Log) Logger() *slog.Logger {
 	inner := slog.NewJSONHandler(l, &slog.HandlerOptions{Level: slog.LevelInfo})
 	return slog.New(&handler{log: l, inner: inner})
 }
 
-// allow takes a place in the present second for a line, and returns how many lines
-// of the second before were left out, once.
-func (l *Log) allow(level slog.Level) (allowed bool, leftOut int) {
+// allow reports whether a line of a level may be written in the present second, and counts it. At
+// the first line of a new second it also returns how many lines of the last one were omitted.
+func (l *Log) allow(level slog.Level) (allowed bool, omitted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := l.options.Now().Unix(); second != l.second {
-		leftOut = l.leftOut
+		omitted = l.leftOut
 		l.second, l.plain, l.failures, l.leftOut = second, 0, 0, 0
 	}
 	total := l.plain + l.failures
-	room := total < l.options.LinesPerSecond
+	hasRoom := total < l.options.LinesPerSecond
 	if level < slog.LevelWarn {
-		room = room && float64(l.plain) < (1-l.options.FailureShare)*float64(l.options.LinesPerSecond)
+		hasRoom = hasRoom && float64(l.plain) < (1-l.options.FailureShare)*float64(l.options.LinesPerSecond)
 	}
 	switch {
-	case !room:
+	case !hasRoom:
 		l.leftOut++
 	case level < slog.LevelWarn:
 		l.plain++
 	default:
 		l.failures++
 	}
-	return room, leftOut
+	return hasRoom, omitted
 }
 
-// handler keeps the budget before a line is formatted.
+// handler applies the limits of a Log before a line is formatted.
 type handler struct {
 	log   *Log
 	inner slog.Handler
@@ -175,11 +179,11 @@
 
 // Handle implements slog.Handler.
 func (h *handler) Handle(ctx context.Context, record slog.Record) error {
-	allowed, leftOut := h.log.allow(record.Level)
-	if leftOut > 0 {
-		told := slog.NewRecord(record.Time, slog.LevelWarn, "log lines left out", 0)
-		told.AddAttrs(slog.Int("lines", leftOut), slog.Int64("reader_too_slow", h.log.Dropped()))
-		if err := h.inner.Handle(ctx, told); err != nil {
+	allowed, omitted := h.log.allow(record.Level)
+	if omitted > 0 {
+		report := slog.NewRecord(record.Time, slog.LevelWarn, "log lines left out", 0)
+		report.AddAttrs(slog.Int("lines", omitted), slog.Int64("reader_too_slow", h.log.Dropped()))
+		if err := h.inner.Handle(ctx, report); err != nil {
 			return err
 		}
 	}
