--- a/node/calls_test.go
+++ b/node/calls_test.go
@@ -9,13 +9,14 @@
 	"github.com/burdockward/burdockward/owner"
 )
 
+// idleOwner is an owner that is not running.
 func idleOwner() *ownedGroup {
 	o := owner.New(owner.Options{Log: slog.New(slog.DiscardHandler), Count: func(string, string) {}}, nil, nil)
 	return &ownedGroup{Owner: o, end: func() {}}
 }
 
-// A successor that hears of its claim before the owner does must not take the
-// targets that the owner still uses.
+// A successor may learn of its claim before the previous owner does. It must not take targets that
+// the previous owner still uses.
 func TestNothingIsReleasedBeforeTheHandoverIsKnown(t *testing.T) {
 	n := &Node{own: idleOwner()}
 	released := peerCalls{n}.Release(t.Context(), "g")
@@ -23,7 +24,7 @@
 	must.SliceEmpty(t, released.Targets)
 }
 
-// A VM that has nothing of the group any more says so.
+// A VM without an owner of the group releases all targets.
 func TestAllIsReleasedWhereNothingIsLeft(t *testing.T) {
 	must.True(t, peerCalls{&Node{}}.Release(t.Context(), "g").All)
 }
--- a/node/configuration_test.go
+++ b/node/configuration_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// The configuration in force is never an older one, wherever it comes from.
+// A configuration with an older or equal version is never put in force, whichever source sends it.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	c := configuration{log: slog.New(slog.DiscardHandler)}
 	must.Eq(t, 0, c.version())
@@ -27,8 +27,8 @@
 	must.Eq(t, 8, c.version())
 }
 
-// A configuration of a quarter of a megabyte reaches a VM that the store turns away whole,
-// over a real socket, and each of its routes is found.
+// A VM that is cut off from the store receives a configuration of a quarter of a megabyte from a
+// peer over a real socket, complete, and finds each of its routes.
 func TestALargeConfigurationReachesPeersWhole(t *testing.T) {
 	const size = 256 << 10
 	sent := wire.Configuration{Version: 9}
--- a/node/rejoin_test.go
+++ b/node/rejoin_test.go
@@ -21,7 +21,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// proxy passes connections on to a server and can reset them all.
+// proxy forwards connections to a server and can reset them all.
 type proxy struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -29,60 +29,61 @@
 	taken    int
 }
 
+// newProxy starts a proxy in front of the server at an address.
 func newRelay(t *testing.T, to string) *proxy {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
-	r := &proxy{listener: listener}
-	t.Cleanup(func() { _ = listener.Close(); r.reset() })
+	p := &proxy{listener: listener}
+	t.Cleanup(func() { _ = listener.Close(); p.reset() })
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp4", to)
+			server, err := net.Dial("tcp4", to)
 			if err != nil {
-				_ = near.Close()
+				_ = client.Close()
 				continue
 			}
-			r.mu.Lock()
-			r.taken++
-			r.open = append(r.open, near, far)
-			r.mu.Unlock()
-			go func() { _, _ = io.Copy(far, near); _ = far.Close() }()
-			go func() { _, _ = io.Copy(near, far); _ = near.Close() }()
+			p.mu.Lock()
+			p.taken++
+			p.open = append(p.open, client, server)
+			p.mu.Unlock()
+			go func() { _, _ = io.Copy(server, client); _ = server.Close() }()
+			go func() { _, _ = io.Copy(client, server); _ = client.Close() }()
 		}
 	}()
-	return r
+	return p
 }
 
-func (r *proxy) connections() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.taken
+func (p *proxy) connections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.taken
 }
 
-// reset breaks all connections, as a reset does: nothing more arrives on either side.
-func (r *proxy) reset() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, conn := range r.open {
+// reset resets all connections: nothing more arrives on either side.
+func (p *proxy) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.open {
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}
-	r.open = nil
+	p.open = nil
 }
 
-// jobTarget begins all that it is told to and ends it when it is let go.
+// fakeTarget starts each run that it is ordered to and ends it when the test says so.
 type jobTarget struct {
 	mu     sync.Mutex
 	starts int
 	stops  int
 	ended  []work.End
 	runs   map[work.Run]bool
-	// began is told of each start.
+	// began receives each run that starts.
 	began chan work.Run
-	// changed wakes looks.
+	// changed is closed at each completion, which wakes polls.
 	changed chan struct{}
 }
 
@@ -131,9 +132,9 @@
 
 func (j *jobTarget) Look(ctx context.Context, _ work.Address, _, _, seen int64, wait time.Duration) (work.Held, work.Verdict) {
 	j.mu.Lock()
-	changed, news := j.changed, len(j.ended) > int(seen)
+	changed, hasNews := j.changed, len(j.ended) > int(seen)
 	j.mu.Unlock()
-	if !news && wait > 0 {
+	if !hasNews && wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -151,7 +152,7 @@
 	return held, work.VerdictDone
 }
 
-// targetRow is a store that lists one target.
+// oneTargetStore is a store that lists one target.
 type targetRow struct{}
 
 func (targetRow) Read(context.Context, platform.Table) (platform.Rows, error) {
@@ -204,7 +205,7 @@
 	return outcome
 }
 
-// order is a job of one task.
+// order asks for a job of one task.
 func (f *fleet) order(id string) link.Order {
 	return link.Order{
 		Group: "d", Entry: entryVM, Stamp: int64(bootclock.Now() + time.Hour),
@@ -213,8 +214,8 @@
 	}
 }
 
-// A job goes on when the connection breaks over which it was asked for, and its caller has
-// its own answer: it runs once, and nobody is told that nothing is known of it.
+// A job continues when the connection of its request breaks. It runs once, and its caller gets its
+// outcome instead of Unknown.
 func TestAJobOutlivesItsConnection(t *testing.T) {
 	f := newFleet(t, time.Hour)
 	outcome := f.run(t.Context(), "1")
@@ -228,7 +229,8 @@
 	must.Eq(t, 0, stops)
 }
 
-// The answer of a job that has ended is there still when its connection breaks.
+// The outcome of a job that ended before its connection broke can still be asked for, by the entry
+// VM that requested the job and by no other.
 func TestAnAnswerOutlivesItsConnection(t *testing.T) {
 	f := newFleet(t, time.Hour)
 	outcome := f.run(t.Context(), "1")
@@ -241,8 +243,8 @@
 	must.NotEq(t, work.Completed, f.node.runFor(t.Context(), order).Result)
 }
 
-// What another life was given, or an owner that wasn't there yet doesn't know, may have been
-// begun: it is neither begun again nor refused as if it hadn't.
+// A job may have been started if an earlier incarnation received it, or if it was sent before the
+// present owner existed. Its outcome is unknown: it is neither started again nor refused.
 func TestWhatAFormerOwnerWasGivenIsUnknown(t *testing.T) {
 	f := newFleet(t, time.Hour)
 	for _, given := range []link.Given{{Life: 6, Ago: time.Millisecond}, {Life: 7, Ago: time.Hour}} {
@@ -253,8 +255,8 @@
 	must.Eq(t, 0, starts)
 }
 
-// A caller that leaves is not waited for: its entry VM says so, and its job is stopped. Nor is
-// one whose entry VM is lost: the job ends soon after its connection.
+// A job is stopped when its caller leaves, which the entry VM reports. It is also stopped when its
+// entry VM is lost, soon after the connection broke.
 func TestAJobThatNobodyWaitsForIsStopped(t *testing.T) {
 	for name, test := range map[string]struct {
 		rejoinTime time.Duration
@@ -278,7 +280,7 @@
 	}
 }
 
-// What never came to the owner that is asked again is begun then, once.
+// A job whose first request never reached the owner is started at the second request, once.
 func TestAJobThatNeverCameIsBegun(t *testing.T) {
 	f := newFleet(t, time.Hour)
 	order := f.order("1")
@@ -291,7 +293,7 @@
 	must.Eq(t, 1, starts)
 }
 
-// eventually waits for a condition that is sure to come.
+// eventually waits up to about five seconds for a condition, and reports whether it came true.
 func eventually(holds func() bool) bool {
 	for range 5000 {
 		if holds() {
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockward/burdockward/platform"
 )
 
-// Callers beyond their part of the sockets wait until one is free, and the calls of other
-// VMs are taken meanwhile.
+// Callers beyond their share of the sockets wait until one is free. The calls of other VMs are
+// served meanwhile.
 func TestCallersHaveTheirPartOfTheSockets(t *testing.T) {
 	n := &Node{options: Options{Count: func(string, string) {}}}
 	open, err := listen(platform.Settings{
--- a/node/storeclock_test.go
+++ b/node/storeclock_test.go
@@ -9,7 +9,7 @@
 
 const store = 100_000 * time.Hour
 
-// The store's own word goes before another VM's.
+// An answer of the store replaces another VM's estimate, and is not replaced by one.
 func TestStoreClock(t *testing.T) {
 	var c storeClock
 	c.offer(0)
