--- a/entry/durable_test.go
+++ b/entry/durable_test.go
@@ -26,7 +26,7 @@
 	must.Eq(t, work.StateRunning, state)
 }
 
-// Where no owner knows a job, the store does, or there is none.
+// If no owner knows a job, its state is read from the store, which may have none.
 func TestTheStoreTellsWhatNoOwnerKnows(t *testing.T) {
 	f := peers(nil, nil)
 	for _, want := range []work.State{work.StateCompleted, work.StateAbsent} {
@@ -46,10 +46,10 @@
 		want         work.State
 		fails        bool
 	}{
-		"at its owner":           {work.StateCancelled, work.StateAbsent, work.StateCancelled, false},
-		"ended before":           {work.StateAbsent, work.StateCompleted, work.StateCompleted, false},
-		"no such job":            {work.StateAbsent, work.StateAbsent, work.StateAbsent, false},
-		"its owner is not there": {work.StateAbsent, work.StateQueued, work.StateQueued, true},
+		"at its owner":        {work.StateCancelled, work.StateAbsent, work.StateCancelled, false},
+		"ended before":        {work.StateAbsent, work.StateCompleted, work.StateCompleted, false},
+		"no such job":         {work.StateAbsent, work.StateAbsent, work.StateAbsent, false},
+		"its owner is silent": {work.StateAbsent, work.StateQueued, work.StateQueued, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := peers(nil, nil)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Owners that are cut off count with what they last said.
+// Silent owners count with the pending jobs that they last reported.
 func TestPendingJobsOfAllOwnersCount(t *testing.T) {
 	f := peers(nil, nil)
 	silent, end := context.WithCancel(t.Context())
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -25,18 +25,18 @@
 		draw       float64
 		want       int
 	}{
-		"nobody":                {nil, 0, -1},
+		"no candidates":         {nil, 0, -1},
 		"near":                  {[]Candidate{{}, {Near: true}}, 0.9, 1},
 		"near though it waits":  {[]Candidate{{Free: 1}, {Near: true, Wait: 20 * ms}}, 0.9, 1},
-		"far where it has room": {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.9, 0},
-		"some stay":             {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.1, 1},
-		"no room far":           {[]Candidate{{Free: 0.01}, {Near: true, Wait: 200 * ms}}, 0.9, 1},
-		"near is full":          {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Full: true}}, 0.9, 0},
-		"near is doubted":       {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Doubted: true}}, 0.1, 0},
-		"all are doubted":       {[]Candidate{{Doubted: true}, {Near: true, Doubted: true}}, 0.1, 1},
-		"the others are full":   {[]Candidate{{Full: true}, {Near: true, Doubted: true}}, 0.1, 1},
-		"all full":              {[]Candidate{{Full: true}, {Near: true, Full: true}}, 0.9, -1},
-		"least wait far":        {[]Candidate{{Free: 1, Wait: 50 * ms}, {Free: 1, Wait: 10 * ms}}, 0.9, 1},
+		"far has capacity":      {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.9, 0},
+		"some jobs stay near":   {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.1, 1},
+		"far has no capacity":   {[]Candidate{{Free: 0.01}, {Near: true, Wait: 200 * ms}}, 0.9, 1},
+		"near has refused":      {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Full: true}}, 0.9, 0},
+		"near is unconfirmed":   {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Doubted: true}}, 0.1, 0},
+		"all are unconfirmed":   {[]Candidate{{Doubted: true}, {Near: true, Doubted: true}}, 0.1, 1},
+		"confirmed has refused": {[]Candidate{{Full: true}, {Near: true, Doubted: true}}, 0.1, 1},
+		"all have refused":      {[]Candidate{{Full: true}, {Near: true, Full: true}}, 0.9, -1},
+		"far with least wait":   {[]Candidate{{Free: 1, Wait: 50 * ms}, {Free: 1, Wait: 10 * ms}}, 0.9, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			must.Eq(t, test.want, Choose(test.candidates, test.draw))
@@ -44,14 +44,17 @@
 	}
 }
 
-// fakePeers are two owners; outcomes are what they answer in turn.
+// fakePeers implements Peers and Remote for two owners, near and far.
 type fakePeers struct {
-	views    map[uint64]heartbeat.View
+	views map[uint64]heartbeat.View
+	// outcomes are each owner's answers in turn, by its address; the last one is repeated.
 	outcomes map[string][]work.Outcome
-	asked    []string
-	givenUp  []string
-	// states and fault are what owners say of kept jobs, inStore and storeFault what the
-	// store says.
+	// asked are the addresses of the owners that were asked to run a job.
+	asked []string
+	// givenUp are the jobs that were given up.
+	givenUp []string
+	// states and fault are the owners' answers about durable jobs, inStore and storeFault those
+	// of the store.
 	states            map[string]work.State
 	inStore           work.State
 	fault, storeFault error
@@ -74,6 +77,7 @@
 	return next
 }
 
+// newEntry creates an Entry at a VM of the failure domain near, without an owner of its own.
 func newEntry(f *fakePeers) *Entry {
 	claims := []ownership.Held{
 		{Group: "near", Version: 1, Claim: &linkpb.Claim{Life: 1, Control: "near"}},
@@ -90,6 +94,7 @@
 	}, f, f)
 }
 
+// newFakePeers creates two live owners with the outcomes that they answer.
 func peers(near, far []work.Outcome) *fakePeers {
 	view := func(address string) heartbeat.View {
 		return heartbeat.View{
@@ -123,14 +128,14 @@
 	must.Eq(t, []string{"near", "far"}, f.asked)
 }
 
-// A job that an owner handed back goes to its successor.
+// A job that an owner handed back is sent again.
 func TestMovedJobsGoOn(t *testing.T) {
 	f := peers([]work.Outcome{{Result: work.Moved}, {Result: work.Completed}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Completed, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
 	must.Eq(t, []string{"near", "near"}, f.asked)
 }
 
-// What may have begun is not sent again by this VM, and its owner is told.
+// A job that may have started is not sent again, and its owner is told to give it up.
 func TestLostJobsAreGivenUp(t *testing.T) {
 	f := peers([]work.Outcome{{Result: work.Unknown, Reason: "lost"}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Unknown, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
@@ -146,7 +151,7 @@
 	must.Positive(t, outcome.RetryAfter)
 }
 
-// An owner whose answers stay out gets no new job while another one answers: it may have
+// An owner that has not answered recently gets no new job while another one answers: it may have
 // died, and the job would be lost with it.
 func TestOwnersThatMayHaveDiedGetNoNewJobs(t *testing.T) {
 	f := peers([]work.Outcome{{Result: work.Unknown}}, []work.Outcome{{Result: work.Completed}})
@@ -173,9 +178,9 @@
 	must.Eq(t, []string{"far"}, f.asked)
 }
 
-// Owners of cordoned failure domains are not asked; where all are cordoned the caller is told
-// at once when to come back, and where an owner knows of its cordon first, another is asked
-// at once.
+// Owners in cordoned failure domains are not asked. If all are cordoned, the caller is refused at
+// once with a retry delay. If an owner refuses since it knows of its cordon before the entry does,
+// another owner is asked at once.
 func TestCordonedDomainsAreNotAsked(t *testing.T) {
 	done, cordoned := work.Outcome{Result: work.Completed}, work.Outcome{Result: work.Refused, RetryAfter: time.Second}
 	for name, test := range map[string]struct {
@@ -187,7 +192,7 @@
 		"none":                    {nil, done, []string{"near"}, work.Completed},
 		"near":                    {[]string{"near"}, done, []string{"far"}, work.Completed},
 		"all":                     {[]string{"near", "far"}, done, nil, work.Refused},
-		"the owner knew it first": {nil, cordoned, []string{"near", "far"}, work.Completed},
+		"the owner refuses first": {nil, cordoned, []string{"near", "far"}, work.Completed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := peers([]work.Outcome{test.near}, []work.Outcome{done})
