--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// BenchmarkMessages is what the owner's end of a relay takes for a start and its answer, but
-// for the connection: to write the one and to read the other.
+// BenchmarkMessages encodes a start and decodes its answer, which is the owner's work for an order
+// through a relay without that of the connection.
 func BenchmarkMessages(b *testing.B) {
 	order := work.Order{Run: work.Run{Task: "5c0e7a21d94b36f8.0.1.17", Number: 123456}, Payload: string(make([]byte, 200)), Until: 486000}
 	var answer bytes.Buffer
@@ -38,7 +38,8 @@
 	}
 }
 
-// BenchmarkCall is a start and its answer over a connection, with both ends in one process.
+// BenchmarkCall sends a start through a relay and receives its answer, with both ends of the
+// connection in one process.
 func BenchmarkCall(b *testing.B) {
 	f := newFleet(b, 1, 100)
 	to := f.carried(b)
@@ -56,7 +57,7 @@
 	time.Sleep(time.Millisecond)
 }
 
-// BenchmarkRoute chooses the relay of a target by the plan.
+// BenchmarkRoute looks up the relay of a target in a plan.
 func BenchmarkRoute(b *testing.B) {
 	p := Plan{Own: 100, Relays: vms(20, weak)}
 	b.ReportAllocs()
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -8,12 +8,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// weak and strong are the processors of VMs, in cores.
+// weak and strong are shares of a core that VMs have.
 const (
 	weak   = 0.192
 	strong = 0.8
 )
 
+// vms creates VMs with the same share of a core.
 func vms(n int, cpu float64) []VM {
 	list := make([]VM, n)
 	for i := range list {
@@ -24,7 +25,7 @@
 
 func budget(cpu float64) Budget { return Budget{CPU: cpu, Sockets: 3900, MemoryMB: 184} }
 
-// An owner that can carry its targets itself does, whatever others there are.
+// An owner with enough capacity for its targets uses no relays, however many candidates there are.
 func TestFewTargetsNeedNoRelays(t *testing.T) {
 	for _, test := range []struct {
 		cpu  float64
@@ -40,8 +41,8 @@
 	}
 }
 
-// What the owner can't carry others do, as many of them as that takes, by whichever of its
-// means is short.
+// The number of relays follows from the targets that exceed the owner's capacity, whether its
+// processor, its sockets or its memory is the limit.
 func TestRelaysFollowWhatTheOwnerCannotCarry(t *testing.T) {
 	for name, test := range map[string]struct {
 		own   Budget
@@ -64,7 +65,8 @@
 	must.SliceEmpty(t, Plan{}.Next(0, budget(weak), Load{Targets: 500}, nil).Relays)
 }
 
-// Each target has its place for as long as its relay is there.
+// A target keeps its relay while that relay is a candidate. When a relay leaves, few other targets
+// move, and small changes of capacity or load move none.
 func TestTargetsStayWithTheirRelays(t *testing.T) {
 	load := Load{Targets: 1000, Calls: 3000}
 	candidates := vms(46, weak)
@@ -82,21 +84,21 @@
 	gone := plan.Relays[3].Life
 	after := plan.Next(time.Second, budget(weak), load, append(candidates[:3:3], candidates[4:]...))
 	moved := 0
-	for id, life := range before {
+	for id, incarnation := range before {
 		at := after.RelayOf(id, load.perTarget())
-		if at < 0 || after.Relays[at].Life != life {
+		if at < 0 || after.Relays[at].Life != incarnation {
 			moved++
-			must.True(t, life == gone || at >= 0 && after.Relays[at].Life != gone)
+			must.True(t, incarnation == gone || at >= 0 && after.Relays[at].Life != gone)
 		}
 	}
-	// Those of the relay that has gone, and what the one in its place has of all.
+	// The targets of the relay that has left move, and a share of all to its replacement.
 	must.Less(t, 3*len(before)/len(plan.Relays), moved)
-	// What varies a little changes nothing.
+	// Small changes leave the assignment as it is.
 	candidates[5].CPU *= 0.9
 	must.True(t, plan.Same(plan.Next(2*time.Second, budget(0.9*weak), Load{Targets: 980, Calls: 3100}, candidates)))
 }
 
-// Relays are let go once the owner does without them for a while.
+// Relays are released after the owner could do without them for releaseDelay.
 func TestRelaysAreLetGoAfterCalm(t *testing.T) {
 	plan := Plan{}.Next(0, budget(strong/8), Load{Targets: 100, Calls: 900}, vms(10, weak))
 	must.SliceNotEmpty(t, plan.Relays)
--- a/relay/router.go
+++ b/relay/router.go
@@ -150,11 +150,11 @@
 
 // closeUnusedStreams closes the idle connections to relays that the plan doesn't use any more.
 func (r *Router) forgetStreams(now time.Duration) {
-	for life, s := range r.streams {
-		used := slices.ContainsFunc(r.plan.Relays, func(vm VM) bool { return vm.Life == life })
+	for incarnation, s := range r.streams {
+		used := slices.ContainsFunc(r.plan.Relays, func(vm VM) bool { return vm.Life == incarnation })
 		if !used && s.idle(now) {
 			s.close()
-			delete(r.streams, life)
+			delete(r.streams, incarnation)
 		}
 	}
 }
--- a/relay/router_test.go
+++ b/relay/router_test.go
@@ -21,14 +21,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeTargets answers all orders, unless it is held.
+// fakeTargets answers all orders and polls.
 type fakeTargets struct {
 	mu     sync.Mutex
 	starts []work.Order
 	looks  atomic.Int64
-	// now and most count the looks on their way.
+	// activePolls and maxActivePolls count the simultaneous polls.
 	now, most atomic.Int64
-	held      chan struct{}
+	// blocked, if set, delays the answers to starts until it is closed.
+	held chan struct{}
 }
 
 func (f *fakeTargets) Start(ctx context.Context, _ work.Address, order work.Order, token int64) work.OrderAnswer {
@@ -68,17 +69,21 @@
 	return len(f.starts)
 }
 
-// fleet is a router with relays that answer.
+// fleet is a router with relays, each with targets of its own.
 type fleet struct {
 	*Router
-	direct  *fakeTargets
-	relays  []*fakeTargets
-	stops   []func()
-	age     atomic.Int64
+	direct *fakeTargets
+	relays []*fakeTargets
+	// stops has a function per relay that ends it.
+	stops []func()
+	// age is the age of the owner's last answer from the store.
+	age atomic.Int64
+	// gone says for each relay that it is no candidate any more.
 	gone    []atomic.Bool
 	targets int
 }
 
+// newFleet starts relays and a router whose owner has too little processor for the targets.
 func newFleet(t testing.TB, relays, targets int) *fleet {
 	f := &fleet{direct: &fakeTargets{}, gone: make([]atomic.Bool, relays), targets: targets}
 	var candidates []VM
@@ -127,7 +132,7 @@
 	return work.Address{ID: fmt.Sprintf("t%03d", i), Address: "127.0.0.1:1"}
 }
 
-// lookAll looks at all targets once.
+// pollAll polls all targets once, without a wait.
 func (f *fleet) lookAll(t *testing.T) {
 	var wait sync.WaitGroup
 	for i := range f.targets {
@@ -139,7 +144,7 @@
 	wait.Wait()
 }
 
-// carried waits until relays are connected, and returns a target that one of them carries.
+// relayedTarget waits until a relay is connected and returns a target that it serves.
 func (f *fleet) carried(t testing.TB) work.Address {
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for i := range f.targets {
@@ -148,11 +153,11 @@
 			}
 		}
 	}
-	t.Fatal("no target is carried by a relay")
+	t.Fatal("no target is served by a relay")
 	return work.Address{}
 }
 
-// What a target says comes back through a relay as it is.
+// Orders and answers pass through a relay unchanged.
 func TestRelaysCarryOrdersAndAnswers(t *testing.T) {
 	f := newFleet(t, 3, 100)
 	to := f.carried(t)
@@ -177,8 +182,8 @@
 	must.Eq(t, 1, starts)
 }
 
-// The first looks of an owner are spread over its relays, and few are on their way at a time
-// where there are none yet.
+// The first polls of an owner are spread over its relays. While it has none, it sends only
+// maxFirstPolls at a time itself.
 func TestFirstLooksAreSpread(t *testing.T) {
 	f := newFleet(t, 4, 300)
 	f.lookAll(t)
@@ -191,8 +196,8 @@
 	must.Greater(t, 100, carried)
 }
 
-// Orders whose relay is lost have no answer and may have been carried out; later ones go
-// another way at once.
+// An order whose relay is lost has no answer and may have been carried out. Later orders are sent
+// directly at once.
 func TestALostRelayLeavesOrdersInDoubt(t *testing.T) {
 	f := newFleet(t, 1, 100)
 	to := f.carried(t)
@@ -211,7 +216,7 @@
 	must.Eq(t, 1, f.direct.started())
 }
 
-// A relay that answers nothing is passed over before its VM is known to be gone.
+// A relay that does not answer is bypassed before its VM is known to be lost.
 func TestASilentRelayIsPassedOver(t *testing.T) {
 	f := newFleet(t, 1, 100)
 	to := f.carried(t)
@@ -233,7 +238,7 @@
 	<-answered
 }
 
-// shortListener has no descriptors for its first connections.
+// shortListener fails to accept its first connections for lack of descriptors.
 type shortListener struct {
 	net.Listener
 	short atomic.Int32
@@ -246,7 +251,7 @@
 	return l.Listener.Accept()
 }
 
-// A relay that is short of descriptors for a while goes on.
+// A relay without free descriptors accepts connections again when there are some.
 func TestARelayOutlivesAWantOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -265,8 +270,8 @@
 	must.NoError(t, <-done)
 }
 
-// An owner that is cut off from the store starts runs itself: a relay that isn't would start
-// them at targets that leave.
+// An owner that is cut off from the store starts runs itself: a relay with access to the store
+// would start them at targets that leave. Polls still go through relays.
 func TestNobodyStartsRunsForAnOwnerWithOldNews(t *testing.T) {
 	f := newFleet(t, 2, 100)
 	to := f.carried(t)
