--- a/heartbeat/book.go
+++ b/heartbeat/book.go
@@ -65,7 +65,7 @@
 }
 
 // EntryID names one incarnation of an entry VM.
-func EntryID(vm string, life uint64) string { return vm + "/" + strconv.FormatUint(life, 16) }
+func EntryID(vm string, incarnation uint64) string { return vm + "/" + strconv.FormatUint(incarnation, 16) }
 
 // peerTable holds what pings and answers have reported. It is not safe for concurrent use.
 type book struct {
@@ -94,15 +94,15 @@
 
 // setOwners sets the owners that hold claims. Previous owners stay until they are silent.
 func (b *book) follow(now time.Duration, owners []Owner) {
-	wanted := map[uint64]bool{}
+	claimed := map[uint64]bool{}
 	for _, owner := range owners {
-		wanted[owner.Life] = true
+		claimed[owner.Life] = true
 		if b.views[owner.Life] == nil {
 			b.views[owner.Life] = newView(now, owner)
 		}
 	}
-	for life, v := range b.views {
-		v.wanted = wanted[life]
+	for incarnation, v := range b.views {
+		v.wanted = claimed[incarnation]
 	}
 	b.expire(now)
 }
@@ -138,7 +138,7 @@
 // expire ends Alive of silent owners, and removes silent previous owners, silent entry VMs and old
 // jobs that were given up.
 func (b *book) expire(now time.Duration) {
-	for life, v := range b.views {
+	for incarnation, v := range b.views {
 		if now-max(v.Heard, v.since) <= Silence {
 			continue
 		}
@@ -146,7 +146,7 @@
 		// An owner that has handed over its claim is kept only while it answers: until then it
 		// may still run jobs.
 		if !v.wanted {
-			delete(b.views, life)
+			delete(b.views, incarnation)
 		}
 	}
 	for id, p := range b.pingers {
--- a/heartbeat/book_test.go
+++ b/heartbeat/book_test.go
@@ -11,12 +11,12 @@
 
 const ms = time.Millisecond
 
-// longestGap plays pings and their answers against each other, with some lost,
-// and returns the longest time that an owner was not vouched for.
+// longestGap simulates pings and their answers, of which some are lost. It returns the longest time
+// for which the owner had no valid keepalive of the entry VM; negative if it always had one.
 func longestGap(lost func(ping int) (pingLost, pongLost bool)) time.Duration {
 	b := newBook()
 	b.follow(0, []Owner{{VM: "o", Life: 1}})
-	const way = ms
+	const latency = ms
 	until, gap := time.Duration(0), -time.Hour
 	for i := range 400 {
 		now := time.Duration(i) * Interval
@@ -24,21 +24,21 @@
 		if pingLost {
 			continue
 		}
-		if stamp := b.views[1].Stamp; stamp > 0 {
+		if timestamp := b.views[1].Stamp; timestamp > 0 {
 			if until > 0 {
-				gap = max(gap, now+way-until)
+				gap = max(gap, now+latency-until)
 			}
-			until = time.Duration(stamp) + Vouch
+			until = time.Duration(timestamp) + Vouch
 		}
 		if !pongLost {
-			b.answered(now+2*way, &linkpb.Pong{Life: 1, Stamp: int64(now + way)})
+			b.answered(now+2*latency, &linkpb.Pong{Life: 1, Stamp: int64(now + latency)})
 		}
 	}
 	return gap
 }
 
-// Three datagrams in a row may be lost without an owner giving up what callers
-// wait for.
+// Three datagrams in a row may be lost without the owner giving up jobs that callers wait for; ten
+// may not.
 func TestLostDatagramsAreNoSilence(t *testing.T) {
 	must.Less(t, 0, longestGap(func(int) (bool, bool) { return false, false }))
 	must.Less(t, 0, longestGap(func(i int) (bool, bool) { return i%10 < 3, false }))
@@ -47,16 +47,16 @@
 	must.Greater(t, 0, longestGap(func(i int) (bool, bool) { return i%20 < 10, false }))
 }
 
-// An entry VM gives an owner up only after the owner has given up the entry VM.
+// An entry VM considers an owner lost only after the owner has given up the entry VM's jobs.
 func TestOwnerGivesUpFirst(t *testing.T) {
 	b := newBook()
 	b.follow(0, []Owner{{VM: "o", Life: 1}})
 	b.answered(100*ms, &linkpb.Pong{Life: 1, Stamp: int64(99 * ms)})
-	vouchedUntil := 99*ms + Vouch
+	keepaliveEnd := 99*ms + Vouch
 	for now := 100 * ms; ; now += ms {
 		b.expire(now)
 		if b.views[1].Alive.Err() != nil {
-			must.Greater(t, vouchedUntil, now)
+			must.Greater(t, keepaliveEnd, now)
 			return
 		}
 		must.Less(t, time.Second, now)
@@ -75,7 +75,7 @@
 	must.Error(t, first.Err())
 }
 
-// An owner that hands over is followed while it answers.
+// An owner without a claim is pinged as long as it answers.
 func TestFormerOwnerIsFollowed(t *testing.T) {
 	b := newBook()
 	b.follow(0, []Owner{{VM: "a", Life: 1}})
@@ -98,16 +98,16 @@
 
 func TestPingersAreBoundedAndForgotten(t *testing.T) {
 	b := newBook()
-	for life := range uint64(maxPingers + 10) {
-		b.pinged(0, &linkpb.Ping{Vm: "v", Life: life})
+	for incarnation := range uint64(maxPingers + 10) {
+		b.pinged(0, &linkpb.Ping{Vm: "v", Life: incarnation})
 	}
 	must.MapLen(t, maxPingers, b.pingers)
 	b.expire(pingerMemory + ms)
 	must.MapEmpty(t, b.pingers)
 }
 
-// An owner that was started again is pinged under its new life in each round, also
-// while its former life is remembered, which is forgotten without any change of
+// A restarted owner is pinged under its new incarnation in each round, even while the previous one
+// is still in the table under the same address. The previous one is removed without a change of
 // claims.
 func TestFormerLifeHidesNoPing(t *testing.T) {
 	s := &Service{listener: silentListener{}, book: newBook()}
@@ -115,11 +115,11 @@
 	s.book.answered(10*ms, &linkpb.Pong{Life: 1, Stamp: 1})
 	s.book.follow(20*ms, []Owner{{VM: "o", Life: 2, Heartbeat: "o:1"}})
 	for range 50 {
-		lives := map[uint64]bool{}
+		incarnations := map[uint64]bool{}
 		for _, p := range s.pings(func(uint64) bool { return true }) {
-			lives[p.ping.GetOwnerLife()] = true
+			incarnations[p.ping.GetOwnerLife()] = true
 		}
-		must.True(t, lives[2])
+		must.True(t, incarnations[2])
 	}
 	s.book.answered(400*ms, &linkpb.Pong{Life: 2, Stamp: 1})
 	s.book.expire(20*ms + Silence)
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -109,10 +109,10 @@
 }
 
 // View returns what is known of an owner.
-func (s *Service) View(life uint64) (View, bool) {
+func (s *Service) View(incarnation uint64) (View, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.book.views[life]
+	v := s.book.views[incarnation]
 	if v == nil {
 		return View{}, false
 	}
@@ -136,7 +136,7 @@
 	s.mu.Lock()
 	s.book.givenUp[job] = bootclock.Now()
 	s.mu.Unlock()
-	s.ping(func(life uint64) bool { return life == owner })
+	s.ping(func(incarnation uint64) bool { return incarnation == owner })
 }
 
 // pingPeriodically pings all owners at each interval until the context ends.
@@ -176,8 +176,8 @@
 }
 
 // pingWhere pings the owners whose incarnation the predicate accepts.
-func (s *Service) ping(wanted func(life uint64) bool) {
-	for _, p := range s.pings(wanted) {
+func (s *Service) ping(matches func(incarnation uint64) bool) {
+	for _, p := range s.pings(matches) {
 		s.write(p.address, p.ping)
 	}
 }
@@ -190,7 +190,7 @@
 }
 
 // preparePings returns the pings to the owners that the predicate accepts, except this VM.
-func (s *Service) pings(wanted func(life uint64) bool) []outgoing {
+func (s *Service) pings(matches func(incarnation uint64) bool) []outgoing {
 	version, leaving, share := s.listener.ConfigurationVersion(), s.listener.Leaving(), s.listener.CPUShare()
 	cordons := s.listener.Cordons()
 	s.mu.Lock()
@@ -200,13 +200,13 @@
 		givenUp = append(givenUp, job)
 	}
 	pings := make([]outgoing, 0, len(s.book.views))
-	for life, v := range s.book.views {
-		if life == s.self.Life || !wanted(life) {
+	for incarnation, v := range s.book.views {
+		if incarnation == s.self.Life || !matches(incarnation) {
 			continue
 		}
 		pings = append(pings, outgoing{address: v.Heartbeat, ping: &linkpb.Ping{
 			Vm: s.self.VM, Life: s.self.Life, FailureDomain: s.self.FailureDomain,
-			Stamp: v.Stamp, OwnerLife: life, GivenUp: givenUp, ConfigurationVersion: version,
+			Stamp: v.Stamp, OwnerLife: incarnation, GivenUp: givenUp, ConfigurationVersion: version,
 			CpuShare: share, Leaving: leaving, Control: s.self.Control, Heartbeat: s.self.Heartbeat,
 			Cordons: cordons,
 		}})
--- a/link/convert_test.go
+++ b/link/convert_test.go
@@ -10,7 +10,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// fill sets each field of a struct, so that what a conversion leaves out shows.
+// fill sets each field of a value to a non-zero value, so that a field that a conversion leaves out
+// is noticed.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -36,14 +37,14 @@
 	}
 }
 
-// filled is a value with each field set.
+// filled returns a value with each field set.
 func filled[T any]() T {
 	var value T
 	fill(reflect.ValueOf(&value).Elem())
 	return value
 }
 
-// Nothing that decides how a job runs is lost on its way to an owner.
+// No field of a job that decides how it runs is lost on the wire.
 func TestJobsArriveWhole(t *testing.T) {
 	job := filled[work.Job]()
 	must.Eq(t, job, jobFromWire(jobToWire(job)))
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -22,6 +22,7 @@
 	return b.Buffer.Write(p)
 }
 
+// clock is a clock that the test sets.
 type clock struct{ now time.Time }
 
 func (c *clock) read() time.Time { return c.now }
@@ -47,7 +48,7 @@
 	must.StrContains(t, text, `"next"`)
 }
 
-// stoppedReader never takes a line.
+// stoppedReader blocks each write until it is released.
 type stoppedReader struct{ release chan struct{} }
 
 func (s stoppedReader) Write(p []byte) (int, error) {
