--- a/entry/durable_test.go
+++ b/entry/durable_test.go
@@ -67,13 +67,13 @@
 	f := peers(nil, nil)
 	silent, end := context.WithCancel(t.Context())
 	end()
-	for life, pending := range map[uint64]int32{1: 3, 2: 4} {
-		view := f.views[life]
+	for incarnation, pending := range map[uint64]int32{1: 3, 2: 4} {
+		view := f.views[incarnation]
 		view.Pending = map[string]int32{"q": pending, "other": 1}
-		if life == 2 {
+		if incarnation == 2 {
 			view.Alive = silent
 		}
-		f.views[life] = view
+		f.views[incarnation] = view
 	}
 	must.Eq(t, 7, newEntry(f).Pending("q"))
 	must.Eq(t, 0, newEntry(f).Pending("none"))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,7 +26,7 @@
 
 // Peers gives what heartbeats have reported about owners, and tells them of jobs that are given up.
 type Peers interface {
-	View(life uint64) (heartbeat.View, bool)
+	View(incarnation uint64) (heartbeat.View, bool)
 	GiveUp(owner uint64, job string)
 }
 
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -60,8 +60,8 @@
 	fault, storeFault error
 }
 
-func (f *fakePeers) View(life uint64) (heartbeat.View, bool) {
-	view, ok := f.views[life]
+func (f *fakePeers) View(incarnation uint64) (heartbeat.View, bool) {
+	view, ok := f.views[incarnation]
 	return view, ok
 }
 
@@ -155,13 +155,13 @@
 // died, and the job would be lost with it.
 func TestOwnersThatMayHaveDiedGetNoNewJobs(t *testing.T) {
 	f := peers([]work.Outcome{{Result: work.Unknown}}, []work.Outcome{{Result: work.Completed}})
-	for life, ago := range map[uint64]time.Duration{1: doubtTime + 10*ms, 2: 0} {
-		view := f.views[life]
+	for incarnation, ago := range map[uint64]time.Duration{1: doubtTime + 10*ms, 2: 0} {
+		view := f.views[incarnation]
 		view.Heard = bootclock.Now() + time.Hour
 		if ago > 0 {
 			view.Heard = bootclock.Now() - ago
 		}
-		f.views[life] = view
+		f.views[incarnation] = view
 	}
 	must.Eq(t, work.Completed, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
 	must.Eq(t, []string{"far"}, f.asked)
--- a/node/delegate.go
+++ b/node/delegate.go
@@ -12,13 +12,13 @@
 )
 
 // ownerName returns the name under which the scheduler knows the owner of an incarnation.
-func ownerName(life uint64) string { return strconv.FormatUint(life, 16) }
+func ownerName(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
 
 // ReceiveLoads implements heartbeat.Listener. It tells the current owner the free capacity of
 // another owner, to which it may delegate tasks.
-func (n *Node) Heard(life uint64, loads []*linkpb.Load) {
+func (n *Node) Heard(incarnation uint64, loads []*linkpb.Load) {
 	o := n.owned()
-	if o == nil || life == n.self.Life {
+	if o == nil || incarnation == n.self.Life {
 		return
 	}
 	for _, load := range loads {
@@ -28,7 +28,7 @@
 				room.Places[i] = int(places)
 			}
 		}
-		o.RoomAt(ownerName(life), load.GetService(), room)
+		o.RoomAt(ownerName(incarnation), load.GetService(), room)
 	}
 }
 
