--- a/node/servers.go
+++ b/node/servers.go
@@ -51,7 +51,7 @@
 func listen(s platform.Settings, n *Node) (servers, error) {
 	var open servers
 	for _, h := range []struct {
-		place   **openServer
+		server  **openServer
 		address string
 		handler http.Handler
 	}{
@@ -64,10 +64,10 @@
 			open.close()
 			return servers{}, err
 		}
-		if h.place == &open.frontend {
+		if h.server == &open.frontend {
 			listener = netutil.LimitListener(listener, max(s.MaxSockets/callerShare, 1))
 		}
-		*h.place = &openServer{listener: listener, http: &http.Server{
+		*h.server = &openServer{listener: listener, http: &http.Server{
 			Handler: h.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}}
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -45,8 +45,8 @@
 
 func heldToWire(held work.Held) *linkpb.Carried {
 	wire := &linkpb.Carried{ClockMs: held.Clock, Life: held.Life}
-	for _, on := range held.Running {
-		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(on.Run), Saved: on.Saved})
+	for _, running := range held.Running {
+		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(running.Run), Saved: running.Saved})
 	}
 	for _, end := range held.Ended {
 		wire.Ended = append(wire.Ended, &linkpb.EndedRun{Number: end.Number, Run: runToWire(end.Run), Kind: string(end.Kind), Saved: end.Saved})
@@ -59,8 +59,8 @@
 
 func heldFromWire(wire *linkpb.Carried) work.Held {
 	held := work.Held{Clock: wire.GetClockMs(), Life: wire.GetLife()}
-	for _, on := range wire.GetRunning() {
-		held.Running = append(held.Running, work.Running{Run: runFromWire(on.GetRun()), Saved: on.GetSaved()})
+	for _, running := range wire.GetRunning() {
+		held.Running = append(held.Running, work.Running{Run: runFromWire(running.GetRun()), Saved: running.GetSaved()})
 	}
 	for _, end := range wire.GetEnded() {
 		held.Ended = append(held.Ended, work.End{
--- a/relay/router_test.go
+++ b/relay/router_test.go
@@ -91,10 +91,10 @@
 	for i := range relays {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		must.NoError(t, err)
-		carrier := &fakeTargets{}
-		f.relays = append(f.relays, carrier)
+		relayTargets := &fakeTargets{}
+		f.relays = append(f.relays, relayTargets)
 		ctx, cancel := context.WithCancel(t.Context())
-		server := &Server{Targets: carrier, Log: log, StoreAge: func() time.Duration { return 0 }, Count: func(string, string) {}}
+		server := &Server{Targets: relayTargets, Log: log, StoreAge: func() time.Duration { return 0 }, Count: func(string, string) {}}
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx, listener) }()
 		f.stops = append(f.stops, func() { cancel(); <-done })
@@ -103,13 +103,13 @@
 	f.Router = NewRouter(Options{
 		Direct: f.direct, Budget: func() Budget { return budget(weak / 4) }, Log: log,
 		Candidates: func() []VM {
-			var there []VM
+			var present []VM
 			for i, vm := range candidates {
 				if !f.gone[i].Load() {
-					there = append(there, vm)
+					present = append(present, vm)
 				}
 			}
-			return there
+			return present
 		},
 		StoreAge: func() time.Duration { return time.Duration(f.age.Load()) },
 		Count:    func(string, string) {}, Gauge: func(string, float64) {},
@@ -173,9 +173,9 @@
 	}, held)
 	must.Eq(t, 0, f.direct.started())
 	starts := 0
-	for _, carrier := range f.relays {
-		starts += carrier.started()
-		for _, got := range carrier.starts {
+	for _, relayTargets := range f.relays {
+		starts += relayTargets.started()
+		for _, got := range relayTargets.starts {
 			must.Eq(t, order, got)
 		}
 	}
@@ -188,12 +188,12 @@
 	f := newFleet(t, 4, 300)
 	f.lookAll(t)
 	must.LessEq(t, int64(firstLooks), f.direct.most.Load())
-	carried := int64(0)
-	for _, carrier := range f.relays {
-		carried += carrier.looks.Load()
+	relayed := int64(0)
+	for _, relayTargets := range f.relays {
+		relayed += relayTargets.looks.Load()
 	}
-	must.Eq(t, int64(300), carried+f.direct.looks.Load())
-	must.Greater(t, 100, carried)
+	must.Eq(t, int64(300), relayed+f.direct.looks.Load())
+	must.Greater(t, 100, relayed)
 }
 
 // An order whose relay is lost has no answer and may have been carried out. Later orders are sent
--- a/relay/server.go
+++ b/relay/server.go
@@ -101,22 +101,22 @@
 // Orders beyond maxForwarded are answered as unsent.
 func (s *Server) read(ctx context.Context, conn net.Conn, answers chan<- proto.Message) error {
 	reader := bufio.NewReaderSize(conn, bufferBytes)
-	room := make(chan struct{}, maxCarried)
+	slots := make(chan struct{}, maxCarried)
 	for {
 		order := &linkpb.Carry{}
 		if err := (protodelim.UnmarshalOptions{MaxSize: maxFrame}).UnmarshalFrom(reader, order); err != nil {
 			return err
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			s.answer(ctx, answers, order, &linkpb.Carried{Verdict: int32(work.VerdictUnsent)})
 			continue
 		}
-		taken := bootclock.Now()
+		received := bootclock.Now()
 		go func() {
-			defer func() { <-room }()
-			s.answer(ctx, answers, order, s.send(ctx, order, taken))
+			defer func() { <-slots }()
+			s.answer(ctx, answers, order, s.send(ctx, order, received))
 		}()
 	}
 }
@@ -133,11 +133,11 @@
 
 // forward sends an order to its target and returns the answer. A start that has waited too long
 // is not sent.
-func (s *Server) send(ctx context.Context, order *linkpb.Carry, taken time.Duration) *linkpb.Carried {
+func (s *Server) send(ctx context.Context, order *linkpb.Carry, received time.Duration) *linkpb.Carried {
 	to := work.Address{ID: order.GetId(), Address: order.GetAddress()}
 	switch what := order.GetWhat().(type) {
 	case *linkpb.Carry_Start:
-		if bootclock.Now()-taken > staleCarry {
+		if bootclock.Now()-received > staleCarry {
 			return &linkpb.Carried{Verdict: int32(work.VerdictUnsent)}
 		}
 		s.Count("carried", "start")
@@ -147,8 +147,8 @@
 		return orderAnswer(s.Targets.Stop(ctx, to, runFromWire(what.Stop.GetRun()), order.GetToken()))
 	case *linkpb.Carry_Look:
 		s.Count("carried", "look")
-		look := what.Look
-		held, verdict := s.Targets.Look(ctx, to, order.GetToken(), look.GetUntilMs(), look.GetSeen(), time.Duration(look.GetWaitUs())*time.Microsecond)
+		poll := what.Look
+		held, verdict := s.Targets.Look(ctx, to, order.GetToken(), poll.GetUntilMs(), poll.GetSeen(), time.Duration(poll.GetWaitUs())*time.Microsecond)
 		answer := heldToWire(held)
 		answer.Verdict = int32(verdict)
 		return answer
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -143,18 +143,18 @@
 // failPending marks the connection as broken and answers all pending calls with VerdictBroken.
 func (s *stream) breaks() {
 	s.mu.Lock()
-	waiting := s.waiting
+	pending := s.waiting
 	s.waiting, s.open, s.prompt = map[uint64]*call{}, false, 0
 	s.broken = bootclock.Now()
 	s.mu.Unlock()
-	for _, c := range waiting {
+	for _, c := range pending {
 		c.answer <- &linkpb.Carried{Verdict: int32(work.VerdictBroken)}
 	}
 }
 
 // call has the relay send an order or a poll and waits for the answer. The verdict is
 // VerdictUnsent if the call was not written, VerdictUnknown if there is no answer in time.
-func (s *stream) call(ctx context.Context, to work.Address, carry *linkpb.Carry, within time.Duration, prompt bool) *linkpb.Carried {
+func (s *stream) call(ctx context.Context, to work.Address, carry *linkpb.Carry, timeout time.Duration, prompt bool) *linkpb.Carried {
 	c := &call{answer: make(chan *linkpb.Carried, 1), prompt: prompt}
 	s.mu.Lock()
 	if !s.open {
@@ -177,7 +177,7 @@
 	default:
 		return &linkpb.Carried{Verdict: int32(work.VerdictUnsent)}
 	}
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case answer := <-c.answer:
