--- a/node/calls.go
+++ b/node/calls.go
@@ -86,13 +86,15 @@
 // peerCalls implements link.Handler.
 type peerCalls struct{ node *Node }
 
+// Run implements link.Handler.
 func (p peerCalls) Run(ctx context.Context, order link.Order) work.Outcome {
 	return p.node.runFor(ctx, order)
 }
 
+// Release implements link.Handler. It ends the outgoing owner once that has released all targets.
 func (p peerCalls) Release(ctx context.Context, _ string) owner.Released {
 	if p.node.owned() != nil {
-		// The successor has learned of its claim before this VM has, which still uses its targets.
+		// The successor has learned of its claim before this VM has: its owner still uses the targets.
 		return owner.Released{}
 	}
 	o := p.node.handingOver()
@@ -106,16 +108,20 @@
 	return released
 }
 
+// Pass implements link.Handler.
 func (p peerCalls) Pass(held ownership.Held) { p.node.keeper.Merge([]ownership.Held{held}) }
 
+// State implements link.Handler.
 func (p peerCalls) State(ctx context.Context, id string) work.State {
 	return p.node.askOwners(func(o *owner.Owner) (work.State, bool) { return o.JobState(ctx, id) })
 }
 
+// Cancel implements link.Handler.
 func (p peerCalls) Cancel(ctx context.Context, id string) work.State {
 	return p.node.askOwners(func(o *owner.Owner) (work.State, bool) { return o.CancelJob(ctx, id) })
 }
 
+// Tables implements link.Handler.
 func (p peerCalls) Tables() link.Tables {
 	tables := link.Tables{Claims: p.node.keeper.Claims(), Cordons: p.node.cordons.board.View()}
 	if clock, known := p.node.clock.told(); known {
--- a/node/node.go
+++ b/node/node.go
@@ -131,22 +131,22 @@
 	if s.Advisor != "" {
 		n.adviser = platform.NewAdvisor(s.Advisor)
 	}
-	beats, err := heartbeat.New(n.self, n)
+	heartbeats, err := heartbeat.New(n.self, n)
 	if err != nil {
 		return nil, err
 	}
-	n.beats = beats
+	n.beats = heartbeats
 	n.keeper = ownership.New(ownership.Options{
 		Self: n.self, Group: n.group, Patience: n.patience, Log: o.Log, Changed: n.claimed,
 		Heard: n.ages.heard(&n.ages.claims), Count: o.Count,
-	}, n.store, beats)
+	}, n.store, heartbeats)
 	n.entry = entry.New(entry.Options{
 		VM: s.VM, Life: n.self.Life, FailureDomain: s.FailureDomain, Log: o.Log, Count: o.Count,
 		Claims: n.keeper.Claims, Local: n.local, DomainOf: func(group string) string { return group },
 		Cordoned: func(domain string) bool { return n.cordons.board.View().Has(domain) },
 		Lost:     n.suspectOwner,
 		Find:     func(ctx context.Context, id string) (work.State, error) { return jobstore.Find(ctx, n.store, id) },
-	}, beats, n.calls)
+	}, heartbeats, n.calls)
 	n.servers, err = listen(s, n)
 	return n, err
 }
@@ -169,30 +169,30 @@
 
 // Run serves until the context ends, then hands over, answers its callers and stops.
 func (n *Node) Run(ctx context.Context) error {
-	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	g, duties := errgroup.WithContext(duties)
-	n.ctx, n.duties = duties, g
+	g, runCtx := errgroup.WithContext(runCtx)
+	n.ctx, n.duties = runCtx, g
 	n.log.Info("starting", "vm", n.self.VM, "life", n.self.Life, "failure_domain", n.self.FailureDomain)
 	n.servers.serve(g)
-	g.Go(func() error { return n.relayServer().Serve(duties, n.servers.relay) })
-	g.Go(func() error { return n.beats.Run(duties) })
-	g.Go(func() error { return n.keeper.Run(duties) })
+	g.Go(func() error { return n.relayServer().Serve(runCtx, n.servers.relay) })
+	g.Go(func() error { return n.beats.Run(runCtx) })
+	g.Go(func() error { return n.keeper.Run(runCtx) })
 	g.Go(func() error {
-		return mirror.Follow(duties, n.store, mirror.Options{
+		return mirror.Follow(runCtx, n.store, mirror.Options{
 			Table: platform.OperatorTable, Wait: configurationWait, Log: n.log, Heard: n.ages.heard(&n.ages.configuration),
 		}, n.tookOperatorRows)
 	})
-	g.Go(func() error { n.askPeers(duties); return nil })
-	g.Go(func() error { n.processor.Run(duties); return nil })
-	g.Go(func() error { n.yield(duties); return nil })
-	g.Go(func() error { n.gauge(duties); return nil })
-	g.Go(func() error { n.followSettings(duties); return nil })
+	g.Go(func() error { n.askPeers(runCtx); return nil })
+	g.Go(func() error { n.processor.Run(runCtx); return nil })
+	g.Go(func() error { n.yield(runCtx); return nil })
+	g.Go(func() error { n.gauge(runCtx); return nil })
+	g.Go(func() error { n.followSettings(runCtx); return nil })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-			n.leave(duties)
-		case <-duties.Done():
+			n.leave(runCtx)
+		case <-runCtx.Done():
 		}
 		n.servers.close()
 		stop()
@@ -259,7 +259,7 @@
 
 // startOwner starts an owner with its router under a claim of this process.
 func (n *Node) startOwner(held ownership.Held) *ownedGroup {
-	ctx, end := context.WithCancel(n.ctx)
+	ctx, cancel := context.WithCancel(n.ctx)
 	options := owner.Options{
 		Group: held.Group, FailureDomain: n.self.FailureDomain, Token: held.Version,
 		Schedule: scheduler.Options{
@@ -288,7 +288,7 @@
 	o := owner.New(options, router, n.store)
 	n.duties.Go(func() error { router.Run(ctx); return nil })
 	n.duties.Go(func() error { return o.Run(ctx) })
-	return &ownedGroup{Owner: o, held: held, end: end}
+	return &ownedGroup{Owner: o, held: held, end: cancel}
 }
 
 // probeOwner checks in the background whether an owner's process has ended, and tells the claim
--- a/node/peers.go
+++ b/node/peers.go
@@ -44,8 +44,8 @@
 	n.keeper.Merge(tables.Claims)
 }
 
-// newerPeer returns the address of a VM that has a newer configuration, or "". While this VM has no
-// configuration at all, it returns the seeds in turn.
+// newerPeer returns the address of a VM that has a newer configuration, or "" if none is known.
+// While this VM has no configuration at all, it returns the seeds in turn.
 func (n *Node) newerPeer() string {
 	version := n.config.version()
 	if seeds := n.options.Settings.Seeds; version == 0 && len(seeds) > 0 {
