--- a/heartbeat/book.go
+++ b/heartbeat/book.go
@@ -80,7 +80,7 @@
 // view is a View with its bookkeeping.
 type view struct {
 	View
-	// since is when pinging the owner began.
+	// pingedSince is when pinging the owner began.
 	since time.Duration
 	// cancelAlive ends View.Alive.
 	end context.CancelFunc
--- a/node/calls.go
+++ b/node/calls.go
@@ -94,7 +94,8 @@
 // Release implements link.Handler. It ends the outgoing owner once that has released all targets.
 func (p peerCalls) Release(ctx context.Context, _ string) owner.Released {
 	if p.node.owned() != nil {
-		// The successor has learned of its claim before this VM has: its owner still uses the targets.
+		// The successor has learned of its claim before this VM has: its owner still uses the
+		// targets.
 		return owner.Released{}
 	}
 	o := p.node.handingOver()
--- a/node/servers.go
+++ b/node/servers.go
@@ -30,8 +30,8 @@
 // until a connection ends; one that sends nothing is closed after three seconds.
 const callerShare = 3
 
-// maxRelayedOwners bounds the owners for which this VM relays orders. It includes former owners
-// whose connection isn't closed yet.
+// maxRelayedOwners bounds the owners for which this VM relays orders. It includes previous
+// owners whose connection isn't closed yet.
 const maxOwners = 64
 
 // servers holds the HTTP servers of a node and their listeners.
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -59,11 +59,11 @@
 // coresPerTarget returns the processor capacity that one target needs, in cores: enough for the
 // polls after a takeover and for the steady calls.
 func (l Load) perTarget() float64 {
-	adopting := firstLookCost.Seconds() / adoptionTime.Seconds()
+	takeover := firstLookCost.Seconds() / adoptionTime.Seconds()
 	if l.Targets == 0 {
-		return adopting
+		return takeover
 	}
-	return max(adopting, l.Calls/float64(l.Targets)*callCost.Seconds()/busyShare)
+	return max(takeover, l.Calls/float64(l.Targets)*callCost.Seconds()/busyShare)
 }
 
 // maxTargets returns how many targets a process can send orders to, limited by processor, sockets
@@ -180,13 +180,13 @@
 // RelayIndex returns the index of the relay that sends a target's orders; -1 if the owner does.
 // It uses weighted rendezvous hashing: each process gets a share of the targets according to its
 // weight, and only the targets of a relay that leaves are assigned anew.
-func (p Plan) RelayOf(target string, perTarget float64) int {
+func (p Plan) RelayOf(target string, coresPerTarget float64) int {
 	if len(p.Relays) == 0 {
 		return -1
 	}
 	best, least := -1, -math.Log(draw(target, ""))/p.Own
 	for i, relay := range p.Relays {
-		weight := relayPart * relay.CPU / perTarget
+		weight := relayPart * relay.CPU / coresPerTarget
 		if score := -math.Log(draw(target, relay.Name)) / weight; score < least {
 			best, least = i, score
 		}
