--- a/relay/router.go
+++ b/relay/router.go
@@ -64,7 +64,7 @@
 	calls atomic.Int64
 	// targets is the number of the owner's targets.
 	targets atomic.Int64
-	// firstPolls has an item for each first poll in progress that the owner itself sends.
+	// firstPolls has an item for each poll without a wait that is in progress from this VM.
 	first chan struct{}
 	// targetsChanged wakes Run when the number of targets has changed.
 	grown chan struct{}
@@ -226,7 +226,8 @@
 	return work.OrderAnswer{Verdict: work.Verdict(answer.GetVerdict()), Clock: answer.GetClockMs()}
 }
 
-// Poll implements Targets. An owner polls without a wait when it first asks a target.
+// Poll implements Targets. It limits the polls without a wait that this VM itself sends, since a
+// new owner sends one to each of its targets at once.
 func (r *Router) Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict) {
 	if s := r.route(to.ID); s != nil {
 		s.awaitConnection(ctx)
