--- a/entry/choose.go
+++ b/entry/choose.go
@@ -51,10 +51,10 @@
 }
 
 // chooseAmong returns the index of the best candidate whose Unconfirmed equals the argument, or -1.
-func choose(candidates []Candidate, draw float64, doubted bool) int {
+func choose(candidates []Candidate, draw float64, unconfirmed bool) int {
 	best := -1
 	for i, c := range candidates {
-		if c.Full || c.Doubted != doubted {
+		if c.Full || c.Doubted != unconfirmed {
 			continue
 		}
 		if best < 0 || c.cost() < candidates[best].cost() {
@@ -65,7 +65,7 @@
 		return best
 	}
 	for i, c := range candidates {
-		if c.Near && !c.Full && c.Doubted == doubted && (candidates[best].Free < farFree || draw < stayShare) {
+		if c.Near && !c.Full && c.Doubted == unconfirmed && (candidates[best].Free < farFree || draw < stayShare) {
 			return i
 		}
 	}
--- a/heartbeat/book.go
+++ b/heartbeat/book.go
@@ -65,7 +65,9 @@
 }
 
 // EntryID names one incarnation of an entry VM.
-func EntryID(vm string, incarnation uint64) string { return vm + "/" + strconv.FormatUint(incarnation, 16) }
+func EntryID(vm string, incarnation uint64) string {
+	return vm + "/" + strconv.FormatUint(incarnation, 16)
+}
 
 // peerTable holds what pings and answers have reported. It is not safe for concurrent use.
 type book struct {
