--- a/node/lend.go
+++ b/node/delegate.go
@@ -11,13 +11,14 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ownerName names an owner to the scheduler.
-func ownerName(life uint64) string { return strconv.FormatUint(life, 16) }
+// ownerName returns the name under which the scheduler knows the owner of an incarnation.
+func ownerName(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
 
-// Heard implements heartbeat.Listener.
-func (n *Node) Heard(life uint64, loads []*linkpb.Load) {
+// ReceiveLoads implements heartbeat.Listener. It tells the current owner the free capacity of
+// another owner, to which it may delegate tasks.
+func (n *Node) Heard(incarnation uint64, loads []*linkpb.Load) {
 	o := n.owned()
-	if o == nil || life == n.self.Life {
+	if o == nil || incarnation == n.self.Life {
 		return
 	}
 	for _, load := range loads {
@@ -27,11 +28,12 @@
 				room.Places[i] = int(places)
 			}
 		}
-		o.RoomAt(ownerName(life), load.GetService(), room)
+		o.RoomAt(ownerName(incarnation), load.GetService(), room)
 	}
 }
 
-// lend has another owner run a part of a job, for which this VM vouches.
+// delegate has another owner run a part of a job. This VM acts as the part's entry VM: it sends
+// the keepalives for it.
 func (n *Node) lend(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome {
 	for _, held := range n.keeper.Claims() {
 		if ownerName(held.Claim.GetLife()) != owner {
