--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -1,14 +1,15 @@
-// Package jobstore keeps accepted jobs in the platform's store.
+// Package jobstore writes durable jobs to the platform's store. Its input is the jobs that an
+// owner accepts and what becomes of their tasks; its output is rows, and callbacks once the rows
+// are stored. It decides which rows go into the next write and what a failed write means.
 //
-// A job lies in two rows of the part that its ID falls into: one with what its caller
-// handed in, which is removed when the job has ended, and one with its progress,
-// which stays for as long as callers may ask. Both are written once under the
-// condition that neither exists, so that an ID is one job wherever it is handed in.
+// A job has two rows in the partition that its ID selects. The jobs row holds the submission and
+// is removed when the job ends. The progress row stays for as long as callers may ask for the
+// job. A job is stored only if neither row exists, so that an ID names one job wherever it is
+// submitted.
 //
-// A job's home is the group of targets that runs it. The owner of the group writes a
-// fence row in each part before it reads the jobs there, and every later write of it
-// is under the condition that the fence is still its own. A former owner that doesn't
-// know of its successor can therefore neither accept a job nor note anything any more.
+// Each job belongs to the group of targets that runs it. The owner of the group writes a fence
+// row in each partition before it reads the jobs there. Each later write requires that the fence
+// row is still its own, so that a previous owner can neither accept jobs nor record anything.
 package jobstore
 
 import (
@@ -22,19 +23,19 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Tables of kept jobs.
+// Tables of durable jobs.
 const (
 	jobsTable     platform.Table = "jobs"
 	progressTable platform.Table = "progress"
 	fencesTable   platform.Table = "homes"
 )
 
-// Parts is the number of parts that jobs are spread over. With a batch of 16 jobs
-// every 25 ms to each, an owner can accept and end 1,280 jobs a second; four owners
-// that do so make 640 of the 800 writes a second of the smallest site.
+// Partitions is the number of partitions that jobs are spread over. With a batch of 16 jobs
+// every 25 ms to each partition, an owner can accept and end 1,280 jobs a second. Four owners
+// that do so make 640 writes a second, of the 800 that the smallest site allows.
 const Parts = 4
 
-// PartOf is the part that a job's rows lie in.
+// PartitionOf returns the name of the partition that holds a job's rows.
 func PartOf(id string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
@@ -43,88 +44,92 @@
 
 func partName(i int) string { return "jobs-" + strconv.Itoa(i) }
 
-// Accepted is a job as it was accepted.
+// AcceptedJob is the value of a jobs row: the submission and who accepted it.
 type Accepted struct {
 	Job   work.Job   `json:"job"`
 	Queue work.Queue `json:"queue"`
-	Home  string     `json:"home"`
-	// Life is the owner's that accepted it.
+	// Group is the group of targets that runs the job.
+	Home string `json:"home"`
+	// Incarnation is that of the owner that accepted the job.
 	Life uint64 `json:"life"`
-	// Arrived is when its caller sent it, on the store's clock.
+	// Arrived is when the caller sent the job, on the store's clock.
 	Arrived time.Duration `json:"arrived"`
 }
 
-// Progress is how far a job has come.
+// Progress is the value of a progress row.
 type Progress struct {
+	// Group is the group of targets that runs the job.
 	Home string `json:"home"`
-	// State is final or work.StateQueued.
+	// State is work.StateQueued until the job ends, then its final state.
 	State work.State `json:"state"`
-	// Done lists the tasks that are done, by their place in the job.
+	// Done lists the finished tasks by their index in the job.
 	Done []int `json:"done,omitempty"`
-	// Fails counts the failed runs of tasks, LastFailed is the number of the last one.
+	// Failures counts the failed runs of each task. LastFailedRun has the number of the last one.
 	Fails      map[int]int   `json:"fails,omitempty"`
 	LastFailed map[int]int64 `json:"last_failed,omitempty"`
-	// Saved is what tasks have saved of their work.
+	// Saved is the state that each task has saved.
 	Saved map[int]string `json:"saved,omitempty"`
-	// Crashed names the targets that were lost under tasks.
+	// TargetLosses lists the targets that were lost while a task ran on them.
 	Crashed map[int][]Crash `json:"crashed,omitempty"`
-	// Ended is when the job ended, on the store's clock.
+	// EndedAt is when the job ended, on the store's clock; 0 before.
 	Ended time.Duration `json:"ended,omitempty"`
 }
 
-// Crash names a target that was lost under a task, and when its life began, in milliseconds
-// since 1970; 0 where it didn't tell.
+// TargetLoss is the loss of a target while a task ran on it.
 type Crash struct {
 	Target string `json:"target"`
-	Life   int64  `json:"life,omitempty"`
-	// Excused says that others fell with it for another reason, Alone that the task had it for
-	// itself.
+	// Incarnation is when the target's process started, in milliseconds since 1970; 0 where the
+	// target did not report it.
+	Life int64 `json:"life,omitempty"`
+	// Correlated reports that other targets were lost at the same time for another reason.
+	// Isolated reports that the task had the target to itself.
 	Excused bool `json:"excused,omitempty"`
 	Alone   bool `json:"alone,omitempty"`
 }
 
-// check tells what is wrong with a job that was read: another writer may have left what
-// decodes and can't be run.
+// validate reports why a job read under a key can't be run: another writer may have left a row
+// that decodes but is no valid job.
 func (a Accepted) check(key string) error {
 	if a.Job.ID != key {
-		return fmt.Errorf("it is of job %q", a.Job.ID)
+		return fmt.Errorf("the row holds job %q, not the one that its key names: remove the row", a.Job.ID)
 	}
 	for i, step := range a.Job.Steps {
 		if step.Tasks < 1 {
-			return fmt.Errorf("step %d has %d tasks", i, step.Tasks)
+			return fmt.Errorf("step %d has %d tasks, not at least 1: submit the job again", i, step.Tasks)
 		}
 		for _, before := range step.After {
 			if before < 0 || before >= i {
-				return fmt.Errorf("step %d comes after step %d", i, before)
+				return fmt.Errorf("step %d comes after step %d, which is no earlier step: submit the job again", i, before)
 			}
 		}
 	}
 	if tasks := a.Job.Tasks() * a.Job.Occurrences(); tasks > maxStoredTasks {
-		return fmt.Errorf("it has %d tasks", tasks)
+		return fmt.Errorf("the job has %d tasks, more than any job may have: submit a smaller job", tasks)
 	}
 	return nil
 }
 
-// maxStoredTasks is more tasks than any job that is accepted has.
+// maxStoredTasks is above the tasks of any accepted job, all occurrences included.
 const maxStoredTasks = 10_000
 
 // fence is the value of a fence row.
 type fence struct {
 	Life uint64 `json:"life"`
-	// Token is the owner's fencing token.
+	// Token is the owner's fencing token. An owner with a lower one can't take over.
 	Token int64 `json:"token"`
 }
 
-// Kept is a job that was read from the store.
+// DurableJob is a job that was read from the store.
 type Kept struct {
 	Accepted
 	Progress Progress
 }
 
-// remembered is how long the state of an ended job is told beyond the platform's bound,
-// for clocks that differ and sweeps that come late.
+// retentionMargin is how long an ended job's state stays beyond the platform's bound: clocks
+// differ and sweeps may run late.
 const remembered = 10 * time.Second
 
+// decodeRow decodes a row's JSON; the error names the row and its table.
 func decode(row platform.Row, into any) error {
 	if err := json.Unmarshal(row.Value, into); err != nil {
 		return fmt.Errorf("row %s of %s: %w", row.Key, row.Table, err)
--- a/jobstore/keeper.go
+++ b/jobstore/keeper.go
@@ -17,48 +17,49 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ErrSuperseded says that an owner with a higher token keeps the group's jobs: this one
-// has to step down.
-const ErrSuperseded = errs.Tag("another owner keeps the jobs")
+// ErrSuperseded means that an owner with a higher fencing token has taken over the group's jobs:
+// this owner has to step down.
+const ErrSuperseded = errs.Tag("another owner has taken over the jobs")
 
-// Store is the part of the platform's store that kept jobs need.
+// Store is the part of the platform's store that durable jobs need.
 type Store interface {
-	Write(ctx context.Context, part string, changes []platform.Change) (platform.Written, error)
-	ReadPart(ctx context.Context, table platform.Table, part string) (platform.Rows, error)
-	Get(ctx context.Context, table platform.Table, part, key string) (platform.Rows, error)
+	Write(ctx context.Context, partition string, changes []platform.Change) (platform.Written, error)
+	ReadPart(ctx context.Context, table platform.Table, partition string) (platform.Rows, error)
+	Get(ctx context.Context, table platform.Table, partition, key string) (platform.Rows, error)
 }
 
-// Times of a Keeper.
+// Times of a Writer.
 const (
-	// pace is the time between two writes to a part under load; see Parts.
+	// writeInterval is the time between two writes to a partition under load; see Partitions.
 	pace = 25 * time.Millisecond
-	// burst is how many writes to a part may follow each other at once before: a job's
-	// acceptance, the ends of its tasks and its own end.
+	// writeBurst is how many writes to a partition may follow each other without that pause: a
+	// job's acceptance, the completions of its tasks and its own end.
 	burst = 5
-	// writeTimeout is beyond an answer slowed sixty times; what is taken for lost too
-	// early is found to be done by the next write.
+	// writeTimeout is longer than the usual answer slowed down sixty times. If a write is given
+	// up too early, the conflict of the next one shows that it was applied.
 	writeTimeout = 400 * time.Millisecond
-	// retryPause is the pause after a write without an answer.
+	// retryDelay is the pause after a failed write.
 	retryPause = 100 * time.Millisecond
-	// sweepInterval paces the look for jobs to be forgotten.
+	// sweepInterval is the time between two searches for ended jobs whose rows can be removed.
 	sweepInterval = 2 * time.Second
 )
 
-// Options of a Keeper.
+// Options of a Writer.
 type Options struct {
-	// Group is the group of targets that runs the jobs, Life the owner's.
+	// Group is the group of targets that runs the jobs. Incarnation identifies the owner's
+	// process.
 	Group string
 	Life  uint64
-	// Retention is how long callers may ask for a job that has ended.
+	// Retention is how long callers may ask for a job after its end.
 	Retention time.Duration
 	Log       *slog.Logger
-	// Count counts rows that can't be read; it must not block.
+	// Count counts unreadable rows by table; it must not block.
 	Count func(what, label string)
-	// Clock is the store's clock.
+	// Clock returns the store's clock.
 	Clock func() time.Duration
 }
 
-// Keeper writes the jobs of one owner to the store. It is safe for concurrent use.
+// Writer writes the jobs of one owner to the store. It is safe for concurrent use.
 type Keeper struct {
 	options Options
 	store   Store
@@ -68,44 +69,46 @@
 	wake   [Parts]chan struct{}
 }
 
-// New makes a Keeper that accepts nothing before Open.
+// New makes a Writer that accepts nothing before Open.
 func New(o Options, store Store) *Keeper {
-	k := &Keeper{options: o, store: store}
-	for i := range k.shards {
-		k.shards[i] = newShard(o.Group, o.Life)
-		k.wake[i] = make(chan struct{}, 1)
+	w := &Keeper{options: o, store: store}
+	for i := range w.shards {
+		w.shards[i] = newShard(o.Group, o.Life)
+		w.wake[i] = make(chan struct{}, 1)
 	}
-	return k
+	return w
 }
 
-// Open bars former owners from writing and returns the jobs that haven't ended. It
-// may be called again after an error.
-func (k *Keeper) Open(ctx context.Context, token int64) ([]Kept, error) {
-	var parts [Parts][]Kept
+// Open stops previous owners from writing and returns the jobs that have not ended. The token is
+// the owner's fencing token. Open may be called again after an error.
+func (w *Keeper) Open(ctx context.Context, token int64) ([]Kept, error) {
+	var jobs [Parts][]Kept
 	g, ctx := errgroup.WithContext(ctx)
 	for i := range Parts {
 		g.Go(func() (err error) {
-			parts[i], err = k.openPart(ctx, i, token)
+			jobs[i], err = w.openPart(ctx, i, token)
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	return slices.Concat(parts[:]...), nil
+	return slices.Concat(jobs[:]...), nil
 }
 
-func (k *Keeper) openPart(ctx context.Context, part int, token int64) ([]Kept, error) {
-	version, err := k.bar(ctx, partName(part), token)
+// openPartition opens one partition for Open.
+func (w *Keeper) openPart(ctx context.Context, partition int, token int64) ([]Kept, error) {
+	version, err := w.bar(ctx, partName(partition), token)
 	if err != nil {
 		return nil, err
 	}
-	return k.load(ctx, part, version)
+	return w.load(ctx, partition, version)
 }
 
-// bar writes the fence row of a part and returns its version.
-func (k *Keeper) bar(ctx context.Context, part string, token int64) (int64, error) {
-	rows, err := k.store.Get(ctx, fencesTable, part, k.options.Group)
+// acquireFence writes this owner's fence row in a partition and returns its version. It fails
+// with ErrSuperseded if the row has a higher token.
+func (w *Keeper) bar(ctx context.Context, partition string, token int64) (int64, error) {
+	rows, err := w.store.Get(ctx, fencesTable, partition, w.options.Group)
 	if err != nil {
 		return 0, err
 	}
@@ -113,78 +116,82 @@
 	if len(rows.Rows) > 0 {
 		var present fence
 		if err := decode(rows.Rows[0], &present); err != nil {
-			// It bars nobody, and a row of this owner's has to take its place.
-			k.unreadable(fencesTable, k.options.Group, err)
+			// An unreadable fence row stops nobody; this owner's row replaces it.
+			w.unreadable(fencesTable, w.options.Group, err)
 			present = fence{}
 		}
 		if present.Token > token {
-			return 0, ErrSuperseded.Errorf("token %d in part %s, this owner has %d", present.Token, part, token)
+			return 0, ErrSuperseded.Errorf("token %d in partition %s is above this owner's token %d: step down", present.Token, partition, token)
 		}
 		expected = rows.Rows[0].Version
-		if present.Life == k.options.Life {
+		if present.Life == w.options.Life {
 			return expected, nil
 		}
 	}
-	value, err := json.Marshal(fence{Life: k.options.Life, Token: token})
+	value, err := json.Marshal(fence{Life: w.options.Life, Token: token})
 	if err != nil {
 		return 0, err
 	}
-	written, err := k.store.Write(ctx, part, []platform.Change{{Table: fencesTable, Key: k.options.Group, Value: value, Expected: expected}})
+	written, err := w.store.Write(ctx, partition, []platform.Change{{Table: fencesTable, Key: w.options.Group, Value: value, Expected: expected}})
 	return written.Version, err
 }
 
-// load reads the jobs of a part under the fence.
-func (k *Keeper) load(ctx context.Context, part int, fenceVersion int64) ([]Kept, error) {
-	jobs, err := k.store.ReadPart(ctx, jobsTable, partName(part))
+// loadPartition reads the jobs of a partition after the fence row is written and returns those
+// that have not ended.
+func (w *Keeper) load(ctx context.Context, partition int, fenceVersion int64) ([]Kept, error) {
+	jobs, err := w.store.ReadPart(ctx, jobsTable, partName(partition))
 	if err != nil {
 		return nil, err
 	}
-	progress, err := k.store.ReadPart(ctx, progressTable, partName(part))
+	progress, err := w.store.ReadPart(ctx, progressTable, partName(partition))
 	if err != nil {
 		return nil, err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := newShard(k.options.Group, k.options.Life)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := newShard(w.options.Group, w.options.Life)
 	s.fenceVersion = fenceVersion
-	k.loadProgress(s, progress.Rows)
-	kept := k.loadJobs(s, jobs.Rows)
-	k.shards[part] = s
-	return kept, nil
+	w.loadProgress(s, progress.Rows)
+	unfinished := w.loadJobs(s, jobs.Rows)
+	w.shards[partition] = s
+	return unfinished, nil
 }
 
-func (k *Keeper) loadProgress(s *shard, rows []platform.Row) {
+// loadProgress adds the jobs of the group's progress rows to a shard.
+func (w *Keeper) loadProgress(s *shard, rows []platform.Row) {
 	now := bootclock.Now()
 	for _, row := range rows {
 		var p Progress
 		if err := decode(row, &p); err != nil {
-			k.unreadable(progressTable, row.Key, err)
+			w.unreadable(progressTable, row.Key, err)
 			continue
 		}
-		if p.Home != k.options.Group {
+		if p.Home != w.options.Group {
 			continue
 		}
 		expires := time.Duration(0)
 		if p.State.Final() {
-			expires = now + max(p.Ended+k.retention()-k.options.Clock(), 0)
+			expires = now + max(p.Ended+w.retention()-w.options.Clock(), 0)
 		}
 		s.load(row.Key, 0, row.Version, p, expires)
 	}
 }
 
-func (k *Keeper) loadJobs(s *shard, rows []platform.Row) []Kept {
-	var kept []Kept
+// loadJobs adds the group's jobs rows to a shard and returns the jobs that have not ended. A jobs
+// row that stayed after its job's end is queued for removal.
+func (w *Keeper) loadJobs(s *shard, rows []platform.Row) []Kept {
+	var unfinished []Kept
 	for _, row := range rows {
 		var a Accepted
 		if err := decode(row, &a); err != nil {
-			k.unreadable(jobsTable, row.Key, err)
+			w.unreadable(jobsTable, row.Key, err)
 			continue
 		}
-		if a.Home != k.options.Group {
+		if a.Home != w.options.Group {
 			continue
 		}
 		if err := a.check(row.Key); err != nil {
-			k.unreadable(jobsTable, row.Key, err)
+			w.unreadable(jobsTable, row.Key, err)
 			continue
 		}
 		e := s.entries[row.Key]
@@ -194,48 +201,49 @@
 		}
 		e.jobVersion = row.Version
 		if e.progress.State.Final() {
-			// It isn't run again, whoever left it there.
-			k.options.Log.Error("job of an ended one removed", "job", row.Key, "state", e.progress.State.String())
+			// An ended job must not run again, whoever left its jobs row.
+			w.options.Log.Error("job of an ended one removed", "job", row.Key, "state", e.progress.State.String())
 			s.enqueue(e)
 			continue
 		}
-		kept = append(kept, Kept{Accepted: a, Progress: e.progress})
+		unfinished = append(unfinished, Kept{Accepted: a, Progress: e.progress})
 	}
-	return kept
+	return unfinished
 }
 
-// unreadable tells of a row that another writer left unreadable; the others hold.
-func (k *Keeper) unreadable(table platform.Table, key string, err error) {
-	k.options.Count("rows_unreadable", string(table))
-	k.options.Log.Warn("row not understood", "table", table, "key", key, "error", err)
+// reportUnreadable logs and counts a row that can't be read. The other rows stay in use.
+func (w *Keeper) unreadable(table platform.Table, key string, err error) {
+	w.options.Count("rows_unreadable", string(table))
+	w.options.Log.Warn("row not understood", "table", table, "key", key, "error", err)
 }
 
-func (k *Keeper) retention() time.Duration { return k.options.Retention + remembered }
+// retention is how long the progress row of an ended job stays.
+func (w *Keeper) retention() time.Duration { return w.options.Retention + remembered }
 
-// shardOf returns the shard of a job and its place.
-func (k *Keeper) shardOf(id string) (*shard, int) {
-	part := PartOf(id)
-	for i := range k.shards {
-		if partName(i) == part {
-			return k.shards[i], i
+// shardOf returns the shard of a job and the index of its partition.
+func (w *Keeper) shardOf(id string) (*shard, int) {
+	partition := PartOf(id)
+	for i := range w.shards {
+		if partName(i) == partition {
+			return w.shards[i], i
 		}
 	}
-	panic("no shard for part " + part)
+	panic("no shard for partition " + partition)
 }
 
-// change changes the shard of a job and makes the calls that follow.
-func (k *Keeper) change(id string, do func(*shard)) {
-	k.mu.Lock()
-	s, part := k.shardOf(id)
+// update changes the shard of a job, wakes its writer and makes the pending callbacks.
+func (w *Keeper) change(id string, do func(*shard)) {
+	w.mu.Lock()
+	s, partition := w.shardOf(id)
 	do(s)
 	calls := s.told()
-	k.mu.Unlock()
+	w.mu.Unlock()
 	select {
-	case k.wake[part] <- struct{}{}:
+	case w.wake[partition] <- struct{}{}:
 	default:
 	}
 	if len(calls) > 0 {
-		// The caller's own goroutine may be the one that the calls wait for.
+		// A callback may wait for the goroutine that called update.
 		go func() {
 			for _, call := range calls {
 				call()
@@ -244,23 +252,23 @@
 	}
 }
 
-// Accept has a job stored. accepted is told how that ended, on another goroutine: once,
-// but for Doubtful, which another result may follow.
-func (k *Keeper) Accept(job work.Job, queue work.Queue, age time.Duration, accepted func(Result)) {
+// Accept stores a new job that was sent age ago. onResult gets the result on another goroutine. It
+// is called once; after Unconfirmed, another call follows if the store answers.
+func (w *Keeper) Accept(job work.Job, queue work.Queue, age time.Duration, onResult func(Result)) {
 	value, err := json.Marshal(Accepted{
-		Job: job, Queue: queue, Home: k.options.Group, Life: k.options.Life, Arrived: k.options.Clock() - age,
+		Job: job, Queue: queue, Home: w.options.Group, Life: w.options.Life, Arrived: w.options.Clock() - age,
 	})
 	if err != nil {
-		k.options.Log.Error("job not encoded", "job", job.ID, "error", err)
-		accepted(NotStored)
+		w.options.Log.Error("job not encoded", "job", job.ID, "error", err)
+		onResult(NotStored)
 		return
 	}
-	k.change(job.ID, func(s *shard) { s.accept(job.ID, value, accepted) })
+	w.change(job.ID, func(s *shard) { s.accept(job.ID, value, onResult) })
 }
 
-// TaskDone notes that a task is done; done is told when the store has it.
-func (k *Keeper) TaskDone(id string, task int, done func()) {
-	k.change(id, func(s *shard) {
+// RecordTaskDone records a finished task; done is called once that is stored.
+func (w *Keeper) TaskDone(id string, task int, done func()) {
+	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
 			p.Done = append(p.Done, task)
 			delete(p.Saved, task)
@@ -268,9 +276,9 @@
 	})
 }
 
-// TaskFailed notes a failed run of a task; done is told when the store has it.
-func (k *Keeper) TaskFailed(id string, task int, run int64, done func()) {
-	k.change(id, func(s *shard) {
+// RecordTaskFailed records a failed run of a task; done is called once that is stored.
+func (w *Keeper) TaskFailed(id string, task int, run int64, done func()) {
+	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
 			if p.Fails == nil {
 				p.Fails, p.LastFailed = map[int]int{}, map[int]int64{}
@@ -281,21 +289,21 @@
 	})
 }
 
-// TaskCrashed notes a target that was lost under a task.
-func (k *Keeper) TaskCrashed(id string, task int, crash Crash) {
-	k.change(id, func(s *shard) {
+// RecordTargetLoss records the loss of a target while a task ran on it.
+func (w *Keeper) TaskCrashed(id string, task int, loss Crash) {
+	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
 			if p.Crashed == nil {
 				p.Crashed = map[int][]Crash{}
 			}
-			p.Crashed[task] = append(p.Crashed[task], crash)
+			p.Crashed[task] = append(p.Crashed[task], loss)
 		}, nil)
 	})
 }
 
-// TaskSaved notes what a task has saved of its work.
-func (k *Keeper) TaskSaved(id string, task int, saved string) {
-	k.change(id, func(s *shard) {
+// RecordSavedState records the state that a task has saved.
+func (w *Keeper) TaskSaved(id string, task int, saved string) {
+	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
 			if p.Saved == nil {
 				p.Saved = map[int]string{}
@@ -305,32 +313,32 @@
 	})
 }
 
-// End notes the final state of a job; done is told when the store has it.
-func (k *Keeper) End(id string, state work.State, done func()) {
-	ended := k.options.Clock()
-	k.change(id, func(s *shard) {
+// RecordEnd records the final state of a job; done is called once that is stored.
+func (w *Keeper) End(id string, state work.State, done func()) {
+	ended := w.options.Clock()
+	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
 			*p = Progress{Home: p.Home, State: state, Ended: ended}
 		}, done)
 		if e := s.entries[id]; e != nil {
-			e.expires = bootclock.Now() + k.retention()
+			e.expires = bootclock.Now() + w.retention()
 		}
 	})
 }
 
-// State tells how a job stands; false means that this owner doesn't know it.
-func (k *Keeper) State(id string) (work.State, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, _ := k.shardOf(id)
+// State returns a job's state; false if this owner doesn't know the job.
+func (w *Keeper) State(id string) (work.State, bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s, _ := w.shardOf(id)
 	return s.state(id)
 }
 
-// Lost reports whether another owner has taken over the jobs.
-func (k *Keeper) Lost() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, s := range k.shards {
+// IsSuperseded reports whether another owner has taken over the jobs.
+func (w *Keeper) Lost() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, s := range w.shards {
 		if s.lost {
 			return true
 		}
@@ -338,42 +346,42 @@
 	return false
 }
 
-// Run writes until the context ends.
-func (k *Keeper) Run(ctx context.Context) error {
+// Run writes to all partitions until the context ends.
+func (w *Keeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for i := range Parts {
-		g.Go(func() error { k.write(ctx, i); return nil })
+		g.Go(func() error { w.write(ctx, i); return nil })
 	}
-	g.Go(func() error { k.sweep(ctx); return nil })
+	g.Go(func() error { w.sweep(ctx); return nil })
 	return g.Wait()
 }
 
-// write carries out the batches of a part.
-func (k *Keeper) write(ctx context.Context, part int) {
+// writePartition writes the batches of a partition until the context ends.
+func (w *Keeper) write(ctx context.Context, partition int) {
 	away := false
 	limit := rate.NewLimiter(rate.Every(pace), burst)
 	for ctx.Err() == nil {
-		if !k.due(part) {
+		if !w.due(partition) {
 			select {
 			case <-ctx.Done():
-			case <-k.wake[part]:
+			case <-w.wake[partition]:
 			}
 			continue
 		}
 		if limit.Wait(ctx) != nil {
 			return
 		}
-		// What came while waiting goes into the same write.
-		s, changes := k.batch(part)
+		// Changes that came during the wait go into the same write.
+		s, changes := w.batch(partition)
 		if changes == nil {
-			// The part was opened anew meanwhile.
+			// Open has replaced the shard meanwhile.
 			continue
 		}
-		written, err := k.writeOnce(ctx, partName(part), changes)
-		k.settle(s, written, err)
+		written, err := w.writeOnce(ctx, partName(partition), changes)
+		w.settle(s, written, err)
 		if (err != nil) != away {
 			away = err != nil
-			k.options.Log.Warn("store of jobs", "part", partName(part), "away", away, "changes", len(changes), "error", err)
+			w.options.Log.Warn("store of jobs", "part", partName(partition), "away", away, "changes", len(changes), "error", err)
 		}
 		if err != nil {
 			sleep(ctx, retryPause)
@@ -381,38 +389,42 @@
 	}
 }
 
-// due reports whether a part has something to be written. Only this part's writer takes it.
-func (k *Keeper) due(part int) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.shards[part].due()
+// hasWrite reports whether a partition has something to write. Only the partition's own goroutine
+// takes it.
+func (w *Keeper) due(partition int) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.shards[partition].due()
 }
 
-func (k *Keeper) writeOnce(ctx context.Context, part string, changes []platform.Change) (platform.Written, error) {
+// writeOnce makes one write within writeTimeout.
+func (w *Keeper) writeOnce(ctx context.Context, partition string, changes []platform.Change) (platform.Written, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return k.store.Write(ctx, part, changes)
+	return w.store.Write(ctx, partition, changes)
 }
 
-func (k *Keeper) batch(part int) (*shard, []platform.Change) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.shards[part]
+// nextBatch returns the shard of a partition and its next batch of changes.
+func (w *Keeper) batch(partition int) (*shard, []platform.Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := w.shards[partition]
 	return s, s.batch(bootclock.Now())
 }
 
-func (k *Keeper) settle(s *shard, written platform.Written, err error) {
-	k.mu.Lock()
+// handleResult gives a shard the answer to its batch and makes the pending callbacks.
+func (w *Keeper) settle(s *shard, written platform.Written, err error) {
+	w.mu.Lock()
 	s.result(bootclock.Now(), written, err)
 	calls := s.told()
-	k.mu.Unlock()
+	w.mu.Unlock()
 	for _, call := range calls {
 		call()
 	}
 }
 
-// sweep has ended jobs forgotten.
-func (k *Keeper) sweep(ctx context.Context) {
+// runSweeps has the rows of expired jobs removed until the context ends.
+func (w *Keeper) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -421,12 +433,12 @@
 			return
 		case <-ticker.C:
 		}
-		k.mu.Lock()
-		for _, s := range k.shards {
+		w.mu.Lock()
+		for _, s := range w.shards {
 			s.sweep(bootclock.Now())
 		}
-		k.mu.Unlock()
-		for _, wake := range k.wake {
+		w.mu.Unlock()
+		for _, wake := range w.wake {
 			select {
 			case wake <- struct{}{}:
 			default:
@@ -435,6 +447,7 @@
 	}
 }
 
+// sleep waits for a pause or the end of the context.
 func sleep(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
@@ -445,9 +458,10 @@
 	}
 }
 
-// Find reads from the store how a job stands that no owner knows at the moment.
+// ReadState reads a job's state from the store, for callers that no owner can answer at the
+// moment. A job with progress that has not ended is reported as running.
 func Find(ctx context.Context, store Store, id string) (work.State, error) {
-	// The job's row comes first: when it ends in between, its progress tells.
+	// The jobs row is read first: if the job ends in between, its progress row shows that.
 	job, err := store.Get(ctx, jobsTable, PartOf(id), id)
 	if err != nil {
 		return work.StateAbsent, err
--- a/jobstore/shard.go
+++ b/jobstore/shard.go
@@ -9,20 +9,21 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Result is how the acceptance of a job ended.
+// AcceptResult is the result of storing a new job.
 type Result int
 
-// The results of an acceptance.
+// The results of storing a new job.
 const (
-	// Stored says that the job lies in the store and is this owner's to run.
+	// Stored means that the job is in the store and this owner runs it.
 	Stored Result = iota
-	// Known says that the job lay in the store already.
+	// AlreadyStored means that a job of this ID was in the store before.
 	Known
-	// NotStored says that the job doesn't lie in the store and never will.
+	// NotStored means that the job is not in the store and will not be.
 	NotStored
-	// Doubtful says that the store doesn't tell: the result follows when it does.
+	// Unconfirmed means that several answers of the store were lost. Another result follows once
+	// the store answers.
 	Doubtful
-	// Uncertain says that another owner has the group, so that nobody here can tell.
+	// Superseded means that another owner has taken over the group before the result was known.
 	Uncertain
 )
 
@@ -30,75 +31,80 @@
 	Stored: "stored", Known: "known", NotStored: "not stored", Doubtful: "doubtful", Uncertain: "uncertain",
 }
 
-// String names the result in metrics.
+// String returns the result's label in metrics.
 func (r Result) String() string { return resultNames[r] }
 
-// entry is a job of a shard.
+// trackedJob is what an owner knows of a job's rows and has yet to write to them.
 type entry struct {
-	id       string
+	id string
+	// encodedJob is the value of the jobs row until that is stored.
 	job      []byte
 	progress Progress
-	// jobVersion and progressVersion are those of the rows; 0 while they don't exist.
+	// jobVersion and progressVersion are the versions of the rows; 0 while they don't exist.
 	jobVersion, progressVersion int64
-	// created says that the job's row lies in the store.
+	// isStored reports that the jobs row has been stored.
 	created bool
-	// doubts counts the writes in a row whose answer was lost: they may be done later.
+	// unconfirmedWrites counts the consecutive writes whose answer was lost. The store may apply
+	// them later.
 	doubts int
-	// changes counts what was noted, written what lies in the store.
+	// recorded counts the recorded changes of the progress, written those that are stored.
 	changes, written int
-	// sending is how many changes the write on its way holds.
+	// inFlight is the value of recorded that the write in flight holds.
 	sending int
-	// ending says that the write on its way holds the job's end.
+	// endInFlight reports that the write in flight holds the job's end.
 	ending   bool
 	waiting  []waiter
 	accepted func(Result)
 	queued   bool
-	// expires is when an ended job is forgotten, on the boot clock; 0 before its end.
+	// expiresAt is when the row of an ended job is removed, on the boot clock; 0 before the end.
 	expires time.Duration
 }
 
-// waiter is told when a number of changes lies in the store.
+// waiter is notified once the first changes, upTo of them, are stored.
 type waiter struct {
 	changes int
 	done    func()
 }
 
-// dropping reports whether an entry's progress is to be removed.
+// isExpired reports whether the progress row of an ended job is due for removal.
 func (e *entry) dropping(now time.Duration) bool { return e.expires > 0 && now >= e.expires }
 
-// shard decides what is written next to one part. It is plain code: it returns batches
-// and takes how they ended.
+// shard holds one owner's jobs of one partition and decides what is written next. It does no I/O
+// and has no clock: it returns batches of changes and is given the answers.
 type shard struct {
+	// incarnation identifies the owner's process; group is the group whose jobs it owns.
 	life uint64
 	home string
-	// fenceVersion is that of this owner's fence row; 0 before it lies there.
+	// fenceVersion is the version of this owner's fence row; 0 before it is written.
 	fenceVersion int64
 	entries      map[string]*entry
-	queue        []*entry
-	sent         []*entry
-	// lost is set once another owner's fence was seen.
+	// queue has the jobs to write, inFlight those of the write that has no answer yet.
+	queue []*entry
+	sent  []*entry
+	// superseded is set once another owner's fence row was seen.
 	lost bool
-	// away says that the last write had no answer, or was turned away.
+	// storeFailing reports that the last write got no answer or was rejected.
 	away bool
-	// calls are to be made once the state is consistent.
+	// callbacks are called after the state has changed and the lock is released.
 	calls []func()
 }
 
-// maxEntries bounds the jobs of a part at one owner, ended ones included: three times
-// what the largest site ends at one owner while they are remembered.
+// maxJobs bounds the jobs of a partition at one owner, ended ones included. It is three times the
+// number that ends at one owner of the largest site while ended jobs stay.
 const maxEntries = 25_000
 
 func newShard(home string, life uint64) *shard {
 	return &shard{home: home, life: life, entries: map[string]*entry{}}
 }
 
+// addCallback adds a call for takeCallbacks; nil is ignored.
 func (s *shard) later(call func()) {
 	if call != nil {
 		s.calls = append(s.calls, call)
 	}
 }
 
-// told returns the calls to be made.
+// takeCallbacks returns the pending calls and forgets them.
 func (s *shard) told() []func() {
 	calls := s.calls
 	s.calls = nil
@@ -112,19 +118,21 @@
 	}
 }
 
-// accept has a job written; accepted is told how that ended.
-func (s *shard) accept(id string, job []byte, accepted func(Result)) {
+// accept queues a new job for writing; onResult is called with the result. It takes no new job
+// before the fence row is written, after another owner took over, while the store fails, or when
+// maxJobs are tracked.
+func (s *shard) accept(id string, job []byte, onResult func(Result)) {
 	switch e := s.entries[id]; {
 	case s.lost || s.fenceVersion == 0 || s.away && e == nil:
-		s.later(func() { accepted(NotStored) })
+		s.later(func() { onResult(NotStored) })
 	case e == nil && len(s.entries) >= maxEntries:
-		s.later(func() { accepted(NotStored) })
+		s.later(func() { onResult(NotStored) })
 	case e == nil:
-		e = &entry{id: id, job: job, progress: Progress{Home: s.home, State: work.StateQueued}, accepted: accepted}
+		e = &entry{id: id, job: job, progress: Progress{Home: s.home, State: work.StateQueued}, accepted: onResult}
 		s.entries[id] = e
 		s.enqueue(e)
 	case e.created:
-		s.later(func() { accepted(Known) })
+		s.later(func() { onResult(Known) })
 	default:
 		earlier := e.accepted
 		e.accepted = func(r Result) {
@@ -132,12 +140,12 @@
 			if r == Stored {
 				r = Known
 			}
-			accepted(r)
+			onResult(r)
 		}
 	}
 }
 
-// note changes a job's progress; done is told when that lies in the store.
+// record changes a job's progress; done is called once the change is stored.
 func (s *shard) note(id string, change func(*Progress), done func()) {
 	e := s.entries[id]
 	if e == nil {
@@ -151,14 +159,15 @@
 	s.enqueue(e)
 }
 
-// load takes a job that was read under this owner's fence.
+// add tracks a job that was read after this owner's fence row was written.
 func (s *shard) load(id string, jobVersion, progressVersion int64, p Progress, expires time.Duration) {
 	s.entries[id] = &entry{
 		id: id, created: true, jobVersion: jobVersion, progressVersion: progressVersion, progress: p, expires: expires,
 	}
 }
 
-// state is how a job stands as far as the store has it.
+// state returns a job's state; false if this owner doesn't know the job. A final state is
+// returned only once it is stored, so that a later owner finds the same.
 func (s *shard) state(id string) (work.State, bool) {
 	e := s.entries[id]
 	if e == nil || !e.created {
@@ -170,7 +179,7 @@
 	return e.progress.State, true
 }
 
-// sweep queues ended jobs that nobody asks for any more.
+// enqueueExpired queues the removal of ended jobs whose retention is over.
 func (s *shard) sweep(now time.Duration) {
 	for _, e := range s.entries {
 		if e.dropping(now) && e.written == e.changes {
@@ -179,16 +188,17 @@
 	}
 }
 
-// maxBatch is how many jobs go into one write: a job takes up to three changes.
+// maxBatchJobs is the most jobs of one write. Each job may take up to three changes, and one
+// more checks the fence.
 const maxBatch = (platform.MaxChanges - 1) / 3
 
-// due reports whether there is something to be written.
+// hasWrite reports whether nextBatch would return changes.
 func (s *shard) due() bool {
 	return (len(s.queue) > 0 || s.away) && !s.lost && s.fenceVersion != 0 && len(s.sent) == 0
 }
 
-// batch returns the changes to write now, if any: while the store is away at least the
-// check of the fence, which shows when it is back.
+// nextBatch returns the changes to write now, or nil. Each batch checks the fence row. While the
+// store fails, a batch may hold nothing else: its answer shows when the store works again.
 func (s *shard) batch(now time.Duration) []platform.Change {
 	if !s.due() {
 		return nil
@@ -204,7 +214,8 @@
 	return changes
 }
 
-// next is what is to be written of an entry: its job first.
+// nextChanges returns the changes of the next write of a job: first its jobs row, later its
+// progress, at last the removal of the progress row.
 func (e *entry) next(now time.Duration) []platform.Change {
 	if !e.created {
 		return []platform.Change{
@@ -217,7 +228,7 @@
 	}
 	value, err := json.Marshal(e.progress)
 	if err != nil {
-		panic("a job's progress can't be encoded: " + err.Error())
+		panic("encode the progress of a job: " + err.Error())
 	}
 	changes := []platform.Change{{Action: platform.ActionPut, Table: progressTable, Key: e.id, Value: value, Expected: e.progressVersion}}
 	if e.progress.State.Final() && e.jobVersion > 0 {
@@ -227,7 +238,7 @@
 	return changes
 }
 
-// result takes the answer to the last batch.
+// handleResult updates the jobs of the batch in flight from the answer to its write.
 func (s *shard) result(now time.Duration, written platform.Written, err error) {
 	sent := s.sent
 	s.sent = nil
@@ -250,29 +261,33 @@
 	}
 }
 
-// maxDoubts is how many lost answers a caller waits for: one is lost now and then.
+// maxUnconfirmedWrites is the number of consecutive lost answers after which the caller gets
+// Unconfirmed. A single answer is lost now and then.
 const maxDoubts = 2
 
-// doubt has a write repeated whose answer was lost.
+// retryUnconfirmed repeats a write whose answer was lost.
 func (s *shard) doubt(e *entry) {
 	e.doubts++
 	if !e.created && e.doubts == maxDoubts {
-		accepted := e.accepted
-		s.later(func() { accepted(Doubtful) })
+		onResult := e.accepted
+		s.later(func() { onResult(Doubtful) })
 	}
 	s.enqueue(e)
 }
 
+// handleNotWritten retries a rejected write. A new job is dropped instead, unless an earlier write
+// of it may still be applied.
 func (s *shard) notWritten(e *entry) {
 	if e.created || e.doubts > 0 {
 		s.enqueue(e)
 		return
 	}
 	delete(s.entries, e.id)
-	accepted := e.accepted
-	s.later(func() { accepted(NotStored) })
+	onResult := e.accepted
+	s.later(func() { onResult(NotStored) })
 }
 
+// handleWritten updates a job whose write was applied at a version.
 func (s *shard) wrote(now time.Duration, e *entry, version int64) {
 	e.doubts = 0
 	switch {
@@ -286,17 +301,18 @@
 	}
 }
 
+// markStored reports a new job as stored and queues what was recorded meanwhile.
 func (s *shard) stored(e *entry, version int64) {
 	e.created, e.job, e.jobVersion, e.doubts = true, nil, version, 0
-	accepted := e.accepted
+	onResult := e.accepted
 	e.accepted = nil
-	s.later(func() { accepted(Stored) })
+	s.later(func() { onResult(Stored) })
 	if e.written < e.changes {
 		s.enqueue(e)
 	}
 }
 
-// confirm tells those who wait for changes that lie in the store.
+// confirmRecorded notifies the waiters of the changes that the last write stored.
 func (s *shard) confirm(e *entry) {
 	e.written = e.sending
 	if e.ending {
@@ -316,7 +332,7 @@
 	}
 }
 
-// conflict takes rows that are not as they were believed.
+// handleConflict updates the jobs of a batch from the current rows, after one was not as expected.
 func (s *shard) conflict(now time.Duration, sent []*entry, current []platform.Row) {
 	rows := map[platform.Table]map[string]platform.Row{jobsTable: {}, progressTable: {}, fencesTable: {}}
 	for _, row := range current {
@@ -333,7 +349,7 @@
 	}
 }
 
-// holds reports whether the fence is still this owner's.
+// ownsFence reports whether the fence row is still this owner's, and takes its version.
 func (s *shard) holds(row platform.Row) bool {
 	var f fence
 	if json.Unmarshal(row.Value, &f) != nil || f.Life != s.life {
@@ -343,16 +359,16 @@
 	return true
 }
 
-// settle takes the rows of an entry whose batch was not written.
+// reconcile updates a job from its current rows after a conflict in its batch.
 func (s *shard) settle(now time.Duration, e *entry, job, progress platform.Row) {
 	if !e.created {
 		switch {
 		case progress.Version > 0 || job.Version > 0 && !s.own(job):
 			delete(s.entries, e.id)
-			accepted := e.accepted
-			s.later(func() { accepted(Known) })
+			onResult := e.accepted
+			s.later(func() { onResult(Known) })
 		case job.Version > 0:
-			// The write whose answer was lost was done.
+			// An earlier write whose answer was lost has been applied.
 			s.stored(e, job.Version)
 		default:
 			s.enqueue(e)
@@ -363,27 +379,29 @@
 		delete(s.entries, e.id)
 		return
 	}
-	// Only this owner writes here: a write of its own was done whose answer was lost.
+	// Only this owner writes the row, so an earlier write whose answer was lost has been applied.
 	e.progressVersion = progress.Version
 	if job.Version > 0 || e.ending {
-		// The answer tells of the job's row only where that was to be removed.
+		// The answer has the jobs row only if the batch was to remove it.
 		e.jobVersion = job.Version
 	}
 	s.enqueue(e)
 }
 
+// isOwnJobRow reports whether this owner wrote a jobs row.
 func (s *shard) own(row platform.Row) bool {
 	var a Accepted
 	return json.Unmarshal(row.Value, &a) == nil && a.Home == s.home && a.Life == s.life
 }
 
-// lose gives up the part: another owner has the group.
+// giveUp stops all writes, as another owner has taken over the group. New jobs without a result
+// get Superseded.
 func (s *shard) lose(sent []*entry) {
 	s.lost = true
 	for _, e := range append(sent, s.queue...) {
 		if !e.created {
-			accepted := e.accepted
-			s.later(func() { accepted(Uncertain) })
+			onResult := e.accepted
+			s.later(func() { onResult(Uncertain) })
 		}
 	}
 	s.queue = nil
