--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -2,10 +2,9 @@
 // owner accepts and what becomes of their tasks; its output is rows, and callbacks once the rows
 // are stored. It decides which rows go into the next write and what a failed write means.
 //
-// A job has two rows in the partition that its ID selects. The jobs row holds the submission and
-// is removed when the job ends. The progress row stays for as long as callers may ask for the
-// job. A job is stored only if neither row exists, so that an ID names one job wherever it is
-// submitted.
+// A job has two rows in the partition that its ID selects. The jobs row holds the submission until
+// the job ends; the progress row stays for as long as callers may ask for the job. A job is stored
+// only if neither row exists, so that an ID names one job wherever it is submitted.
 //
 // Each job belongs to the group of targets that runs it. The owner of the group writes a fence
 // row in each partition before it reads the jobs there. Each later write requires that the fence
--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -16,25 +16,26 @@
 
 const testJob = "5c0e7a21d94b36f8"
 
+// openWriter opens a writer for a group under a token and returns the unfinished jobs that it read.
 func open(t *testing.T, store Store, group string, life uint64, token int64) (*Keeper, []Kept) {
 	t.Helper()
-	k := New(Options{
+	w := New(Options{
 		Group: group, Life: life, Retention: time.Minute, Log: slog.New(slog.DiscardHandler),
 		Count: func(string, string) {},
 		Clock: func() time.Duration { return time.Hour },
 	}, store)
-	kept, err := k.Open(t.Context(), token)
+	unfinished, err := w.Open(t.Context(), token)
 	must.NoError(t, err)
-	return k, kept
+	return w, unfinished
 }
 
-// running has a keeper write until the test ends.
+// startWriter opens a writer that runs until the test ends.
 func running(t *testing.T, store Store, group string, life uint64, token int64) *Keeper {
 	t.Helper()
-	k, _ := open(t, store, group, life, token)
+	w, _ := open(t, store, group, life, token)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- k.Run(ctx) }()
+	go func() { done <- w.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		must.NoError(t, <-done)
@@ -42,52 +43,54 @@
 	return k
 }
 
-func accept(k *Keeper, id string) Result {
+// acceptJob stores a job and returns the first result.
+func accept(w *Keeper, id string) Result {
 	result := make(chan Result, 4)
-	k.Accept(work.Job{ID: id, Kept: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r Result) { result <- r })
+	w.Accept(work.Job{ID: id, Kept: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r Result) { result <- r })
 	return <-result
 }
 
-func note(do func(done func())) {
-	noted := make(chan struct{})
-	do(func() { close(noted) })
-	<-noted
+// awaitStored records something and waits until it is stored.
+func note(record func(done func())) {
+	stored := make(chan struct{})
+	record(func() { close(stored) })
+	<-stored
 }
 
-// A job is found by the owner that takes over, with what is done of it.
+// A new owner of the group finds its jobs with their progress; other groups find none.
 func TestJobsOutliveTheirOwner(t *testing.T) {
 	store := newFakeStore()
-	k := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(k, testJob))
-	note(func(done func()) { k.TaskDone(testJob, 1, done) })
-	note(func(done func()) { k.TaskFailed(testJob, 0, 7, done) })
-	_, kept := open(t, store, "a", 2, 2)
-	must.SliceLen(t, 1, kept)
-	must.Eq(t, testJob, kept[0].Job.ID)
-	must.Eq(t, 2, kept[0].Job.Tasks())
-	must.Eq(t, time.Hour-time.Second, kept[0].Arrived)
-	must.Eq(t, []int{1}, kept[0].Progress.Done)
-	must.Eq(t, map[int]int{0: 1}, kept[0].Progress.Fails)
-	must.Eq(t, map[int]int64{0: 7}, kept[0].Progress.LastFailed)
-	_, kept = open(t, store, "b", 3, 3)
-	must.SliceEmpty(t, kept)
+	w := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(w, testJob))
+	note(func(done func()) { w.TaskDone(testJob, 1, done) })
+	note(func(done func()) { w.TaskFailed(testJob, 0, 7, done) })
+	_, unfinished := open(t, store, "a", 2, 2)
+	must.SliceLen(t, 1, unfinished)
+	must.Eq(t, testJob, unfinished[0].Job.ID)
+	must.Eq(t, 2, unfinished[0].Job.Tasks())
+	must.Eq(t, time.Hour-time.Second, unfinished[0].Arrived)
+	must.Eq(t, []int{1}, unfinished[0].Progress.Done)
+	must.Eq(t, map[int]int{0: 1}, unfinished[0].Progress.Fails)
+	must.Eq(t, map[int]int64{0: 7}, unfinished[0].Progress.LastFailed)
+	_, unfinished = open(t, store, "b", 3, 3)
+	must.SliceEmpty(t, unfinished)
 }
 
-// Jobs that have ended aren't run again; their end is told for a while.
+// A new owner does not run ended jobs again, and still answers with their final state.
 func TestEndedJobsAreOver(t *testing.T) {
 	store := newFakeStore()
-	k := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(k, testJob))
-	note(func(done func()) { k.End(testJob, work.StateCancelled, done) })
-	must.Eq(t, Known, accept(k, testJob))
-	next, kept := open(t, store, "a", 2, 2)
-	must.SliceEmpty(t, kept)
+	w := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(w, testJob))
+	note(func(done func()) { w.End(testJob, work.StateCancelled, done) })
+	must.Eq(t, Known, accept(w, testJob))
+	next, unfinished := open(t, store, "a", 2, 2)
+	must.SliceEmpty(t, unfinished)
 	state, known := next.State(testJob)
 	must.True(t, known)
 	must.Eq(t, work.StateCancelled, state)
 }
 
-// One ID is one job wherever it is handed in.
+// One ID is one job, whichever group it is submitted to.
 func TestAJobIsStoredOnce(t *testing.T) {
 	store := newFakeStore()
 	a, b := running(t, store, "a", 1, 1), running(t, store, "b", 2, 2)
@@ -97,18 +100,18 @@
 	must.Eq(t, Known, accept(b, testJob))
 }
 
-// A former owner that doesn't know of its successor can neither accept nor note.
+// A previous owner that doesn't know of its successor can't store a job.
 func TestAFormerOwnerIsBarred(t *testing.T) {
 	store := newFakeStore()
-	former := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(former, testJob))
+	previous := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(previous, testJob))
 	open(t, store, "a", 2, 2)
-	must.Eq(t, Uncertain, accept(former, "6c0e7a21d94b36f8"))
-	must.True(t, former.Lost())
+	must.Eq(t, Uncertain, accept(previous, "6c0e7a21d94b36f8"))
+	must.True(t, previous.Lost())
 	must.MapLen(t, 1, store.seen)
 }
 
-// An owner that was late to take over doesn't bar the one after it.
+// An owner with a lower token that opens late does not displace the current one.
 func TestALateOwnerDoesNotTakeOver(t *testing.T) {
 	store := newFakeStore()
 	open(t, store, "a", 2, 2)
@@ -118,35 +121,36 @@
 	must.Eq(t, NotStored, accept(late, testJob))
 }
 
-// Before an owner has taken over the jobs it accepts none.
+// A writer accepts nothing before Open: its fence row is not written yet.
 func TestNothingIsAcceptedBeforeOpen(t *testing.T) {
-	k := New(Options{Group: "a", Life: 1, Clock: func() time.Duration { return 0 }}, newFakeStore())
-	must.Eq(t, NotStored, accept(k, testJob))
+	w := New(Options{Group: "a", Life: 1, Clock: func() time.Duration { return 0 }}, newFakeStore())
+	must.Eq(t, NotStored, accept(w, testJob))
 }
 
-// A job whose acceptance is turned away is refused at once; one of which the store
-// doesn't tell is not.
+// A job whose write is rejected is refused at once. A job whose answers are lost is reported as
+// unconfirmed and retried until it is stored.
 func TestFailedAcceptances(t *testing.T) {
 	store := newFakeStore()
-	k := running(t, store, "a", 1, 1)
+	w := running(t, store, "a", 1, 1)
 	store.fail = []failure{turnedAway}
-	must.Eq(t, NotStored, accept(k, testJob))
+	must.Eq(t, NotStored, accept(w, testJob))
 	must.MapEmpty(t, store.seen)
 	store.fail = nil
-	must.True(t, eventually(func() bool { return accept(k, testJob) == Stored }))
+	must.True(t, eventually(func() bool { return accept(w, testJob) == Stored }))
 	store.mu.Lock()
 	store.fail = []failure{answerLost, answerLost, requestLost}
 	store.mu.Unlock()
-	must.Eq(t, Doubtful, accept(k, "6c0e7a21d94b36f8"))
+	must.Eq(t, Doubtful, accept(w, "6c0e7a21d94b36f8"))
 	must.True(t, eventually(func() bool {
-		state, known := k.State("6c0e7a21d94b36f8")
+		state, known := w.State("6c0e7a21d94b36f8")
 		return known && state == work.StateQueued
 	}))
 }
 
-func eventually(holds func() bool) bool {
+// eventually polls a condition for three seconds.
+func eventually(condition func() bool) bool {
 	for range 3000 {
-		if holds() {
+		if condition() {
 			return true
 		}
 		<-time.After(time.Millisecond)
@@ -154,7 +158,7 @@
 	return false
 }
 
-// What no owner knows is read from the store.
+// ReadState finds each state of a job without an owner.
 func TestFind(t *testing.T) {
 	store := newFakeStore()
 	find := func() work.State {
@@ -163,16 +167,16 @@
 		return state
 	}
 	must.Eq(t, work.StateAbsent, find())
-	k := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(k, testJob))
+	w := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(w, testJob))
 	must.Eq(t, work.StateQueued, find())
-	note(func(done func()) { k.TaskDone(testJob, 0, done) })
+	note(func(done func()) { w.TaskDone(testJob, 0, done) })
 	must.Eq(t, work.StateRunning, find())
-	note(func(done func()) { k.End(testJob, work.StateFailed, done) })
+	note(func(done func()) { w.End(testJob, work.StateFailed, done) })
 	must.Eq(t, work.StateFailed, find())
 }
 
-// An ended job is forgotten when nobody may ask for it any more, and not before.
+// The progress row of an ended job is removed once its retention is over, not before.
 func TestEndedJobsAreForgotten(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
@@ -188,7 +192,7 @@
 	must.False(t, known)
 }
 
-// A full batch stays within what one write may name.
+// A full batch stays within the most changes of one write.
 func TestBatchesAreBounded(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
@@ -200,14 +204,14 @@
 	must.LessEq(t, platform.MaxChanges, len(s.batch(0)))
 }
 
-// A change that comes while a write is on its way is in the next one.
+// A change that is recorded while a write is in flight goes into the next write.
 func TestChangesDuringAWriteFollow(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
 	s.load(testJob, 5, 0, Progress{Home: "a", State: work.StateQueued}, 0)
-	told := 0
+	notified := 0
 	note := func(task int) {
-		s.note(testJob, func(p *Progress) { p.Done = append(p.Done, task) }, func() { told++ })
+		s.note(testJob, func(p *Progress) { p.Done = append(p.Done, task) }, func() { notified++ })
 	}
 	note(0)
 	must.SliceNotEmpty(t, s.batch(0))
@@ -216,27 +220,27 @@
 	for _, call := range s.told() {
 		call()
 	}
-	must.Eq(t, 1, told)
+	must.Eq(t, 1, notified)
 	must.SliceNotEmpty(t, s.batch(0))
 	s.result(0, platform.Written{Version: 7}, nil)
 	for _, call := range s.told() {
 		call()
 	}
-	must.Eq(t, 2, told)
+	must.Eq(t, 2, notified)
 }
 
-// A job whose progress says that it has ended is not run, and its row goes.
+// A new owner does not run a job whose progress row has a final state, and removes its jobs row.
 func TestALeftoverRowIsRemoved(t *testing.T) {
 	store := newFakeStore()
-	k := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(k, testJob))
+	w := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(w, testJob))
 	row := store.table(PartOf(testJob), jobsTable)[testJob]
-	note(func(done func()) { k.End(testJob, work.StateCompleted, done) })
+	note(func(done func()) { w.End(testJob, work.StateCompleted, done) })
 	store.mu.Lock()
 	store.table(PartOf(testJob), jobsTable)[testJob] = row
 	store.mu.Unlock()
-	next, kept := open(t, store, "a", 2, 2)
-	must.SliceEmpty(t, kept)
+	next, unfinished := open(t, store, "a", 2, 2)
+	must.SliceEmpty(t, unfinished)
 	for _, s := range next.shards {
 		for _, c := range s.batch(0) {
 			if c.Action == platform.ActionRemove {
@@ -245,44 +249,44 @@
 			}
 		}
 	}
-	t.Fatal("the row stays")
+	t.Fatal("the jobs row of the ended job is not removed")
 }
 
-// Few writes follow each other at once; many are gathered, so that a part has no more than
-// its share.
+// A few writes go out at once. Further ones wait and are batched, so that a partition gets no more
+// than its share of the store's writes.
 func TestWritesArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		k, _ := open(t, store, "a", 1, 1)
+		w, _ := open(t, store, "a", 1, 1)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- k.Run(ctx) }()
-		began := time.Now()
-		must.Eq(t, Stored, accept(k, testJob))
+		go func() { done <- w.Run(ctx) }()
+		started := time.Now()
+		must.Eq(t, Stored, accept(w, testJob))
 		for task := range burst - 1 {
-			note(func(done func()) { k.TaskDone(testJob, task, done) })
+			note(func(done func()) { w.TaskDone(testJob, task, done) })
 		}
-		must.Eq(t, 0, time.Since(began))
+		must.Eq(t, 0, time.Since(started))
 		for task := range 10 {
-			note(func(done func()) { k.TaskDone(testJob, task, done) })
+			note(func(done func()) { w.TaskDone(testJob, task, done) })
 		}
-		must.Eq(t, 10*pace, time.Since(began))
+		must.Eq(t, 10*pace, time.Since(started))
 		for task := range 100 {
-			k.TaskDone(testJob, task, func() {})
+			w.TaskDone(testJob, task, func() {})
 		}
-		note(func(done func()) { k.End(testJob, work.StateCompleted, done) })
-		must.LessEq(t, 12*pace, time.Since(began))
+		note(func(done func()) { w.End(testJob, work.StateCompleted, done) })
+		must.LessEq(t, 12*pace, time.Since(started))
 		stop()
 		must.NoError(t, <-done)
 	})
 }
 
-// Rows that others left unreadable cost neither the other jobs nor the part.
+// Unreadable rows of other writers affect neither the other jobs nor the partition.
 func TestUnreadableRowsLeaveTheOtherJobs(t *testing.T) {
 	store := newFakeStore()
-	k := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(k, testJob))
-	part := PartOf(testJob)
+	w := running(t, store, "a", 1, 1)
+	must.Eq(t, Stored, accept(w, testJob))
+	partition := PartOf(testJob)
 	for table, keys := range map[platform.Table][]string{
 		jobsTable:     {"garbled", "of another job", "without tasks", "in a circle"},
 		progressTable: {"garbled", "other"},
@@ -295,20 +299,20 @@
 				"without tasks":  `{"home":"a","job":{"ID":"without tasks","Steps":[{"Tasks":-4}]}}`,
 				"in a circle":    `{"home":"a","job":{"ID":"in a circle","Steps":[{"Tasks":1,"After":[3]}]}}`,
 			}[key]
-			_, err := store.Write(t.Context(), part, []platform.Change{{Table: table, Key: key, Value: []byte(value)}})
+			_, err := store.Write(t.Context(), partition, []platform.Change{{Table: table, Key: key, Value: []byte(value)}})
 			must.NoError(t, err)
 		}
 	}
-	fence, err := store.Get(t.Context(), fencesTable, part, "a")
+	fence, err := store.Get(t.Context(), fencesTable, partition, "a")
 	must.NoError(t, err)
-	_, err = store.Write(t.Context(), part, []platform.Change{{
+	_, err = store.Write(t.Context(), partition, []platform.Change{{
 		Table: fencesTable, Key: "a", Value: []byte("["), Expected: fence.Rows[0].Version,
 	}})
 	must.NoError(t, err)
-	_, kept := open(t, store, "a", 2, 2)
-	must.SliceLen(t, 1, kept)
-	must.Eq(t, testJob, kept[0].Job.ID)
-	_, err = store.Write(t.Context(), part, []platform.Change{{Table: progressTable, Key: testJob, Value: []byte("?")}})
+	_, unfinished := open(t, store, "a", 2, 2)
+	must.SliceLen(t, 1, unfinished)
+	must.Eq(t, testJob, unfinished[0].Job.ID)
+	_, err = store.Write(t.Context(), partition, []platform.Change{{Table: progressTable, Key: testJob, Value: []byte("?")}})
 	must.NoError(t, err)
 	state, err := Find(t.Context(), store, testJob)
 	must.NoError(t, err)
--- a/jobstore/shard.go
+++ b/jobstore/shard.go
@@ -60,7 +60,7 @@
 	expires time.Duration
 }
 
-// waiter is notified once the first changes, upTo of them, are stored.
+// waiter is notified once the first upTo recorded changes are stored.
 type waiter struct {
 	changes int
 	done    func()
@@ -93,8 +93,8 @@
 // number that ends at one owner of the largest site while ended jobs stay.
 const maxEntries = 25_000
 
-func newShard(home string, life uint64) *shard {
-	return &shard{home: home, life: life, entries: map[string]*entry{}}
+func newShard(group string, incarnation uint64) *shard {
+	return &shard{home: group, life: incarnation, entries: map[string]*entry{}}
 }
 
 // addCallback adds a call for takeCallbacks; nil is ignored.
--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -20,8 +20,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that each run has the same result. A flag of the command line
+// overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -29,16 +29,16 @@
 	os.Exit(m.Run())
 }
 
-// fakeStore is the platform's store: rows with versions, and writes that are carried
-// out late.
+// fakeStore stands in for the platform's store. It has rows with versions, failing writes, and
+// writes that are applied after their answer was lost.
 type fakeStore struct {
 	mu      sync.Mutex
 	rows    map[string]map[platform.Table]map[string]platform.Row
 	version int64
 	late    []lateWrite
-	// fail is what becomes of the next writes; they are carried out when it is empty.
+	// failures are the results of the next writes; once it is empty, writes succeed.
 	fail []failure
-	// seen holds every job that ever lay there.
+	// everStored has each job that was ever stored, removed ones included.
 	seen map[string]bool
 }
 
@@ -47,7 +47,7 @@
 	changes []platform.Change
 }
 
-// failure is how a write goes wrong.
+// failure is what goes wrong with a write.
 type failure int
 
 const (
@@ -62,22 +62,22 @@
 	return &fakeStore{rows: map[string]map[platform.Table]map[string]platform.Row{}, seen: map[string]bool{}}
 }
 
-func (f *fakeStore) table(part string, table platform.Table) map[string]platform.Row {
-	if f.rows[part] == nil {
-		f.rows[part] = map[platform.Table]map[string]platform.Row{}
+func (f *fakeStore) table(partition string, table platform.Table) map[string]platform.Row {
+	if f.rows[partition] == nil {
+		f.rows[partition] = map[platform.Table]map[string]platform.Row{}
 	}
-	if f.rows[part][table] == nil {
-		f.rows[part][table] = map[string]platform.Row{}
+	if f.rows[partition][table] == nil {
+		f.rows[partition][table] = map[string]platform.Row{}
 	}
-	return f.rows[part][table]
+	return f.rows[partition][table]
 }
 
-// apply carries out a write under its conditions.
-func (f *fakeStore) apply(part string, changes []platform.Change) (platform.Written, error) {
+// apply makes all changes of a write if each row is at its expected version, else none.
+func (f *fakeStore) apply(partition string, changes []platform.Change) (platform.Written, error) {
 	var current []platform.Row
 	conflict := false
 	for _, c := range changes {
-		row, ok := f.table(part, c.Table)[c.Key]
+		row, ok := f.table(partition, c.Table)[c.Key]
 		conflict = conflict || row.Version != c.Expected
 		if ok {
 			current = append(current, row)
@@ -90,18 +90,18 @@
 	for _, c := range changes {
 		switch c.Action {
 		case platform.ActionPut:
-			f.table(part, c.Table)[c.Key] = platform.Row{Table: c.Table, Key: c.Key, Value: c.Value, Version: f.version}
+			f.table(partition, c.Table)[c.Key] = platform.Row{Table: c.Table, Key: c.Key, Value: c.Value, Version: f.version}
 			if c.Table == jobsTable {
 				f.seen[c.Key] = true
 			}
 		case platform.ActionRemove:
-			delete(f.table(part, c.Table), c.Key)
+			delete(f.table(partition, c.Table), c.Key)
 		}
 	}
 	return platform.Written{Version: f.version}, nil
 }
 
-func (f *fakeStore) Write(_ context.Context, part string, changes []platform.Change) (platform.Written, error) {
+func (f *fakeStore) Write(_ context.Context, partition string, changes []platform.Change) (platform.Written, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := fine
@@ -113,19 +113,19 @@
 	case turnedAway:
 		return platform.Written{}, platform.ErrStoreAway.Errorf("status 503")
 	case answerLost:
-		_, _ = f.apply(part, changes)
+		_, _ = f.apply(partition, changes)
 		return platform.Written{}, lost
 	case requestLost:
 		return platform.Written{}, lost
 	case doneLate:
-		f.late = append(f.late, lateWrite{part, slices.Clone(changes)})
+		f.late = append(f.late, lateWrite{partition, slices.Clone(changes)})
 		return platform.Written{}, lost
 	default:
-		return f.apply(part, changes)
+		return f.apply(partition, changes)
 	}
 }
 
-// catchUp carries out the oldest late write.
+// applyDelayed applies the oldest delayed write.
 func (f *fakeStore) catchUp() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,28 +135,28 @@
 	}
 }
 
-func (f *fakeStore) ReadPart(_ context.Context, table platform.Table, part string) (platform.Rows, error) {
+func (f *fakeStore) ReadPart(_ context.Context, table platform.Table, partition string) (platform.Rows, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rows := platform.Rows{Version: f.version}
-	for _, row := range f.table(part, table) {
+	for _, row := range f.table(partition, table) {
 		rows.Rows = append(rows.Rows, row)
 	}
 	slices.SortFunc(rows.Rows, func(a, b platform.Row) int { return strings.Compare(a.Key, b.Key) })
 	return rows, nil
 }
 
-func (f *fakeStore) Get(_ context.Context, table platform.Table, part, key string) (platform.Rows, error) {
+func (f *fakeStore) Get(_ context.Context, table platform.Table, partition, key string) (platform.Rows, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rows := platform.Rows{Version: f.version}
-	if row, ok := f.table(part, table)[key]; ok {
+	if row, ok := f.table(partition, table)[key]; ok {
 		rows.Rows = []platform.Row{row}
 	}
 	return rows, nil
 }
 
-// progress reads what the store has of a job.
+// progress reads a job's progress row.
 func (f *fakeStore) progress(id string) (Progress, bool) {
 	rows, _ := f.Get(context.Background(), progressTable, PartOf(id), id)
 	var p Progress
@@ -166,25 +166,25 @@
 	return p, json.Unmarshal(rows.Rows[0].Value, &p) == nil
 }
 
-// fakeOwner is one owner with its shards; it writes when it is told to.
+// fakeOwner is an owner with its shards; the test decides when it writes.
 type fakeOwner struct {
 	shards [Parts]*shard
 	life   uint64
 }
 
-// world plays two groups whose owners change against one store. It sees what the owners
-// are told and what lies in the store.
+// world runs the changing owners of two groups against one store. It compares the results that
+// the owners get with what is stored.
 type world struct {
 	t     *rapid.T
 	store *fakeStore
 	now   time.Duration
 	lives uint64
-	// owners are the present one of each group, former ones don't know that they are.
+	// owners has the current owner of each group. Those in previous don't know of their successors.
 	owners map[string]*fakeOwner
 	former []*fakeOwner
-	// results are what the acceptances of each job were told.
+	// results has the results of each job's acceptances.
 	results map[string][]Result
-	// tasks done and ends that were confirmed.
+	// done and ended have the finished tasks and the ends whose writing was confirmed.
 	done  map[string]map[int]bool
 	ended map[string]work.State
 }
@@ -200,28 +200,30 @@
 	return w
 }
 
-// takeOver opens a group under a new owner.
+// takeOver gives a group a new owner and checks that it finds each confirmed task and no job with a
+// confirmed end.
 func (w *world) takeOver(group string) {
 	if old := w.owners[group]; old != nil {
 		w.former = append(w.former, old)
 	}
 	w.lives++
 	w.store.fail = nil
-	k := New(Options{
+	writer := New(Options{
 		Group: group, Life: w.lives, Retention: time.Minute, Clock: func() time.Duration { return w.now }, Count: func(string, string) {},
 	}, w.store)
-	kept, err := k.Open(context.Background(), int64(w.lives))
+	unfinished, err := writer.Open(context.Background(), int64(w.lives))
 	must.NoError(w.t, err)
-	w.owners[group] = &fakeOwner{shards: k.shards, life: w.lives}
-	for _, job := range kept {
+	w.owners[group] = &fakeOwner{shards: writer.shards, life: w.lives}
+	for _, job := range unfinished {
 		for task := range w.done[job.Job.ID] {
 			must.SliceContains(w.t, job.Progress.Done, task)
 		}
-		_, over := w.ended[job.Job.ID]
-		must.False(w.t, over)
+		_, ended := w.ended[job.Job.ID]
+		must.False(w.t, ended)
 	}
 }
 
+// pickOwner draws an owner, now and then a previous one.
 func (w *world) owner(name string) *fakeOwner {
 	if len(w.former) > 0 && rapid.IntRange(0, 4).Draw(w.t, name+" former") == 0 {
 		return rapid.SampledFrom(w.former).Draw(w.t, name)
@@ -229,11 +231,12 @@
 	return w.owners[rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, name)]
 }
 
-// all lists the owners, former ones first.
+// allOwners lists the owners, previous ones first.
 func (w *world) all() []*fakeOwner {
 	return append(slices.Clone(w.former), w.owners["a"], w.owners["b"])
 }
 
+// shardOf returns the owner's shard of a job.
 func (o *fakeOwner) shard(id string) *shard {
 	for i, s := range o.shards {
 		if partName(i) == PartOf(id) {
@@ -243,12 +246,14 @@
 	return nil
 }
 
+// runCallbacks makes the pending callbacks of a shard.
 func (w *world) settle(s *shard) {
 	for _, call := range s.told() {
 		call()
 	}
 }
 
+// accept submits a job to an owner and checks that a confirmed one is stored.
 func (w *world) accept(id string) {
 	if slices.Contains(w.results[id], Stored) && rapid.IntRange(0, 3).Draw(w.t, "again") > 0 {
 		return
@@ -259,13 +264,13 @@
 		w.results[id] = append(w.results[id], r)
 		switch r {
 		case Stored, Known:
-			must.True(w.t, w.store.seen[id], must.Sprintf("%s was accepted and isn't stored", id))
+			must.True(w.t, w.store.seen[id], must.Sprintf("%s was accepted but is not stored", id))
 		}
 	})
 	w.settle(s)
 }
 
-// running lists the jobs that an owner has stored and that haven't ended, as it knows.
+// runningJobs lists the stored jobs that have not ended, as each owner knows them.
 func (w *world) running() (shards []*shard, ids []string) {
 	for _, o := range w.all() {
 		for _, s := range o.shards {
@@ -280,14 +285,15 @@
 	return shards, ids
 }
 
-// shown checks that what a caller sees of a job's end, its successor finds.
+// checkShownEnd checks that a final state that callers see is stored, so that a later owner finds it.
 func (w *world) shown(s *shard, id string) {
 	if state, known := s.state(id); known && state.Final() && !s.lost {
 		p, ok := w.store.progress(id)
-		must.True(w.t, ok && p.State == state, must.Sprintf("the end of %s is shown and isn't stored", id))
+		must.True(w.t, ok && p.State == state, must.Sprintf("the end of %s is shown but not stored", id))
 	}
 }
 
+// recordProgress records a finished task or the end of a job, and checks what is confirmed.
 func (w *world) note() {
 	shards, ids := w.running()
 	if len(ids) == 0 {
@@ -299,7 +305,7 @@
 		s.note(id, func(p *Progress) { *p = Progress{Home: p.Home, State: work.StateCompleted} }, func() {
 			p, ok := w.store.progress(id)
 			must.True(w.t, ok && p.State == work.StateCompleted)
-			must.MapNotContainsKey(w.t, w.store.table(PartOf(id), jobsTable), id, must.Sprintf("%s has ended and lies there to be run", id))
+			must.MapNotContainsKey(w.t, w.store.table(PartOf(id), jobsTable), id, must.Sprintf("%s has ended but its jobs row is left", id))
 			w.ended[id] = p.State
 		})
 		return
@@ -315,34 +321,35 @@
 	})
 }
 
-// busy lists the shards that have something to write.
-func (w *world) busy() (busy []*shard, parts []int) {
+// shardsWithWrites lists the shards that have jobs to write, with their partitions.
+func (w *world) busy() (shards []*shard, partitions []int) {
 	for _, o := range w.all() {
-		for part, s := range o.shards {
+		for partition, s := range o.shards {
 			if len(s.queue) > 0 && !s.lost {
-				busy, parts = append(busy, s), append(parts, part)
+				shards, partitions = append(shards, s), append(partitions, partition)
 			}
 		}
 	}
-	return busy, parts
+	return shards, partitions
 }
 
+// writeBatch writes one batch of a shard, which may fail.
 func (w *world) write() {
-	busy, parts := w.busy()
-	if len(busy) == 0 {
+	shards, partitions := w.busy()
+	if len(shards) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(busy)-1).Draw(w.t, "shard")
-	s, part := busy[at], parts[at]
+	at := rapid.IntRange(0, len(shards)-1).Draw(w.t, "shard")
+	s, partition := shards[at], partitions[at]
 	changes := s.batch(w.now)
 	must.LessEq(w.t, platform.MaxChanges, len(changes))
 	w.store.fail = []failure{rapid.SampledFrom([]failure{fine, fine, fine, turnedAway, answerLost, requestLost, doneLate}).Draw(w.t, "failure")}
-	written, err := w.store.Write(context.Background(), partName(part), changes)
+	written, err := w.store.Write(context.Background(), partName(partition), changes)
 	s.result(w.now, written, err)
 	w.settle(s)
 }
 
-// check looks at what must always hold.
+// checkInvariants checks that a job is new once, that refused jobs are not stored, and that ends stay.
 func (w *world) check() {
 	for id, results := range w.results {
 		stored := 0
@@ -356,7 +363,7 @@
 			continue
 		}
 		if stored == 0 && !slices.Contains(results, Known) && !slices.Contains(results, Uncertain) && w.refusedByAll(id) {
-			must.False(w.t, w.store.seen[id], must.Sprintf("%s was refused and is stored", id))
+			must.False(w.t, w.store.seen[id], must.Sprintf("%s was refused but is stored", id))
 		}
 	}
 	for id, state := range w.ended {
@@ -365,7 +372,7 @@
 	}
 }
 
-// refusedByAll reports that no owner has still to say how a job's acceptance ends.
+// isTrackedByNobody reports whether no owner has a result for a job still to give.
 func (w *world) refusedByAll(id string) bool {
 	for _, o := range w.all() {
 		if o.shard(id).entries[id] != nil {
@@ -375,8 +382,8 @@
 	return true
 }
 
-// An ID is one job wherever and however often it is handed in; what was told to be
-// stored is found by each successor; what was refused never lies in the store.
+// An ID is one job wherever and however often it is submitted. Each later owner finds what was
+// confirmed as stored. Refused jobs are never stored.
 func TestFuzzKeptJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt)
