--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -285,7 +285,7 @@
 	return shards, ids
 }
 
-// checkShownEnd checks that a final state that callers see is stored, so that a later owner finds it.
+// checkShownEnd checks that a final state is stored once callers see it: a later owner finds it.
 func (w *world) shown(s *shard, id string) {
 	if state, known := s.state(id); known && state.Final() && !s.lost {
 		p, ok := w.store.progress(id)
@@ -349,7 +349,8 @@
 	w.settle(s)
 }
 
-// checkInvariants checks that a job is new once, that refused jobs are not stored, and that ends stay.
+// checkInvariants checks that a job is new once, that refused jobs are not stored, and that ends
+// stay.
 func (w *world) check() {
 	for id, results := range w.results {
 		stored := 0
