--- a/jsonc/decode.go
+++ b/jsonc/decode.go
@@ -12,29 +12,27 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxShownValue bounds the values that problems repeat, in bytes.
+// maxShownValue bounds the value that a problem repeats, in bytes.
 const maxShownValue = 60
 
-// decoder fills a struct from a document and goes on after a fault, which
-// encoding/json does not.
+// decoder fills a struct from a document. It continues after a fault, which encoding/json does not.
 type decoder struct {
 	text     []byte
 	lines    map[string]int
 	problems []Problem
 }
 
-// Decode fills out, which points to a struct whose exported fields all have json
-// tags. Fields may be structs, slices, maps by string, scalars, durations written
-// as "2s" and addresses written as IP:port. Keys have to match in case, may not
-// be unknown or given twice, and null is no value. What is missing or faulty
-// keeps its value.
+// Decode fills out, which points to a struct whose exported fields all have json tags. Fields may
+// be structs, slices, maps with string keys, scalars, durations written as "2s" and addresses
+// written as IP:port. Unknown keys, keys in another case, keys that are given twice and null are
+// problems. Missing and faulty fields keep their value.
 func (d *Document) Decode(out any) Decoded {
 	decoder := decoder{text: d.text, lines: map[string]int{}}
 	decoder.value(d.path, d.value, reflect.ValueOf(out).Elem())
 	return Decoded{Lines: decoder.lines, Problems: decoder.problems}
 }
 
-// value decodes one value by the type of its place.
+// decodeValue decodes a value by the type of out.
 func (d *decoder) value(path string, in *hujson.Value, out reflect.Value) {
 	if path != "" {
 		d.lines[path] = d.line(in)
@@ -58,6 +56,7 @@
 	}
 }
 
+// decodeObject decodes an object into a struct.
 func (d *decoder) object(path string, in *hujson.Value, out reflect.Value) {
 	object, ok := in.Value.(*hujson.Object)
 	if !ok {
@@ -83,6 +82,7 @@
 	}
 }
 
+// decodeMap decodes an object into a map. An object replaces the map's default as a whole.
 func (d *decoder) mapping(path string, in *hujson.Value, out reflect.Value) {
 	object, ok := in.Value.(*hujson.Object)
 	if !ok {
@@ -104,6 +104,7 @@
 	}
 }
 
+// decodeList decodes a list into a slice.
 func (d *decoder) array(path string, in *hujson.Value, out reflect.Value) {
 	array, ok := in.Value.(*hujson.Array)
 	if !ok {
@@ -116,9 +117,10 @@
 	}
 }
 
+// decodeScalar decodes a string, a number or a boolean.
 func (d *decoder) scalar(path string, in *hujson.Value, out reflect.Value) {
 	decoded := reflect.New(out.Type())
-	// null would leave the default in place without a word.
+	// encoding/json would accept null and leave the default in place without an error.
 	isNull := in.Value.Kind() == 'n'
 	if isNull || json.Unmarshal(plain(in), decoded.Interface()) != nil {
 		want := kindName(out.Kind())
@@ -128,6 +130,7 @@
 	out.Set(decoded.Elem())
 }
 
+// decodeDuration decodes a string such as "500ms".
 func (d *decoder) duration(path string, in *hujson.Value, out *time.Duration) {
 	text, ok := stringOf(in)
 	parsed, err := time.ParseDuration(text)
@@ -138,6 +141,7 @@
 	*out = parsed
 }
 
+// decodeAddress decodes a string of the form IP:port.
 func (d *decoder) address(path string, in *hujson.Value, out *netip.AddrPort) {
 	text, ok := stringOf(in)
 	parsed, err := netip.ParseAddrPort(text)
@@ -148,26 +152,29 @@
 	*out = parsed
 }
 
+// addDuplicate adds the problem of a key that is given twice.
 func (d *decoder) givenTwice(path string, in *hujson.Value) {
 	d.add(path, in, "is given twice", "keep one of the two")
 }
 
+// addProblem adds a problem with a value.
 func (d *decoder) add(path string, in *hujson.Value, fault, remedy string) {
 	d.problems = append(d.problems, Problem{Path: path, Line: d.line(in), Value: shown(in), Fault: fault, Remedy: remedy})
 }
 
-// line is the line of a value in the text, from 1.
+// lineOf returns the line of a value in the text, from 1.
 func (d *decoder) line(in *hujson.Value) int {
 	return 1 + bytes.Count(d.text[:in.StartOffset], []byte("\n"))
 }
 
-// plain is a value as JSON without comments.
+// minified returns a value as JSON without comments and spaces.
 func plain(in *hujson.Value) []byte {
 	value := in.Clone()
 	value.Minimize()
 	return value.Pack()
 }
 
+// shownValue returns a value as a problem repeats it, cut to maxShownValue.
 func shown(in *hujson.Value) string {
 	text := string(plain(in))
 	if len(text) > maxShownValue {
@@ -176,6 +183,7 @@
 	return text
 }
 
+// stringOf returns the value of a string literal; false for anything else.
 func stringOf(in *hujson.Value) (string, bool) {
 	literal, ok := in.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
@@ -184,10 +192,12 @@
 	return literal.String(), true
 }
 
+// memberName returns the key of a member of an object.
 func nameOf(member *hujson.ObjectMember) string {
 	return member.Name.Value.(hujson.Literal).String()
 }
 
+// fieldsByName returns the fields of a struct by their keys.
 func fieldsByName(out reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, out.NumField())
 	for i := range out.NumField() {
@@ -196,7 +206,7 @@
 	return fields
 }
 
-// fieldNames lists the keys of a level by alphabet.
+// fieldNames lists the keys of a struct in alphabetical order.
 func fieldNames(t reflect.Type) string {
 	names := make([]string, 0, t.NumField())
 	for field := range t.Fields() {
@@ -206,12 +216,13 @@
 	return strings.Join(names, ", ")
 }
 
+// fieldName returns the key of a field.
 func fieldName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
 }
 
-// kindName names what a scalar must be.
+// kindName names the values that a scalar of a kind takes.
 func kindName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
--- a/jsonc/jsonc.go
+++ b/jsonc/jsonc.go
@@ -1,38 +1,40 @@
-// Package jsonc decodes JSON with comments and trailing commas into structs. It
-// goes on after a fault, so that every fault of a text is reported at once, each
-// with its path, its line, its value and its remedy.
+// Package jsonc decodes JSON with comments and trailing commas into structs. Its input is a text
+// and a struct with defaults; its output is the filled struct, the line of each path and the
+// problems.
+//
+// Decoding continues after a fault, so that all faults of a text are reported at once, each with
+// its path, line, value and remedy. A missing or faulty value leaves the default in place.
 package jsonc
 
 import (
 	"github.com/tailscale/hujson"
 )
 
-// Document is a parsed text, or one element of the list that a text holds.
+// Document is a parsed text, or one element of a text that is a list.
 type Document struct {
 	text  []byte
 	path  string
 	value *hujson.Value
 }
 
-// Decoded is what decoding says besides the values.
+// Decoded is what decoding returns besides the values.
 type Decoded struct {
 	// Lines has the line of each path of the text, from 1.
 	Lines map[string]int
-	// Problems are the faults in the order of the text.
+	// Problems has the faults in the order of the text.
 	Problems []Problem
 }
 
-// Parse reads a text. A text with a fault of syntax has that problem alone, and
-// no document.
+// Parse parses a text. A text with a syntax error has only that problem and no document.
 func Parse(text []byte) (*Document, []Problem) {
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return nil, []Problem{{Fault: err.Error(), Remedy: "mend the JSON; comments and trailing commas are allowed"}}
+		return nil, []Problem{{Fault: err.Error(), Remedy: "correct the JSON syntax; comments and trailing commas are allowed"}}
 	}
 	return &Document{text: text, value: &root}, nil
 }
 
-// Decode parses a text and decodes it as Document.Decode does.
+// Decode parses a text and decodes it into out, as Document.Decode does.
 func Decode(text []byte, out any) Decoded {
 	document, problems := Parse(text)
 	if document == nil {
@@ -41,11 +43,10 @@
 	return document.Decode(out)
 }
 
-// Path is the path of the document, such as "[3]"; empty for a whole text.
+// Path returns the path of the document, such as "[3]"; empty for a whole text.
 func (d *Document) Path() string { return d.path }
 
-// Elements lists the elements when the document is a list, else the document
-// itself.
+// Elements returns the elements of a document that is a list, otherwise only the document itself.
 func (d *Document) Elements() []*Document {
 	array, ok := d.value.Value.(*hujson.Array)
 	if !ok {
--- a/jsonc/jsonc_test.go
+++ b/jsonc/jsonc_test.go
@@ -49,7 +49,7 @@
 	must.Eq(t, 6, decoded.Lines["list[1]"])
 }
 
-// Each text has one fault, in its second line, and all the rest is taken.
+// Each text has one fault, in its second line; the other values are decoded.
 func TestDecodeNamesTheFault(t *testing.T) {
 	const keys = "addr, count, inner, inners, list, name, on, ratio, rest, shares"
 	long := `"` + strings.Repeat("x", 100) + `"`
@@ -79,7 +79,7 @@
 		decoded := jsonc.Decode([]byte("{\n"+text+",\n\"rest\": 3}"), &out)
 		must.SliceLen(t, 1, decoded.Problems, must.Sprintf("%s: %v", text, decoded.Problems))
 		must.Eq(t, "line 2: "+want, decoded.Problems[0].String())
-		must.Eq(t, 3, out.Rest, must.Sprint("the rest is taken"))
+		must.Eq(t, 3, out.Rest, must.Sprint("the key after the fault was not decoded"))
 	}
 }
 
@@ -115,7 +115,7 @@
 	document, problems := jsonc.Parse([]byte(`{"name" 1}`))
 	must.Nil(t, document)
 	must.SliceLen(t, 1, problems)
-	must.StrContains(t, problems[0].String(), "; mend the JSON; comments and trailing commas are allowed")
+	must.StrContains(t, problems[0].String(), "; correct the JSON syntax; comments and trailing commas are allowed")
 	must.Eq(t, problems, jsonc.Decode([]byte(`{"name" 1}`), &outer{}).Problems)
 }
 
--- a/jsonc/problem.go
+++ b/jsonc/problem.go
@@ -9,9 +9,9 @@
 type Problem struct {
 	// Path is the key, with dots between levels, such as "limits.submissions".
 	Path string
-	// Line is the line in the text, from 1; 0 when the key is not in the text.
+	// Line is the line in the text, from 1; 0 if the key is not in the text.
 	Line int
-	// Value is the faulty value as written; empty when it is missing.
+	// Value is the faulty value as written; empty if it is missing.
 	Value string
 	// Fault says what is wrong.
 	Fault string
@@ -19,7 +19,7 @@
 	Remedy string
 }
 
-// String writes the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.Line > 0 {
@@ -36,10 +36,9 @@
 	return b.String()
 }
 
-// Covered says whether a problem of decoding names the path, a level above it or
-// one below it. What could not be decoded keeps the value that it had before, so
-// that what a later check says of such a path would mislead. A problem without a
-// path covers everything.
+// IsCovered reports whether a problem of decoding concerns a path: the problem is at the path,
+// above it or below it. A value that could not be decoded keeps its default, so that a later check
+// of the path would report a misleading problem. A problem without a path concerns all paths.
 func Covered(problems []Problem, path string) bool {
 	for _, p := range problems {
 		if p.Path == "" || p.Path == path || isBelow(path, p.Path) || isBelow(p.Path, path) {
@@ -49,12 +48,12 @@
 	return false
 }
 
-// isBelow says whether a path is inside the object or list at another one.
+// isBelow reports whether a path is inside the object or list at another path.
 func isBelow(path, above string) bool {
 	return strings.HasPrefix(path, above+".") || strings.HasPrefix(path, above+"[")
 }
 
-// Join is the path of a key inside the object at a path.
+// JoinPath returns the path of a key inside the object at a path.
 func Join(path, name string) string {
 	if path == "" {
 		return name
@@ -62,5 +61,5 @@
 	return path + "." + name
 }
 
-// index is the path of an element of the list at a path.
+// elementPath returns the path of an element of the list at a path.
 func index(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
--- a/settings/check.go
+++ b/settings/check.go
@@ -14,31 +14,31 @@
 	"github.com/burdockward/burdockward/key"
 )
 
-// Bounds of values; the text of each problem repeats its bound.
+// Bounds of values. The text of each problem names its bound.
 const (
-	// minInterval keeps a slip of the unit from turning a timer into a loop.
+	// minInterval keeps a mistaken unit from turning a timer into a busy loop.
 	minInterval = 10 * time.Millisecond
-	// minEpochLength keeps the spread of an epoch well below its length.
+	// minEpochLength keeps the time that a new epoch takes to reach all VMs well below its length.
 	minEpochLength = time.Second
-	// minRetainedEpochs leaves a key made just before a new epoch known.
+	// minRetainedEpochs keeps a key known that was made just before a new epoch.
 	minRetainedEpochs = 2
-	// leaseHeartbeats is the number of heartbeats that a view lease outlasts: an
-	// acknowledgement is known one heartbeat after the message that it is for.
+	// leaseHeartbeats is the number of heartbeat intervals that a view lease has to outlast: an
+	// acknowledgement arrives one heartbeat after the message that it acknowledges.
 	leaseHeartbeats = 2
 	minHeaderBytes  = 1 << 10
-	// maxDomainSeeds is the most addresses of one other failure domain.
+	// maxDomainSeeds is the most seed addresses of one other failure domain.
 	maxDomainSeeds = 3
-	// baseBytes is the memory of a daemon without answers and records, with the
-	// requests under way at the size that CONTRIBUTING.md names. recordBytes is that
-	// of one record of a claimed key.
+	// baseMemoryBytes is the memory of a daemon without answers and records, with the requests in
+	// flight at the size that CONTRIBUTING.md names. recordMemoryBytes is the memory of one record
+	// of a claimed key.
 	baseBytes   = 32 << 20
 	recordBytes = 55
 )
 
-// checker gathers the problems of settings.
+// checker collects the problems of settings.
 type checker struct{ problems []Problem }
 
-// Check returns every fault of the values, in the order of the fields.
+// Check returns all faults of the values in the order of the fields.
 func (s *Settings) Check() []Problem {
 	c := &checker{}
 	c.identity(s)
@@ -57,11 +57,12 @@
 	return c.problems
 }
 
+// checkIdentity checks the names of the VM and the failure domains.
 func (c *checker) identity(s *Settings) {
 	c.name("vm_id", s.VMID)
 	c.name("failure_domain", s.FailureDomain)
 	if len(s.FailureDomains) == 0 {
-		c.add("failure_domains", "", "is missing", "list every failure domain of the deployment; quotas are split over them")
+		c.add("failure_domains", "", "is missing", "list every failure domain of the deployment; quotas are divided among them")
 		return
 	}
 	for i, domain := range s.FailureDomains {
@@ -72,11 +73,11 @@
 		}
 	}
 	if s.FailureDomain != "" && !slices.Contains(s.FailureDomains, s.FailureDomain) {
-		c.add("failure_domain", quote(s.FailureDomain), "is not in failure_domains", "add it there, or mend its spelling")
+		c.add("failure_domain", quote(s.FailureDomain), "is not in failure_domains", "add it there, or correct its spelling")
 	}
 }
 
-// name checks a name that is a part of submission keys or of URLs.
+// checkName checks a name that occurs in submission keys or URLs.
 func (c *checker) name(path, value string) {
 	switch {
 	case value == "":
@@ -84,16 +85,18 @@
 	case len(value) > key.MaxDomain:
 		c.add(path, quote(value), fmt.Sprintf("is longer than %d characters", key.MaxDomain), "give a shorter name")
 	case strings.ContainsFunc(value, notNameRune):
-		c.add(path, quote(value), "holds characters that names may not have", "use letters, digits, '-' and '_' only")
+		c.add(path, quote(value), "has characters that are not allowed in names", "use letters, digits, '-' and '_' only")
 	}
 }
 
+// isForbiddenInName reports whether a name may not have a character.
 func notNameRune(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	digit := r >= '0' && r <= '9'
 	return !letter && !digit && r != '-' && r != '_'
 }
 
+// checkAddresses checks the addresses of the VM and of its seeds.
 func (c *checker) addresses(s *Settings) {
 	taken := map[netip.AddrPort]string{}
 	for _, a := range []struct {
@@ -122,23 +125,23 @@
 	}
 }
 
-// domainSeeds checks the addresses of another failure domain.
+// checkDomainSeeds checks the seed addresses of another failure domain.
 func (c *checker) domainSeeds(s *Settings, domain string, seeds []netip.AddrPort) {
 	path := "peers.domain_seeds." + domain
 	switch {
 	case domain == s.FailureDomain:
-		c.add(path, "", "names the own failure domain", "list its addresses in peers.seeds")
+		c.add(path, "", "names the VM's own failure domain", "list its addresses in peers.seeds")
 	case !slices.Contains(s.FailureDomains, domain):
-		c.add(path, "", "is not in failure_domains", "add it there, or mend its spelling")
+		c.add(path, "", "is not in failure_domains", "add it there, or correct its spelling")
 	case len(seeds) > maxDomainSeeds:
-		c.add(path, "", fmt.Sprintf("has more than %d addresses", maxDomainSeeds), "leave some out")
+		c.add(path, "", fmt.Sprintf("has more than %d addresses", maxDomainSeeds), "remove some")
 	}
 	for i, seed := range seeds {
 		c.address(fmt.Sprintf("%s[%d]", path, i), seed)
 	}
 }
 
-// address says whether the address can be used.
+// checkAddress checks an address and reports whether it is valid.
 func (c *checker) address(path string, address netip.AddrPort) bool {
 	switch {
 	case !address.Addr().IsValid():
@@ -151,6 +154,7 @@
 	return false
 }
 
+// checkAdvertised checks an address that others connect to.
 func (c *checker) advertised(path string, address netip.AddrPort) {
 	if !c.address(path, address) {
 		return
@@ -160,13 +164,14 @@
 	}
 }
 
+// checkPlatform checks how the platform is reached.
 func (c *checker) platform(p *Platform) {
 	c.url(platformURL, p.URL)
 	c.atLeast("platform.poll_interval", p.PollInterval, minInterval)
 	c.atLeast("platform.timeout", p.Timeout, minInterval)
 }
 
-// url checks an HTTP base URL by IP address.
+// checkURL checks an HTTP base URL, whose host has to be an IP address.
 func (c *checker) url(path, value string) {
 	const remedy = `write a URL with an IP address, such as "http://192.0.2.9:7000"`
 	if value == "" {
@@ -186,9 +191,10 @@
 	}
 }
 
-// platformURL is the path of the platform's URL.
+// platformURL is the path of the platform's URL in the settings.
 const platformURL = "platform.url"
 
+// checkMembership checks the times and sizes of the view, the epochs and their records.
 func (c *checker) membership(m *Membership) {
 	c.atLeast("membership.heartbeat_interval", m.HeartbeatInterval, minInterval)
 	c.atLeast("membership.probe_timeout", m.ProbeTimeout, minInterval)
@@ -203,6 +209,7 @@
 	inRange(c, "membership.record_limit", m.RecordLimit, 1000, 10_000_000)
 }
 
+// checkReclaim checks that a lost VM's lease has lapsed before its units are used again.
 func (c *checker) reclaim(s *Settings) {
 	if s.Leases.ReclaimAfter < s.Membership.ViewLease {
 		c.add("leases.reclaim_after", quote(s.Leases.ReclaimAfter),
@@ -211,6 +218,7 @@
 	}
 }
 
+// checkLimits checks the bounds of requests, answers and submissions.
 func (c *checker) limits(l *Limits) {
 	inRange(c, "limits.max_body_bytes", l.MaxBodyBytes, minHeaderBytes, api.MaxBodyBytes)
 	inRange(c, "limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, 1<<20)
@@ -220,8 +228,8 @@
 	inRange(c, "limits.submissions", l.Submissions, 1, 1_000_000)
 }
 
-// memory checks that what the daemon may keep fits below the memory limit, since the
-// garbage collector would run all the time otherwise.
+// checkMemory checks that the answers and records that the daemon may hold fit below the memory
+// limit. Otherwise the garbage collector would run all the time.
 func (c *checker) memory(s *Settings) {
 	records := int64(s.Membership.RecordLimit)
 	least := baseBytes + s.Limits.AnswerBytes + (records+records/4)*recordBytes
@@ -232,17 +240,19 @@
 	}
 }
 
+// checkTrace checks the export of spans.
 func (c *checker) trace(t *Trace) {
 	oneOf(c, "trace.exporter", t.Exporter, ExporterNone, ExporterStdout, ExporterOTLP)
 	if t.Exporter == ExporterOTLP {
 		c.url("trace.endpoint", t.Endpoint)
 	}
-	// Written so that NaN fails as well.
+	// The condition is negated so that NaN fails as well.
 	if !(t.Ratio >= 0 && t.Ratio <= 1) {
 		c.add("trace.ratio", fmt.Sprint(t.Ratio), "is not a share", "give a number from 0 to 1")
 	}
 }
 
+// checkAtLeast adds a problem if a duration is below its least value.
 func (c *checker) atLeast(path string, value, least time.Duration) {
 	if value < least {
 		c.add(path, quote(value), fmt.Sprintf("is less than %q", least), fmt.Sprintf("give at least %q", least))
@@ -253,12 +263,14 @@
 	c.problems = append(c.problems, Problem{Path: path, Value: value, Fault: fault, Remedy: remedy})
 }
 
+// checkRange adds a problem if a value is not from least to most.
 func inRange[T cmp.Ordered](c *checker, path string, value, least, most T) {
 	if value < least || value > most {
 		c.add(path, fmt.Sprint(value), "is out of range", fmt.Sprintf("give a number from %v to %v", least, most))
 	}
 }
 
+// checkOneOf adds a problem if a value is not among the allowed ones.
 func oneOf[T ~string](c *checker, path string, value T, allowed ...T) {
 	if slices.Contains(allowed, value) {
 		return
@@ -270,5 +282,5 @@
 	c.add(path, quote(value), "is not a known value", "use one of "+strings.Join(names, ", "))
 }
 
-// quote writes a value as the file would have it.
+// quote writes a value as a string of the file.
 func quote(value any) string { return fmt.Sprintf("%q", fmt.Sprint(value)) }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -12,15 +12,15 @@
 // Problem is one fault of a settings file.
 type Problem = jsonc.Problem
 
-// Error holds every problem of one settings file.
+// Error has all problems of one settings file.
 type Error struct {
 	// Path is the path of the file.
 	Path string
-	// Problems are its faults in the order of the file.
+	// Problems has the file's faults in the order of its lines.
 	Problems []Problem
 }
 
-// Error lists every problem on a line of its own.
+// Error lists each problem on a line of its own.
 func (e *Error) Error() string {
 	var b strings.Builder
 	noun := "problems"
@@ -35,8 +35,8 @@
 	return b.String()
 }
 
-// merge joins the problems of decoding and checking, in the order of the file.
-// What the check says of a key that could not be decoded is left out.
+// merge joins the problems of decoding and checking in the order of the file. Problems that the
+// check finds at a key that could not be decoded are left out: the key has its default there.
 func merge(decoded, checked []Problem, lines map[string]int) []Problem {
 	all := slices.Clone(decoded)
 	for _, p := range checked {
@@ -52,7 +52,7 @@
 	return all
 }
 
-// sortLine puts missing keys last.
+// sortLine returns the line to sort a problem by. Missing keys have no line and come last.
 func sortLine(p Problem) int {
 	if p.Line == 0 {
 		return int(^uint(0) >> 1)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/burdockward/burdockward/settings"
 )
 
-// valid holds the required keys alone.
+// valid has only the required keys.
 const valid = `{
   // A comment.
   "vm_id": "vm-1",
@@ -45,8 +45,7 @@
 	must.Eq(t, 1.0, s.Trace.Ratio)
 }
 
-// Each case replaces one piece of the valid file and names the only problem
-// that must follow, with its line.
+// Each case replaces one piece of the valid file and expects exactly one problem, with its line.
 func TestParseNamesTheFault(t *testing.T) {
 	cases := map[string]struct{ old, new, want string }{
 		"unknown key":           {`"vm_id"`, `"colour": 1, "vm_id"`, `line 3: colour = 1: is not a known key; remove it or use one of`},
@@ -70,10 +69,10 @@
 		"seed port":             {`"vm_id"`, `"peers": {"seeds": ["192.0.2.2:0"]}, "vm_id"`, `line 3: peers.seeds[0] = "192.0.2.2:0": has no fixed port`},
 		"domain seed":           {`"vm_id"`, `"peers": {"domain_seeds": {"b": ["192.0.2.2:0"]}}, "vm_id"`, `peers.domain_seeds.b[0] = "192.0.2.2:0": has no fixed port`},
 		"domain seed unlisted":  {`"vm_id"`, `"peers": {"domain_seeds": {"c": []}}, "vm_id"`, `line 3: peers.domain_seeds.c: is not in failure_domains`},
-		"domain seed own":       {`"vm_id"`, `"peers": {"domain_seeds": {"a": []}}, "vm_id"`, `line 3: peers.domain_seeds.a: names the own failure domain; list its addresses in peers.seeds`},
+		"domain seed own":       {`"vm_id"`, `"peers": {"domain_seeds": {"a": []}}, "vm_id"`, `line 3: peers.domain_seeds.a: names the VM's own failure domain; list its addresses in peers.seeds`},
 		"domain seeds many":     {`"vm_id"`, `"peers": {"domain_seeds": {"b": ["192.0.2.2:1", "192.0.2.2:2", "192.0.2.2:3", "192.0.2.2:4"]}}, "vm_id"`, `line 3: peers.domain_seeds.b: has more than 3 addresses`},
 		"vm id missing":         {`"vm_id": "vm-1",`, ``, `vm_id: is missing`},
-		"vm id characters":      {`"vm-1"`, `"vm.1"`, `line 3: vm_id = "vm.1": holds characters that names may not have`},
+		"vm id characters":      {`"vm-1"`, `"vm.1"`, `line 3: vm_id = "vm.1": has characters that are not allowed in names`},
 		"vm id length":          {`"vm-1"`, `"` + strings.Repeat("v", 64) + `"`, `is longer than 63 characters`},
 		"domain not listed":     {`["a", "b"]`, `["b", "c"]`, `line 4: failure_domain = "a": is not in failure_domains`},
 		"domain twice":          {`["a", "b"]`, `["a", "a"]`, `line 5: failure_domains[1] = "a": is listed twice`},
@@ -96,7 +95,7 @@
 		"log level":             {`"vm_id"`, `"log": {"level": "loud"}, "vm_id"`, `line 3: log.level = "loud": is not a known value`},
 		"collector":             {`"vm_id"`, `"trace": {"exporter": "otlp"}, "vm_id"`, `trace.endpoint: is missing`},
 		"ratio":                 {`"vm_id"`, `"trace": {"ratio": 1.1}, "vm_id"`, `line 3: trace.ratio = 1.1: is not a share`},
-		"syntax":                {`"vm_id": `, `"vm_id" `, `mend the JSON`},
+		"syntax":                {`"vm_id": `, `"vm_id" `, `correct the JSON syntax`},
 		"long value":            {`"vm-1"`, `["` + strings.Repeat("x", 100) + `"]`, `xx...: is not a string`},
 	}
 	for name, tc := range cases {
@@ -109,7 +108,7 @@
 	}
 }
 
-// No memory limit is needed for any answers and records.
+// Without a memory limit, any size of answers and records is accepted.
 func TestMemoryLimitCanBeOff(t *testing.T) {
 	text := strings.Replace(valid, `"vm_id"`, `"limits": {"memory_bytes": 0, "answer_bytes": 1073741824}, "vm_id"`, 1)
 	_, problems := settings.Parse([]byte(text))
@@ -139,7 +138,7 @@
 	must.StrContains(t, err.Error(), "give the path")
 }
 
-// The reference lists each key once, with its default.
+// The reference file has each key with its default.
 func TestReferenceMatchesDefaults(t *testing.T) {
 	text, err := os.ReadFile("../examples/reference.jsonc")
 	must.NoError(t, err)
@@ -158,7 +157,7 @@
 	must.True(t, reflect.DeepEqual(want, s), must.Sprintf("reference %+v, defaults %+v", s, want))
 }
 
-// keys lists the keys of a level and of the levels below it.
+// keys lists the keys of a struct and of the structs within it.
 func keys(t reflect.Type) []string {
 	var names []string
 	for i := range t.NumField() {
