--- a/cmd/burdockctl/main.go
+++ b/cmd/burdockctl/main.go
@@ -1,4 +1,5 @@
-// Command burdockctl is the operators' tool of burdockward.
+// Command burdockctl is the command-line tool for the operators of burdockward. Package ctl has its
+// commands, flags and output.
 package main
 
 import (
@@ -30,6 +31,7 @@
 	os.Exit(app.Run(ctx, os.Args[1:]))
 }
 
+// open makes a client of the platform's table service at a URL.
 func open(url string) (ctl.Platform, error) {
 	client, err := tableservice.New(tableservice.Options{URL: url})
 	if err != nil {
--- a/cmd/burdockward/app.go
+++ b/cmd/burdockward/app.go
@@ -24,22 +24,22 @@
 	exitFailed = 3
 )
 
-// flushTimeout bounds the export of the last spans.
+// flushTimeout bounds the export of the last spans at the end of the process.
 const flushTimeout = 2 * time.Second
 
-// version is set by the linker; otherwise that of the module is shown.
+// version is set by the linker. Without it the version of the module is shown.
 var version string
 
-// runFunc runs the daemon until the context ends and returns nil then.
+// runFunc runs the daemon until the context ends and then returns nil.
 type runFunc func(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error
 
-// app is the command line with its surroundings.
+// app is the command line with its output streams and the daemon that it runs.
 type app struct {
 	run            runFunc
 	stdout, stderr io.Writer
 }
 
-// exitError carries the exit status of a failure.
+// exitError is a failure with its exit status.
 type exitError struct {
 	status int
 	err    error
@@ -48,7 +48,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// main runs the command line and returns the exit status.
+// execute runs the command line and returns the exit status.
 func (a *app) main(ctx context.Context, args []string) int {
 	err := a.command().Run(ctx, args)
 	if err == nil {
@@ -61,23 +61,24 @@
 	return exitUsage
 }
 
+// command defines the commands and flags. Errors are printed by execute, not by package cli.
 func (a *app) command() *cli.Command {
 	return &cli.Command{
 		Name:      "burdockward",
-		Usage:     "dispatch sub-second tasks from an entry VM",
+		Usage:     "dispatch sub-second tasks of callers from an entry VM to targets",
 		UsageText: "burdockward [run] --settings FILE\nburdockward check-config FILE",
 		Description: "Exit status: 0 planned stop, 1 bad usage or settings,\n" +
 			"2 failed to listen, 3 failed at run time.\n" +
 			"SIGTERM and SIGINT start a planned stop; a second one ends the process at once.",
 		Version: versionText(),
 		Flags: []cli.Flag{&cli.StringFlag{
-			Name: "settings", Aliases: []string{"s"}, Usage: "read the settings from `FILE`",
+			Name: "settings", Aliases: []string{"s"}, Usage: "read the daemon's settings from `FILE`, JSON with comments; required for run, no default",
 		}},
 		Action: a.runDaemon,
 		Commands: []*cli.Command{
-			{Name: "run", Usage: "run the daemon (default)", Action: a.runDaemon},
+			{Name: "run", Usage: "run the daemon under the settings of --settings; this is the default command", Action: a.runDaemon},
 			a.serveCommand(),
-			{Name: "check-config", Usage: "check a settings file and list every fault", ArgsUsage: "FILE", Action: a.checkConfig},
+			{Name: "check-config", Usage: "check a settings file and list all its faults, without running the daemon", ArgsUsage: "FILE", Action: a.checkConfig},
 		},
 		Writer:         a.stdout,
 		ErrWriter:      a.stderr,
@@ -86,14 +87,14 @@
 	}
 }
 
-// runDaemon runs the daemon under the settings of --settings.
+// runDaemon runs the daemon with the settings file of --settings.
 func (a *app) runDaemon(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
-		return fmt.Errorf("unknown command or argument %q; see burdockward --help", cmd.Args().First())
+		return fmt.Errorf("unknown command or argument %q: see burdockward --help for the known ones", cmd.Args().First())
 	}
 	path := cmd.String("settings")
 	if path == "" {
-		return errors.New("no settings file; give one with --settings FILE")
+		return errors.New("no settings file: give one with --settings FILE")
 	}
 	s, err := settings.Load(path)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// limitMemory sets the soft limit of the Go runtime; 0 sets none.
+// limitMemory sets the soft memory limit of the Go runtime; 0 means no limit.
 func limitMemory(bytes int64) {
 	if bytes == 0 {
 		bytes = math.MaxInt64
@@ -119,7 +120,7 @@
 	debug.SetMemoryLimit(bytes)
 }
 
-// runStatus tells a failure to listen from the failures at run time.
+// exitStatus returns the exit status of a failed run: a failure to listen has its own.
 func runStatus(err error) int {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "listen" {
 		return exitListen
@@ -127,7 +128,8 @@
 	return exitFailed
 }
 
-// closeTelemetry writes out what is left; the process ends in any case.
+// closeTelemetry writes out the remaining telemetry. A failure is only logged, as the process ends
+// anyway.
 func closeTelemetry(tel *telemetry.Telemetry) {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
@@ -136,9 +138,10 @@
 	}
 }
 
+// checkConfig checks the settings file that the command line names.
 func (a *app) checkConfig(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return errors.New("check-config needs one settings file; see burdockward check-config --help")
+		return errors.New("check-config needs one settings file: run burdockward check-config FILE")
 	}
 	path := cmd.Args().First()
 	if _, err := settings.Load(path); err != nil {
--- a/cmd/burdockward/app_test.go
+++ b/cmd/burdockward/app_test.go
@@ -77,7 +77,7 @@
 	must.Eq(t, "", out.String())
 }
 
-// TestMemoryLimitIsSet looks at the soft limit while the daemon runs.
+// The soft memory limit of the settings is in force while the daemon runs; 0 means no limit.
 func TestMemoryLimitIsSet(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(before) })
--- a/cmd/burdockward/main.go
+++ b/cmd/burdockward/main.go
@@ -1,7 +1,8 @@
-// Command burdockward is the daemon on the entry VMs.
+// Command burdockward is the daemon of the entry VMs. Its input is the command line and a settings
+// file; SIGTERM and SIGINT start a planned stop, and a second one ends the process at once.
 //
-// Its exit status is 0 after a planned stop, 1 for bad usage or settings, 2
-// when it can't listen on its addresses, and 3 for a failure at run time.
+// The exit status is 0 after a planned stop, 1 for bad usage or settings, 2 if the daemon can't
+// listen on its addresses, and 3 for a failure at run time.
 package main
 
 import (
@@ -13,9 +14,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	// The platform says with SIGHUP that the settings file has changed.
+	// The platform sends SIGHUP when the settings file has changed. Only serve reads it again.
 	signal.Ignore(syscall.SIGHUP)
-	// A second signal ends the process at once, as it would without a handler.
+	// After the first signal the handlers are removed, so that a second one ends the process.
 	context.AfterFunc(ctx, stop)
 	a := &app{run: runDaemon, stdout: os.Stdout, stderr: os.Stderr}
 	os.Exit(a.main(ctx, os.Args))
--- a/cmd/burdockward/serve.go
+++ b/cmd/burdockward/serve.go
@@ -21,28 +21,29 @@
 	"github.com/burdockward/burdockward/telemetry"
 )
 
-// memoryShare of a VM's memory is the soft limit of the Go runtime; the rest holds
-// what has arrived and isn't read yet.
+// memoryLimitShare is the share of the VM's memory that is the soft limit of the Go runtime. The
+// rest is for data that has arrived but is not read yet.
 const memoryShare = 0.6
 
-// defaultMetricsPort serves the metrics where the command line names no other.
+// defaultMetricsPort is the default of --metrics-port.
 const defaultMetricsPort = 9464
 
-// metricsTimeout bounds a scrape's request.
+// metricsTimeout bounds the reading of a metrics request's header.
 const metricsTimeout = 3 * time.Second
 
-// serveCommand runs an entry VM on prepared machines.
+// serveCommand defines the command that runs an entry VM on prepared machines.
 func (a *app) serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
-		Usage: "run an entry VM on prepared machines; " + platform.SettingsVariable + " names its settings file",
+		Usage: "run an entry VM on prepared machines; the environment variable " + platform.SettingsVariable + " has the path of its settings file",
 		Flags: []cli.Flag{&cli.IntFlag{
-			Name: "metrics-port", Usage: "serve the metrics at `PORT`, path /metrics; 0 serves none", Value: defaultMetricsPort,
+			Name: "metrics-port", Usage: "serve metrics (/metrics) and profiles (/debug/pprof/) at TCP `PORT` of the VM's address; 0 serves neither", Value: defaultMetricsPort,
 		}},
 		Action: a.serve,
 	}
 }
 
+// serve runs the entry VM until the context ends. SIGHUP makes it read its settings file again.
 func (a *app) serve(ctx context.Context, cmd *cli.Command) error {
 	load := func() (platform.Settings, error) { return platform.LoadSettings(os.Getenv(platform.SettingsVariable)) }
 	s, err := load()
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// serveMetrics serves the metrics, and profiles of the process, until the context ends.
+// serveMetrics serves the metrics and the profiles of the process until the context ends.
 func serveMetrics(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
