--- a/jobstore/keeper.go
+++ b/jobstore/keeper.go
@@ -116,7 +116,7 @@
 	if len(rows.Rows) > 0 {
 		var present fence
 		if err := decode(rows.Rows[0], &present); err != nil {
-			// An unreadable fence row stops nobody; this owner's row replaces it.
+			// An unreadable fence row does not stop this owner, whose row replaces it.
 			w.unreadable(fencesTable, w.options.Group, err)
 			present = fence{}
 		}
@@ -326,7 +326,7 @@
 	})
 }
 
-// State returns a job's state; false if this owner doesn't know the job.
+// State returns the state of a stored job of this owner; false for any other.
 func (w *Keeper) State(id string) (work.State, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -358,7 +358,7 @@
 
 // writePartition writes the batches of a partition until the context ends.
 func (w *Keeper) write(ctx context.Context, partition int) {
-	away := false
+	failing := false
 	limit := rate.NewLimiter(rate.Every(pace), burst)
 	for ctx.Err() == nil {
 		if !w.due(partition) {
@@ -379,9 +379,9 @@
 		}
 		written, err := w.writeOnce(ctx, partName(partition), changes)
 		w.settle(s, written, err)
-		if (err != nil) != away {
-			away = err != nil
-			w.options.Log.Warn("store of jobs", "part", partName(partition), "away", away, "changes", len(changes), "error", err)
+		if (err != nil) != failing {
+			failing = err != nil
+			w.options.Log.Warn("store of jobs", "part", partName(partition), "away", failing, "changes", len(changes), "error", err)
 		}
 		if err != nil {
 			sleep(ctx, retryPause)
--- a/jobstore/shard.go
+++ b/jobstore/shard.go
@@ -44,8 +44,8 @@
 	jobVersion, progressVersion int64
 	// isStored reports that the jobs row has been stored.
 	created bool
-	// unconfirmedWrites counts the consecutive writes whose answer was lost. The store may apply
-	// them later.
+	// unconfirmedWrites counts the lost answers to writes since the last confirmed one. The store
+	// may apply such a write later.
 	doubts int
 	// recorded counts the recorded changes of the progress, written those that are stored.
 	changes, written int
@@ -166,7 +166,7 @@
 	}
 }
 
-// state returns a job's state; false if this owner doesn't know the job. A final state is
+// state returns the state of a stored job of this owner; false for any other. A final state is
 // returned only once it is stored, so that a later owner finds the same.
 func (s *shard) state(id string) (work.State, bool) {
 	e := s.entries[id]
@@ -261,7 +261,7 @@
 	}
 }
 
-// maxUnconfirmedWrites is the number of consecutive lost answers after which the caller gets
+// maxUnconfirmedWrites is the number of lost answers after which the caller of a new job gets
 // Unconfirmed. A single answer is lost now and then.
 const maxDoubts = 2
 
