--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -40,7 +40,7 @@
 		stop()
 		must.NoError(t, <-done)
 	})
-	return k
+	return w
 }
 
 // acceptJob stores a job and returns the first result.
