--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -10,55 +10,58 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Options choose what is played.
+// Options are the inputs of one simulated day.
 type Options struct {
 	Site Site
 	Seed uint64
 	// OneOwner puts all targets under one owner.
 	OneOwner bool
-	// Alone keeps owners from lending tasks to each other.
+	// NoDelegation keeps owners from delegating tasks to each other.
 	Alone bool
-	// Clairvoyant lets the scheduler know run times, and takes all latency away.
+	// Clairvoyant gives the scheduler the longest true run time of each job as its
+	// estimate, and removes the network delay of calls to owners and targets.
 	Clairvoyant bool
-	// SendOnce keeps owners from sending orders again.
+	// SendOnce keeps owners from resending unanswered orders.
 	SendOnce bool
-	// Policy places tasks in place of the owners' decisions.
+	// Policy decides where tasks run; Owners stands for burdockward's own scheduler.
 	Policy Policy
 }
 
-// Counts are numbers of jobs. Failed ones had no answer of use; those that are still open
-// when the day ends are in none but Jobs.
+// Counts are numbers of jobs by outcome. Failed jobs got no useful answer. Jobs that are
+// still open when the day ends count in Jobs only.
 type Counts struct{ Jobs, OnTime, Late, Refused, Failed int }
 
-// Report is how a day went.
+// Report is the result of one simulated day.
 type Report struct {
 	Counts
-	// Worth is what was earned of what could have been.
+	// Worth is the earned share of the worth of all jobs.
 	Worth float64
-	// Kinds is the worth by kind of request, Domains by the callers' failure domain.
+	// Kinds is the earned share by kind of request, Domains by the callers' failure domain.
 	Kinds, Domains []float64
-	// ByKind and ByDomain are the counts of each.
+	// ByKind and ByDomain are the counts by kind and by the callers' failure domain.
 	ByKind, ByDomain []Counts
-	// LateRefusals is the share of the worth refused later than a quarter of the
-	// objective.
+	// LateRefusals is the share of the worth whose jobs were refused more than
+	// promptRefusalTime after their submission.
 	LateRefusals float64
-	// Wasted is the processor time of runs that didn't end well, against all.
+	// Wasted is the share of the used processor time that went to runs which were stopped or
+	// failed.
 	Wasted float64
 }
 
-// String is one line.
+// String formats the report as one line.
 func (r Report) String() string {
 	return fmt.Sprintf("worth %.4f kinds %.3f late refusals %.4f wasted %.4f: %d jobs, %d on time, %d late, %d refused, %d failed",
 		r.Worth, r.Kinds, r.LateRefusals, r.Wasted, r.Jobs, r.OnTime, r.Late, r.Refused, r.Failed)
 }
 
-// event is something that happens at a time.
+// event is an action at a simulated time. seq orders events at the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// events is a heap of events by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -90,57 +93,69 @@
 	random  *rand.Rand
 	owners  []*ownerSim
 	targets map[string]*targetSim
-	// targetOrder are their IDs in the order in which they were added.
+	// targetOrder has the target IDs in the order in which they were added.
 	targetOrder []string
-	baseline    *baseline
-	jobs        map[string]*arrival
-	report      Report
-	owed        float64
-	earned      float64
-	late        float64
-	kinds       []share
-	domains     []share
-	used        time.Duration
-	wasted      time.Duration
+	// baseline places tasks if a policy other than Owners is played.
+	baseline *baseline
+	jobs     map[string]*arrival
+	report   Report
+	// owed is the worth of all jobs, earned what their answers were worth, late the worth of
+	// jobs that were refused late.
+	owed    float64
+	earned  float64
+	late    float64
+	kinds   []share
+	domains []share
+	// used and wasted are run times multiplied by thousandths of a core.
+	used   time.Duration
+	wasted time.Duration
 }
 
-// share is the worth that was owed and earned.
+// worthSum is the worth of some jobs, and how much of it was earned.
 type share struct{ owed, got float64 }
 
-// ownerSim is an owner with its callers.
+// ownerSim is a simulated owner: the real scheduler state, and its open callers.
 type ownerSim struct {
 	state   *scheduler.State
 	index   int
 	callers map[scheduler.Ref]*arrival
 	refs    scheduler.Ref
-	loads   scheduler.Load
-	// lenders wait for parts that this owner runs.
+	// loads is the load that entry VMs know from its last heartbeat.
+	loads scheduler.Load
+	// partReplies return the outcomes of the parts that this owner runs for others.
 	lenders map[scheduler.Ref]func(work.Outcome)
-	lent    map[scheduler.Part]func()
-	asked   time.Duration
-	// busy is until when its processor has work.
+	// withdrawals cancel the parts that this owner has delegated.
+	lent map[scheduler.Part]func()
+	// capacityAsked is when it last asked the other owners for their free capacity.
+	asked time.Duration
+	// busyUntil is when its processor has done all work given to it so far.
 	busy time.Duration
-	// life counts the lives of its process, lost says that it has none now.
+	// incarnation counts the losses of its process; lost reports that no process runs now.
 	life int
 	lost bool
-	// cordoned says that its failure domain is.
+	// cordoned reports whether its failure domain is cordoned.
 	cordoned bool
 }
 
-// Figures of the simulated runtime.
+// Times of the simulated processes.
 const (
-	tick      = scheduler.TickInterval
-	beat      = 80 * time.Millisecond
-	hop       = 300 * time.Microsecond
+	tick = scheduler.TickInterval
+	// loadInterval is the time between two heartbeats with an owner's load.
+	beat = 80 * time.Millisecond
+	// processDelay is the one-way delay of a message in addition to the site's network delay.
+	hop = 300 * time.Microsecond
+	// offerPeriod is how long after its arrival a refused job is offered to further owners.
 	offerTime = 10 * time.Millisecond
-	// promptTime is within what a refusal counts as prompt.
+	// promptRefusalTime is the longest time to a refusal that does not count as late.
 	promptTime = 15 * time.Millisecond
-	drainTime  = 8 * time.Second
-	// orderTime is how long an owner waits for an answer, beside what a look waits itself.
+	// drainPeriod is how long the simulation goes on after the last arrival.
+	drainTime = 8 * time.Second
+	// orderTimeout is how long an owner waits for an answer. A poll's own wait comes on top.
 	orderTime = 120 * time.Millisecond
 )
 
-// Play plays a day.
+// Play simulates a day and reports what its jobs earned. Callers come from the second second
+// on, so that owners first learn of their targets.
 func Play(o Options) Report {
 	w := &world{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 2)),
@@ -164,6 +179,7 @@
 	return w.sum()
 }
 
+// scheduleAt adds an event; a time in the past stands for now.
 func (w *world) at(when time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{at: max(when, w.now), seq: w.seq, do: do})
@@ -171,6 +187,8 @@
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
+// build adds the owners and targets of the site, and begins the owners' ticks and heartbeats
+// or the baseline in their place.
 func (w *world) build() {
 	site := w.options.Site
 	count := site.Domains
@@ -200,6 +218,7 @@
 	}
 }
 
+// tickOwner has an owner's scheduler act on the time, now and at each tick interval.
 func (w *world) tick(o *ownerSim) {
 	if !o.lost {
 		w.work(o, 0, func() {
@@ -210,8 +229,8 @@
 	w.after(tick, func() { w.tick(o) })
 }
 
-// work has an owner's processor do something that takes some time, after all that it has to
-// do already.
+// runOnCPU occupies an owner's processor for some time after all its earlier work, and then
+// calls do. A site without CallTime calls do at once.
 func (w *world) work(o *ownerSim, takes time.Duration, do func()) {
 	if w.options.Site.CallTime == 0 {
 		do()
@@ -221,8 +240,8 @@
 	w.at(o.busy, do)
 }
 
-// call sends a call to a target: do carries it out there, lost takes its place where it gets
-// lost.
+// callTarget sends a call to a target, which handles it by do. A fault of the target may lose
+// the call; then lost is called instead.
 func (w *world) call(o *ownerSim, target string, do, lost func(t *targetSim)) {
 	w.work(o, w.options.Site.CallTime, func() {
 		w.order(func() {
@@ -235,12 +254,14 @@
 	})
 }
 
+// updateLoad publishes an owner's load to the entry VMs, now and at each load interval.
 func (w *world) beat(o *ownerSim) {
 	o.loads = o.state.Load(w.now, "service")
 	w.after(beat, func() { w.beat(o) })
 }
 
-// arrive hands a job to the owner that the entry VM would choose.
+// handleArrival counts a new job and submits it to the owner that an entry VM would choose, or
+// to the baseline.
 func (w *world) arrive(a *arrival) {
 	w.jobs[a.job.ID] = a
 	if w.options.Clairvoyant {
@@ -261,11 +282,13 @@
 	w.submit(a, map[int]bool{})
 }
 
-func (w *world) submit(a *arrival, full map[int]bool) {
-	if len(full) == 0 {
+// submit hands a job to an owner that is not among refused. A refused job is offered to
+// another owner within offerPeriod if one is likely to take it.
+func (w *world) submit(a *arrival, refused map[int]bool) {
+	if len(refused) == 0 {
 		a.handed = w.now
 	}
-	at := w.choose(a, full)
+	at := w.choose(a, refused)
 	o := w.owners[at]
 	delay := w.far(at, a.domain)
 	w.after(delay, func() {
@@ -284,13 +307,13 @@
 			if answer.Ref != ref || answer.Outcome.Result != work.Refused {
 				return false
 			}
-			full[at] = true
+			refused[at] = true
 			late := w.now-a.at-time.Second > offerTime
-			if late || len(full) >= len(w.owners) || !w.better(full, answer.Outcome.RetryAfter) {
+			if late || len(refused) >= len(w.owners) || !w.better(refused, answer.Outcome.RetryAfter) {
 				return false
 			}
 			delete(o.callers, ref)
-			w.after(delay, func() { w.submit(a, full) })
+			w.after(delay, func() { w.submit(a, refused) })
 			return true
 		})
 	})
@@ -304,6 +327,7 @@
 	}
 }
 
+// callerDelay is the one-way delay between a caller's failure domain and an owner.
 func (w *world) far(owner, domain int) time.Duration {
 	switch {
 	case w.options.Clairvoyant:
@@ -317,20 +341,21 @@
 	}
 }
 
-// carryOut does what a scheduler wants.
+// applyEffects carries out all effects of an owner's scheduler.
 func (w *world) carryOut(o *ownerSim) {
 	w.carryOutFor(o, func(scheduler.Answer) bool { return false })
 }
 
-// carryOutFor lets the caller keep an answer for itself.
-func (w *world) carryOutFor(o *ownerSim, keep func(scheduler.Answer) bool) {
+// applyEffectsExcept carries out the effects of an owner's scheduler, except for the answers
+// for which handled returns true. A lost owner's effects are dropped.
+func (w *world) carryOutFor(o *ownerSim, handled func(scheduler.Answer) bool) {
 	if o.lost {
 		return
 	}
 	for _, effect := range o.state.Effects(w.now) {
 		switch e := effect.(type) {
 		case scheduler.Answer:
-			if !keep(e) {
+			if !handled(e) {
 				w.answered(o, e)
 			}
 		case scheduler.Lend:
@@ -359,8 +384,10 @@
 	w.askRoom(o)
 }
 
+// scheduleAfterHop adds an event one message between an owner and a target later.
 func (w *world) order(do func()) { w.after(w.hop(), do) }
 
+// targetDelay is the one-way delay between an owner and a target.
 func (w *world) hop() time.Duration {
 	if w.options.Clairvoyant {
 		return time.Microsecond
@@ -368,6 +395,8 @@
 	return w.options.Site.Near + hop
 }
 
+// handleAnswer passes the outcome of a part to its delegating owner, and counts the outcome of
+// a caller's job. A moved job is submitted again.
 func (w *world) answered(o *ownerSim, e scheduler.Answer) {
 	if lender := o.lenders[e.Ref]; lender != nil {
 		delete(o.lenders, e.Ref)
@@ -395,16 +424,18 @@
 	}
 }
 
-// count counts a job among all, its kind's and its failure domain's.
+// countJob updates the counts of all jobs, of the job's kind and of its failure domain.
 func (w *world) count(a *arrival, one func(*Counts)) {
 	one(&w.report.Counts)
 	one(&w.report.ByKind[a.kind])
 	one(&w.report.ByDomain[a.domain])
 }
 
-// lateWorth is the share of the worth of a late answer.
+// lateWorthShare is the share of its worth that a job earns with a late answer.
 const lateWorth = 0.2
 
+// recordCompletion counts a completed job and adds what it earns: all its worth within the
+// objective, a share of it up to usefulFactor times the objective, and nothing later.
 func (w *world) completed(a *arrival, took time.Duration) {
 	got := 0.0
 	switch {
@@ -422,6 +453,7 @@
 	w.domains[a.domain].got += got
 }
 
+// finishReport computes the shares of the report.
 func (w *world) sum() Report {
 	w.report.Worth = w.earned / w.owed
 	for _, s := range w.kinds {
