--- a/lab/replay/site.go
+++ b/lab/replay/site.go
@@ -1,6 +1,12 @@
-// Package replay plays the load of a deployment against the scheduler's decisions
-// in simulated time, so that a change of a decision can be judged in seconds and
-// by the same load each time.
+// Package replay simulates days of a deployment against the real scheduler, in simulated
+// time, so that a change of a scheduling decision can be judged within seconds.
+//
+// Its input is a site (targets, kinds of requests, faults, cordons, losses of owners) and a
+// seed. Its output is what the jobs earned of their worth, how many were on time, late, refused
+// or failed, and the processor time that was wasted.
+//
+// The arrivals and true run times of a day depend on the site and the seed alone, so that two
+// builds, policies or options play the same load. Nothing waits for real time.
 package replay
 
 import (
@@ -14,96 +20,108 @@
 
 // Kind is a kind of request of a site.
 type Kind struct {
-	Name     string
-	PerS     float64
+	Name string
+	// RatePerSecond is the mean number of jobs per second in the whole site.
+	PerS float64
+	// Worth is what a job of mean size earns if it is answered on time.
 	Worth    float64
 	Priority int
 	Attempts int
-	// Tasks is the mean number of tasks, CPU the mean need of one, Run its mean run
-	// time.
+	// Tasks is the mean number of tasks of a job. CPU is a task's mean need in thousandths of
+	// a core, RunTime its mean run time.
 	Tasks float64
 	CPU   float64
 	Run   time.Duration
 }
 
-// Site is a deployment with its load.
+// Site is a deployment with its load, faults and operator actions on one day.
 type Site struct {
 	Name    string
 	Domains int
-	// Targets is the number of targets of each failure domain; every third has
-	// half as much processor again as CPU.
+	// Targets is the number of targets of each failure domain. CPU is a target's capacity in
+	// thousandths of a core; every third target has one and a half times as much.
 	Targets int
 	CPU     int64
 	Kinds   []Kind
-	// Load times the kinds' rates.
+	// Load multiplies the rates of all kinds.
 	Load float64
-	// Length is how long callers come.
+	// Length is the time during which jobs arrive.
 	Length time.Duration
-	// Far is one way between failure domains, Near within one.
+	// DomainDelay is the one-way network delay between failure domains, TargetDelay the one
+	// between an owner and its targets.
 	Far, Near time.Duration
-	// Bursts multiply the load for a while.
+	// Bursts are times of higher load. Where they overlap, the highest factor applies.
 	Bursts []Burst
-	// Faults strike targets.
+	// Faults are times of faulty targets. Which targets a fault affects is drawn.
 	Faults []Fault
-	// CallTime is how long an owner's processor works for sending a call, and for reading
-	// an answer, one after the other; 0 takes no time.
+	// CallTime is the processor time that an owner needs to send a call, and again to read its
+	// answer. The processor does one at a time. 0 stands for none.
 	CallTime time.Duration
-	// Swing is the share by which the load of each failure domain goes up and down.
+	// Swing is the amplitude of the slow change of each failure domain's load, as a share of
+	// its mean.
 	Swing float64
-	// Cordons are those of failure domains, Losses those of all owners at once.
+	// Cordons are the cordons of failure domains, OwnerLosses the losses of all owners at once.
 	Cordons []Cordon
 	Losses  []Loss
 }
 
-// Cordon bars a failure domain for a while.
+// Cordon is a time during which a failure domain is cordoned.
 type Cordon struct {
 	Domain   int
 	From, To time.Duration
 }
 
-// Loss has all owners end, and new ones begin after a time. Callers whose jobs were lost, and
-// those who come meanwhile, come back to the new ones.
+// OwnerLoss ends the processes of all owners at once; new ones start after Outage. Callers
+// whose jobs were lost, and callers that arrive meanwhile, submit their jobs to the new owners.
 type Loss struct{ At, For time.Duration }
 
-// Burst multiplies the load for a while.
+// Burst multiplies the load by a factor for some time.
 type Burst struct {
 	From, To time.Duration
 	Times    float64
 }
 
-// Fault makes a share of the targets slow for a while; hung targets end nothing. Of the
-// calls to them a share may be lost, which is neither carried out nor answered.
+// Fault affects a share of the targets for some time.
 type Fault struct {
 	From, To time.Duration
-	Share    float64
-	Slower   float64
-	Hang     bool
-	Gone     bool
-	Lost     float64
+	// Share is the probability that a target is affected.
+	Share float64
+	// SlowFactor multiplies the run times of tasks that start meanwhile; up to 1 has no effect.
+	Slower float64
+	// Hang keeps tasks that start meanwhile from ending.
+	Hang bool
+	Gone bool
+	// LostCalls is the share of calls that are neither carried out nor answered.
+	Lost float64
 }
 
-// Spreads of the sites' load, as shares of the mean.
+// Parameters of the load that all sites share.
 const (
-	spread      = 0.4
-	cpuSpread   = 0.2
-	uneven      = 0.15
+	// jobSpread is the standard deviation of the number of tasks and of the run times of jobs,
+	// cpuSpread that of the processor need of jobs, and taskSpread that of the run times of
+	// the tasks within a job, each as a share of the mean.
+	spread    = 0.4
+	cpuSpread = 0.2
+	uneven    = 0.15
+	// estimateError is the largest error of a declared run time, as a share of the job's mean run
+	// time.
 	estimateOff = 0.4
-	// usualSwing and wavePeriod are the slow change of the load of each failure
-	// domain.
+	// defaultSwing is the amplitude and swingPeriod the period of the slow change of each
+	// failure domain's load.
 	usualSwing = 0.15
 	wavePeriod = 11 * time.Second
-	// most bounds sizes and run times, as a multiple of the mean.
+	// maxToMean bounds sizes and run times, as a multiple of the mean.
 	most = 4
-	// stretch and allowance make the objective.
+	// A job's objective is stretch times the run time of its longest task, plus allowance.
 	stretch   = 1.6
 	allowance = 60 * time.Millisecond
-	// usefulFactor times the objective is until when an answer is worth anything; callers
-	// wait for a queue's timeout beyond.
+	// An answer after usefulFactor times the objective is worth nothing. Callers wait the
+	// queue's timeout beyond that.
 	usefulFactor = 3
 	timeout      = 1500 * time.Millisecond
 )
 
-// Kasa and Thapa are the two sites on a day of high load.
+// Kasa is the site kasa on a day of high load.
 func Kasa() Site {
 	return Site{
 		Name: "kasa", Domains: 3, Targets: 16, CPU: 32000, Kinds: kinds(14000), Load: 154.6 / 140.65,
@@ -111,7 +129,8 @@
 	}
 }
 
-// Thapa has larger targets and nearer failure domains.
+// Thapa is the site thapa on a day of high load. Its targets are larger than Kasa's, and its
+// failure domains are nearer to each other.
 func Thapa() Site {
 	return Site{
 		Name: "thapa", Domains: 3, Targets: 16, CPU: 64000, Kinds: kinds(27000), Load: 154.7 / 140.65,
@@ -119,9 +138,9 @@
 	}
 }
 
-// Large is one failure domain of a deployment of hundreds of VMs: its owner has a number of
-// targets, of which a third is busy. Of the time of its processor calls take a share, as
-// long as none is sent again.
+// Large is one failure domain of a deployment of hundreds of VMs, with a load that occupies a
+// third of the capacity of its targets. Calls take the share busy of the owner's processor time
+// as long as none is resent.
 func Large(targets int, busy float64) Site {
 	site := Site{
 		Name: "large", Domains: 1, Targets: targets, CPU: 32000, Kinds: kinds(16000),
@@ -129,16 +148,19 @@
 	}
 	calls := 0.0
 	for _, k := range site.Kinds {
-		// A start, its answer, and the look and the answer that tell its end.
+		// A start and its answer, and the poll and its answer that report the completion.
 		calls += 4 * k.PerS * k.Tasks * site.Load
 	}
 	site.CallTime = time.Duration(busy / calls * float64(time.Second))
 	return site
 }
 
-// largeLoad is what a target adds to the load for a third of the places to be busy.
+// loadPerTarget is the load factor for each target at which a third of the capacity of Large
+// is occupied.
 const largeLoad = 0.0092
 
+// requestKinds returns the kinds of requests of Kasa and Thapa, with a mean need of processor
+// of each task.
 func kinds(cpu float64) []Kind {
 	return []Kind{
 		{Name: "short", PerS: 34.4, Worth: 0.0291, Priority: 0, Attempts: 2, Tasks: 8, CPU: cpu, Run: 60 * time.Millisecond},
@@ -147,21 +169,23 @@
 	}
 }
 
-// arrival is a job with what only the world knows of it.
+// arrival is a job that a caller sends, with its true run times and its worth, which the
+// scheduler does not know.
 type arrival struct {
 	at     time.Duration
 	domain int
 	kind   int
 	job    work.Job
-	// runs are the true run times of the tasks.
-	runs      []time.Duration
+	// runTimes are the true run times of the tasks.
+	runs []time.Duration
+	// objective is the longest response time that counts as on time.
 	objective time.Duration
 	worth     float64
-	// handed is when its caller last handed it in.
+	// submittedAt is when the caller last submitted it.
 	handed time.Duration
 }
 
-// arrivals draws the callers of a day.
+// drawArrivals draws all jobs of a day.
 func (s Site) arrivals(seed uint64) []arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var all []arrival
@@ -174,6 +198,9 @@
 	return all
 }
 
+// drawStream draws the jobs of one kind in one failure domain. Arrivals are a Poisson process
+// whose rate follows the swing and the bursts: candidates are drawn at the peak rate and kept
+// with the probability of the rate at their time.
 func (s Site) stream(r *rand.Rand, domain, kind int, phase float64) []arrival {
 	var stream []arrival
 	rate := s.Kinds[kind].PerS * s.Load / float64(s.Domains)
@@ -191,6 +218,7 @@
 	}
 }
 
+// maxBurstFactor is the highest factor of all bursts, and at least 1.
 func (s Site) peakBurst() float64 {
 	peak := 1.0
 	for _, b := range s.Bursts {
@@ -199,6 +227,7 @@
 	return peak
 }
 
+// burstFactorAt is the highest factor of the bursts at a time, and at least 1.
 func (s Site) burstAt(at time.Duration) float64 {
 	times := 1.0
 	for _, b := range s.Bursts {
@@ -209,6 +238,8 @@
 	return times
 }
 
+// drawJob draws a job's tasks, run times, worth and declared run time. Its worth grows with its
+// total run time, up to four times that of its kind.
 func (s Site) draw(r *rand.Rand, at time.Duration, domain, kind int) arrival {
 	k := s.Kinds[kind]
 	tasks := int(math.Round(around(r, k.Tasks, spread)))
@@ -234,8 +265,8 @@
 	return a
 }
 
-// around draws a value with a mean and a relative spread, at most `most` times the
-// mean.
+// drawLogNormal draws a value with a log-normal distribution of the given mean and a standard
+// deviation of spread times the mean. Values are cut at maxToMean times the mean.
 func around(r *rand.Rand, mean, spread float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + spread*spread))
 	value := mean * math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -11,32 +11,40 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// targetSim is a simulated target.
+// targetSim is a simulated target. Leases are not simulated, except that endAllRuns is called
+// some time after the owners are lost.
 type targetSim struct {
 	world *world
 	work.Target
 	domain  int
 	free    work.Resources
 	running map[work.Run]*runSim
-	ended   []work.End
-	number  int64
-	// polls are the looks that wait for an end.
+	// completions are those that no poll has acknowledged yet, lastCompletion is the number of
+	// the newest one.
+	ended  []work.End
+	number int64
+	// polls are the polls that wait for a completion.
 	polls []*poll
+	// fault is the fault that affects the target now; nil if none does.
 	fault *Fault
 }
 
-// poll is a look that waits for an end.
+// pendingPoll is a poll that waits for a completion.
 type poll struct {
 	answer func()
-	over   bool
+	// answered reports whether its answer was sent.
+	over bool
 }
 
+// runSim is a run on a target.
 type runSim struct {
 	need  work.Resources
 	began time.Duration
 	over  bool
 }
 
+// addTarget adds a target to a failure domain, lists it at its owner, and schedules the faults
+// that affect it.
 func (w *world) addTarget(domain, index int) {
 	capacity := w.options.Site.CPU
 	if index%3 == 2 {
@@ -67,10 +75,11 @@
 func (t *targetSim) strike(f *Fault) { t.fault = f }
 func (t *targetSim) heal()           { t.fault = nil }
 
-// clock is the target's clock in milliseconds, off from the owner's.
+// clockMS is the target's clock in milliseconds. It is 5 s ahead of the owner's.
 func (t *targetSim) clock() int64 { return t.world.now.Milliseconds() + 5000 }
 
-// reply sends an answer on its way to the owner, which reads it when it has the processor.
+// sendReply sends an answer to the owner, which handles it by do as soon as its processor is
+// free. An answer to an earlier incarnation of the owner is dropped.
 func (t *targetSim) reply(o *ownerSim, do func(now time.Duration)) {
 	life := o.life
 	t.world.after(t.world.hop(), func() {
@@ -84,7 +93,7 @@
 	})
 }
 
-// unanswered tells the owner after a while that a call has no answer.
+// reportUnanswered tells the owner by do, after a time, that a call has had no answer.
 func (t *targetSim) unanswered(o *ownerSim, after time.Duration, do func()) {
 	life := o.life
 	t.world.after(after, func() {
@@ -98,12 +107,14 @@
 	})
 }
 
+// handleStart starts a run if the target has free capacity for it, and answers the order. A
+// resent order for a run that is already running is answered as done.
 func (t *targetSim) start(o *ownerSim, e scheduler.StartRun, sent time.Duration) {
 	answer := work.OrderAnswer{Clock: t.clock(), Verdict: work.VerdictDone}
 	a := t.world.jobs[strings.SplitN(e.Run.Task, ".", 2)[0]]
 	need := a.job.Steps[0].Each
 	if t.running[e.Run] != nil {
-		// A copy of an order that was carried out.
+		// A copy of an order that was carried out already.
 	} else if !need.Fits(t.free) {
 		answer.Verdict = work.VerdictRoom
 	} else {
@@ -115,6 +126,8 @@
 	})
 }
 
+// beginRun takes the capacity of a run and schedules its end at the true run time, or later
+// under a fault. A hung target never ends the run.
 func (t *targetSim) begin(run work.Run, a *arrival, need work.Resources) {
 	r := &runSim{need: need, began: t.world.now}
 	t.running[run] = r
@@ -131,11 +144,14 @@
 	t.world.after(took, func() { t.end(run, r, work.EndDone) })
 }
 
+// taskIndex is the last part of a task's name: its place among the tasks of its job.
 func taskIndex(task string) int {
 	index, _ := strconv.Atoi(task[strings.LastIndexByte(task, '.')+1:])
 	return index
 }
 
+// endRun ends a run, counts its processor time, and answers the waiting polls or tells the
+// baseline.
 func (t *targetSim) end(run work.Run, r *runSim, kind work.EndKind) {
 	if r.over {
 		return
@@ -160,9 +176,10 @@
 	t.polls = nil
 }
 
-// stopDelay is about what a stop takes.
+// stopDelay is the time from a stop order to the end of the run.
 const stopDelay = 20 * time.Millisecond
 
+// handleStop ends a run after stopDelay and answers the order at once.
 func (t *targetSim) stop(o *ownerSim, e scheduler.StopRun, sent time.Duration) {
 	if r := t.running[e.Run]; r != nil {
 		t.world.after(stopDelay, func() { t.end(e.Run, r, work.EndStopped) })
@@ -174,6 +191,9 @@
 	})
 }
 
+// handlePoll drops the completions that the poll acknowledges, and answers it with the running
+// tasks and the other completions: at once if there are any or the poll does not wait, otherwise
+// at the next completion or when its wait is over.
 func (t *targetSim) look(o *ownerSim, e scheduler.Look, sent time.Duration) {
 	t.ended = slices.DeleteFunc(t.ended, func(end work.End) bool { return end.Number <= e.Seen })
 	p := &poll{}
