--- a/lab/replay/baseline.go
+++ b/lab/replay/baseline.go
@@ -7,48 +7,51 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Policy is who decides where tasks run.
+// Policy names what decides where tasks run.
 type Policy string
 
-// The policies. All but the first are baselines to compare with: they refuse nothing,
-// learn nothing, and give a job up when its caller leaves.
+// The policies. All but Owners are baselines for comparison: they accept every job, use no
+// estimates, and give a job up when its caller leaves.
 const (
-	// Owners decide, as burdockward does.
+	// Owners is burdockward's own scheduler.
 	Owners Policy = ""
-	// FIFO is one queue in the order of arrival over all targets; a task goes to the first
-	// target that it fits.
+	// FIFO has one queue over all targets in the order of arrival. A task starts on the first
+	// target with enough free capacity.
 	FIFO Policy = "FIFO"
-	// Random draws a target for each task, where it waits for its turn.
+	// Random draws a target for each task. Each target has a queue.
 	Random Policy = "uniform random"
-	// LeastOutstanding gives each task to the target with the fewest tasks, where it waits
-	// for its turn.
+	// LeastOutstanding assigns each task to the target with the fewest running and queued
+	// tasks. Each target has a queue.
 	LeastOutstanding Policy = "least outstanding"
 )
 
-// callerWait is how long a caller waits for an answer.
+// callerTimeout is how long a caller waits for an answer.
 const callerWait = 1500 * time.Millisecond
 
-// lineTask is a task in a baseline's queue.
+// queuedTask is a task that a baseline queues or runs.
 type lineTask struct {
 	arrival *arrival
 	run     work.Run
 	need    work.Resources
-	began   *runSim
-	at      *targetSim
-	done    bool
+	// started is its run; nil while it waits.
+	began *runSim
+	// target is where it runs, or waits under a policy with a queue for each target.
+	at   *targetSim
+	done bool
 }
 
-// baseline places tasks by a simple policy.
+// baseline places tasks by one of the simple policies.
 type baseline struct {
 	world   *world
 	policy  Policy
 	targets []*targetSim
-	// lines are the queues: one, or one for each target.
+	// queues has a queue for each target; FIFO's only queue has the key nil.
 	lines map[*targetSim][]*lineTask
-	// outstanding counts the tasks that are at a target or wait for it.
+	// outstanding counts the tasks that run on a target or wait for it.
 	outstanding map[*targetSim]int
 	tasks       map[work.Run]*lineTask
-	// open counts the tasks of a job that are not done.
+	// openTasks counts the tasks of a job that are not done. Jobs that are answered or given up
+	// have no entry.
 	open map[*arrival]int
 }
 
@@ -63,7 +66,7 @@
 	return b
 }
 
-// arrive queues the tasks of a job.
+// addJob queues the tasks of a job and starts what fits. The job is given up after callerTimeout.
 func (b *baseline) arrive(a *arrival) {
 	b.open[a] = len(a.runs)
 	var tasks []*lineTask
@@ -78,7 +81,7 @@
 	b.place()
 }
 
-// lineFor chooses the queue of a task; nil is the one for all targets.
+// chooseQueue returns the target in whose queue a task waits; nil stands for FIFO's queue.
 func (b *baseline) lineFor(lt *lineTask) *targetSim {
 	var chosen *targetSim
 	switch b.policy {
@@ -98,7 +101,7 @@
 	return chosen
 }
 
-// place starts the first tasks of the queues as far as they fit.
+// startWaiting starts tasks from the head of each queue until one does not fit.
 func (b *baseline) place() {
 	for len(b.lines[nil]) > 0 {
 		t := b.firstFit(b.lines[nil][0])
@@ -114,6 +117,7 @@
 	}
 }
 
+// firstFit returns the first target with free capacity for a task, or nil.
 func (b *baseline) firstFit(lt *lineTask) *targetSim {
 	for _, t := range b.targets {
 		if lt.need.Fits(t.free) {
@@ -123,6 +127,7 @@
 	return nil
 }
 
+// startFirst starts the first task of a queue on a target.
 func (b *baseline) startFirst(line, t *targetSim) {
 	lt := b.lines[line][0]
 	b.lines[line] = b.lines[line][1:]
@@ -131,7 +136,8 @@
 	lt.began = t.running[lt.run]
 }
 
-// ended takes the end of a run.
+// handleRunEnd records the end of a run, and its job's completion if it was the last one, and
+// starts waiting tasks.
 func (b *baseline) ended(run work.Run) {
 	lt := b.tasks[run]
 	delete(b.tasks, run)
@@ -147,7 +153,7 @@
 	b.place()
 }
 
-// leave gives a job up whose caller has left.
+// giveUpJob ends the runs of a job whose caller has left, and removes its waiting tasks.
 func (b *baseline) leave(a *arrival, tasks []*lineTask) {
 	if _, waits := b.open[a]; !waits {
 		return
@@ -166,7 +172,7 @@
 	b.place()
 }
 
-// unqueue takes a task that hasn't begun out of its queue.
+// dequeue removes a waiting task from its queue.
 func (b *baseline) unqueue(lt *lineTask) {
 	line := lt.at
 	if b.policy == FIFO {
@@ -185,7 +191,7 @@
 	}
 }
 
-// taskName is the name of a task of an arrival.
+// taskName is the name of a job's task, in the form of the scheduler's task names.
 func taskName(a *arrival, index int) string {
 	return fmt.Sprintf("%s.0.0.%d", a.job.ID, index)
 }
--- a/lab/replay/lend.go
+++ b/lab/replay/lend.go
@@ -8,10 +8,12 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// askInterval is how often an owner asks for the others' room while work waits.
+// capacityInterval is the shortest time between two requests of an owner for the free capacity
+// of the others.
 const askInterval = 8 * time.Millisecond
 
-// askRoom has an owner with waiting work ask the others.
+// requestCapacity asks all other owners for their free capacity if an owner has tasks to
+// delegate and has not asked within capacityInterval.
 func (w *world) askRoom(o *ownerSim) {
 	if w.options.Alone || !o.state.Hungry() || w.now < o.asked+askInterval {
 		return
@@ -34,13 +36,14 @@
 	}
 }
 
-// lend has another owner run a part.
+// delegate submits a part of a job to another owner and returns its outcome to the delegating
+// owner. A message to or from a lost owner is dropped.
 func (w *world) lend(o *ownerSim, e scheduler.Lend) {
 	index, _ := strconv.Atoi(e.Owner)
 	other := w.owners[index]
-	way := w.options.Site.Far + hop
+	delay := w.options.Site.Far + hop
 	life := o.life
-	w.after(way, func() {
+	w.after(delay, func() {
 		if o.life != life || other.lost {
 			return
 		}
@@ -49,7 +52,7 @@
 		sub := e.Submission
 		sub.Ref = ref
 		other.lenders[ref] = func(outcome work.Outcome) {
-			w.after(way, func() {
+			w.after(delay, func() {
 				if o.life != life {
 					return
 				}
@@ -59,7 +62,7 @@
 			})
 		}
 		o.lent[e.Part] = func() {
-			w.after(way, func() {
+			w.after(delay, func() {
 				if o.life != life {
 					return
 				}
--- a/lab/replay/plan.go
+++ b/lab/replay/plan.go
@@ -9,18 +9,19 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Figures of losses.
+// Times of losses and handovers.
 const (
-	// lapseTime is how long runs go on whose owner is lost.
+	// leaseLapseTime is how long runs continue after the loss of their owner, until their
+	// leases lapse.
 	lapseTime = 800 * time.Millisecond
-	// returnSpread is over how long callers come back.
+	// resubmitSpread is the time over which callers submit their jobs again after a loss.
 	returnSpread = 300 * time.Millisecond
-	// movedPause is how long an entry VM waits before it asks again about a job that was
-	// handed back.
+	// movedRetryDelay is how long an entry VM waits before it submits a job again that its owner
+	// has returned as moved.
 	movedPause = 10 * time.Millisecond
 )
 
-// plan sets the cordons and losses of the day.
+// scheduleCordonsAndLosses adds the events of the site's cordons and owner losses.
 func (w *world) plan() {
 	for _, c := range w.options.Site.Cordons {
 		w.at(c.From+time.Second, func() { w.cordon(c.Domain, true) })
@@ -32,16 +33,16 @@
 	}
 }
 
-// cordon bars a failure domain, or gives it back.
-func (w *world) cordon(domain int, closed bool) {
+// setCordon cordons a failure domain or makes it usable again. Baselines ignore cordons.
+func (w *world) cordon(domain int, cordoned bool) {
 	if w.baseline != nil {
 		return
 	}
 	if w.options.OneOwner {
-		// One owner of all sees the targets as draining.
+		// The one owner sees the targets of a cordoned failure domain as draining.
 		for _, id := range w.targetOrder {
 			if t := w.targets[id]; t.domain == domain {
-				t.Draining = closed
+				t.Draining = cordoned
 				w.owners[0].state.TargetSeen(w.now, t.Target)
 			}
 		}
@@ -49,14 +50,15 @@
 		return
 	}
 	o := w.owners[domain]
-	o.cordoned = closed
+	o.cordoned = cordoned
 	if !o.lost {
-		o.state.Cordoned(w.now, closed)
+		o.state.Cordoned(w.now, cordoned)
 		w.carryOut(o)
 	}
 }
 
-// lose ends all owners' processes: what runs lapses, and callers come back.
+// loseOwners ends the processes of all owners. Their callers submit their jobs again, and all
+// runs end when their leases lapse.
 func (w *world) lose() {
 	for _, o := range w.owners {
 		o.lost = true
@@ -75,6 +77,7 @@
 	})
 }
 
+// sortedRefs returns the references of callers in order, so that each replay draws the same.
 func sortedRefs(callers map[scheduler.Ref]*arrival) []scheduler.Ref {
 	refs := make([]scheduler.Ref, 0, len(callers))
 	for ref := range callers {
@@ -84,7 +87,7 @@
 	return refs
 }
 
-// lapse ends all that runs.
+// endAllRuns ends all runs of the target, in the order of their tasks' names.
 func (t *targetSim) lapse() {
 	var runs []work.Run
 	for run := range t.running {
@@ -96,7 +99,8 @@
 	}
 }
 
-// comeBack has a caller hand in its job again once there are owners.
+// resubmitLater submits a caller's job again once owners run, after a random part of
+// resubmitSpread.
 func (w *world) comeBack(a *arrival) {
 	back := w.now
 	for _, l := range w.options.Site.Losses {
@@ -107,7 +111,8 @@
 	w.at(back+time.Duration(w.random.Int64N(int64(returnSpread))), func() { w.submit(a, map[int]bool{}) })
 }
 
-// begin starts the owners' next lives.
+// restartOwners gives each owner a new scheduler that knows the targets and the cordons, and no
+// job or run.
 func (w *world) begin() {
 	for _, o := range w.owners {
 		o.lost = false
@@ -123,6 +128,7 @@
 	}
 }
 
+// newState creates the scheduler of an owner's process.
 func (w *world) newState() *scheduler.State {
 	return scheduler.New(scheduler.Options{SendOnce: w.options.SendOnce})
 }
