--- a/lab/replay/command.go
+++ b/lab/replay/command.go
@@ -12,22 +12,23 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Times of the days that the command plays.
+// Times of the burst and of the hung targets, from the first arrival.
 const (
 	burstFrom, burstTo = 8 * time.Second, 14 * time.Second
 	hungFrom, hungTo   = 6 * time.Second, 16 * time.Second
 )
 
-// Command plays a burst beside hung targets by all policies and by the ideal.
+// Command is the command that simulates one day with a burst and hung targets, and compares
+// burdockward with an ideal scheduler and with simple policies.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "replay",
-		Usage: "replay a site's load in simulated time and compare the decisions with simple policies and with the ideal",
+		Usage: "simulate a site's load and compare burdockward's scheduling with simple policies and with an ideal scheduler",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "site", Usage: "kasa or thapa", Value: "kasa"},
-			&cli.FloatFlag{Name: "burst", Usage: "what the load is times for 6 of 30 s", Value: 1.5},
-			&cli.FloatFlag{Name: "hung", Usage: "the share of targets that hang for 10 of 30 s", Value: 0.1},
-			&cli.Uint64Flag{Name: "seed", Usage: "draws the callers and the targets"},
+			&cli.StringFlag{Name: "site", Usage: "name of the site: kasa or thapa", Value: "kasa"},
+			&cli.FloatFlag{Name: "burst", Usage: "factor of the load during 6 of 30 s", Value: 1.5},
+			&cli.FloatFlag{Name: "hung", Usage: "share of targets that hang during 10 of 30 s, from 0 to 1", Value: 0.1},
+			&cli.Uint64Flag{Name: "seed", Usage: "seed of the jobs and of the hung targets"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			site, err := siteOf(cmd.String("site"))
@@ -41,17 +42,18 @@
 	}
 }
 
+// siteByName returns the site that a flag names.
 func siteOf(name string) (Site, error) {
 	for _, site := range []Site{Kasa(), Thapa()} {
 		if site.Name == name {
 			return site, nil
 		}
 	}
-	return Site{}, fmt.Errorf("no site %q: name kasa or thapa", name)
+	return Site{}, fmt.Errorf("unknown site %q: choose kasa or thapa", name)
 }
 
-// compare plays a day by each policy and writes a row for all, for each kind of request
-// and for each failure domain.
+// comparePolicies simulates a day under each policy. For each it writes a row for all jobs, for
+// each kind of request and for each failure domain.
 func compare(to io.Writer, site Site, seed uint64) error {
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "policy\tof\tworth\ton time\tlate\trefused\tfailed")
@@ -81,7 +83,7 @@
 	return out.Flush()
 }
 
-// shares are the counts as shares of the jobs.
+// shares formats the counts of outcomes as shares of all jobs.
 func (c Counts) shares() []string {
 	var shares []string
 	for _, n := range []int{c.OnTime, c.Late, c.Refused, c.Failed} {
--- a/lab/replay/doubt_test.go
+++ b/lab/replay/lost_calls_test.go
@@ -7,13 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// doubtful is a day on which a fifth of the calls to half of the targets get lost.
+// lostCallsDay is a day on which a fifth of the calls to half of the targets are lost.
 func doubtful(site Site) Site {
 	site.Faults = []Fault{{From: second(2), To: second(8), Share: 0.5, Lost: 0.2}}
 	return site
 }
 
-// doubt is the mean worth of doubtful days, over so many seeds that it varies by 0.01.
+// meanWorth is the mean worth over so many seeds that it varies by about 0.01.
 func doubt(o Options) float64 {
 	const seeds = 8
 	mean := 0.0
@@ -24,15 +24,16 @@
 	return mean
 }
 
-// An owner settles doubt as soon with 240 targets as with 30, as long as it has processor
-// to spare; where it has none, doubt takes its toll, and sending again adds nothing to it.
+// Lost calls leave runs in an unknown state until the owner resends. With spare processor an
+// owner with 240 targets resolves them as well as one with 30. Without it, resending must not
+// make the result worse than sending each order once.
 func TestDoubtAtAnyNumberOfTargets(t *testing.T) {
 	const spare, short = 0.1, 0.75
 	for _, targets := range []int{30, 60, 120, 240} {
 		t.Run(fmt.Sprint(targets, " targets with spare processor"), func(t *testing.T) {
 			must.Greater(t, 0.98, doubt(Options{Site: doubtful(Large(targets, spare))}))
 		})
-		t.Run(fmt.Sprint(targets, " targets without"), func(t *testing.T) {
+		t.Run(fmt.Sprint(targets, " targets without spare processor"), func(t *testing.T) {
 			once := doubt(Options{Site: doubtful(Large(targets, short)), SendOnce: true})
 			must.Greater(t, once-0.02, doubt(Options{Site: doubtful(Large(targets, short))}))
 		})
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -6,10 +6,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// seeds of the days that a test plays.
+// seeds is the number of days that a test simulates for each case.
 const seeds = 2
 
-// play plays some days and returns the mean of what a test looks at.
+// playMean simulates days with several seeds. It returns the means of Worth, LateRefusals and
+// Wasted, and the Kinds of all days.
 func play(t *testing.T, o Options) Report {
 	t.Helper()
 	var mean Report
@@ -33,7 +34,7 @@
 	}
 }
 
-// Owners that lend each other places come nearer to one queue over all targets.
+// Owners that delegate tasks to each other earn more under high load than owners that do not.
 func TestLendingEarnsMore(t *testing.T) {
 	for _, site := range sites {
 		alone := play(t, Options{Site: crowded(site), Alone: true})
@@ -42,8 +43,8 @@
 	}
 }
 
-// Beside hung and slow targets, and at the brink, most of what one clairvoyant queue
-// without latency earns is earned, and hardly anybody is refused late.
+// Under faulty targets and high load, owners earn at least 93% of what one clairvoyant owner
+// without network delay earns. Few jobs are refused late and little processor time is wasted.
 func TestNearTheIdeal(t *testing.T) {
 	for _, site := range sites {
 		for name, day := range map[string]func(Site) Site{"faulty": faulty, "crowded": crowded} {
@@ -58,7 +59,8 @@
 	}
 }
 
-// In a flood no kind of request is starved, and refusals stay prompt.
+// During a burst of three times the load each kind of request earns most of its worth, and
+// refusals are prompt.
 func TestFloodStarvesNoKind(t *testing.T) {
 	for _, site := range sites {
 		r := play(t, Options{Site: flooded(site)})
@@ -69,8 +71,8 @@
 	}
 }
 
-// Beside hung and slow targets, at the brink and in a flood, the decisions earn more than
-// each of the simple policies.
+// Under faulty targets, high load and a large burst, owners earn more than each of the simple
+// policies.
 func TestSimplePoliciesEarnLess(t *testing.T) {
 	for _, site := range sites {
 		for name, day := range map[string]func(Site) Site{"faulty": faulty, "crowded": crowded, "flooded": flooded} {
--- a/lab/replay/rounds.go
+++ b/lab/replay/rounds.go
@@ -17,30 +17,33 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// played is what a day earned.
+// dayResult is the result of one simulated day.
 type played struct {
 	site, day string
 	seed      uint64
-	// worth is less what was refused late, which callers would rather have known at once.
+	// worth is the earned share of the worth, worstKind the lowest such share of a kind of
+	// request. lateRefusals is the share of the worth that was refused late; callers would rather
+	// be refused at once.
 	worth, kind, late float64
 }
 
-// key tells days apart.
+// key identifies a day by site, kind of day and seed.
 func (p played) key() string { return fmt.Sprintf("%s %s %d", p.site, p.day, p.seed) }
 
-// maxPlays bounds the days played side by side.
+// maxParallelDays is how many days are simulated at the same time.
 const maxPlays = 4
 
-// RoundsCommand compares this build's decisions with another one's.
+// RoundsCommand is the command that compares this build's scheduling decisions with those of
+// another build.
 func RoundsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "rounds",
-		Usage: "play days of all sites in simulated time, and compare them with what another build of this program earns on the same days",
+		Usage: "simulate days of all sites, and compare what this build and another build of this program earn on the same days",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "other", Usage: "the other build; none prints a row a day"},
-			&cli.IntFlag{Name: "seeds", Usage: "days of each kind and site", Value: 4},
-			&cli.StringFlag{Name: "sites", Usage: "names joined by commas; all if empty"},
-			&cli.StringFlag{Name: "days", Usage: "names joined by commas; all if empty"},
+			&cli.StringFlag{Name: "other", Usage: "`PATH` of the other build; empty prints one row for each day of this build"},
+			&cli.IntFlag{Name: "seeds", Usage: "number of seeds with which each day of each site is simulated", Value: 4},
+			&cli.StringFlag{Name: "sites", Usage: "names of sites, separated by commas; empty stands for all"},
+			&cli.StringFlag{Name: "days", Usage: "names of days, separated by commas; empty stands for all"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			rows, err := playAll(ctx, cmd.Int("seeds"), named(cmd.String("sites")), named(cmd.String("days")))
@@ -55,7 +58,7 @@
 			other.Stderr = os.Stderr
 			out, err := other.Output()
 			if err != nil {
-				return fmt.Errorf("the other build doesn't play rounds: %w", err)
+				return fmt.Errorf("run rounds with the other build: %w", err)
 			}
 			theirs, err := readRows(bytes.NewReader(out))
 			if err != nil {
@@ -66,13 +69,15 @@
 	}
 }
 
-// named reports whether a name is in a list; an empty list has all.
+// nameFilter returns a function that reports whether a name is in a list separated by commas.
+// An empty list contains all names.
 func named(list string) func(name string) bool {
 	names := strings.Split(list, ",")
 	return func(name string) bool { return list == "" || slices.Contains(names, name) }
 }
 
-// playAll plays each day of each site with each seed.
+// playAll simulates each selected day of each selected site with each seed. A cancelled context
+// ends it after the days that are being simulated.
 func playAll(ctx context.Context, seeds int, site, day func(string) bool) ([]played, error) {
 	var rows []played
 	for _, sheet := range Sheets {
@@ -97,6 +102,7 @@
 	return rows, g.Wait()
 }
 
+// simulate plays the day and fills in its result.
 func (p *played) play() {
 	sheet := Sheets[slices.IndexFunc(Sheets, func(s Sheet) bool { return s.Name == p.site })]
 	day := Days[slices.IndexFunc(Days, func(d Day) bool { return d.Name == p.day })]
@@ -104,6 +110,7 @@
 	p.worth, p.kind, p.late = r.Worth, slices.Min(r.Kinds), r.LateRefusals
 }
 
+// writeRows writes one line for each day, for another build's readRows.
 func writeRows(to io.Writer, rows []played) error {
 	out := bufio.NewWriter(to)
 	for _, p := range rows {
@@ -112,21 +119,22 @@
 	return out.Flush()
 }
 
+// readRows reads what another build's writeRows has written.
 func readRows(from io.Reader) ([]played, error) {
 	var rows []played
 	scanner := bufio.NewScanner(from)
 	for scanner.Scan() {
 		var p played
 		if _, err := fmt.Sscan(scanner.Text(), &p.site, &p.day, &p.seed, &p.worth, &p.kind, &p.late); err != nil {
-			return nil, fmt.Errorf("a row of the other build is %q: %w", scanner.Text(), err)
+			return nil, fmt.Errorf("row %q of the other build: %w", scanner.Text(), err)
 		}
 		rows = append(rows, p)
 	}
 	return rows, scanner.Err()
 }
 
-// writeRounds writes what this build earns more than the other one, by site and day, with the
-// spread of the difference over the seeds.
+// writeRounds writes a table of the means of both builds by site and day, with the difference
+// and its standard deviation over the seeds.
 func writeRounds(to io.Writer, rows, theirs []played) error {
 	others := map[string]played{}
 	for _, p := range theirs {
@@ -164,7 +172,8 @@
 	return out.Flush()
 }
 
-// rank puts the groups of all sites last.
+// sortKey orders the groups of all sites after those of each site, and the group of all days
+// last.
 func rank(group string) string {
 	if strings.HasPrefix(group, "all\t") {
 		return "~" + strings.Replace(group, "\tall", "\t~", 1)
@@ -172,6 +181,7 @@
 	return ""
 }
 
+// mean is the arithmetic mean; 0 without values.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, v := range values {
@@ -180,7 +190,7 @@
 	return sum / float64(max(len(values), 1))
 }
 
-// deviation is the standard deviation.
+// standardDeviation is that of a sample.
 func deviation(values []float64) float64 {
 	m, sum := mean(values), 0.0
 	for _, v := range values {
--- a/lab/replay/sheets.go
+++ b/lab/replay/site_specs.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Sheet is what the sites differ in.
+// SiteSpec has the numbers in which the sites of the rounds differ.
 type Sheet struct {
 	Name             string
 	Domains, Targets int
-	// CPU is a target's, TaskCPU a task's mean need, in thousandths of a core.
+	// CPU is a target's capacity, TaskCPU a task's mean need, both in thousandths of a core.
 	CPU, TaskCPU int64
-	// Short, Long and Middle are the rates of the kinds of request, a second.
+	// Short, Long and Middle are the rates of the kinds of requests, in jobs per second.
 	Short, Long, Middle float64
-	// Swing is the share by which the load goes up and down.
+	// Swing is the amplitude of the slow change of the load, as a share of its mean.
 	Swing float64
-	Far   time.Duration
+	// DomainDelay is the one-way network delay between failure domains.
+	Far time.Duration
 }
 
-// site is the deployment of a sheet on a usual day.
+// site returns the site on a day without faults.
 func (s Sheet) site() Site {
 	kinds := kinds(float64(s.TaskCPU))
 	for i, rate := range []float64{s.Short, s.Long, s.Middle} {
-		// The worth of a day doesn't grow with its size.
+		// The worth of a day is independent of its number of jobs.
 		kinds[i].Worth *= kinds[i].PerS / rate
 		kinds[i].PerS = rate
 	}
@@ -29,8 +30,9 @@
 	}
 }
 
-// Sheets are all deployments whose numbers differ: small ones, grown ones, one of hundreds of
-// VMs, and one whose work has shifted to wide targets' halves.
+// SiteSpecs are the sites of the rounds: the two small sites, the same two with more targets and
+// load, one with hundreds of VMs, and one with smaller targets, smaller tasks and a load that
+// varies more.
 var Sheets = []Sheet{
 	{Name: "kasa", Domains: 3, Targets: 16, CPU: 32000, TaskCPU: 14000, Short: 37.8, Long: 6.87, Middle: 110, Swing: 0.15, Far: 900 * time.Microsecond},
 	{Name: "thapa", Domains: 3, Targets: 16, CPU: 64000, TaskCPU: 27000, Short: 37.8, Long: 6.87, Middle: 110, Swing: 0.15, Far: 500 * time.Microsecond},
