--- a/lab/losses/command.go
+++ b/lab/losses/command.go
@@ -13,18 +13,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Command accounts for the losses that logs tell of.
+// Command is the command that prints the counts of losses that it finds in logs.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:      "losses",
-		Usage:     "account for the jobs that were not answered in time, from the daemons' logs",
+		Usage:     "count the jobs that were not answered in time by cause, from the daemons' logs",
 		ArgsUsage: "LOG (- for standard input)",
-		Flags:     []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "the length of the windows that losses are counted in", Value: 2 * time.Second}},
+		Flags:     []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "length of the windows of time in which losses are counted", Value: 2 * time.Second}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			logs := io.Reader(os.Stdin)
 			switch name := cmd.Args().First(); name {
 			case "":
-				return fmt.Errorf("name the logs: lab losses FILE, or - for standard input")
+				return fmt.Errorf("missing argument: give a log file, or - for standard input")
 			case "-":
 			default:
 				file, err := os.Open(name)
@@ -47,9 +47,10 @@
 	}
 }
 
-// table writes a row for each queue or window, a column for each cause that was seen.
-func table(to io.Writer, head string, found []Loss, of func(Loss) string) error {
-	counts := Count(found, of)
+// writeTable writes a row for each cause that occurs, and a column for each group, headed by
+// head and the group's name.
+func table(to io.Writer, head string, found []Loss, groupOf func(Loss) string) error {
+	counts := Count(found, groupOf)
 	rows, causes := map[string]int{}, map[Cause]int{}
 	for cell, n := range counts {
 		rows[cell.Of] += n
--- a/lab/losses/losses.go
+++ b/lab/losses/losses.go
@@ -1,5 +1,8 @@
-// Package losses accounts for the jobs that a deployment did not answer in time, from its
-// daemons' logs alone: by cause, by queue, and by when they ended.
+// Package losses finds the jobs that a deployment did not answer in time, and why.
+//
+// Its input is the daemons' logs alone: the lines "job ended" with a job's result, reason and
+// history. Its output is a list of these jobs and their counts by cause, by queue and by time of
+// end. Each job counts once, under one cause.
 package losses
 
 import (
@@ -16,51 +19,55 @@
 // Cause is why a job was not answered in time.
 type Cause string
 
-// The causes, in the order in which a job's trail is asked for them.
+// The causes, in the order in which causeOf checks for them.
 const (
-	// Refused jobs were told at once that too much work waits.
+	// Refused jobs were refused on submission because of their forecast start.
 	Refused Cause = "refused by the forecast"
-	// GivenUp jobs were told so later, before anything of them began.
+	// GivenUp jobs were refused later, before any of their runs started.
 	GivenUp Cause = "given up before it began"
-	// Left jobs had callers that went away, or whose time was over.
+	// CallerLeft jobs ended because the caller left or its deadline passed.
 	Left Cause = "its caller left, or its deadline passed"
-	// OwnerLost jobs had an owner, or another owner's part, that was lost.
+	// OwnerLost jobs ended with the loss or pause of their owner, of an owner that ran a part,
+	// or of their entry VM.
 	OwnerLost Cause = "its owner was lost"
 	// Failed jobs had a task that failed as often as its queue allows.
 	Failed Cause = "a task failed too often"
-	// Unanswered, Moved, Lost and Again jobs were late after one of their runs had to be
-	// begun anew: its start had no answer, its target fared badly, it was lost or it failed.
+	// StartUnanswered, RunStopped, RunLost and RunFailed jobs completed late after one of their
+	// tasks had to be restarted: its start had no answer, its run was stopped (as when a slow
+	// run moves to another target), its run was lost with its target, or its run failed.
 	Unanswered Cause = "late: a start had no answer"
 	Moved      Cause = "late: a run was moved from a bad target"
 	Lost       Cause = "late: a run was lost"
 	Again      Cause = "late: a run failed"
-	// Waited jobs were late after over waitedTime without a place.
+	// LateStart jobs completed late after they waited longer than longWait for their first
+	// start.
 	Waited Cause = "late: waited for places"
-	// Ran jobs were late though they began at once: a run took longer than expected.
+	// SlowRun jobs completed late although they started soon: a run took longer than expected.
 	Ran Cause = "late: a run took long"
-	// Other jobs have another reason in their trail.
+	// Other jobs ended with another result.
 	Other Cause = "other"
 )
 
-// Causes lists all causes.
+// Causes lists all causes in the order of the tables.
 func Causes() []Cause {
 	return []Cause{Refused, GivenUp, Left, OwnerLost, Failed, Unanswered, Moved, Lost, Again, Waited, Ran, Other}
 }
 
-// waitedTime is a third of the slack of the shortest kind of job.
+// longWait is a third of the slack of the shortest kind of job.
 const waitedTime = 20 * time.Millisecond
 
 // Loss is a job that was not answered in time.
 type Loss struct {
 	Job, Queue string
 	Cause      Cause
-	// Ended is when, counted from the first line of the logs.
+	// Ended is the time of its end since the earliest line of the logs.
 	Ended time.Duration
-	// Took is the time since the caller sent the job, Objective what it should have been.
+	// Took is the time from the caller's request to the end, Objective the longest time that
+	// counts as in time.
 	Took, Objective time.Duration
 }
 
-// line is a line of a daemon's log.
+// logLine is a line of a daemon's log.
 type line struct {
 	Time      time.Time     `json:"time"`
 	Message   string        `json:"msg"`
@@ -73,15 +80,15 @@
 	Trail     []string      `json:"trail"`
 }
 
-// jobEnded is the message of the lines that the account is made of.
+// jobEndedMessage is the message of the lines from which losses are found.
 const jobEnded = "job ended"
 
-// ErrNoLines says that there was nothing to account for.
-var ErrNoLines = errors.New(`no line "job ended" found: give the daemons' logs, one JSON object a line, with or without words before it`)
+// ErrNoLines reports logs without any ended job.
+var ErrNoLines = errors.New(`no log line with the message "job ended": expected the daemons' logs, one JSON object per line, which other text may precede`)
 
-// Read accounts for the jobs of logs. Lines of other programs are passed over. A job that
-// several owners had, whole or in parts, counts once: as its last word says, and what was
-// completed goes before what was refused elsewhere.
+// Read returns the jobs of the logs that were not answered in time. It skips lines of other
+// programs. A job that several owners logged, whole or in parts, counts once: a completion takes
+// precedence over other results, these over a refusal, and the longest time decides among equals.
 func Read(logs io.Reader) ([]Loss, error) {
 	var first time.Time
 	last := map[string]line{}
@@ -124,9 +131,10 @@
 	return losses, nil
 }
 
-// maxLine is more than a line of a log has.
+// maxLineBytes is more than the length of any log line.
 const maxLine = 1 << 20
 
+// parseLine decodes the JSON object of a line, and reports whether it is a log line of a daemon.
 func parse(text []byte) (line, bool) {
 	var l line
 	at := bytes.IndexByte(text, '{')
@@ -136,7 +144,7 @@
 	return l, true
 }
 
-// rank orders the words of several owners about one job.
+// resultRank orders the results that several owners logged for one job; the highest counts.
 func rank(l line) int {
 	switch l.Result {
 	case "completed":
@@ -147,12 +155,13 @@
 	return 1
 }
 
-// causeOf goes by the last word, then by what happened on the way.
+// causeOf returns the cause of a loss: by result and reason if the job did not complete,
+// otherwise by the events of its history.
 func causeOf(l line) Cause {
-	trail := strings.Join(l.Trail, "\n")
+	history := strings.Join(l.Trail, "\n")
 	has := func(words ...string) bool {
 		for _, word := range words {
-			if strings.Contains(trail, word) {
+			if strings.Contains(history, word) {
 				return true
 			}
 		}
@@ -185,9 +194,10 @@
 	return Ran
 }
 
-// firstPlace is how long a job waited for its first place.
-func firstPlace(trail []string) time.Duration {
-	for _, entry := range trail {
+// timeToFirstStart is the time from a job's submission to the first start or delegation in its
+// history; 0 if it has none.
+func firstPlace(history []string) time.Duration {
+	for _, entry := range history {
 		at, rest, _ := strings.Cut(entry, " ")
 		if strings.HasPrefix(rest, "started ") || strings.HasPrefix(rest, "lent ") {
 			took, err := time.ParseDuration(at)
@@ -200,26 +210,26 @@
 	return 0
 }
 
-// Cell names a field of the account.
+// Cell identifies a cell of a table of counts.
 type Cell struct {
 	Cause Cause
-	// Of is a queue, or when the job ended.
+	// Group is a queue, or a window of time.
 	Of string
 }
 
-// Count counts losses by cause and by what of tells of each.
-func Count(losses []Loss, of func(Loss) string) map[Cell]int {
+// Count counts losses by cause and by the group that groupOf returns.
+func Count(losses []Loss, groupOf func(Loss) string) map[Cell]int {
 	counts := map[Cell]int{}
 	for _, l := range losses {
-		counts[Cell{l.Cause, of(l)}]++
+		counts[Cell{l.Cause, groupOf(l)}]++
 	}
 	return counts
 }
 
-// ByQueue and ByWindow say what losses are counted by.
+// ByQueue groups losses by queue.
 func ByQueue(l Loss) string { return l.Queue }
 
-// ByWindow counts by the time of the end, in steps of a length.
+// ByWindow groups losses by the time of their end, in windows of a length.
 func ByWindow(length time.Duration) func(Loss) string {
 	return func(l Loss) string { return fmt.Sprintf("%4.0fs", l.Ended.Truncate(length).Seconds()) }
 }
