--- a/lab/compare/compare.go
+++ b/lab/compare/compare.go
@@ -1,5 +1,9 @@
-// Package compare runs the same traces against the policies of the daemon, one
-// cell after the other, and tabulates the outcomes.
+// Package compare runs experiments with the daemon's policies under the same traces and
+// tabulates the outcomes.
+//
+// Its input is lists of policies, loads, spreads and faults; each combination is a cell, and the
+// cells run one after the other. Its output is a table with a row for each cell, as text, markdown
+// or JSON. Cells that differ in the policy alone get the same trace.
 package compare
 
 import (
@@ -15,49 +19,50 @@
 	"github.com/burdockward/burdockward/lab/load"
 )
 
-// Size and default choices of a comparison.
+// Defaults of a comparison.
 const (
 	domain          = "hall-a"
 	vmsOfDomain     = 3
 	targetsOfDomain = 16
 	slotsOfTarget   = 8
 	defaultLength   = 8 * time.Second
-	// faultPart is the part of the length after which a fault begins.
+	// faultStartDivisor divides the length of a cell into the time at which its fault begins.
 	faultPart = 4
 )
 
-// The spreads of load over entry VMs.
+// The names of the spreads of load over entry VMs.
 const (
 	spreadEven   = "even"
 	spreadUneven = "uneven"
 )
 
-// Policies lists the policies that can be compared, the real one first.
+// Policies lists the policies that can be compared. The first is the one that is used in
+// production.
 func Policies() []string {
 	return []string{"shared", "random", "round_robin", "least_outstanding"}
 }
 
-// Command compares policies.
+// Command is the command that compares policies.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "compare",
-		Usage: "compare the daemon's policies under the same traces; flags that take lists take them with commas",
+		Usage: "compare the daemon's policies under the same traces; lists are separated by commas",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "daemon", Usage: "`PATH` of the burdockward binary; empty is beside this one"},
-			&cli.StringSliceFlag{Name: "policy", Value: Policies(), Usage: "policies"},
-			&cli.FloatSliceFlag{Name: "load", Value: []float64{0.8}, Usage: "shares of the slots that the load keeps busy, such as 0.5,0.8,0.95,1.2"},
-			&cli.StringSliceFlag{Name: "spread", Value: []string{spreadEven}, Usage: "spreads over entry VMs: even, uneven"},
-			&cli.StringSliceFlag{Name: "fault", Value: []string{string(experiment.FaultNone)}, Usage: fmt.Sprintf("faults, of %v", experiment.Faults())},
-			&cli.StringFlag{Name: "mix", Value: load.Both().Name, Usage: "load: kasa, thapa or both"},
-			&cli.StringFlag{Name: "retry", Value: string(load.RetryNever), Usage: "callers after a refusal: never, honour or impatient"},
+			&cli.StringFlag{Name: "daemon", Usage: "`PATH` of the burdockward binary; empty stands for the one in this program's folder"},
+			&cli.StringSliceFlag{Name: "policy", Value: Policies(), Usage: "list of policies to compare"},
+			&cli.FloatSliceFlag{Name: "load", Value: []float64{0.8}, Usage: "list of loads, as shares of all slots, such as 0.5,0.8,0.95,1.2"},
+			&cli.StringSliceFlag{Name: "spread", Value: []string{spreadEven}, Usage: "list of spreads of load over entry VMs: even, uneven"},
+			&cli.StringSliceFlag{Name: "fault", Value: []string{string(experiment.FaultNone)}, Usage: fmt.Sprintf("list of faults: %v", experiment.Faults())},
+			&cli.StringFlag{Name: "mix", Value: load.Both().Name, Usage: "mix of jobs: kasa, thapa or both"},
+			&cli.StringFlag{Name: "retry", Value: string(load.RetryNever), Usage: "how callers retry after a refusal: never, honour or impatient"},
 			&cli.DurationFlag{Name: "deadline", Value: experiment.DefaultDeadline, Usage: "deadline of every submission"},
-			&cli.DurationFlag{Name: "length", Value: defaultLength, Usage: "time over which jobs arrive in each cell"},
-			&cli.IntFlag{Name: "vms", Value: vmsOfDomain, Usage: "entry VMs"},
-			&cli.IntFlag{Name: "targets", Value: targetsOfDomain, Usage: "targets"},
-			&cli.IntFlag{Name: "slots", Value: slotsOfTarget, Usage: "slots of a target"},
-			&cli.FloatFlag{Name: "duplicates", Usage: "share of jobs that are sent to two VMs at once"},
+			&cli.DurationFlag{Name: "length", Value: defaultLength, Usage: "time during which jobs arrive in each cell"},
+			&cli.IntFlag{Name: "vms", Value: vmsOfDomain, Usage: "number of entry VMs"},
+			&cli.IntFlag{Name: "targets", Value: targetsOfDomain, Usage: "number of targets"},
+			&cli.IntFlag{Name: "slots", Value: slotsOfTarget, Usage: "number of slots of each target"},
+			&cli.FloatFlag{Name: "duplicates", Usage: "share of jobs that are sent to two VMs at once, from 0 to 1"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the traces"},
-			&cli.StringFlag{Name: "format", Value: formatText, Usage: "text, markdown or json"},
+			&cli.StringFlag{Name: "format", Value: formatText, Usage: "format of the table: text, markdown or json"},
 		},
 		Action: run,
 	}
@@ -71,6 +76,8 @@
 	Fault  experiment.Fault `json:"fault"`
 }
 
+// runCells runs the cells that the flags select and writes the table, also of the cells before
+// a cancellation.
 func run(ctx context.Context, c *cli.Command) error {
 	base, err := baseOptions(c)
 	if err != nil {
@@ -99,6 +106,7 @@
 	return table.write()
 }
 
+// baseOptions returns the options that all cells share.
 func baseOptions(c *cli.Command) (experiment.Options, error) {
 	mix, err := load.MixByName(c.String("mix"))
 	if err != nil {
@@ -131,7 +139,7 @@
 	}, nil
 }
 
-// options sets the choices of the cell.
+// options returns the base options with the choices of the cell.
 func (cell Cell) options(base experiment.Options) experiment.Options {
 	base.Deploy.Policy = cell.Policy
 	base.Load = cell.Load
@@ -140,8 +148,8 @@
 	return base
 }
 
-// cellsOf returns the product of all choices. Policies vary fastest, so that
-// those of one trace run one after the other.
+// cellsFromFlags returns a cell for each combination of choices. Policies vary fastest, so that
+// the cells of one trace run one after the other.
 func cellsOf(c *cli.Command) ([]Cell, error) {
 	var cells []Cell
 	for _, fault := range c.StringSlice("fault") {
@@ -156,7 +164,7 @@
 	return cells, checkCells(cells)
 }
 
-// checkCells finds misspelt choices before the first run.
+// checkCells returns an error for an unknown choice, so that it is found before the first run.
 func checkCells(cells []Cell) error {
 	for _, cell := range cells {
 		if !slices.Contains(Policies(), cell.Policy) || !slices.Contains(experiment.Faults(), cell.Fault) || !slices.Contains([]string{spreadEven, spreadUneven}, cell.Spread) {
--- a/lab/compare/compare_test.go
+++ b/lab/compare/compare_test.go
@@ -12,7 +12,7 @@
 	"github.com/burdockward/burdockward/lab/report"
 )
 
-// cellsFor returns the cells that a command line asks for.
+// cellsFor returns the cells that a command line selects.
 func cellsFor(t *testing.T, args ...string) (cells []Cell, err error) {
 	command := Command()
 	command.Action = func(_ context.Context, c *cli.Command) error {
--- a/lab/compare/table.go
+++ b/lab/compare/table.go
@@ -22,7 +22,7 @@
 type Row struct {
 	Cell
 	Report *report.Report `json:"report,omitempty"`
-	// Err says why there is no report.
+	// Err is the error of a cell without a report.
 	Err string `json:"error,omitempty"`
 }
 
@@ -33,7 +33,7 @@
 	rows   []Row
 }
 
-// newTable refuses an unknown format before the first run.
+// newTable returns an error for an unknown format, so that it is found before the first run.
 func newTable(out io.Writer, format string) (*table, error) {
 	if !slices.Contains([]string{formatText, formatMarkdown, formatJSON}, format) {
 		return nil, fmt.Errorf("unknown format %q: take %s, %s or %s", format, formatText, formatMarkdown, formatJSON)
@@ -56,12 +56,13 @@
 	}
 }
 
-// headings names the columns. Not run counts jobs that were refused, failed all
-// others without a whole answer.
+// headings names the columns. "not run" counts refused jobs, "failed" all other jobs without a
+// complete answer.
 func headings() []string {
 	return []string{"fault", "spread", "load", "policy", "jobs", "answered", "not run", "failed", "p50 ratio", "p99 ratio", "p99.9 ratio", "wasted/task", "refused starts/task", "doubled", "broken promises", "tool lag ms"}
 }
 
+// columns formats a row; one without a report has its error in place of figures.
 func (r *Row) columns() []string {
 	name := []string{string(r.Fault), r.Spread, fmt.Sprintf("%.0f%%", 100*r.Load), r.Policy}
 	if r.Report == nil {
--- a/lab/ideal/ideal.go
+++ b/lab/ideal/ideal.go
@@ -1,7 +1,9 @@
-// Package ideal computes the response times that a trace would have with no
-// network, no overhead and no faults: one FIFO queue over all slots.
+// Package ideal computes the response times that a trace would have without network, overhead
+// and faults, with one FIFO queue over all slots. The lab divides measured response times by
+// these.
 //
-// The lab divides measured response times by these.
+// Its input is the arrivals and run times of the jobs and the number of slots, its output a
+// response time for each job. Each task takes the slot that is free first.
 package ideal
 
 import (
@@ -17,9 +19,8 @@
 	Runs []time.Duration
 }
 
-// ResponseTimes returns, for each job, the time from its arrival to the end of
-// its last task. Jobs must be sorted by arrival. It returns nil when there are
-// no slots, since no job would ever end.
+// ResponseTimes returns the time from the arrival to the end of the last task of each job. Jobs
+// must be sorted by arrival. Without slots it returns nil, since no job would end.
 func ResponseTimes(jobs []Job, slots int) []time.Duration {
 	if slots < 1 {
 		return nil
@@ -35,8 +36,8 @@
 // freeTimes is a heap of the times at which the slots become free.
 type freeTimes []time.Duration
 
-// run gives each task of the job the slot that is free first, and returns the
-// end of the last one.
+// run assigns each task of the job to the slot that is free first, and returns the end of the
+// last one.
 func (f freeTimes) run(job Job) time.Duration {
 	last := job.At
 	for _, run := range job.Runs {
