--- a/lab/prepared/cordon.go
+++ b/lab/prepared/cordon.go
@@ -8,28 +8,27 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// cordonBound is within what a cordon has to be in force in processes that run and in which
-// the store can be reached, or a process that reaches it.
+// cordonBound is the time within which a cordon must be in force in each running process that
+// reaches the store, or reaches another process that does.
 const cordonBound = 5 * time.Second
 
-// cordonedTime is how long a cordon of the soak lasts beyond the drawn time, so that it is
-// in force for a while.
+// cordonedTime is how long a cordon of the soak test lasts in addition to the drawn time, so that
+// it stays in force for some time after cordonBound.
 const cordonedTime = 5 * time.Second
 
-// cordons are the operator's, and what is seen of starts against them.
+// cordons are the operator's cordons.
 type cordons struct {
 	mu sync.Mutex
-	// since is when each cordoned failure domain was, or when the store was last away if that
-	// is later: nobody hears of anything then.
+	// since is when each failure domain that is cordoned now was cordoned.
 	since map[string]time.Time
 }
 
-// Cordon asks that nothing be started in a failure domain, or takes that back.
-func (d *Deployment) Cordon(domain string, closed bool) {
+// SetCordon writes or removes the cordon of a failure domain.
+func (d *Deployment) Cordon(domain string, cordoned bool) {
 	key := wire.CordonPrefix + domain
 	d.cordons.mu.Lock()
 	defer d.cordons.mu.Unlock()
-	if closed {
+	if cordoned {
 		d.Store.Write(wire.OperatorTable, key, struct{}{})
 		d.cordons.since[domain] = time.Now()
 		return
@@ -38,15 +37,17 @@
 	d.Store.Remove(wire.OperatorTable, key)
 }
 
-// started judges a start in a failure domain.
+// checkStart records a violation if a task starts in a failure domain that has been cordoned longer
+// than cordonBound. The bound counts from the end of the store's last outage if that is later,
+// since processes learn of no cordon during one.
 func (d *Deployment) started(domain, task string) {
 	d.cordons.mu.Lock()
-	since, closed := d.cordons.since[domain]
+	since, cordoned := d.cordons.since[domain]
 	d.cordons.mu.Unlock()
 	if away := d.Store.lastAway(); away.After(since) {
 		since = away
 	}
-	if closed && time.Since(since) > cordonBound {
+	if cordoned && time.Since(since) > cordonBound {
 		d.Recorder.wrong(fmt.Sprintf("%s was started %v after %s was cordoned", task, time.Since(since), domain))
 	}
 }
--- a/lab/prepared/foreign.go
+++ b/lab/prepared/foreign.go
@@ -7,7 +7,8 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// foreignValues are what another writer may leave in a row of any table.
+// foreignValues are values that another writer may leave in a row of any table: invalid Base64, no
+// value, JSON of another shape, and targets with invalid or missing fields.
 var foreignValues = []string{
 	"%%%",
 	"",
@@ -19,14 +20,14 @@
 	base64.StdEncoding.EncodeToString([]byte(`{"service":"s","zone":"domain-1","state":"ready","capacity":{"cpu":99000}}`)),
 }
 
-// foreignTables are those that hold a row for each key in their empty part.
+// foreignTables are the tables whose rows are in the empty partition.
 var foreignTables = []string{wire.TargetsTable, claimsTable}
 
-// claimsTable is the daemon's own table of claims.
+// claimsTable is the daemon's table of claims.
 const claimsTable = "owners"
 
-// foreignRows has another writer leave rows that can't be read, and one in the place of a
-// target's, until its own word is back.
+// writeForeignRows adds unreadable rows to the tables and overwrites the row of a target with one.
+// The returned function removes them and restores the target's row.
 func (s *soaker) foreignRows() (end func()) {
 	for i, value := range foreignValues {
 		for _, table := range foreignTables {
--- a/lab/prepared/recorder.go
+++ b/lab/prepared/recorder.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Recorder sees all targets, and which tasks run twice at one time.
+// Recorder records starts and ends of runs on all targets, and breaches of the rules of starts.
 type Recorder struct {
 	mu       sync.Mutex
 	running  map[string]int
 	starts   map[string]int
 	doubled  []string
 	finished int
-	// done holds the tasks of which a run has ended as done and was taken note of,
-	// repeated those that were started again afterwards.
+	// done has the tasks with an acknowledged completion, repeated those that were started again
+	// after it.
 	done     map[string]bool
 	repeated []string
 	// startedAt is when each task was last started.
 	startedAt map[string]time.Time
-	// wrongs are other things that must not be.
+	// violations are other breaches.
 	wrongs []string
 	gangs  gangs
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{
 		running: map[string]int{}, starts: map[string]int{}, done: map[string]bool{}, startedAt: map[string]time.Time{},
@@ -33,27 +33,30 @@
 	}
 }
 
+// addViolation records a breach of a rule.
 func (r *Recorder) wrong(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wrongs = append(r.wrongs, what)
 }
 
-// Wrong lists starts that were ordered too early, or to go on from what another task
-// saved.
+// Violations lists breaches other than doubled and repeated tasks: starts that came too early, that
+// passed the saved state of another task, that put a background task beside a latency-sensitive
+// one, or that came into a cordoned failure domain.
 func (r *Recorder) Wrong() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.wrongs)
 }
 
-// Running reports whether a task runs.
+// IsRunning reports whether a task runs on any target.
 func (r *Recorder) Running(task string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running[task] > 0
 }
 
+// runStarted records the start of a run.
 func (r *Recorder) began(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,6 +70,7 @@
 	}
 }
 
+// runEnded records the end of a run.
 func (r *Recorder) ended(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,18 +78,19 @@
 	r.finished++
 }
 
-// finish takes the end of a run that did its work and was taken note of.
+// completionAcknowledged records that the owner has acknowledged the completion of a task. A later
+// start of the task than the completion is a repetition.
 func (r *Recorder) finish(task string, ended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.done[task] = true
 	if started := r.startedAt[task]; started.After(ended) {
-		r.repeated = append(r.repeated, fmt.Sprintf("%s at %s, before its end was taken note of", task, started.Format(time.StampMilli)))
+		r.repeated = append(r.repeated, fmt.Sprintf("%s at %s, before its completion was acknowledged", task, started.Format(time.StampMilli)))
 	}
 }
 
-// Repeated lists tasks that were started again after an end that was taken note of then
-// or later.
+// Repeated lists tasks that were started again after a completion that was acknowledged before or
+// after that start.
 func (r *Recorder) Repeated() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +104,7 @@
 	return slices.Clone(r.doubled)
 }
 
-// Started reports whether any task of a job began.
+// HasStarted reports whether any task of a job was started.
 func (r *Recorder) Started(job string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/prepared/store.go
+++ b/lab/prepared/store.go
@@ -1,6 +1,12 @@
-// Package prepared is a stand-in for the prepared machines: the platform's store,
-// its targets, callers and the operator, on this machine's loopback addresses. It
-// speaks the platform's own messages, one copy of which serves the adapter as well.
+// Package prepared simulates the platform for the daemon's real processes on the loopback
+// addresses of one machine: the store, the targets, the adviser, the callers and the operator.
+//
+// Its input is the daemon's binary, the size of the deployment, and the faults that a test or
+// command injects. Its output is tallies of what callers saw and a recorder of what targets saw.
+// They show whether a task ran twice at one time, a refused job had started, an accepted durable
+// job was lost, or a start broke a rule.
+//
+// Messages are the types of platform/wire, which the daemon uses as well.
 package prepared
 
 import (
@@ -20,34 +26,38 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// Store is a stand-in of the metadata store.
+// Store simulates the platform's store: versioned rows, a feed of changes, and transactions that
+// expect versions.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]wire.Row
 	version int64
+	// oldest is the version up to which history is lost.
 	oldest  int64
 	history []wire.Row
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 	began   time.Time
-	// away turns away those who call these of its addresses; "" stands for all.
+	// unavailable has the addresses of the store that answer each call with 503; "" stands for
+	// all.
 	away map[string]bool
-	// wentBack is when it last began to answer all again.
+	// availableSince is when an outage last ended.
 	wentBack time.Time
-	// lost is the number of writes to come that are done and not answered.
+	// lostAnswers is the number of further writes that are applied and not answered.
 	lost int
 }
 
-// clockBase is what the store's clock stood at when it began: far from any clock that a
-// VM has of its own.
+// clockBase is the store's clock at its start. It is far from the clock of any VM, so that a
+// confusion of the two shows.
 const clockBase = 100_000 * time.Hour
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{rows: map[string]wire.Row{}, changed: make(chan struct{}), began: time.Now(), away: map[string]bool{}}
 }
 
-// Away sets whether the store turns away those who call one of its addresses; ""
-// stands for all.
+// SetUnavailable begins or ends an outage for the callers of one of the store's addresses; ""
+// stands for all addresses.
 func (s *Store) Away(host string, away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +68,7 @@
 	s.wake()
 }
 
-// lastAway is when the store last turned somebody away.
+// lastUnavailable is the end of the last outage, or now during one.
 func (s *Store) lastAway() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,25 +80,25 @@
 	return s.wentBack
 }
 
-// LoseAnswers has the next writes be done and not answered.
+// LoseAnswers has the next count writes be applied and not answered.
 func (s *Store) LoseAnswers(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = count
 }
 
-// Compact forgets all history.
+// Compact discards the history, so that feeds from an older version are answered with 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.version
 }
 
-// Write puts a row without a condition, as the operator and the targets do.
+// Write puts a row without expecting a version, as the operator and the targets do.
 func (s *Store) Write(table, key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("a stand-in's row: " + err.Error())
+		panic("encode row: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +106,7 @@
 	s.put(wire.Row{Table: table, Key: key, Value: base64.StdEncoding.EncodeToString(data)})
 }
 
-// WriteRaw puts a row as any other writer may leave it: its value needn't be readable.
+// WriteRaw puts a row whose value may be unreadable, as another writer may leave it.
 func (s *Store) WriteRaw(table, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +114,7 @@
 	s.put(wire.Row{Table: table, Key: key, Value: value})
 }
 
-// Remove drops a row.
+// Remove deletes a row.
 func (s *Store) Remove(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,9 +122,10 @@
 	s.put(wire.Row{Table: table, Key: key, Deleted: true})
 }
 
-// place is where a row lies.
-func place(table, part, key string) string { return table + "/" + part + "/" + key }
+// rowID identifies a row of a partition of a table.
+func place(table, partition, key string) string { return table + "/" + partition + "/" + key }
 
+// put applies a row or its deletion at the current version. The caller holds s.mu.
 func (s *Store) put(row wire.Row) {
 	row.Version = s.version
 	id := place(row.Table, row.Part, row.Key)
@@ -127,12 +138,13 @@
 	s.wake()
 }
 
+// wake has all waiting feeds look for changes. The caller holds s.mu.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// claim reads who owns a group.
+// claim returns the claim of a group of targets; nil without a readable one.
 func (s *Store) claim(group string) *linkpb.Claim {
 	s.mu.Lock()
 	row, ok := s.rows[place("owners", "", group)]
@@ -166,6 +178,7 @@
 	}
 }
 
+// isUnavailable reports whether a request came in on an address with an outage.
 func (s *Store) turnsAway(r *http.Request) bool {
 	host := ""
 	if local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
@@ -176,13 +189,16 @@
 	return s.away[""] || s.away[host]
 }
 
-// readLimit is the most rows in one answer.
+// pageSize is the number of rows of a read without a limit.
 const readLimit = 500
 
+// answer writes all rows as the answer.
 func (s *Store) answer(w http.ResponseWriter, status int, rows []wire.Row) {
 	s.page(w, status, rows, false)
 }
 
+// writePage writes rows as the answer, which tells whether it is truncated, the store's version
+// and its clock.
 func (s *Store) page(w http.ResponseWriter, status int, rows []wire.Row, truncated bool) {
 	s.mu.Lock()
 	body := wire.Rows{Rows: rows, Truncated: truncated, Version: s.version, NowMS: (clockBase + time.Since(s.began)).Milliseconds()}
@@ -191,6 +207,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
+// read answers with the rows of a partition from a key on, in the order of keys.
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get(wire.LimitParameter))
@@ -209,6 +226,8 @@
 	s.page(w, http.StatusOK, rows[:min(limit, len(rows))], limit < len(rows))
 }
 
+// feed answers with the changes of a table after a version. It waits for one up to the caller's
+// wait, and answers 410 if history that it needs is lost.
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get(wire.AfterParameter), 10, 64)
@@ -248,6 +267,8 @@
 	}
 }
 
+// write applies a transaction. A conflict is answered with the current rows; a lost answer breaks
+// the connection after the transaction was applied.
 func (s *Store) write(w http.ResponseWriter, r *http.Request) {
 	var tx wire.Transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
@@ -265,7 +286,8 @@
 	}
 }
 
-// apply makes all changes or none, and returns the rows that were expected as they are.
+// apply makes all changes of a transaction or, if a row does not have its expected version, none.
+// It returns the current rows among the expected ones, and whether the answer is to be lost.
 func (s *Store) apply(tx wire.Transaction) (current []wire.Row, applied, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
