--- a/lab/prepared/target.go
+++ b/lab/prepared/target.go
@@ -13,59 +13,68 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// leaseMax is the longest lease that a target grants.
+// maxLease is the longest lease that a target grants.
 const leaseMax = time.Second
 
-// Target is a stand-in of a target. The payload of its tasks is their plan.
+// Target simulates a target: starts and stops under fencing tokens, one lease for all its runs, and
+// completions that it keeps until they are acknowledged. The payload of a task is a plan, which
+// says what the task does.
 type Target struct {
 	ID string
-	// entry is its own in the registry.
+	// entry is its row in the registry.
 	entry    wire.Target
 	capacity int64
 	recorder *Recorder
-	// started is told of each start.
+	// onStart is called at each start.
 	started func(task string)
 	adviser *Adviser
 
-	mu      sync.Mutex
-	free    int64
-	fence   int64
-	until   int64
+	mu   sync.Mutex
+	free int64
+	// highestToken is the highest fencing token seen; orders with a lower one are refused.
+	fence int64
+	// leaseUntil is the end of the lease, by the target's clock.
+	until int64
+	// highestRun is the highest run number of each task that ended or was stopped; starts of
+	// this one and earlier ones are refused.
 	highest map[string]int64
 	running map[string]*running
-	ended   []wire.End
-	number  int64
-	// endedAt is when each listed run ended, lapsed when the lease was last found over.
+	// completions are those not acknowledged yet, lastCompletion is the number of the newest one.
+	ended  []wire.End
+	number int64
+	// endedAt is when each unacknowledged completion ended, lapsedAt when the lease was last
+	// renewed after it had lapsed.
 	endedAt map[int64]time.Time
 	lapsed  time.Time
+	// changed is closed and replaced at each completion.
 	changed chan struct{}
 	began   time.Time
-	// hung targets end nothing, silent ones answer nothing.
+	// A hung target ends no run by itself, a silent one answers nothing.
 	hung, silent bool
-	// lateShare of the orders get no answer and are carried out after lateDelay,
-	// lostShare of them are not carried out either.
+	// lateShare is the share of orders that get no answer and are carried out after lateDelay,
+	// lostShare that of orders that get no answer and are not carried out.
 	lateShare, lostShare float64
 }
 
-// lateDelay is more than a lease and a caller's pause, so that late orders meet
-// later runs of their task.
+// lateDelay is longer than a lease and a caller's retry delay, so that late orders meet later runs
+// of their task.
 const lateDelay = 1500 * time.Millisecond
 
-// Disturb sets the shares of orders that are late and lost.
+// SetOrderFaults sets the shares of orders that are late and that are lost.
 func (t *Target) Disturb(late, lost float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lateShare, t.lostShare = late, lost
 }
 
-// Disturb sets the shares of orders that are late and lost at all targets.
+// SetOrderFaults sets the shares of orders that are late and that are lost at all targets.
 func (d *Deployment) Disturb(late, lost float64) {
 	for _, target := range d.Targets {
 		target.Disturb(late, lost)
 	}
 }
 
-// disturbs decides on one order.
+// drawOrderFault draws whether an order is late, lost or neither.
 func (t *Target) disturbs() (late, lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,6 +82,7 @@
 	return draw < t.lateShare, draw >= t.lateShare && draw < t.lateShare+t.lostShare
 }
 
+// activeRun is a run of a task on a target.
 type running struct {
 	run  int64
 	cpu  int64
@@ -80,8 +90,7 @@
 	*worker
 }
 
-// NewTarget makes a target with an amount of processor, in thousandths of a core,
-// that each task takes taskCPU of.
+// NewTarget returns a target with a capacity in thousandths of a core.
 func NewTarget(id string, capacity int64, recorder *Recorder, adviser *Adviser) *Target {
 	return &Target{
 		ID: id, capacity: capacity, free: capacity, recorder: recorder, adviser: adviser,
@@ -89,21 +98,22 @@
 	}
 }
 
-// Hang sets whether the target ends its tasks.
+// SetHung sets whether the target's runs stay without an end.
 func (t *Target) Hang(hung bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hung = hung
 }
 
-// Silence sets whether the target answers.
+// SetSilent sets whether the target leaves requests unanswered.
 func (t *Target) Silence(silent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silent = silent
 }
 
-// Crash ends the target's life: all that runs is over.
+// Crash ends all runs without a completion, also those of other members of their gangs, and leaves
+// the target silent.
 func (t *Target) Crash() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,6 +125,7 @@
 	t.running = map[string]*running{}
 }
 
+// clockMS is the target's clock in milliseconds since shortly before its start.
 func (t *Target) clock() int64 { return 1000 + time.Since(t.began).Milliseconds() }
 
 // ServeHTTP implements http.Handler.
@@ -146,7 +157,8 @@
 	}
 }
 
-// leaveUnanswered carries an order out late, if at all.
+// leaveUnanswered keeps a request without an answer, and carries its order out after lateDelay if
+// late is set.
 func (t *Target) leaveUnanswered(r *http.Request, late bool) {
 	body, _ := io.ReadAll(r.Body)
 	if late {
@@ -155,6 +167,7 @@
 	<-r.Context().Done()
 }
 
+// carryOut decodes and carries out an order whose answer is not sent.
 func (t *Target) carryOut(path string, body []byte) {
 	switch path {
 	case wire.StartPath:
@@ -176,7 +189,7 @@
 	}
 }
 
-// serve decodes a message, has it handled and encodes the answer.
+// serve decodes a request, calls handle and encodes the answer; one with a reason is a refusal.
 func serve[In, Out any](w http.ResponseWriter, r *http.Request, handle func(In) (Out, string)) {
 	var in In
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -190,10 +203,12 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
+// orderAnswer returns the answer to an order; an empty reason stands for done.
 func (t *Target) answer(reason string) (wire.OrderAnswer, string) {
 	return wire.OrderAnswer{ClockMS: t.clock(), Reason: reason}, reason
 }
 
+// checkToken reports whether a token is lower than one seen before, and otherwise records it.
 func (t *Target) fenced(token int64) bool {
 	if token < t.fence {
 		return true
@@ -202,6 +217,7 @@
 	return false
 }
 
+// renewLease extends the lease up to a time of the target's clock, at most by maxLease from now.
 func (t *Target) prolong(until int64) {
 	if t.clock() > t.until {
 		t.lapsed = time.Now()
@@ -209,9 +225,11 @@
 	t.until = max(t.until, min(until, t.clock()+leaseMax.Milliseconds()))
 }
 
-// taskCPU is what a task of the stand-in takes.
+// taskCPU is the processor need of each task that is not a background task, in thousandths of a
+// core.
 const taskCPU = 10000
 
+// start handles a start order. A repeated order for a run that is running is answered as done.
 func (t *Target) start(in wire.Start) (wire.OrderAnswer, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -234,29 +252,32 @@
 	return t.answer("")
 }
 
+// startRun starts a run and records each rule that the start breaks: a background task beside a
+// latency-sensitive one, the saved state of another task, a start before the due time.
 func (t *Target) begin(in wire.Start) {
-	w, own := newWorker(planOf(in.Spec), in.Task, in.Checkpoint)
+	w, ownState := newWorker(planOf(in.Spec), in.Task, in.Checkpoint)
 	r := &running{run: in.Run, cpu: takes(w.plan), worker: w}
 	t.running[in.Task] = r
 	t.free -= r.cpu
 	for task, other := range t.running {
 		if other.fills && r.serves || other.serves && r.fills {
-			t.recorder.wrong(in.Task + " was started beside " + task + ", which disturbs it or is disturbed")
+			t.recorder.wrong(in.Task + " was started beside " + task + ", one a background task, the other latency-sensitive")
 		}
 	}
 	t.recorder.began(in.Task)
 	t.started(in.Task)
-	if !own {
-		t.recorder.wrong(in.Task + " was told to go on from " + in.Checkpoint)
+	if !ownState {
+		t.recorder.wrong(in.Task + " was started with the saved state of another task: " + in.Checkpoint)
 	}
 	if early := w.dueAt(in.Task) - time.Duration(time.Now().UnixNano()); early > 0 {
-		t.recorder.wrong(fmt.Sprintf("%s began %v before it was due", in.Task, early))
+		t.recorder.wrong(fmt.Sprintf("%s was started %v before it was due", in.Task, early))
 	}
 	t.goOn(in.Task, r)
 	t.watch(in.Task, r)
 }
 
-// goOn has a run do its work, or wait for its gang.
+// proceed begins a run's work. A lasting task fails after a random time between half and all of
+// maxLastingRun. A member of a gang waits until all members run, and fails after gangWait.
 func (t *Target) goOn(task string, r *running) {
 	switch {
 	case r.lasting:
@@ -277,8 +298,8 @@
 	}
 }
 
-// work does a part of a run's work, saves where it does, and ends it when all is done. A
-// gang's last member to come works for all.
+// work does a part of a run's work, saves the progress if the task saves, and ends the run when all
+// is done. In a gang only the member that started last works, for all members.
 func (t *Target) work(task string, r *running) {
 	part := r.length - r.done
 	if r.saves {
@@ -294,7 +315,7 @@
 	})
 }
 
-// after does something to a run that still goes on by then, unless the target is hung.
+// afterUnlessHung calls do after a time if the run still goes on and the target is not hung.
 func (t *Target) after(task string, r *running, pause time.Duration, do func()) {
 	r.stop = time.AfterFunc(pause, func() {
 		t.mu.Lock()
@@ -305,18 +326,19 @@
 	})
 }
 
-// apart ends the other members of a gang, as done if the work is.
+// endGang ends the other members of a run's gang: as done if the run was done, else as broken.
 func (t *Target) apart(task string, r *running, how ...string) {
 	if r.gang == 0 {
 		return
 	}
 	for other, at := range t.recorder.gangs.leave(gangKey(r.key, r.run), task) {
-		// The others' targets may be at work for this one at the same moment.
+		// Another target may call endGang for this one at the same time. A goroutine avoids
+		// a deadlock of their mutexes.
 		go at.follow(other, r, len(how) > 0 && how[0] == "done")
 	}
 }
 
-// follow ends a member as another one of its gang has ended.
+// endMember ends a member of a gang after another member has ended.
 func (t *Target) follow(task string, other *running, done bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -331,7 +353,7 @@
 	t.end(task, r, how)
 }
 
-// takes is the processor that a task takes of its target's.
+// cpuNeed is the processor need of a task. Background tasks need none of the target's capacity.
 func takes(p plan) int64 {
 	if p.fills {
 		return 0
@@ -339,7 +361,7 @@
 	return taskCPU
 }
 
-// watch ends a run whose lease has lapsed.
+// endOnLapse ends a run as soon as the lease has lapsed.
 func (t *Target) watch(task string, r *running) {
 	time.AfterFunc(time.Duration(t.until-t.clock()+1)*time.Millisecond, func() {
 		t.mu.Lock()
@@ -355,6 +377,8 @@
 	})
 }
 
+// end ends a run, adds its completion and ends the other members of its gang. The caller holds
+// t.mu.
 func (t *Target) end(task string, r *running, how string) {
 	if t.running[task] != r {
 		return
@@ -372,6 +396,7 @@
 	t.changed = make(chan struct{})
 }
 
+// stop handles a stop order, and refuses later starts of the same run and earlier ones.
 func (t *Target) stop(in wire.Stop) (wire.OrderAnswer, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -385,12 +410,15 @@
 	return t.answer("")
 }
 
-// held is the answer to a hold, or its refusal.
+// holdAnswer is the answer to a hold request, or its refusal.
 type held struct {
 	wire.Held
 	Reason string `json:"reason,omitempty"`
 }
 
+// hold handles a long poll: it renews the lease, drops the completions that are acknowledged, and
+// answers with the running tasks and the other completions as soon as there is one or the wait is
+// over.
 func (t *Target) hold(in wire.Hold) (held, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -419,11 +447,11 @@
 	return held{Held: out}, ""
 }
 
-// forget drops the ends that are taken note of. One that did its work stands for good,
-// unless the lease has lapsed since.
-func (t *Target) forget(seen int64) {
+// acknowledge drops the completions up to a number. A task that was done must not start again
+// after this, unless the lease lapsed between its completion and the acknowledgement.
+func (t *Target) forget(upTo int64) {
 	t.ended = slices.DeleteFunc(t.ended, func(e wire.End) bool {
-		if e.Number > seen {
+		if e.Number > upTo {
 			return false
 		}
 		if ended := t.endedAt[e.Number]; e.How == "done" && t.lapsed.Before(ended) && t.clock() <= t.until {
