--- a/lab/prepared/adviser.go
+++ b/lab/prepared/adviser.go
@@ -14,32 +14,35 @@
 
 // Times of the adviser.
 const (
-	// adviceTime is what an answer takes, and adviceEach more for each target named.
+	// adviceTime is the time of an answer, adviceTimePerTarget the additional time for each
+	// target in the request.
 	adviceTime = 5 * time.Millisecond
 	adviceEach = 500 * time.Microsecond
-	// ticketTime is how long a ticket is valid.
+	// ticketLifetime is how long a ticket is valid.
 	ticketTime = 2 * time.Second
 )
 
-// maxAdvice is how many calls of a machine may wait.
+// maxWaitingCalls is how many calls of a VM may wait for their turn.
 const maxAdvice = 32
 
-// Adviser is a stand-in of the service that knows which targets may run a step of a queue
-// with advice: two of three. It answers one call of a VM at a time.
+// Adviser simulates the service that decides which targets may run a step of a queue with advice,
+// and gives tickets for them. It allows two of three targets for each step, and answers one call
+// of each VM at a time.
 type Adviser struct {
 	mu      sync.Mutex
 	turns   map[string]*sync.Mutex
 	waiting map[string]int
-	// tickets are until when each one is valid.
+	// tickets has the end of the validity of each ticket.
 	tickets map[string]time.Time
 }
 
-// NewAdviser makes an adviser that has given no ticket.
+// NewAdviser returns an adviser that has given no ticket.
 func NewAdviser() *Adviser {
 	return &Adviser{turns: map[string]*sync.Mutex{}, waiting: map[string]int{}, tickets: map[string]time.Time{}}
 }
 
-// may reports whether a target may run a step; that doesn't change.
+// mayRun reports whether a target may run a step. It depends on the two names alone, so that it
+// never changes.
 func may(step, target string) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(step + target))
@@ -65,7 +68,8 @@
 	_ = json.NewEncoder(w).Encode(a.answer(vm, in))
 }
 
-// enter has a VM's call wait for its turn, unless too many do.
+// enterQueue counts a VM's waiting call and returns the mutex of its turns; false if too many calls
+// of the VM wait.
 func (a *Adviser) enter(vm string) (*sync.Mutex, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,6 +83,7 @@
 	return a.turns[vm], true
 }
 
+// answer returns the allowed targets of a request with a ticket for each.
 func (a *Adviser) answer(vm string, in wire.Advise) wire.Advice {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,7 +100,7 @@
 	return advice
 }
 
-// admits reports whether a ticket lets a target start a task.
+// isValidTicket reports whether a ticket allows a target to start a task now.
 func (a *Adviser) admits(ticket, task, target string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lab/prepared/callers.go
+++ b/lab/prepared/callers.go
@@ -14,27 +14,27 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// resendAfter is how long callers wait before they send a job again.
+// retryDelay is how long callers wait before they send a job again.
 const resendAfter = 1300 * time.Millisecond
 
-// maxSends bounds how often a caller sends one job.
+// maxSends is how often a caller sends one job.
 const maxSends = 4
 
-// Tally counts how callers' jobs ended.
+// Tally counts the outcomes of best-effort jobs.
 type Tally struct {
 	mu sync.Mutex
-	// Completed, Failed, Refused and Lost are counts of jobs; a lost one had no
-	// answer from any of its sends.
+	// Completed, Failed, Refused and Lost are numbers of jobs. A lost one had no answer to any of
+	// its sends.
 	Completed, Failed, Refused, Lost int
-	// Resent counts the sends after the first.
+	// Resent counts the sends after each job's first.
 	Resent int
-	// Untrue lists refused jobs of which something ran.
+	// FalseRefusals lists jobs that were refused at their first send although a task had started.
 	Untrue []string
-	// Slowest is the longest time to an answer that came at the first send.
+	// Slowest is the longest time to an answer to a first send.
 	Slowest time.Duration
 }
 
-// String is one line.
+// String formats the counts as one line.
 func (t *Tally) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,8 +42,8 @@
 		t.Completed, t.Failed, t.Refused, t.Lost, t.Resent, t.Slowest.Round(time.Millisecond))
 }
 
-// Load has callers hand in jobs until the context ends, and waits for their
-// answers. Each caller of a domain keeps to the VMs of its domain.
+// Load submits best-effort jobs at a rate until the context ends, and waits for their answers. Each
+// caller belongs to a failure domain and calls the VMs of that domain only.
 func (d *Deployment) Load(ctx context.Context, perSecond int) *Tally {
 	tally := &Tally{}
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -62,7 +62,7 @@
 	}
 }
 
-// call hands in one job as the platform's callers do.
+// submitJob submits one job, and sends it again after retryDelay while it has no answer.
 func (d *Deployment) call(client *http.Client, tally *Tally) {
 	id := fmt.Sprintf("%s%015x", otherDigit, rand.Uint64()>>4)
 	domain := domainName(rand.IntN(d.options.Domains))
@@ -85,28 +85,30 @@
 	tally.add(func() { tally.Lost++ })
 }
 
-// jobBody draws a job of up to so many tasks of 20 to so many milliseconds.
-func jobBody(bestEffort bool, longest, tasks int) []byte {
-	run := 20 + rand.IntN(longest)
+// drawJobBody draws a job of up to maxTasks tasks whose run time is between 20 ms and 20 ms plus
+// runRange.
+func jobBody(bestEffort bool, runRange, maxTasks int) []byte {
+	run := 20 + rand.IntN(runRange)
 	body, err := json.Marshal(wire.Job{
 		Spec: fmt.Sprint(run), BestEffort: bestEffort,
-		Steps: []wire.Step{{Count: 1 + rand.IntN(tasks), CPU: taskCPU, MemoryMB: 64, EstimateMS: float64(run)}},
+		Steps: []wire.Step{{Count: 1 + rand.IntN(maxTasks), CPU: taskCPU, MemoryMB: 64, EstimateMS: float64(run)}},
 	})
 	if err != nil {
-		panic("a stand-in's job: " + err.Error())
+		panic("encode job: " + err.Error())
 	}
 	return body
 }
 
+// update changes the counts under the mutex.
 func (t *Tally) add(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
 }
 
-// judge counts a final answer and reports whether there was one. A refusal says that
-// nothing ran where it answers the first send: one before it without an answer may have
-// run.
+// countAnswer counts a final answer and reports whether it was one. A refusal of the first send
+// promises that nothing has started. A refusal of a later send does not, since an earlier send
+// without an answer may have started the job.
 func (d *Deployment) judge(tally *Tally, id string, status int, state string, send int) bool {
 	switch {
 	case status == http.StatusOK && state == "completed":
@@ -127,7 +129,7 @@
 	return true
 }
 
-// pick is a VM of a domain that is in rotation, or any VM of it where none is.
+// pickVM draws a VM of a failure domain that is in rotation, or any VM of it if none is.
 func (d *Deployment) pick(domain string) *VM {
 	var all, ready []*VM
 	for _, vm := range d.VMs {
@@ -145,6 +147,7 @@
 	return all[rand.IntN(len(all))]
 }
 
+// post submits a job to a VM, with a deadline of 5 s. The status is 0 without an answer.
 func post(client *http.Client, vm *VM, path string, body []byte) (status int, state string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -168,11 +171,11 @@
 	return response.StatusCode, answer.State
 }
 
-// Oversized hands in a job whose task fits no target.
+// SubmitOversized submits a job with a task that needs more than the capacity of any target.
 func (d *Deployment) Oversized() {
 	body, err := json.Marshal(wire.Job{BestEffort: true, Steps: []wire.Step{{Count: 1, CPU: 2 * targetCPU, EstimateMS: 50}}})
 	if err != nil {
-		panic("a stand-in's job: " + err.Error())
+		panic("encode job: " + err.Error())
 	}
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
--- a/lab/prepared/deployment.go
+++ b/lab/prepared/deployment.go
@@ -19,20 +19,21 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// Options of a Deployment.
+// Options are the size and the paths of a Deployment.
 type Options struct {
-	// Binary is the daemon's program, Dir a folder for settings and logs.
+	// Binary is the path of the daemon's binary, Dir a folder for settings and logs.
 	Binary, Dir string
-	// Domains, VMs and Targets are counts, the latter two for each domain.
+	// Domains is the number of failure domains; VMs and Targets are numbers in each of them.
 	Domains, VMs, Targets int
-	// CPUShare is what the settings say that a VM has of a core; 0 takes the usual.
+	// CPUShare is the share of a core that the settings give each VM; 0 stands for
+	// defaultCPUShare.
 	CPUShare float64
 }
 
-// usualCPUShare is the smallest VM's of the first sites.
+// defaultCPUShare is that of the smallest VM of the sites kasa and thapa.
 const usualCPUShare = 0.4
 
-// Ports of the VMs, each of which has a loopback address of its own.
+// Ports of the VMs. Each VM has a loopback address of its own.
 const (
 	frontendPort = 8161
 	readyPort    = 8167
@@ -41,33 +42,33 @@
 	lastPort     = 7735
 )
 
-// MetricsPort is where each VM serves its metrics.
+// MetricsPort is the port at which each VM serves its metrics.
 const MetricsPort = 9464
 
-// targetCPU lets a target run three tasks at a time.
+// targetCPU is the capacity of a target, for three tasks at a time.
 const targetCPU = 3*taskCPU + taskCPU/2
 
-// Host and Path reach the stand-in's usual queue, AdvisedPath the one with advice.
+// Host and Path select the queue without advice, Host and AdvisedPath the one with advice.
 const (
 	Host        = "queue.example"
 	Path        = "/jobs/"
 	AdvisedPath = "/advised/"
 )
 
-// Deployment is a whole deployment on this machine.
+// Deployment is a deployment on this machine: the daemon's processes and the simulated platform.
 type Deployment struct {
 	options  Options
 	Store    *Store
 	Recorder *Recorder
 	Adviser  *Adviser
-	// adviser is where it listens.
+	// adviser is the adviser's address.
 	adviser string
 	Targets []*Target
 	VMs     []*VM
 	servers []*http.Server
 	version int64
 	cordons cordons
-	// lasting counts the jobs that were drawn to last.
+	// lasting counts the draws of lasting jobs, also of those that were not allowed.
 	lasting atomic.Int64
 	stopped chan struct{}
 }
@@ -75,7 +76,7 @@
 // VM is an entry VM with its process.
 type VM struct {
 	Name, Domain, IP string
-	// StoreIP is the address of the store that only this VM calls.
+	// StoreIP is the store's address for this VM alone, so that an outage can affect one VM.
 	StoreIP     string
 	dir, binary string
 	store       string
@@ -90,10 +91,10 @@
 	done    chan error
 }
 
-// Frontend is where callers reach the VM.
+// Frontend is the VM's address for callers.
 func (v *VM) Frontend() string { return net.JoinHostPort(v.IP, fmt.Sprint(frontendPort)) }
 
-// Start begins a deployment with all its processes.
+// Start starts the simulated platform and the processes of all VMs.
 func Start(o Options) (*Deployment, error) {
 	if o.CPUShare == 0 {
 		o.CPUShare = usualCPUShare
@@ -141,10 +142,11 @@
 	return d, nil
 }
 
-// rotationPause paces the readiness checks; the platform's are once a second.
+// rotationInterval is the time between two readiness checks of a VM. That of the platform is one
+// second.
 const rotationPause = 200 * time.Millisecond
 
-// rotate keeps a VM in or out of rotation.
+// rotate puts a VM into rotation while it is ready, and takes it out otherwise.
 func (d *Deployment) rotate(vm *VM) {
 	ticker := time.NewTicker(rotationPause)
 	defer ticker.Stop()
@@ -158,8 +160,8 @@
 	}
 }
 
-// Owner is the VM that owns a domain's targets, as the store says; nil before one
-// does.
+// Owner returns the VM that owns a failure domain's targets by the store's claim; nil before the
+// first one.
 func (d *Deployment) Owner(domain int) *VM {
 	claim := d.Store.claim(domainName(domain))
 	for _, vm := range d.VMs {
@@ -170,9 +172,9 @@
 	return nil
 }
 
-// WaitReady waits until all VMs are ready, and reports whether they are.
-func (d *Deployment) WaitReady(within time.Duration) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// WaitReady waits until all VMs are ready, and reports whether they were in time.
+func (d *Deployment) WaitReady(timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ready := 0
 		for _, vm := range d.VMs {
 			if vm.Ready() {
@@ -186,6 +188,7 @@
 	return false
 }
 
+// domainName is the name of the failure domain with an index.
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
 // Configure writes a new configuration and returns its version.
@@ -203,6 +206,7 @@
 	return d.version
 }
 
+// listen serves HTTP at an address until Stop, and returns the address with its port.
 func (d *Deployment) listen(address string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -214,6 +218,7 @@
 	return listener.Addr().String(), nil
 }
 
+// addTarget starts a target and registers it.
 func (d *Deployment) addTarget(domain, index int) error {
 	t := NewTarget(fmt.Sprintf("i-%d-%d", domain, index), targetCPU, d.Recorder, d.Adviser)
 	address, err := d.listen("127.0.8.1:0", t)
@@ -230,10 +235,10 @@
 	return nil
 }
 
-// list writes a target's own entry.
+// register writes a target's row of the registry.
 func (d *Deployment) list(t *Target) { d.Store.Write(wire.TargetsTable, t.ID, t.entry) }
 
-// Stop ends all processes and servers.
+// Stop kills all processes and closes all servers.
 func (d *Deployment) Stop() {
 	close(d.stopped)
 	for _, vm := range d.VMs {
@@ -244,7 +249,7 @@
 	}
 }
 
-// Start begins the VM's process.
+// Start writes the VM's settings and starts its process.
 func (v *VM) Start() error {
 	settings := filepath.Join(v.dir, v.Name+".conf")
 	if err := os.WriteFile(settings, []byte(v.settings()), 0o600); err != nil {
@@ -269,9 +274,10 @@
 	return nil
 }
 
-// Log is the path of the process's output.
+// Log returns the path of the file with the process's output.
 func (v *VM) Log() string { return filepath.Join(v.dir, v.Name+".log") }
 
+// settings returns the content of the VM's settings file.
 func (v *VM) settings() string {
 	lines := []string{
 		"node_name=" + v.Name, "zone=" + v.Domain, "ip=" + v.IP,
@@ -288,7 +294,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process, if there is one.
 func (v *VM) Signal(signal syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -297,13 +303,13 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its end.
 func (v *VM) Kill() {
 	v.Signal(syscall.SIGKILL)
 	_ = v.Wait(context.Background())
 }
 
-// Wait returns how the process ended.
+// Wait waits for the end of the process and returns its error; nil if there is no process.
 func (v *VM) Wait(ctx context.Context) error {
 	v.mu.Lock()
 	done := v.done
@@ -320,7 +326,7 @@
 	}
 }
 
-// Ready reports whether the VM says that it serves callers.
+// Ready reports whether the VM answers a readiness check with 200.
 func (v *VM) Ready() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond}
 	response, err := client.Get(fmt.Sprintf("http://%s:%d%s", v.IP, readyPort, wire.ReadinessPath))
--- a/lab/prepared/kept.go
+++ b/lab/prepared/kept.go
@@ -83,7 +83,7 @@
 	job, p := d.keptJob()
 	body, err := json.Marshal(job)
 	if err != nil {
-		panic("a stand-in's job: " + err.Error())
+		panic("encode job: " + err.Error())
 	}
 	for send := range maxSends {
 		if send > 0 {
--- a/lab/prepared/recover.go
+++ b/lab/prepared/recover.go
@@ -93,7 +93,7 @@
 		RepeatCount: 1, FirstRunMS: float64(due.UnixMilli()),
 	})
 	if err != nil {
-		panic("a stand-in's job: " + err.Error())
+		panic("encode job: " + err.Error())
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: recoverSenders}}
 	defer client.CloseIdleConnections()
