--- a/lab/prepared/command.go
+++ b/lab/prepared/command.go
@@ -12,27 +12,33 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The demo's size and times.
+// Size and times of the demo.
 const (
+	// demoVMs and demoTargets are numbers in each failure domain.
 	demoDomains, demoVMs, demoTargets = 3, 3, 4
-	demoLoad                          = 60
-	demoStart                         = 5 * time.Second
-	demoStep                          = 3 * time.Second
-	demoLost                          = 20
+	// demoJobsPerSecond is the rate of jobs.
+	demoLoad = 60
+	// demoStartTimeout is how long the VMs have to become ready.
+	demoStart = 5 * time.Second
+	// demoStepTime is the time between two faults.
+	demoStep = 3 * time.Second
+	// demoMaxLost is how many jobs may stay without an answer.
+	demoLost = 20
 )
 
-// Command runs the demo.
+// Command is the command that runs the demo: load under a fixed sequence of faults.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "prepared",
-		Usage: "run burdockward on a stand-in of the prepared machines, under load and faults",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "binary", Usage: "the daemon's program", Value: "bin/burdockward"}},
+		Usage: "run burdockward on simulated machines of the platform, under load and a sequence of faults",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "binary", Usage: "`PATH` of the daemon's binary", Value: "bin/burdockward"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return demo(ctx, cmd.String("binary"))
 		},
 	}
 }
 
+// demo starts a deployment, runs load and faults on it and checks the result.
 func demo(ctx context.Context, binary string) error {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
@@ -49,7 +55,7 @@
 	}
 	defer d.Stop()
 	if !d.WaitReady(demoStart) {
-		return errors.New("not all VMs were ready in time: see whether the loopback addresses are free")
+		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	fmt.Printf("%d VMs in %d failure domains with %d targets are ready\n", len(d.VMs), demoDomains, len(d.Targets))
 	load, stop := context.WithCancel(ctx)
@@ -61,7 +67,8 @@
 	return d.report(<-tally)
 }
 
-// trouble plays a planned stop, a killed owner and an outage of the store.
+// injectFaults plays a planned stop of an owner, a killed owner, a cordon and an outage of the
+// store, one after the other.
 func (d *Deployment) trouble(ctx context.Context) {
 	pause(ctx, demoStep)
 	if owner := d.Owner(0); owner != nil {
@@ -82,13 +89,14 @@
 	pause(ctx, demoStep)
 	d.Cordon(domainName(2), false)
 	pause(ctx, demoStep)
-	fmt.Println("the store is away")
+	fmt.Println("outage of the store")
 	d.Store.Away("", true)
 	pause(ctx, demoStep)
 	d.Store.Away("", false)
 	pause(ctx, demoStep)
 }
 
+// pause waits for a time or the end of the context.
 func pause(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -96,17 +104,18 @@
 	}
 }
 
+// report prints the counts and returns an error for each outcome that must not occur.
 func (d *Deployment) report(tally *Tally) error {
 	fmt.Println(tally)
 	doubled := d.Recorder.Doubled()
 	switch {
 	case len(doubled) > 0:
-		return fmt.Errorf("tasks ran twice at one time: %v", doubled)
+		return fmt.Errorf("tasks ran twice at the same time: %v", doubled)
 	case len(tally.Untrue) > 0:
-		return fmt.Errorf("jobs were refused though they had begun: %v", tally.Untrue)
+		return fmt.Errorf("jobs were refused although they had started: %v", tally.Untrue)
 	case tally.Lost > demoLost:
-		return fmt.Errorf("%d jobs were lost", tally.Lost)
+		return fmt.Errorf("%d jobs had no answer", tally.Lost)
 	}
-	fmt.Println("nothing ran twice, no refusal was untrue")
+	fmt.Println("no task ran twice at the same time, no refused job had started")
 	return nil
 }
--- a/lab/prepared/kept.go
+++ b/lab/prepared/kept.go
@@ -13,32 +13,33 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// keptDigit begins the IDs of kept jobs, otherDigit those of others.
+// durablePrefix is the first digit of the IDs of durable jobs, bestEffortPrefix that of others.
 const (
 	keptDigit  = "f"
 	otherDigit = "0"
 )
 
-// Times of callers whose jobs are kept.
+// Times of the callers of durable jobs.
 const (
-	// askPause is between two questions for a job's state.
+	// statePollInterval is the time between two requests for a job's state.
 	askPause = 100 * time.Millisecond
-	// settleTime is how long after the end of the load jobs have to end.
+	// endTimeout is how long jobs have to end after the end of the load.
 	settleTime = 15 * time.Second
 )
 
-// KeptTally counts how kept jobs fared.
+// DurableTally counts the outcomes of durable jobs.
 type KeptTally struct {
 	mu sync.Mutex
-	// Accepted jobs ended as Completed, Failed or Cancelled; Refused ones were not
-	// accepted, Unsaid ones had no answer to any send.
+	// Accepted jobs ended as Completed, Failed or Cancelled. Refused jobs were not accepted.
+	// Unanswered jobs had no answer to any send.
 	Accepted, Completed, Failed, Cancelled, Refused, Unsaid int
-	// Wrong lists what must not be: accepted jobs that are gone or don't end, refused
-	// ones that ran, and cancelled ones that were done.
+	// Violations lists accepted jobs that are unknown, do not end or change their final state,
+	// refused jobs that ran, jobs that were cancelled without a request, and lasting jobs that do
+	// not run before they are cancelled or still run afterwards.
 	Wrong []string
 }
 
-// String is one line.
+// String formats the counts as one line.
 func (t *KeptTally) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,18 +47,20 @@
 		t.Accepted, t.Completed, t.Failed, t.Cancelled, t.Refused, t.Unsaid, len(t.Wrong))
 }
 
+// update changes the counts under the mutex.
 func (t *KeptTally) add(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
 }
 
+// addViolation records what must not have happened to a job.
 func (t *KeptTally) wrong(id, what string) {
 	t.add(func() { t.Wrong = append(t.Wrong, id+" "+what) })
 }
 
-// LoadKept has callers hand in jobs that are to be kept until the context ends, cancel
-// one in ten of them, and ask until all have ended.
+// LoadDurable submits durable jobs at a rate until the context ends, cancels one in ten, and polls
+// their states until all have ended.
 func (d *Deployment) LoadKept(ctx context.Context, perSecond int) *KeptTally {
 	tally := &KeptTally{}
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -76,7 +79,8 @@
 	}
 }
 
-// keep hands in one job and follows it to its end.
+// submitDurable submits one job, again after retryDelay while it has no answer, and follows it to
+// its end if it is accepted. A job that is refused at its first send must not start.
 func (d *Deployment) keep(ctx context.Context, client *http.Client, tally *KeptTally) {
 	id := fmt.Sprintf("%s%015x", keptDigit, rand.Uint64()>>4)
 	domain := domainName(rand.IntN(d.options.Domains))
@@ -103,7 +107,7 @@
 			if send == 0 {
 				time.Sleep(settlePause)
 				if d.Recorder.Started(id) {
-					tally.wrong(id, "was refused and ran")
+					tally.wrong(id, "was refused and has started")
 				}
 			}
 			return
@@ -112,18 +116,18 @@
 	tally.add(func() { tally.Unsaid++ })
 }
 
-// settlePause is after which a refused job that was going to run has begun.
+// lateStartTime is the time within which a refused job would have started, if it were to.
 const settlePause = 2 * time.Second
 
-// last lets a job run till the load ends, when it must still run, or do so again soon; then
-// it is cancelled.
+// followLasting waits for the end of the load, checks that a lasting job runs then or is restarted
+// within endTimeout, cancels it, and checks that it does not run any more.
 func (d *Deployment) last(ctx context.Context, client *http.Client, tally *KeptTally, id, domain string) {
 	<-ctx.Done()
 	task := id + ".0.0.0"
 	deadline := time.Now().Add(settleTime)
 	for !d.Recorder.Running(task) {
 		if time.Now().After(deadline) {
-			tally.wrong(id, "lasts and does not run")
+			tally.wrong(id, "is lasting and does not run")
 			break
 		}
 		time.Sleep(askPause)
@@ -131,11 +135,12 @@
 	d.follow(ctx, client, tally, id, domain, true)
 	time.Sleep(askPause)
 	if d.Recorder.Running(task) {
-		tally.wrong(id, "runs on after it was cancelled")
+		tally.wrong(id, "still runs after it was cancelled")
 	}
 }
 
-// follow asks for an accepted job's state until it has ended.
+// follow polls the state of an accepted job until it has ended, and counts its outcome. With cancel
+// it requests the cancellation until that is acknowledged.
 func (d *Deployment) follow(ctx context.Context, client *http.Client, tally *KeptTally, id, domain string, cancel bool) {
 	deadline := time.Time{}
 	cancelled := false
@@ -155,7 +160,7 @@
 		cancelled = cancelled || method == http.MethodDelete && status == http.StatusOK
 		switch {
 		case status == http.StatusGone:
-			tally.wrong(id, "is gone")
+			tally.wrong(id, "is unknown before its end")
 			return
 		case state == "completed":
 			tally.add(func() { tally.Completed++ })
@@ -168,7 +173,7 @@
 		case state == "cancelled":
 			tally.add(func() { tally.Cancelled++ })
 			if !cancel {
-				tally.wrong(id, "was cancelled by nobody")
+				tally.wrong(id, "was cancelled without a request")
 			}
 			d.remembered(ctx, client, tally, id, domain, state)
 			return
@@ -177,13 +182,14 @@
 	}
 }
 
-// remembered asks for the state of an ended job once more when the load has ended.
+// checkRemembered polls the state of an ended job once more after the end of the load. It must not
+// have changed.
 func (d *Deployment) remembered(ctx context.Context, client *http.Client, tally *KeptTally, id, domain, state string) {
 	<-ctx.Done()
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(askPause) {
 		switch status, now := d.ask(client, http.MethodGet, domain, id); {
 		case status == http.StatusGone:
-			tally.wrong(id, "was "+state+" and is forgotten")
+			tally.wrong(id, "was "+state+" and is unknown now")
 			return
 		case status == http.StatusOK && now != state:
 			tally.wrong(id, "was "+state+" and is "+now)
@@ -192,10 +198,11 @@
 			return
 		}
 	}
-	tally.wrong(id, "was "+state+" and nobody tells")
+	tally.wrong(id, "was "+state+" and its state can't be read")
 }
 
-// ask asks a VM of a domain about a job.
+// requestState sends a request about a job to a VM of a failure domain: GET for its state, DELETE
+// to cancel it. The status is 0 without an answer.
 func (d *Deployment) ask(client *http.Client, method, domain, id string) (status int, state string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
--- a/lab/prepared/kinds.go
+++ b/lab/prepared/kinds.go
@@ -11,25 +11,28 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// plan is what a task of the stand-in does. It is written in the payload of its job, as
-// words: a run time in milliseconds, then what makes it special.
+// plan says what a simulated task does. The payload of its job has it as words: the run time in
+// milliseconds, then the words of payload for the other properties.
 type plan struct {
+	// runTime is the work of the task; a gang does it once.
 	length time.Duration
-	// gang is the number of members; 0 for a task by itself.
+	// gang is the number of members of its gang; 0 without a gang.
 	gang int
-	// lasting tasks end by themselves only now and then, badly.
+	// lasting tasks run until they are cancelled, and fail now and then.
 	lasting bool
-	// advised tasks start with a ticket of the adviser alone.
+	// advised tasks start only with a ticket of the adviser.
 	advised bool
-	// fills tasks take no room of their target, and may not run beside those that serve.
+	// background tasks take none of a target's capacity, and must not run on a target beside
+	// latency-sensitive ones.
 	fills, serves bool
-	// saves has the task save its work as it goes.
+	// saves has the task save its progress.
 	saves bool
-	// due is when the first occurrence is due, every the time to the next.
+	// due is when the first occurrence is due, since 1970, and interval the time between two
+	// occurrences.
 	due, every time.Duration
 }
 
-// payload writes a plan.
+// payload encodes a plan.
 func (p plan) payload() string {
 	words := []string{strconv.FormatInt(p.length.Milliseconds(), 10)}
 	if p.gang > 0 {
@@ -56,7 +59,7 @@
 	return strings.Join(words, " ")
 }
 
-// planOf reads a plan. What isn't one is a task that ends at once.
+// parsePlan decodes a plan. A payload that is none stands for a task that ends at once.
 func planOf(payload string) plan {
 	var p plan
 	words := strings.Fields(payload)
@@ -91,7 +94,7 @@
 	return p
 }
 
-// dueAt is when a task's occurrence is due, since 1970; 0 for at once.
+// dueAt is when the occurrence in a task's name is due, since 1970; 0 stands for at once.
 func (p plan) dueAt(task string) time.Duration {
 	if p.due == 0 {
 		return 0
@@ -102,24 +105,26 @@
 
 // Times of special tasks.
 const (
-	// saveInterval is how much work a saving task does between two saves.
+	// saveInterval is the work that a task does between two saves.
 	saveInterval = 100 * time.Millisecond
-	// gangWait is how long a member of a gang waits for the others.
+	// gangTimeout is how long a member of a gang waits for the others to start.
 	gangWait = 3 * time.Second
-	// lastingLife bounds how long a lasting task runs before it fails.
+	// maxLastingRun is the longest time that a lasting task runs before it fails.
 	lastingLife = 6 * time.Second
 )
 
-// work is the run of a plan: how much is done, and what it has saved.
+// worker is the progress of a run of a plan.
 type worker struct {
 	plan
+	// key identifies the owner of the saved state: the task, or the whole gang.
 	key   string
 	saved string
-	done  time.Duration
+	// done is the work that is done.
+	done time.Duration
 }
 
-// newWorker makes the worker of a run that goes on from a checkpoint; false says that
-// the checkpoint isn't its own.
+// newWorker returns the worker of a run that continues from a checkpoint, and whether the
+// checkpoint is one of the same task or gang. No checkpoint stands for a run from the beginning.
 func newWorker(p plan, task, checkpoint string) (*worker, bool) {
 	w := &worker{plan: p, key: task, saved: checkpoint}
 	if p.gang > 0 {
@@ -134,21 +139,23 @@
 	return w, err == nil && key == w.key && p.saves
 }
 
-// save takes note that more is done.
+// save records the work done so far as the saved state.
 func (w *worker) save(done time.Duration) {
 	w.done = done
 	w.saved = fmt.Sprintf("%s@%d", w.key, done.Milliseconds())
 }
 
-// gangs are the gangs of which a member runs, at all targets.
+// gangs has the gangs with running members on all targets.
 type gangs struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// members has the target of each running member, by gang and task.
 	members map[string]map[string]*Target
 }
 
+// gangKey identifies the run of a gang.
 func gangKey(key string, run int64) string { return fmt.Sprintf("%s run %d", key, run) }
 
-// join adds a member and reports whether the gang is whole.
+// join adds a member and reports whether all members of the gang run.
 func (g *gangs) join(key string, task string, t *Target, size int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,14 +166,14 @@
 	return len(g.members[key]) == size
 }
 
-// size is how many members run.
+// size returns the number of running members.
 func (g *gangs) size(key string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.members[key])
 }
 
-// leave takes a gang apart and returns its other members.
+// remove removes a gang because one member ended, and returns its other members.
 func (g *gangs) leave(key, task string) map[string]*Target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,7 +183,8 @@
 	return others
 }
 
-// keptJob draws a kept job of one of the kinds, with its plan.
+// drawDurableJob draws a durable job and its plan: a gang, a recurring job of two steps, a task
+// that saves its progress, a lasting task, background tasks, or plain tasks.
 func (d *Deployment) keptJob() (wire.Job, plan) {
 	p := plan{length: time.Duration(20+rand.IntN(300)) * time.Millisecond}
 	step := wire.Step{Count: 1 + rand.IntN(3), CPU: taskCPU, MemoryMB: 64, EstimateMS: float64(p.length.Milliseconds())}
@@ -205,7 +213,7 @@
 	return job, p
 }
 
-// path is where a job of a plan is handed in.
+// path returns the path of the queue for a plan.
 func (p plan) path() string {
 	if p.advised {
 		return AdvisedPath
@@ -213,10 +221,11 @@
 	return Path
 }
 
-// servingTarget is below what the tail of serving tasks has to stay, in milliseconds.
+// tailLatencyTargetMS is the declared target of the tail latency of latency-sensitive tasks.
 const servingTarget = 50
 
-// mostLasting leaves room for other work.
+// maxLasting is the number of lasting jobs of a deployment. It leaves capacity for other work.
 const mostLasting = 2
 
+// mayDrawLasting reports whether one more lasting job may be drawn, and counts it.
 func (d *Deployment) mayLast() bool { return d.lasting.Add(1) <= mostLasting }
