--- a/lab/prepared/recover.go
+++ b/lab/prepared/recover.go
@@ -18,25 +18,27 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-// Sizes and times of the recovery.
+// Sizes and times of the recovery measurement.
 const (
+	// recoverVMs and recoverTargets are numbers in each failure domain.
 	recoverDomains, recoverVMs, recoverTargets = 3, 2, 4
-	// recoverSenders hand in jobs side by side.
+	// recoverSenders is the number of callers that submit jobs concurrently.
 	recoverSenders = 64
-	// recoverDue is when the jobs are due: long after the measurement.
+	// recoverDue is the time until the jobs are due, so that none starts during the measurement.
 	recoverDue = time.Hour
-	// recoverLimit bounds the wait for the jobs.
+	// recoverTimeout is how long the VMs have to know all jobs again.
 	recoverLimit = 30 * time.Second
 )
 
-// RecoverCommand measures how long kept jobs take to be back after all VMs are lost.
+// RecoverCommand is the command that measures how long it takes until durable jobs are known again
+// after the loss of all VMs.
 func RecoverCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "recover",
-		Usage: "hand in kept jobs that wait, kill all VMs at once, and time until each job is known again",
+		Usage: "submit durable jobs that are due later, kill all VMs at once, and measure the time until each job is known again",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "binary", Usage: "the daemon's program", Value: "bin/burdockward"},
-			&cli.IntFlag{Name: "jobs", Usage: "how many jobs are kept", Value: 10_000},
+			&cli.StringFlag{Name: "binary", Usage: "`PATH` of the daemon's binary", Value: "bin/burdockward"},
+			&cli.IntFlag{Name: "jobs", Usage: "number of durable jobs", Value: 10_000},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return recoverAll(ctx, cmd.String("binary"), cmd.Int("jobs"))
@@ -44,6 +46,8 @@
 	}
 }
 
+// measureRecovery submits jobs, kills and restarts all VMs, and prints the times until the VMs are
+// ready and the jobs are pending again.
 func recoverAll(ctx context.Context, binary string, jobs int) error {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
@@ -60,7 +64,7 @@
 	}
 	defer d.Stop()
 	if !d.WaitReady(demoStart) {
-		return errors.New("not all VMs were ready in time: see whether the loopback addresses are free")
+		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	began := time.Now()
 	ids := d.handInWaiting(jobs)
@@ -75,7 +79,7 @@
 		}
 	}
 	if !d.WaitReady(demoStart) {
-		return errors.New("not all VMs were ready again in time")
+		return errors.New("not all VMs are ready again in time")
 	}
 	fmt.Printf("all VMs ready after %v\n", time.Since(began).Round(time.Millisecond))
 	if missing := d.pendingBy(ctx, len(ids), recoverLimit); missing > 0 {
@@ -85,7 +89,8 @@
 	return d.eachKnown(ids)
 }
 
-// handInWaiting hands in jobs that are due later, and returns those that were accepted.
+// submitFutureJobs submits durable jobs that are due after recoverDue, and returns the IDs of the
+// accepted ones.
 func (d *Deployment) handInWaiting(jobs int) []string {
 	due := time.Now().Add(recoverDue)
 	body, err := json.Marshal(wire.Job{
@@ -117,11 +122,12 @@
 	return ids
 }
 
-// pendingBy waits until a VM counts all jobs as pending, and returns how many it misses.
-func (d *Deployment) pendingBy(ctx context.Context, jobs int, within time.Duration) int {
+// awaitPending waits until the first VM reports all jobs as pending, and returns how many are
+// missing at the timeout.
+func (d *Deployment) pendingBy(ctx context.Context, jobs int, timeout time.Duration) int {
 	client := &http.Client{}
 	pending := 0
-	for end := time.Now().Add(within); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		if pending = d.pending(client); pending >= jobs {
 			return 0
 		}
@@ -129,6 +135,7 @@
 	return jobs - pending
 }
 
+// requestPending asks the first VM for the number of pending jobs; 0 without an answer.
 func (d *Deployment) pending(client *http.Client) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+d.VMs[0].Frontend()+Path, http.NoBody)
 	if err != nil {
@@ -145,7 +152,7 @@
 	return answer.Pending
 }
 
-// eachKnown asks for the state of each job.
+// checkQueued requests the state of each job, and returns an error unless all are queued.
 func (d *Deployment) eachKnown(ids []string) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: recoverSenders}}
 	defer client.CloseIdleConnections()
@@ -166,8 +173,8 @@
 	}
 	askers.Wait()
 	if n := unknown.Load(); n > 0 {
-		return fmt.Errorf("%d of %d jobs are not told as queued", n, len(ids))
+		return fmt.Errorf("%d of %d jobs are not reported as queued", n, len(ids))
 	}
-	fmt.Printf("all %d jobs are told as queued\n", len(ids))
+	fmt.Printf("all %d jobs are reported as queued\n", len(ids))
 	return nil
 }
--- a/lab/prepared/soak.go
+++ b/lab/prepared/soak.go
@@ -17,28 +17,30 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The soak's size and times.
+// Rates, times and limits of the soak test.
 const (
+	// soakJobsPerSecond is the rate of best-effort jobs, soakDurablePerSecond that of durable
+	// ones.
 	soakLoad, soakKept = 60, 15
-	// soakPause is the longest pause between two faults, soakFault the longest fault: a
-	// fault often begins before the last one is over.
+	// soakMaxPause is the longest time between the begins of two faults, soakMaxFault the longest
+	// fault. Faults often overlap, since a fault may last longer than a pause.
 	soakPause = 3 * time.Second
 	soakFault = 4 * time.Second
-	// soakLost is the share of jobs that may have no answer, as their callers' VMs were
-	// lost with them.
+	// soakMaxLostShare is the share of best-effort jobs that may have no answer because the VMs
+	// that their callers called were lost.
 	soakLost = 0.02
 )
 
-// SoakCommand runs the soak.
+// SoakCommand is the command that runs the soak test: load under random faults.
 func SoakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run burdockward on a stand-in of the prepared machines under random faults, and judge what callers and targets see",
+		Usage: "run burdockward on simulated machines of the platform under random faults, and check what callers and targets see",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "binary", Usage: "the daemon's program", Value: "bin/burdockward"},
-			&cli.DurationFlag{Name: "for", Usage: "how long faults come", Value: 2 * time.Minute},
-			&cli.FloatFlag{Name: "cpu-share", Usage: "what each VM has of a core: 0.01 has owners use relays", Value: usualCPUShare},
-			&cli.Uint64Flag{Name: "seed", Usage: "draws the faults; the same seed draws the same ones", Value: 1},
+			&cli.StringFlag{Name: "binary", Usage: "`PATH` of the daemon's binary", Value: "bin/burdockward"},
+			&cli.DurationFlag{Name: "for", Usage: "time during which faults begin", Value: 2 * time.Minute},
+			&cli.FloatFlag{Name: "cpu-share", Usage: "share of a core of each VM; with 0.01 owners need relays", Value: usualCPUShare},
+			&cli.Uint64Flag{Name: "seed", Usage: "seed of the faults; equal seeds draw equal faults", Value: 1},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return soak(ctx, cmd.String("binary"), cmd.Duration("for"), cmd.Uint64("seed"), cmd.Float("cpu-share"))
@@ -46,6 +48,8 @@
 	}
 }
 
+// soak starts a deployment, runs load and random faults on it and checks the result. The logs are
+// kept if a check fails.
 func soak(ctx context.Context, binary string, length time.Duration, seed uint64, cpuShare float64) error {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
@@ -61,7 +65,7 @@
 	}
 	defer d.Stop()
 	if !d.WaitReady(demoStart) {
-		return errors.New("not all VMs were ready in time: see whether the loopback addresses are free")
+		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
@@ -81,16 +85,17 @@
 	return os.RemoveAll(dir)
 }
 
-// soaker plays faults on a deployment. A VM is under one fault at a time.
+// soaker injects faults into a deployment. Each VM has at most one fault of its process at a time.
 type soaker struct {
 	*Deployment
 	random *rand.Rand
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// faulty has the VMs whose process has a fault.
 	hurt map[*VM]bool
 }
 
-// take marks a VM as under a fault and reports whether it was free.
+// reserve marks a VM as faulty and reports whether it was not before.
 func (s *soaker) take(vm *VM) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,13 +106,14 @@
 	return true
 }
 
+// release marks a VM as free of faults.
 func (s *soaker) release(vm *VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.hurt, vm)
 }
 
-// on plays a fault on a VM, if it is free.
+// injectInto begins a fault of a VM's process unless it has one, and returns what ends the fault.
 func (s *soaker) on(vm *VM, begin, heal func(*VM)) (end func()) {
 	if !s.take(vm) {
 		return nothing
@@ -119,7 +125,7 @@
 	}
 }
 
-// any is a VM drawn at random.
+// drawVM draws a VM.
 func (s *soaker) any() *VM { return s.VMs[s.random.IntN(len(s.VMs))] }
 
 func kill(vm *VM) { vm.Kill() }
@@ -131,13 +137,13 @@
 
 func nothing() {}
 
-// fault is one kind of trouble: it begins and returns what ends it.
+// fault is a kind of fault: begin injects it and returns what ends it.
 type fault struct {
 	name  string
 	begin func(s *soaker) (end func())
 }
 
-// soakFaults are drawn with equal chance.
+// soakFaults are the faults of the soak test, each drawn with the same probability.
 var soakFaults = []fault{
 	{"VM killed", func(s *soaker) func() { return s.on(s.any(), kill, restart) }},
 	{"owner killed", func(s *soaker) func() { return s.on(s.Owner(s.random.IntN(s.options.Domains)), kill, restart) }},
@@ -207,59 +213,60 @@
 	}},
 }
 
-// play plays faults for a time, several at once, and counts them.
+// injectFaults injects random faults for a time, several at once, waits until all have ended, and
+// counts them by name.
 func (s *soaker) play(ctx context.Context, length time.Duration) map[string]int {
 	counts := map[string]int{}
 	ended := make(chan struct{}, len(soakFaults))
-	under := 0
+	open := 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := soakFaults[s.random.IntN(len(soakFaults))]
 		lasts := time.Duration(s.random.Int64N(int64(soakFault)))
 		next := time.Duration(s.random.Int64N(int64(soakPause)))
 		counts[f.name]++
 		heal := f.begin(s)
-		under++
+		open++
 		go func() {
 			pause(ctx, lasts)
 			heal()
 			ended <- struct{}{}
 		}()
 		pause(ctx, next)
-		for ; under > 0 && len(ended) > 0; under-- {
+		for ; open > 0 && len(ended) > 0; open-- {
 			<-ended
 		}
 	}
-	for ; under > 0; under-- {
+	for ; open > 0; open-- {
 		<-ended
 	}
 	return counts
 }
 
-// judgeSoak prints what was seen and tells what must not be.
+// checkSoak prints the counts and returns an error for the first outcome that must not occur.
 func (d *Deployment) judgeSoak(tally *Tally, kept *KeptTally) error {
-	fmt.Println("answered when done:", tally)
-	fmt.Println("kept:", kept)
+	fmt.Println("best effort:", tally)
+	fmt.Println("durable:", kept)
 	jobs := tally.Completed + tally.Failed + tally.Refused + tally.Lost
 	switch doubled, repeated := d.Recorder.Doubled(), d.Recorder.Repeated(); {
 	case len(doubled) > 0:
-		return fmt.Errorf("tasks ran twice at one time: %v", doubled)
+		return fmt.Errorf("tasks ran twice at the same time: %v", doubled)
 	case len(tally.Untrue) > 0:
-		return fmt.Errorf("jobs were refused though they had begun: %v", tally.Untrue)
+		return fmt.Errorf("jobs were refused although they had started: %v", tally.Untrue)
 	case len(d.Recorder.Wrong()) > 0:
-		return fmt.Errorf("starts went wrong: %v", d.Recorder.Wrong())
+		return fmt.Errorf("starts broke rules: %v", d.Recorder.Wrong())
 	case len(kept.Wrong) > 0:
-		return fmt.Errorf("kept jobs went wrong: %v", kept.Wrong)
+		return fmt.Errorf("durable jobs had wrong outcomes: %v", kept.Wrong)
 	case len(ofKept(repeated)) > 0:
-		return fmt.Errorf("tasks of kept jobs started again after they were done: %v", ofKept(repeated))
+		return fmt.Errorf("tasks of durable jobs started again after they were done: %v", ofKept(repeated))
 	case float64(tally.Lost) > soakLost*float64(jobs):
 		return fmt.Errorf("%d of %d jobs had no answer", tally.Lost, jobs)
 	}
-	fmt.Println("nothing ran twice, nothing accepted was lost, no refusal was untrue")
+	fmt.Println("no task ran twice at the same time, no accepted job was lost, no refused job had started")
 	return nil
 }
 
-// ofKept picks the tasks of kept jobs: others may run again when their callers send
-// them again.
+// tasksOfDurable returns the tasks of durable jobs. Tasks of other jobs may run again when their
+// callers send them again.
 func ofKept(tasks []string) []string {
 	var kept []string
 	for _, task := range tasks {
