--- a/lab/prepared/e2e/kept_test.go
+++ b/lab/prepared/e2e/durable_test.go
@@ -11,15 +11,15 @@
 	"github.com/burdockward/burdockward/lab/prepared"
 )
 
-// underKept plays trouble beside a load of jobs that are to be kept: none of them may
-// be lost, run twice or end wrongly.
-func underKept(t *testing.T, d *prepared.Deployment, trouble func()) *prepared.KeptTally {
+// withDurableLoad calls inject during a load of durable jobs and returns their outcomes. No job may
+// be lost, run twice or end with a wrong outcome.
+func underKept(t *testing.T, d *prepared.Deployment, inject func()) *prepared.KeptTally {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	tally := make(chan *prepared.KeptTally, 1)
 	go func() { tally <- d.LoadKept(ctx, 20) }()
-	trouble()
+	inject()
 	stop()
 	result := <-tally
 	t.Log(result)
@@ -75,7 +75,7 @@
 	})
 }
 
-// The owner is lost while the store is away: its jobs wait for the store.
+// The owner is lost during an outage of the store: its jobs wait for the end of the outage.
 func TestKeptJobsWhileTheStoreIsAway(t *testing.T) {
 	d := start(t, 1, 2)
 	underKept(t, d, func() {
@@ -89,8 +89,8 @@
 	})
 }
 
-// A VM that has never reached the store is given the group by word and ends jobs as soon
-// as the store is back: its successor still knows of them.
+// A VM that has never reached the store takes over by the owner's message, and ends jobs as soon as
+// the outage is over. Its successor must still know these jobs.
 func TestKeptJobsOfAnOwnerByWord(t *testing.T) {
 	d := start(t, 1, 3)
 	underKept(t, d, func() {
--- a/lab/prepared/e2e/e2e_test.go
+++ b/lab/prepared/e2e/e2e_test.go
@@ -1,4 +1,5 @@
-// Package e2e runs burdockward's processes on the stand-in of the prepared machines.
+// Package e2e runs burdockward's processes against the simulated platform of lab/prepared, injects
+// faults under load, and checks what callers and targets see.
 package e2e
 
 import (
@@ -30,7 +31,7 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "no binary:", err)
+		fmt.Fprintln(os.Stderr, "build the daemon:", err)
 		os.Exit(1)
 	}
 	status := m.Run()
@@ -38,14 +39,16 @@
 	os.Exit(status)
 }
 
-// readyTime is ample for a start beside other work.
+// readyTimeout is ample for a start on a busy machine.
 const readyTime = 10 * time.Second
 
+// start starts a deployment with three targets in each failure domain.
 func start(t *testing.T, domains, vms int) *prepared.Deployment {
 	t.Helper()
 	return startWith(t, prepared.Options{Domains: domains, VMs: vms, Targets: 3})
 }
 
+// startWith starts a deployment and waits until it is ready. A failed test prints the VMs' logs.
 func startWith(t *testing.T, o prepared.Options) *prepared.Deployment {
 	t.Helper()
 	o.Binary, o.Dir = binary, t.TempDir()
@@ -64,14 +67,15 @@
 	return d
 }
 
-// under plays trouble beside load and returns how the callers fared.
-func under(t *testing.T, d *prepared.Deployment, trouble func()) *prepared.Tally {
+// withLoad calls inject during a load of best-effort jobs and returns their outcomes. No task may
+// run twice at the same time, no refused job may have started, and each job must have an answer.
+func under(t *testing.T, d *prepared.Deployment, inject func()) *prepared.Tally {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	tally := make(chan *prepared.Tally, 1)
 	go func() { tally <- d.Load(ctx, 40) }()
-	trouble()
+	inject()
 	stop()
 	result := <-tally
 	t.Log(result)
@@ -82,6 +86,7 @@
 	return result
 }
 
+// wait waits for a time while the load goes on.
 func let(d time.Duration) { <-time.After(d) }
 
 func TestCalmLoadIsServedWhole(t *testing.T) {
@@ -103,7 +108,7 @@
 	must.Eq(t, 0, result.Failed+result.Resent)
 }
 
-// The owner hands over by word when the store is away.
+// During an outage of the store the owner hands over its claim by a message to the successor.
 func TestPlannedStopOfTheOwnerWhileTheStoreIsAway(t *testing.T) {
 	d := start(t, 1, 3)
 	result := under(t, d, func() {
@@ -158,7 +163,8 @@
 	})
 }
 
-// Lost answers of the store leave no group without an owner.
+// A new owner is found although the store applies writes without answering them, and later loses
+// its history.
 func TestLostAnswersOfTheStore(t *testing.T) {
 	d := start(t, 1, 2)
 	under(t, d, func() {
@@ -184,7 +190,7 @@
 	})
 }
 
-// Orders without an answer, some of which are carried out much later.
+// Some orders get no answer, and some of these are carried out only after later runs have started.
 func TestLateAndLostOrders(t *testing.T) {
 	d := start(t, 1, 2)
 	under(t, d, func() {
@@ -195,7 +201,7 @@
 	})
 }
 
-// SIGHUP ends nothing; the settings are read again.
+// SIGHUP makes a VM read its settings again and interrupts no job.
 func TestHangupReadsTheSettingsAgain(t *testing.T) {
 	d := start(t, 1, 2)
 	result := under(t, d, func() {
@@ -213,7 +219,7 @@
 	}
 }
 
-// A VM that the store turns away learns the configuration from the others.
+// A VM for which the store is unavailable gets the configuration from the other VMs.
 func TestConfigurationReachesVMsThatTheStoreTurnsAway(t *testing.T) {
 	d := start(t, 1, 2)
 	vm := d.VMs[1]
@@ -236,9 +242,9 @@
 	}
 }
 
-// line is the rest of the line from a text on.
+// restOfLine returns the first occurrence of a text in a log and what follows it in its line.
 func line(log, from string) string {
-	rest := log[strings.Index(log, from):]
-	whole, _, _ := strings.Cut(rest, "\n")
-	return whole
+	tail := log[strings.Index(log, from):]
+	rest, _, _ := strings.Cut(tail, "\n")
+	return rest
 }
--- a/lab/prepared/e2e/metrics_test.go
+++ b/lab/prepared/e2e/metrics_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockward/burdockward/lab/prepared"
 )
 
-// metrics reads what a VM serves at its metrics address.
+// readMetrics returns the metrics that a VM serves.
 func metrics(t *testing.T, vm *prepared.VM) string {
 	t.Helper()
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", vm.IP, prepared.MetricsPort))
@@ -24,13 +24,13 @@
 	return string(body)
 }
 
-// Metrics tell how long jobs waited and ran, how orders were answered, why requests were
-// not served and how old the beliefs are.
+// The metrics have waiting and run times of jobs, answers of orders, causes of refusals, and the
+// age of the configuration, the claims and the registry.
 func TestMetricsTellWaitsCausesAndAges(t *testing.T) {
 	d := start(t, 1, 2)
 	under(t, d, func() { let(2500 * time.Millisecond) })
 	underKept(t, d, func() { let(time.Second) })
-	// A task that fits nowhere.
+	// A task that fits no target is refused.
 	d.Oversized()
 	let(1500 * time.Millisecond)
 	all := metrics(t, d.VMs[0]) + metrics(t, d.VMs[1])
--- a/lab/prepared/e2e/relay_test.go
+++ b/lab/prepared/e2e/relay_test.go
@@ -12,9 +12,11 @@
 	"github.com/burdockward/burdockward/lab/prepared"
 )
 
-// tinyShare is the processor of VMs that can carry three targets each.
+// relayingCPUShare is the share of a core at which a VM can serve three targets, so that owners need
+// relays.
 const tinyShare = 0.01
 
+// startWithRelays starts a deployment and waits until two VMs relay orders.
 func startWithRelays(t *testing.T) *prepared.Deployment {
 	t.Helper()
 	d := startWith(t, prepared.Options{Domains: 2, VMs: 4, Targets: 8, CPUShare: tinyShare})
@@ -23,22 +25,22 @@
 			return d
 		}
 	}
-	t.Fatal("no VM carries orders for another one")
+	t.Fatal("fewer than two VMs relay orders in time")
 	return nil
 }
 
-// relays are the VMs that have carried orders for an owner, but those that own targets now.
+// findRelays returns the VMs that have relayed orders for an owner and own no targets now.
 func relays(t *testing.T, d *prepared.Deployment) []*prepared.VM {
 	t.Helper()
-	var carrying []*prepared.VM
+	var found []*prepared.VM
 	for _, vm := range d.VMs {
 		log, err := os.ReadFile(vm.Log())
 		must.NoError(t, err)
 		if strings.Contains(string(log), `"msg":"carrying orders"`) && vm != d.Owner(0) && vm != d.Owner(1) {
-			carrying = append(carrying, vm)
+			found = append(found, vm)
 		}
 	}
-	return carrying
+	return found
 }
 
 func TestRelaysServeACalmLoadWhole(t *testing.T) {
@@ -51,12 +53,12 @@
 	d := startWithRelays(t)
 	under(t, d, func() {
 		let(500 * time.Millisecond)
-		carrying := relays(t, d)
-		carrying[0].Kill()
-		carrying[1].Signal(syscall.SIGSTOP)
+		serving := relays(t, d)
+		serving[0].Kill()
+		serving[1].Signal(syscall.SIGSTOP)
 		let(1500 * time.Millisecond)
-		carrying[1].Signal(syscall.SIGCONT)
-		must.NoError(t, carrying[0].Start())
+		serving[1].Signal(syscall.SIGCONT)
+		must.NoError(t, serving[0].Start())
 		let(1500 * time.Millisecond)
 	})
 }
--- a/lab/prepared/soak.go
+++ b/lab/prepared/soak.go
@@ -213,7 +213,7 @@
 	}},
 }
 
-// injectFaults injects random faults for a time, several at once, waits until all have ended, and
+// injectRandomFaults injects random faults for a time, several at once, waits until all have ended, and
 // counts them by name.
 func (s *soaker) play(ctx context.Context, length time.Duration) map[string]int {
 	counts := map[string]int{}
