--- a/lab/losses/command.go
+++ b/lab/losses/command.go
@@ -51,14 +51,14 @@
 // head and the group's name.
 func table(to io.Writer, head string, found []Loss, groupOf func(Loss) string) error {
 	counts := Count(found, groupOf)
-	rows, causes := map[string]int{}, map[Cause]int{}
+	groups, causes := map[string]int{}, map[Cause]int{}
 	for cell, n := range counts {
-		rows[cell.Of] += n
+		groups[cell.Of] += n
 		causes[cell.Cause] += n
 	}
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(out, "cause\tall\t")
-	names := slices.Sorted(maps.Keys(rows))
+	names := slices.Sorted(maps.Keys(groups))
 	for _, name := range names {
 		fmt.Fprintf(out, "%s %s\t", head, name)
 	}
--- a/lab/prepared/deployment.go
+++ b/lab/prepared/deployment.go
@@ -61,14 +61,14 @@
 	Store    *Store
 	Recorder *Recorder
 	Adviser  *Adviser
-	// adviser is the adviser's address.
+	// adviserAddress is where the adviser listens.
 	adviser string
 	Targets []*Target
 	VMs     []*VM
 	servers []*http.Server
 	version int64
 	cordons cordons
-	// lasting counts the draws of lasting jobs, also of those that were not allowed.
+	// lastingDraws counts the draws of lasting jobs, also those above maxLasting.
 	lasting atomic.Int64
 	stopped chan struct{}
 }
--- a/lab/prepared/e2e/relay_test.go
+++ b/lab/prepared/e2e/relay_test.go
@@ -12,8 +12,8 @@
 	"github.com/burdockward/burdockward/lab/prepared"
 )
 
-// relayingCPUShare is the share of a core at which a VM can serve three targets, so that owners need
-// relays.
+// relayingCPUShare is the share of a core at which a VM can serve three targets, so that owners
+// need relays.
 const tinyShare = 0.01
 
 // startWithRelays starts a deployment and waits until two VMs relay orders.
--- a/lab/prepared/foreign.go
+++ b/lab/prepared/foreign.go
@@ -8,7 +8,7 @@
 )
 
 // foreignValues are values that another writer may leave in a row of any table: invalid Base64, no
-// value, JSON of another shape, and targets with invalid or missing fields.
+// value, invalid JSON, JSON of another shape, and targets with invalid or missing fields.
 var foreignValues = []string{
 	"%%%",
 	"",
--- a/lab/prepared/recorder.go
+++ b/lab/prepared/recorder.go
@@ -56,7 +56,7 @@
 	return r.running[task] > 0
 }
 
-// runStarted records the start of a run.
+// recordStart records the start of a run.
 func (r *Recorder) began(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// runEnded records the end of a run.
+// recordEnd records the end of a run.
 func (r *Recorder) ended(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,8 +78,8 @@
 	r.finished++
 }
 
-// completionAcknowledged records that the owner has acknowledged the completion of a task. A later
-// start of the task than the completion is a repetition.
+// recordAcknowledgement records that the owner has acknowledged the completion of a task. A start
+// after the completion counts as a repetition.
 func (r *Recorder) finish(task string, ended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 	return slices.Clone(r.repeated)
 }
 
-// Doubled lists tasks that ran twice at one time.
+// Doubled lists tasks of which two runs were running at the same time.
 func (r *Recorder) Doubled() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/prepared/soak.go
+++ b/lab/prepared/soak.go
@@ -22,7 +22,7 @@
 	// soakJobsPerSecond is the rate of best-effort jobs, soakDurablePerSecond that of durable
 	// ones.
 	soakLoad, soakKept = 60, 15
-	// soakMaxPause is the longest time between the begins of two faults, soakMaxFault the longest
+	// soakMaxPause is the longest time between the starts of two faults, soakMaxFault the longest
 	// fault. Faults often overlap, since a fault may last longer than a pause.
 	soakPause = 3 * time.Second
 	soakFault = 4 * time.Second
@@ -69,9 +69,9 @@
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
-	tally, kept := make(chan *Tally, 1), make(chan *KeptTally, 1)
+	tally, durable := make(chan *Tally, 1), make(chan *KeptTally, 1)
 	go func() { tally <- d.Load(load, soakLoad) }()
-	go func() { kept <- d.LoadKept(load, soakKept) }()
+	go func() { durable <- d.LoadKept(load, soakKept) }()
 	s := &soaker{Deployment: d, random: rand.New(rand.NewPCG(seed, 0)), hurt: map[*VM]bool{}}
 	counts := s.play(ctx, length)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
@@ -79,7 +79,7 @@
 	}
 	pause(ctx, demoStep)
 	stop()
-	if err := d.judgeSoak(<-tally, <-kept); err != nil {
+	if err := d.judgeSoak(<-tally, <-durable); err != nil {
 		return fmt.Errorf("%w; logs are in %s", err, dir)
 	}
 	return os.RemoveAll(dir)
@@ -213,21 +213,21 @@
 	}},
 }
 
-// injectRandomFaults injects random faults for a time, several at once, waits until all have ended, and
-// counts them by name.
+// injectRandomFaults injects random faults for a time, several at once, waits until all have ended,
+// and counts them by name.
 func (s *soaker) play(ctx context.Context, length time.Duration) map[string]int {
 	counts := map[string]int{}
 	ended := make(chan struct{}, len(soakFaults))
 	open := 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := soakFaults[s.random.IntN(len(soakFaults))]
-		lasts := time.Duration(s.random.Int64N(int64(soakFault)))
+		duration := time.Duration(s.random.Int64N(int64(soakFault)))
 		next := time.Duration(s.random.Int64N(int64(soakPause)))
 		counts[f.name]++
 		heal := f.begin(s)
 		open++
 		go func() {
-			pause(ctx, lasts)
+			pause(ctx, duration)
 			heal()
 			ended <- struct{}{}
 		}()
@@ -243,9 +243,9 @@
 }
 
 // checkSoak prints the counts and returns an error for the first outcome that must not occur.
-func (d *Deployment) judgeSoak(tally *Tally, kept *KeptTally) error {
+func (d *Deployment) judgeSoak(tally *Tally, durable *KeptTally) error {
 	fmt.Println("best effort:", tally)
-	fmt.Println("durable:", kept)
+	fmt.Println("durable:", durable)
 	jobs := tally.Completed + tally.Failed + tally.Refused + tally.Lost
 	switch doubled, repeated := d.Recorder.Doubled(), d.Recorder.Repeated(); {
 	case len(doubled) > 0:
@@ -254,8 +254,8 @@
 		return fmt.Errorf("jobs were refused although they had started: %v", tally.Untrue)
 	case len(d.Recorder.Wrong()) > 0:
 		return fmt.Errorf("starts broke rules: %v", d.Recorder.Wrong())
-	case len(kept.Wrong) > 0:
-		return fmt.Errorf("durable jobs had wrong outcomes: %v", kept.Wrong)
+	case len(durable.Wrong) > 0:
+		return fmt.Errorf("durable jobs had wrong outcomes: %v", durable.Wrong)
 	case len(ofKept(repeated)) > 0:
 		return fmt.Errorf("tasks of durable jobs started again after they were done: %v", ofKept(repeated))
 	case float64(tally.Lost) > soakLost*float64(jobs):
@@ -268,11 +268,11 @@
 // tasksOfDurable returns the tasks of durable jobs. Tasks of other jobs may run again when their
 // callers send them again.
 func ofKept(tasks []string) []string {
-	var kept []string
+	var durable []string
 	for _, task := range tasks {
 		if strings.HasPrefix(task, keptDigit) {
-			kept = append(kept, task)
+			durable = append(durable, task)
 		}
 	}
-	return kept
+	return durable
 }
--- a/lab/prepared/store.go
+++ b/lab/prepared/store.go
@@ -58,13 +58,13 @@
 
 // SetUnavailable begins or ends an outage for the callers of one of the store's addresses; ""
 // stands for all addresses.
-func (s *Store) Away(host string, away bool) {
+func (s *Store) Away(host string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away[host] && !away {
+	if s.away[host] && !unavailable {
 		s.wentBack = time.Now()
 	}
-	s.away[host] = away
+	s.away[host] = unavailable
 	s.wake()
 }
 
@@ -72,8 +72,8 @@
 func (s *Store) lastAway() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, away := range s.away {
-		if away {
+	for _, unavailable := range s.away {
+		if unavailable {
 			return time.Now()
 		}
 	}
@@ -197,8 +197,8 @@
 	s.page(w, status, rows, false)
 }
 
-// writePage writes rows as the answer, which tells whether it is truncated, the store's version
-// and its clock.
+// writePage writes rows as the answer, with the store's version and clock, and whether more rows
+// follow.
 func (s *Store) page(w http.ResponseWriter, status int, rows []wire.Row, truncated bool) {
 	s.mu.Lock()
 	body := wire.Rows{Rows: rows, Truncated: truncated, Version: s.version, NowMS: (clockBase + time.Since(s.began)).Milliseconds()}
--- a/lab/prepared/target.go
+++ b/lab/prepared/target.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// SetHung sets whether the target's runs stay without an end.
+// SetHung sets whether the target is hung. A run whose next step is due meanwhile never ends by
+// itself.
 func (t *Target) Hang(hung bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +126,7 @@
 	t.running = map[string]*running{}
 }
 
-// clockMS is the target's clock in milliseconds since shortly before its start.
+// clockMS is the target's clock in milliseconds. It is 1000 at the start.
 func (t *Target) clock() int64 { return 1000 + time.Since(t.began).Milliseconds() }
 
 // ServeHTTP implements http.Handler.
@@ -208,7 +209,8 @@
 	return wire.OrderAnswer{ClockMS: t.clock(), Reason: reason}, reason
 }
 
-// checkToken reports whether a token is lower than one seen before, and otherwise records it.
+// refusesToken reports whether a token is lower than the highest one seen, and otherwise records it
+// as the highest.
 func (t *Target) fenced(token int64) bool {
 	if token < t.fence {
 		return true
@@ -277,7 +279,7 @@
 }
 
 // proceed begins a run's work. A lasting task fails after a random time between half and all of
-// maxLastingRun. A member of a gang waits until all members run, and fails after gangWait.
+// maxLastingRun. A member of a gang waits until all members run, and ends after gangTimeout.
 func (t *Target) goOn(task string, r *running) {
 	switch {
 	case r.lasting:
--- a/lab/replay/baseline.go
+++ b/lab/replay/baseline.go
@@ -71,18 +71,18 @@
 	b.open[a] = len(a.runs)
 	var tasks []*lineTask
 	for i := range a.runs {
-		lt := &lineTask{arrival: a, run: work.Run{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].Each}
-		b.tasks[lt.run] = lt
-		tasks = append(tasks, lt)
-		line := b.lineFor(lt)
-		b.lines[line] = append(b.lines[line], lt)
+		task := &lineTask{arrival: a, run: work.Run{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].Each}
+		b.tasks[task.run] = task
+		tasks = append(tasks, task)
+		queue := b.lineFor(task)
+		b.lines[queue] = append(b.lines[queue], task)
 	}
 	b.world.at(a.at+time.Second+callerWait, func() { b.leave(a, tasks) })
 	b.place()
 }
 
 // chooseQueue returns the target in whose queue a task waits; nil stands for FIFO's queue.
-func (b *baseline) lineFor(lt *lineTask) *targetSim {
+func (b *baseline) lineFor(task *lineTask) *targetSim {
 	var chosen *targetSim
 	switch b.policy {
 	case Random:
@@ -96,7 +96,7 @@
 	default:
 		return nil
 	}
-	lt.at = chosen
+	task.at = chosen
 	b.outstanding[chosen]++
 	return chosen
 }
@@ -118,9 +118,9 @@
 }
 
 // firstFit returns the first target with free capacity for a task, or nil.
-func (b *baseline) firstFit(lt *lineTask) *targetSim {
+func (b *baseline) firstFit(task *lineTask) *targetSim {
 	for _, t := range b.targets {
-		if lt.need.Fits(t.free) {
+		if task.need.Fits(t.free) {
 			return t
 		}
 	}
@@ -128,66 +128,66 @@
 }
 
 // startFirst starts the first task of a queue on a target.
-func (b *baseline) startFirst(line, t *targetSim) {
-	lt := b.lines[line][0]
-	b.lines[line] = b.lines[line][1:]
-	lt.at = t
-	t.begin(lt.run, lt.arrival, lt.need)
-	lt.began = t.running[lt.run]
+func (b *baseline) startFirst(queue, t *targetSim) {
+	task := b.lines[queue][0]
+	b.lines[queue] = b.lines[queue][1:]
+	task.at = t
+	t.begin(task.run, task.arrival, task.need)
+	task.began = t.running[task.run]
 }
 
 // handleRunEnd records the end of a run, and its job's completion if it was the last one, and
 // starts waiting tasks.
 func (b *baseline) ended(run work.Run) {
-	lt := b.tasks[run]
+	task := b.tasks[run]
 	delete(b.tasks, run)
-	b.outstanding[lt.at]--
-	lt.done = true
-	a := lt.arrival
-	if left, waits := b.open[a]; waits && left == 1 {
+	b.outstanding[task.at]--
+	task.done = true
+	a := task.arrival
+	if remaining, isOpen := b.open[a]; isOpen && remaining == 1 {
 		delete(b.open, a)
 		b.world.completed(a, b.world.now-a.at-time.Second)
-	} else if waits {
-		b.open[a] = left - 1
+	} else if isOpen {
+		b.open[a] = remaining - 1
 	}
 	b.place()
 }
 
 // giveUpJob ends the runs of a job whose caller has left, and removes its waiting tasks.
 func (b *baseline) leave(a *arrival, tasks []*lineTask) {
-	if _, waits := b.open[a]; !waits {
+	if _, isOpen := b.open[a]; !isOpen {
 		return
 	}
 	delete(b.open, a)
 	b.world.count(a, func(c *Counts) { c.Failed++ })
-	for _, lt := range tasks {
+	for _, task := range tasks {
 		switch {
-		case lt.done:
-		case lt.began != nil:
-			lt.at.end(lt.run, lt.began, work.EndStopped)
+		case task.done:
+		case task.began != nil:
+			task.at.end(task.run, task.began, work.EndStopped)
 		default:
-			b.unqueue(lt)
+			b.unqueue(task)
 		}
 	}
 	b.place()
 }
 
 // dequeue removes a waiting task from its queue.
-func (b *baseline) unqueue(lt *lineTask) {
-	line := lt.at
+func (b *baseline) unqueue(task *lineTask) {
+	queue := task.at
 	if b.policy == FIFO {
-		line = nil
+		queue = nil
 	}
-	rest := b.lines[line][:0]
-	for _, other := range b.lines[line] {
-		if other != lt {
+	rest := b.lines[queue][:0]
+	for _, other := range b.lines[queue] {
+		if other != task {
 			rest = append(rest, other)
 		}
 	}
-	b.lines[line] = rest
-	delete(b.tasks, lt.run)
-	if lt.at != nil {
-		b.outstanding[lt.at]--
+	b.lines[queue] = rest
+	delete(b.tasks, task.run)
+	if task.at != nil {
+		b.outstanding[task.at]--
 	}
 }
 
--- a/lab/replay/choose.go
+++ b/lab/replay/choose.go
@@ -21,8 +21,8 @@
 	return max(entry.Choose(candidates, w.random.Float64()), 0)
 }
 
-// hasBetterOwner reports whether an owner outside refused has a shorter wait than the one that
-// a refusal named.
+// hasBetterOwner reports whether an owner outside refused has a shorter wait, at priority 0, than
+// the one that a refusal named.
 func (w *world) better(refused map[int]bool, wait time.Duration) bool {
 	for i, o := range w.owners {
 		if !refused[i] && o.loads.Wait[0] < wait {
--- a/lab/replay/cordons_losses.go
+++ b/lab/replay/cordons_losses.go
@@ -102,13 +102,13 @@
 // resubmitLater submits a caller's job again once owners run, after a random part of
 // resubmitSpread.
 func (w *world) comeBack(a *arrival) {
-	back := w.now
+	start := w.now
 	for _, l := range w.options.Site.Losses {
 		if end := l.At + l.For + time.Second; w.now >= l.At+time.Second && w.now <= end {
-			back = end
+			start = end
 		}
 	}
-	w.at(back+time.Duration(w.random.Int64N(int64(returnSpread))), func() { w.submit(a, map[int]bool{}) })
+	w.at(start+time.Duration(w.random.Int64N(int64(returnSpread))), func() { w.submit(a, map[int]bool{}) })
 }
 
 // restartOwners gives each owner a new scheduler that knows the targets and the cordons, and no
--- a/lab/replay/delegate.go
+++ b/lab/replay/delegate.go
@@ -37,14 +37,15 @@
 }
 
 // delegate submits a part of a job to another owner and returns its outcome to the delegating
-// owner. A message to or from a lost owner is dropped.
+// owner. A part for a lost owner is dropped, and so is an outcome or a withdrawal of an earlier
+// incarnation of the delegating owner.
 func (w *world) lend(o *ownerSim, e scheduler.Lend) {
 	index, _ := strconv.Atoi(e.Owner)
 	other := w.owners[index]
 	delay := w.options.Site.Far + hop
-	life := o.life
+	incarnation := o.life
 	w.after(delay, func() {
-		if o.life != life || other.lost {
+		if o.life != incarnation || other.lost {
 			return
 		}
 		other.refs++
@@ -53,7 +54,7 @@
 		sub.Ref = ref
 		other.lenders[ref] = func(outcome work.Outcome) {
 			w.after(delay, func() {
-				if o.life != life {
+				if o.life != incarnation {
 					return
 				}
 				delete(o.lent, e.Part)
@@ -63,7 +64,7 @@
 		}
 		o.lent[e.Part] = func() {
 			w.after(delay, func() {
-				if o.life != life {
+				if o.life != incarnation {
 					return
 				}
 				other.state.Cancel(w.now, ref)
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -38,8 +38,8 @@
 func TestLendingEarnsMore(t *testing.T) {
 	for _, site := range sites {
 		alone := play(t, Options{Site: crowded(site), Alone: true})
-		lending := play(t, Options{Site: crowded(site)})
-		must.Greater(t, alone.Worth+0.005, lending.Worth)
+		delegating := play(t, Options{Site: crowded(site)})
+		must.Greater(t, alone.Worth+0.005, delegating.Worth)
 	}
 }
 
--- a/lab/replay/rounds.go
+++ b/lab/replay/rounds.go
@@ -80,11 +80,11 @@
 // ends it after the days that are being simulated.
 func playAll(ctx context.Context, seeds int, site, day func(string) bool) ([]played, error) {
 	var rows []played
-	for _, sheet := range Sheets {
+	for _, spec := range Sheets {
 		for _, d := range Days {
 			for seed := range seeds {
-				if site(sheet.Name) && day(d.Name) {
-					rows = append(rows, played{site: sheet.Name, day: d.Name, seed: uint64(seed)})
+				if site(spec.Name) && day(d.Name) {
+					rows = append(rows, played{site: spec.Name, day: d.Name, seed: uint64(seed)})
 				}
 			}
 		}
@@ -104,9 +104,9 @@
 
 // simulate plays the day and fills in its result.
 func (p *played) play() {
-	sheet := Sheets[slices.IndexFunc(Sheets, func(s Sheet) bool { return s.Name == p.site })]
+	spec := Sheets[slices.IndexFunc(Sheets, func(s Sheet) bool { return s.Name == p.site })]
 	day := Days[slices.IndexFunc(Days, func(d Day) bool { return d.Name == p.day })]
-	r := Play(Options{Site: day.of(sheet.site()), Seed: p.seed})
+	r := Play(Options{Site: day.of(spec.site()), Seed: p.seed})
 	p.worth, p.kind, p.late = r.Worth, slices.Min(r.Kinds), r.LateRefusals
 }
 
--- a/lab/replay/site.go
+++ b/lab/replay/site.go
@@ -229,13 +229,13 @@
 
 // burstFactorAt is the highest factor of the bursts at a time, and at least 1.
 func (s Site) burstAt(at time.Duration) float64 {
-	times := 1.0
+	factor := 1.0
 	for _, b := range s.Bursts {
 		if at >= b.From && at < b.To {
-			times = max(times, b.Times)
+			factor = max(factor, b.Times)
 		}
 	}
-	return times
+	return factor
 }
 
 // drawJob draws a job's tasks, run times, worth and declared run time. Its worth grows with its
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -81,10 +81,10 @@
 // sendReply sends an answer to the owner, which handles it by do as soon as its processor is
 // free. An answer to an earlier incarnation of the owner is dropped.
 func (t *targetSim) reply(o *ownerSim, do func(now time.Duration)) {
-	life := o.life
+	incarnation := o.life
 	t.world.after(t.world.hop(), func() {
 		t.world.work(o, t.world.options.Site.CallTime, func() {
-			if o.life != life {
+			if o.life != incarnation {
 				return
 			}
 			do(t.world.now)
@@ -95,10 +95,10 @@
 
 // reportUnanswered tells the owner by do, after a time, that a call has had no answer.
 func (t *targetSim) unanswered(o *ownerSim, after time.Duration, do func()) {
-	life := o.life
+	incarnation := o.life
 	t.world.after(after, func() {
 		t.world.work(o, 0, func() {
-			if o.life != life {
+			if o.life != incarnation {
 				return
 			}
 			do()
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -40,7 +40,7 @@
 	Kinds, Domains []float64
 	// ByKind and ByDomain are the counts by kind and by the callers' failure domain.
 	ByKind, ByDomain []Counts
-	// LateRefusals is the share of the worth whose jobs were refused more than
+	// LateRefusals is the share of the worth of all jobs that belongs to jobs refused more than
 	// promptRefusalTime after their submission.
 	LateRefusals float64
 	// Wasted is the share of the used processor time that went to runs which were stopped or
@@ -99,14 +99,15 @@
 	baseline *baseline
 	jobs     map[string]*arrival
 	report   Report
-	// owed is the worth of all jobs, earned what their answers were worth, late the worth of
-	// jobs that were refused late.
+	// possibleWorth is the worth of all jobs, earnedWorth what their answers earned, and
+	// lateRefusedWorth the worth of the jobs that were refused late.
 	owed    float64
 	earned  float64
 	late    float64
 	kinds   []share
 	domains []share
-	// used and wasted are run times multiplied by thousandths of a core.
+	// cpuUsed is the sum of the run times multiplied by thousandths of a core, cpuWasted that of
+	// the runs that were stopped or failed.
 	used   time.Duration
 	wasted time.Duration
 }
@@ -120,7 +121,7 @@
 	index   int
 	callers map[scheduler.Ref]*arrival
 	refs    scheduler.Ref
-	// loads is the load that entry VMs know from its last heartbeat.
+	// load is the load that entry VMs know from its last heartbeat.
 	loads scheduler.Load
 	// partReplies return the outcomes of the parts that this owner runs for others.
 	lenders map[scheduler.Ref]func(work.Outcome)
@@ -148,14 +149,15 @@
 	offerTime = 10 * time.Millisecond
 	// promptRefusalTime is the longest time to a refusal that does not count as late.
 	promptTime = 15 * time.Millisecond
-	// drainPeriod is how long the simulation goes on after the last arrival.
+	// drainPeriod plus the site's length is the end of the simulation. Jobs that are open then
+	// are not answered.
 	drainTime = 8 * time.Second
 	// orderTimeout is how long an owner waits for an answer. A poll's own wait comes on top.
 	orderTime = 120 * time.Millisecond
 )
 
-// Play simulates a day and reports what its jobs earned. Callers come from the second second
-// on, so that owners first learn of their targets.
+// Play simulates a day and reports what its jobs earned. All times of the site count from one
+// second after the start of the simulation, when owners have polled their targets.
 func Play(o Options) Report {
 	w := &world{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 2)),
@@ -185,6 +187,7 @@
 	heap.Push(&w.queue, event{at: max(when, w.now), seq: w.seq, do: do})
 }
 
+// scheduleAfter adds an event after a time.
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 // build adds the owners and targets of the site, and begins the owners' ticks and heartbeats
@@ -288,9 +291,9 @@
 	if len(refused) == 0 {
 		a.handed = w.now
 	}
-	at := w.choose(a, refused)
-	o := w.owners[at]
-	delay := w.far(at, a.domain)
+	index := w.choose(a, refused)
+	o := w.owners[index]
+	delay := w.far(index, a.domain)
 	w.after(delay, func() {
 		if o.lost {
 			w.comeBack(a)
@@ -307,7 +310,7 @@
 			if answer.Ref != ref || answer.Outcome.Result != work.Refused {
 				return false
 			}
-			refused[at] = true
+			refused[index] = true
 			late := w.now-a.at-time.Second > offerTime
 			if late || len(refused) >= len(w.owners) || !w.better(refused, answer.Outcome.RetryAfter) {
 				return false
@@ -319,6 +322,7 @@
 	})
 }
 
+// queueOf returns the queue of a kind of request.
 func (w *world) queueOf(kind int) work.Queue {
 	k := w.options.Site.Kinds[kind]
 	return work.Queue{
@@ -398,9 +402,9 @@
 // handleAnswer passes the outcome of a part to its delegating owner, and counts the outcome of
 // a caller's job. A moved job is submitted again.
 func (w *world) answered(o *ownerSim, e scheduler.Answer) {
-	if lender := o.lenders[e.Ref]; lender != nil {
+	if reply := o.lenders[e.Ref]; reply != nil {
 		delete(o.lenders, e.Ref)
-		lender(e.Outcome)
+		reply(e.Outcome)
 		return
 	}
 	a := o.callers[e.Ref]
@@ -425,10 +429,10 @@
 }
 
 // countJob updates the counts of all jobs, of the job's kind and of its failure domain.
-func (w *world) count(a *arrival, one func(*Counts)) {
-	one(&w.report.Counts)
-	one(&w.report.ByKind[a.kind])
-	one(&w.report.ByDomain[a.domain])
+func (w *world) count(a *arrival, update func(*Counts)) {
+	update(&w.report.Counts)
+	update(&w.report.ByKind[a.kind])
+	update(&w.report.ByDomain[a.domain])
 }
 
 // lateWorthShare is the share of its worth that a job earns with a late answer.
@@ -437,20 +441,20 @@
 // recordCompletion counts a completed job and adds what it earns: all its worth within the
 // objective, a share of it up to usefulFactor times the objective, and nothing later.
 func (w *world) completed(a *arrival, took time.Duration) {
-	got := 0.0
+	earned := 0.0
 	switch {
 	case took <= a.objective:
 		w.count(a, func(c *Counts) { c.OnTime++ })
-		got = a.worth
+		earned = a.worth
 	case took <= usefulFactor*a.objective:
 		w.count(a, func(c *Counts) { c.Late++ })
-		got = lateWorth * a.worth
+		earned = lateWorth * a.worth
 	default:
 		w.count(a, func(c *Counts) { c.Failed++ })
 	}
-	w.earned += got
-	w.kinds[a.kind].got += got
-	w.domains[a.domain].got += got
+	w.earned += earned
+	w.kinds[a.kind].got += earned
+	w.domains[a.domain].got += earned
 }
 
 // finishReport computes the shares of the report.
