--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// reportUnanswered tells the owner by do, after a time, that a call has had no answer.
+// reportUnanswered calls do after a time, to report to the owner that a call has had no answer.
 func (t *targetSim) unanswered(o *ownerSim, after time.Duration, do func()) {
 	incarnation := o.life
 	t.world.after(after, func() {
@@ -150,7 +150,7 @@
 	return index
 }
 
-// endRun ends a run, counts its processor time, and answers the waiting polls or tells the
+// endRun ends a run, counts its processor time, and answers the waiting polls or notifies the
 // baseline.
 func (t *targetSim) end(run work.Run, r *runSim, kind work.EndKind) {
 	if r.over {
