--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,11 @@
 // Package admission decides which submissions an entry VM takes in, in which
 // order their tasks start, and when a submission is given up.
 //
+// Its input is the profiles and quotas in force, the usable capacity, and the
+// starts and ends of tasks. Its output is a refusal with a failure, the next task
+// to start, the submissions to give up, and the stragglers. A task is handed out
+// again only after Requeue, and a submission is given up once.
+//
 // A State is plain data: every method takes what it needs, the time included, as
 // arguments. One goroutine owns a State. Times are durations since the start of
 // the process.
@@ -29,14 +34,14 @@
 type Submission struct {
 	ID      ID
 	Profile string
-	// DeadlineAt is when the answer must be there, as a time since the start of
-	// the process; 0 takes the profile's deadline.
+	// DeadlineAt is the latest time of the answer, since the start of the
+	// process; 0 takes the profile's deadline.
 	DeadlineAt time.Duration
 	// Tasks holds the declared run time of each task; 0 is unknown.
 	Tasks []time.Duration
 }
 
-// Capacity is the capacity that can be counted on.
+// Capacity is the capacity that the VM can use.
 type Capacity struct {
 	// Slots is the number of usable slots in the failure domain.
 	Slots int
@@ -51,7 +56,7 @@
 const (
 	// OutcomeDone is a task that ran to its end.
 	OutcomeDone Outcome = iota
-	// OutcomeFailed is a task that the target answered as failed.
+	// OutcomeFailed is a task that the target reported as failed.
 	OutcomeFailed
 	// OutcomeStopped is a task that was stopped, by its limit or by request.
 	OutcomeStopped
@@ -63,15 +68,15 @@
 type GivenUp struct {
 	ID      ID
 	Failure *api.Failure
-	// Out holds the tasks that were handed out and have not finished. The owner
-	// stops them, and reports their end with Finished all the same.
+	// Out holds the tasks that were handed out and have not finished. The caller
+	// stops them, and still reports their end with RecordEnd.
 	Out []TaskRef
 }
 
 // Config are the settings of a State.
 type Config struct {
 	// Domain is the failure domain of the VM, and Domains are all of them.
-	// They decide the quota of teams here.
+	// They determine each team's quota in Domain.
 	Domain  string
 	Domains []string
 	// Order ranks the submissions of one profile; nil takes DefaultOrder.
@@ -93,11 +98,11 @@
 	names    []string // of queues, sorted
 	subs     map[ID]*submission
 	waiting  int // tasks of all queues
-	wants    int // sum of the queues' wants
+	wants    int // sum of the queues' wanted slots
 
 	ready    indexHeap[queue]      // queues with waiting tasks, by band and tag
 	served   indexHeap[queue]      // the same queues, least recently served first
-	aside    []*queue              // queues whose limit units were not at hand
+	aside    []*queue              // queues without free limit units
 	giveUps  indexHeap[submission] // all submissions, by giveUpAt
 	virtual  [bands]float64        // virtual time of each band
 	picks    uint64
@@ -123,9 +128,9 @@
 }
 
 // SetProfiles puts profiles and quotas in force. Queued work stays queued under
-// the new settings. Submissions of a removed profile of which no task was handed
-// out are returned with their failure; those that have begun run on under the
-// old settings.
+// the new settings. It removes the submissions of a removed profile of which no
+// task was handed out, and returns them with their failure. Those that have begun
+// continue under the old settings.
 func (s *State) SetProfiles(now time.Duration, profiles []profile.Profile, teams []profile.Team) []GivenUp {
 	quotas := s.teamQuotas(teams)
 	listed := make(map[string]bool, len(profiles))
@@ -144,8 +149,8 @@
 	return given
 }
 
-// SetCapacity records the capacity that guarantees and predictions go by. Admit
-// does so as well.
+// SetCapacity records the capacity from which guarantees and predictions are
+// computed. Admit records it as well.
 func (s *State) SetCapacity(c Capacity) {
 	if s.capacity == c {
 		return
@@ -167,8 +172,9 @@
 	return 0
 }
 
-// WantSlots returns the number of slots that a profile could use now: waiting
-// tasks and those handed out, up to the profile's limit and its team's quota.
+// ProfileWantedSlots returns the number of slots that a profile could use now:
+// waiting tasks and those handed out, up to the profile's limit and its team's
+// quota.
 func (s *State) WantSlots(name string) int {
 	if q := s.queues[name]; q != nil {
 		return q.wants
@@ -176,5 +182,5 @@
 	return 0
 }
 
-// Wants returns the sum of WantSlots over all profiles.
+// WantedSlots returns the sum of ProfileWantedSlots over all profiles.
 func (s *State) Wants() int { return s.wants }
--- a/admission/order.go
+++ b/admission/order.go
@@ -12,13 +12,13 @@
 	// Longest is the expected run time of the longest task.
 	Longest time.Duration
 	// SmallerShare is the part of the profile's work, 0 to 1, that submissions of
-	// this size or smaller bring. It is taken at arrival.
+	// this size or smaller bring, as known when this one arrived.
 	SmallerShare float64
 }
 
 // Order ranks the submissions of one profile; the lowest rank is served first.
-// A rank must not depend on the present time, so that a heap stays valid while
-// the work in it ages. Equal ranks are served in the order of arrival.
+// A rank must not depend on the current time, so that a heap of ranked work stays
+// valid. Equal ranks are served in the order of arrival.
 type Order interface {
 	// Name names the order in reports.
 	Name() string
@@ -26,13 +26,14 @@
 	Rank(Job) time.Duration
 }
 
-// DefaultOrder is the order that the measurements in docs/ADMISSION.md favour.
+// DefaultOrder is the order of a Config without one; docs/ADMISSION.md compares
+// it with the baselines.
 var DefaultOrder Order = SmallFirst{Share: 0.04, Advance: 10 * time.Second}
 
-// SmallFirst serves in the order of arrival, but lets the small submissions that
-// together bring no more than Share of the profile's work go before the larger
-// ones that came up to Advance earlier. Share bounds how much work passes a
-// larger submission, and Advance for how long it can be passed.
+// SmallFirst serves in the order of arrival, except that small submissions, which
+// together bring no more than Share of the profile's work, go before larger ones
+// that came up to Advance earlier. Share bounds how much work overtakes a larger
+// submission, and Advance for how long it can be overtaken.
 type SmallFirst struct {
 	// Share is a part of the profile's work, 0 to 1.
 	Share float64
