--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// seedRunTime is the expected run time before anything is known.
+	// seedRunTime is the expected run time before the first observation.
 	seedRunTime = 300 * time.Millisecond
 	// runGain is the weight of a new run time in the moving averages, and
-	// jobGain that of a submission's comparison with its declared times. Tasks
-	// of one submission are alike, so that the averages span many of them.
+	// jobGain that of one submission's ratio of run time to declared time. Tasks
+	// of one submission are alike, so the averages span many submissions.
 	runGain = 0.005
 	jobGain = 0.02
-	// enoughRuns and enoughJobs are the numbers of tasks and of submissions that
-	// must have been seen before the percentiles are used, or may refuse work.
+	// minRuns and minJobs are the numbers of tasks and of submissions that must
+	// have been observed before the percentiles are used, or work is refused by
+	// them.
 	enoughRuns = 50
 	enoughJobs = 20
-	// evidenceAge is how long the last observation may refuse work. After it,
-	// work is let in again, so that a mistaken estimate can be corrected.
+	// evidenceMaxAge is the age of the newest observation beyond which no work is
+	// refused by it. Work is then admitted again, and corrects a wrong estimate.
 	evidenceAge = 30 * time.Second
 	// windowRuns is the number of observations of one histogram window; the
 	// percentiles cover the newest one to two windows.
@@ -28,12 +29,12 @@
 	// refreshRuns is the number of observations between two evaluations of the
 	// percentiles.
 	refreshRuns = 100
-	// longestRecorded bounds the recorded run times.
+	// maxRecordedRun bounds the recorded run times.
 	longestRecorded = 15 * time.Minute
-	// hopelessChance is the chance to finish in time below which work is refused.
+	// minFinishChance is the chance to finish in time below which work is refused.
 	hopelessChance = 0.05
-	// startError is the assumed error, in natural logarithms, of declared times
-	// before they were compared with run times: a factor of e.
+	// initialError is the assumed error, in natural logarithms, of declared times
+	// before the first comparison with run times: a factor of e.
 	startError = 1.0
 )
 
@@ -46,7 +47,7 @@
 	mean     float64 // seconds
 	logMean  float64 // of the run time in seconds
 	logError float64 // mean absolute error of logMean as a prediction
-	// declared run times, compared in logarithms
+	// ratios of run time to declared run time, as logarithms
 	compared      int
 	declaredBias  float64
 	declaredError float64
@@ -66,12 +67,13 @@
 	}
 }
 
-// gain lets the first observations count more, so that the seed fades quickly.
+// gain returns the weight of observation n, at least the given one. The first
+// observations weigh more, so that they soon replace the seed.
 func gain(n int, least float64) float64 { return max(least, 1/float64(n+1)) }
 
-// observe takes in the run time of a task that ran to its end. first says that
+// observe records the run time of a task that ran to its end. first says that
 // it is the first of its submission. Only that one is compared with its declared
-// time, since those of one submission are off by the same factor.
+// time, since the declared times of one submission are wrong by the same factor.
 func (r *runTimes) observe(now, ran, declared time.Duration, first bool) {
 	ran = min(max(ran, time.Millisecond), longestRecorded)
 	r.lastAt = now
@@ -90,7 +92,7 @@
 	r.record(ran)
 }
 
-// compare takes in the logarithm of a run time over its declared time.
+// compare records the logarithm of the ratio of a run time to its declared time.
 func (r *runTimes) compare(ratio float64) {
 	r.compared++
 	g := gain(r.compared, jobGain)
@@ -98,6 +100,7 @@
 	r.declaredBias += g * (ratio - r.declaredBias)
 }
 
+// record adds a run time to the histogram.
 func (r *runTimes) record(ran time.Duration) {
 	_ = r.window.Current.RecordValue(ran.Milliseconds())
 	r.windowN++
@@ -110,8 +113,8 @@
 	}
 }
 
-// expect returns the expected run time of a task with this declared time. The
-// declared and the learned time are weighed by their past errors.
+// expect returns the expected run time of a task with this declared time. It is
+// a mean of the declared and the learned time, weighted by their past errors.
 func (r *runTimes) expect(declared time.Duration) time.Duration {
 	if declared <= 0 {
 		return seconds(r.mean)
@@ -121,7 +124,7 @@
 	return seconds(math.Exp(trust*l + (1-trust)*math.Log(r.mean)))
 }
 
-// trust is the weight of declared times, 0 to 1.
+// declaredWeight is the weight of declared times, 0 to 1.
 func (r *runTimes) trust() float64 {
 	d, l := r.declaredError*r.declaredError, r.logError*r.logError
 	if d+l == 0 {
@@ -130,8 +133,8 @@
 	return l / (d + l)
 }
 
-// percentile returns a percentile (0 to 100) of the learned run times; it is 0
-// before enough tasks ran.
+// percentile returns a percentile (0 to 100) of the learned run times, or 0
+// before there are enough observations.
 func (r *runTimes) percentile(p float64) time.Duration {
 	if !r.enough() {
 		return 0
@@ -142,16 +145,19 @@
 	return time.Duration(r.merged.ValueAtQuantile(p)) * time.Millisecond
 }
 
+// hasEnough reports whether enough tasks and submissions were observed.
 func (r *runTimes) enough() bool { return r.runs >= enoughRuns && r.jobs >= enoughJobs }
 
-// fresh reports whether there is enough recent evidence to refuse work by it.
+// hasFreshEvidence reports whether there are enough recent observations to refuse
+// work by them.
 func (r *runTimes) fresh(now time.Duration) bool {
 	return r.enough() && now-r.lastAt <= evidenceAge
 }
 
-// leastTime returns the time below which a job of n tasks has hardly a chance to
-// finish, even when all its tasks start at once; 0 when there is no evidence.
-// Tasks of one job tend to be alike, so that the median bounds the percentile.
+// minTime returns the time below which a job of n tasks finishes with a chance
+// of less than minFinishChance, even when all its tasks start at once. It is 0
+// without fresh evidence. Tasks of one job tend to be alike, so the percentile is
+// never above the median.
 func (r *runTimes) leastTime(now time.Duration, n int) time.Duration {
 	if !r.fresh(now) {
 		return 0
@@ -160,9 +166,9 @@
 	return r.percentile(100 * min(p, 0.5))
 }
 
-// surelyBeyond reports whether a task with this declared time runs longer than
-// the limit, as far as past declared times can be trusted. A declared time alone
-// never says so.
+// exceedsLimit reports whether a task with this declared time is expected to run
+// longer than the limit, even if its declared time errs by twice the mean error of
+// past ones. A declared time without fresh observations is not enough.
 func (r *runTimes) surelyBeyond(now, declared, limit time.Duration) bool {
 	if declared <= 0 || limit <= 0 || !r.fresh(now) || r.compared < enoughJobs {
 		return false
--- a/admission/sizes.go
+++ b/admission/sizes.go
@@ -8,9 +8,9 @@
 const (
 	// sizeBuckets covers work from 1 ms up in steps of a factor of sqrt(2).
 	sizeBuckets = 64
-	// sizeMemory is the number of submissions after which old ones count half.
+	// sizeHalving is the number of submissions after which old ones count half.
 	sizeMemory = 1000
-	// enoughSizes is the number of submissions before any counts as small.
+	// minSizes is the number of submissions before any counts as small.
 	enoughSizes = 50
 )
 
@@ -27,7 +27,7 @@
 	return min(int(steps), sizeBuckets-1)
 }
 
-// observe takes in the expected work of a submission.
+// observe records the expected work of a submission.
 func (s *jobSizes) observe(work time.Duration) {
 	s.work[sizeBucket(work)] += work.Seconds()
 	s.total += work.Seconds()
@@ -37,6 +37,7 @@
 	}
 }
 
+// halve halves the weight of all recorded work.
 func (s *jobSizes) fade() {
 	s.total = 0
 	for i := range s.work {
@@ -45,8 +46,8 @@
 	}
 }
 
-// smaller returns the part of the work, 0 to 1, that submissions of this size or
-// smaller bring. It is 1 before enough are known.
+// smallerShare returns the part of the work, 0 to 1, that submissions of this size
+// or smaller bring. It is 1 before minSizes submissions were observed.
 func (s *jobSizes) smaller(work time.Duration) float64 {
 	if s.jobs < enoughSizes || s.total == 0 {
 		return 1
