--- a/admission/admit.go
+++ b/admission/admit.go
@@ -14,21 +14,22 @@
 	// fallbackDeadline is the deadline when neither the submission nor its
 	// profile names one.
 	fallbackDeadline = time.Minute
-	// minRetryAfter and maxRetryAfter bound the advised time before coming back.
+	// minRetryAfter and maxRetryAfter bound the advised time before a retry.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 60 * time.Second
-	// retryJitter spreads the callers that come back by up to this part.
+	// retryJitter is the part of the advised time by which it is lengthened at
+	// most, so that callers don't retry together.
 	retryJitter = 0.5
 	// noTargetRetry is the advised time while no target is usable.
 	noTargetRetry = 5 * time.Second
-	// aheadVisits bounds the search for the submissions before a new one.
+	// maxAheadVisits bounds the search for the submissions before a new one.
 	aheadVisits = 64
-	// leastRate keeps predictions finite when nothing drains, in tasks a second.
+	// minDrainRate keeps predictions finite when nothing drains, in tasks a second.
 	leastRate = 0.01
 )
 
-// Admit takes a submission into the queue of its profile, or refuses it for good
-// with a failure that says so. The capacity is recorded as by SetCapacity.
+// Admit adds a submission to the queue of its profile, or returns the final
+// failure with which it is refused. It records the capacity like SetCapacity.
 func (s *State) Admit(now time.Duration, sub Submission, c Capacity) *api.Failure {
 	s.SetCapacity(c)
 	q := s.queues[sub.Profile]
@@ -43,7 +44,7 @@
 	return f
 }
 
-// check enters a submission, or returns why it is refused.
+// checkAndEnqueue adds a submission, or returns why it is refused.
 func (s *State) check(now time.Duration, q *queue, sub *Submission) *api.Failure {
 	if _, known := s.subs[sub.ID]; known {
 		return &api.Failure{Kind: api.KindInternal, Run: api.OutcomeUnknown,
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// deadline is the deadline of submissions that name none.
+// deadline returns the time allowed to submissions that name no deadline.
 func (q *queue) deadline() time.Duration {
 	if q.profile.DeadlineMS > 0 {
 		return milliseconds(q.profile.DeadlineMS)
@@ -77,7 +78,7 @@
 	return fallbackDeadline
 }
 
-// checkRunnable refuses what can't run however long it waits.
+// checkRunnable refuses a submission that can't run however long it waits.
 func (q *queue) checkRunnable(now time.Duration, sub *Submission) *api.Failure {
 	p := &q.profile
 	n := len(sub.Tasks)
@@ -105,7 +106,8 @@
 	return nil
 }
 
-// checkRoom refuses what there is no room for now.
+// checkCapacity refuses a submission while no target is usable, or when it exceeds
+// the free length of its profile's queue or of the VM's.
 func (s *State) checkRoom(now time.Duration, q *queue, sub *Submission) *api.Failure {
 	n := len(sub.Tasks)
 	if s.capacity.Slots <= 0 {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// checkTime refuses what can't finish before its deadline.
+// checkDeadline refuses a submission that can't finish before its deadline.
 func (s *State) checkTime(now time.Duration, q *queue, u *submission) *api.Failure {
 	left := u.deadlineAt - now
 	if left <= 0 || left < u.least {
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// ahead returns the number of waiting tasks that go before a new submission.
-// When many submissions go before it, all that wait are taken to do so.
+// ahead returns the number of waiting tasks that go before a new submission. When
+// the search exceeds maxAheadVisits, it returns the number of all waiting tasks.
 func (q *queue) ahead(u *submission) int {
 	tasks, ok := q.subs.before(u, aheadVisits, waitingTasks)
 	if !ok {
@@ -146,8 +148,7 @@
 }
 
 // drainRate returns the rate at which a profile's queue drains, in tasks a
-// second: the measured one while there is a backlog, else the rate at which the
-// slots that the profile can count on would run its tasks.
+// second: the measured rate while there is a backlog, else expectedRate.
 func (s *State) drainRate(now time.Duration, q *queue) float64 {
 	if rate, ok := q.drain.current(now); ok {
 		return max(rate, leastRate)
@@ -155,14 +156,14 @@
 	return s.expectedRate(q)
 }
 
-// expectedRate is the rate at which this VM's part of the slots would run the
-// tasks of a profile if it had them for itself.
+// expectedRate returns the rate, in tasks a second, at which this VM's part of
+// the slots would run a profile's tasks if no other profile used them.
 func (s *State) expectedRate(q *queue) float64 {
 	slots := float64(min(s.capacity.Slots, q.limit())) * s.capacity.Share
 	return max(slots/q.runs.mean, leastRate)
 }
 
-// newSubmission makes the record of a submission that is not queued yet.
+// newSubmission makes the record of a submission, without queueing it.
 func (s *State) newSubmission(now time.Duration, q *queue, sub *Submission) *submission {
 	u := &submission{id: sub.ID, queue: q, arrival: s.arrivals + 1, arrivedAt: now, deadlineAt: sub.DeadlineAt}
 	u.least = q.runs.leastTime(now, len(sub.Tasks))
@@ -180,7 +181,7 @@
 	return u
 }
 
-// enqueue adds an admitted submission.
+// enqueue adds an admitted submission to the queue of its profile.
 func (s *State) enqueue(now time.Duration, u *submission) {
 	q := u.queue
 	s.arrivals++
@@ -207,8 +208,8 @@
 	return f
 }
 
-// retryAfterMS bounds a wait and spreads it by a part that depends on the id
-// alone, so that callers refused together don't come back together.
+// retryAfterMS bounds a wait and lengthens it by a part that depends on the id
+// alone, so that callers refused together don't retry together.
 func retryAfterMS(id ID, wait time.Duration) int64 {
 	spread := float64(xxhash.Sum64String(string(id))) / float64(math.MaxUint64)
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -1,6 +1,6 @@
 package admission
 
-// indexHeap is a binary heap whose items know their place in it, so that an
+// indexHeap is a binary heap whose items store their place in it, so that an
 // item whose key changed is moved in O(log n). The place of an absent item is 0.
 type indexHeap[T any] struct {
 	items []*T
@@ -19,7 +19,7 @@
 // has reports whether the item is in the heap.
 func (h *indexHeap[T]) has(item *T) bool { return *h.place(item) != 0 }
 
-// put adds the item, or moves it to its place when it is there already.
+// put adds the item, or repositions it when it is in the heap already.
 func (h *indexHeap[T]) put(item *T) {
 	if !h.has(item) {
 		h.items = append(h.items, item)
@@ -31,7 +31,7 @@
 	}
 }
 
-// remove takes the item out; an absent item is ignored.
+// remove removes the item; an absent item is ignored.
 func (h *indexHeap[T]) remove(item *T) {
 	i := *h.place(item) - 1
 	if i < 0 {
@@ -47,9 +47,9 @@
 	}
 }
 
-// before adds up with weigh the items that come before the given one, which need
-// not be in the heap. It visits these items and their children, and gives up
-// after visits of them.
+// sumBefore returns the sum of weigh over the items that come before the given
+// one, which need not be in the heap. It visits these items and their children;
+// ok is false when this takes the given number of visits or more.
 func (h *indexHeap[T]) before(item *T, visits int, weigh func(*T) int) (sum int, ok bool) {
 	sum = h.beforeFrom(0, item, &visits, weigh)
 	return sum, visits > 0
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -11,8 +11,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// Queues compete in bands: those under their guarantee before those beyond it,
-// and inside either condition the more urgent ones first.
+// Queues are served by bands: those that run fewer tasks than their guarantee
+// come first, and within each half the more urgent ones come first.
 const (
 	urgencies = 10
 	bands     = 2 * urgencies
@@ -27,18 +27,18 @@
 // queue holds the submissions of one profile.
 type queue struct {
 	profile profile.Profile
-	retired bool // no longer in force; its begun submissions run on
+	retired bool // no longer in force; submissions that have begun continue
 	quota   int  // of the team in this failure domain
 
 	subs    indexHeap[submission] // with waiting tasks, by rank
 	waiting int
 	out     int // tasks handed out and not finished
-	wants   int
+	wants   int // slots; see State.ProfileWantedSlots
 
 	guarantee   int // in this VM
 	band        int
-	tag         [bands]float64 // start tags of fair queueing, in slot-seconds by weight
-	servedAt    uint64         // number of the last pick, or at the start of the backlog
+	tag         [bands]float64 // start tags of fair queueing, in slot-seconds over weight
+	servedAt    uint64         // number of its last pick, or of the newest one when its backlog began
 	readyPlace  int
 	servedPlace int
 	isAside     bool
@@ -56,10 +56,10 @@
 	return q
 }
 
-// weight is the part of a queue in its band.
+// weight returns the queue's weight for fair queueing in its band.
 func (q *queue) weight() float64 { return float64(max(1, q.profile.GuaranteedSlots)) }
 
-// limit is the most tasks that may run at once in the failure domain.
+// limit returns the most tasks that may run at once in the failure domain.
 func (q *queue) limit() int {
 	l := q.quota
 	if q.profile.LimitSlots != 0 {
@@ -85,26 +85,26 @@
 	return a.profile.Name < b.profile.Name
 }
 
-// submission is an admitted submission. It is kept until its last task that was
-// handed out has finished, also when it is gone.
+// submission is an admitted submission. It stays in State.subs until the last task
+// that was handed out has finished, also when it is gone.
 type submission struct {
 	id         ID
 	queue      *queue
 	arrival    uint64
 	arrivedAt  time.Duration
 	deadlineAt time.Duration
-	least      time.Duration // time that the last task needs at least
+	least      time.Duration // see runTimes.minTime
 	longest    time.Duration
 	smaller    float64 // see Job.SmallerShare
 	tasks      []task
-	next       int   // tasks before it were handed out
+	next       int   // index of the first task that was never handed out
 	requeued   []int // tasks to be handed out again
 	waiting    int
 	out        int
 	finished   int
 	work       time.Duration // expected run time of the waiting tasks
 	gone       bool          // removed or given up
-	learned    bool          // a run time of it was taken in
+	learned    bool          // a run time of one of its tasks was observed
 
 	rank        time.Duration
 	rankPlace   int
@@ -123,12 +123,12 @@
 type running struct {
 	ref       TaskRef
 	startedAt time.Duration
-	band      int           // charged
-	charged   time.Duration // run time that was charged
+	band      int           // whose tag was charged
+	charged   time.Duration // run time that was charged to the tag
 	element   *list.Element // in queue.started
 }
 
-// begun reports whether a task may have been started.
+// hasBegun reports whether a task may have been started.
 func (u *submission) begun() bool { return u.out+u.finished > 0 }
 
 func waitingTasks(u *submission) int { return u.waiting }
@@ -177,7 +177,8 @@
 	return quotas
 }
 
-// retire ends the work of a removed profile that has not begun.
+// retire marks a profile as removed, drops its submissions that have not begun,
+// and returns them with their failure.
 func (s *State) retire(now time.Duration, q *queue) []GivenUp {
 	q.retired = true
 	queued := slices.Clone(q.subs.items)
@@ -193,7 +194,7 @@
 	return given
 }
 
-// forgetIdle forgets a removed profile without work.
+// forgetIdle deletes the queue of a removed profile that has no work.
 func (s *State) forgetIdle(q *queue) {
 	if !q.retired || q.waiting > 0 || q.out > 0 {
 		return
@@ -204,7 +205,7 @@
 
 func (s *State) sortNames() { s.names = slices.Sorted(maps.Keys(s.queues)) }
 
-// refresh brings what is derived from a queue's counts up to date.
+// refresh recomputes a queue's wanted slots, guarantee, band and heap places.
 func (s *State) refresh(q *queue) {
 	wants := max(0, min(q.waiting+q.out, q.limit()))
 	s.wants += wants - q.wants
@@ -222,8 +223,8 @@
 	s.served.put(q)
 }
 
-// enterBand sets the band of a queue. One that enters a band, or comes back to
-// it with work, gets no credit for the time that it was away.
+// updateBand sets the band of a queue. A queue that enters a band, or gets work
+// again, gets no credit for the time without work in it.
 func (s *State) enterBand(q *queue) {
 	band := urgencies - 1 - min(max(q.profile.Urgency, 0), urgencies-1)
 	if q.out >= q.guarantee {
