--- a/admission/drain.go
+++ b/admission/drain.go
@@ -8,17 +8,17 @@
 const (
 	// drainWindow is the shortest time over which a drain rate is measured.
 	drainWindow = 200 * time.Millisecond
-	// drainMemory is the time constant of the moving average. It spans the runs
-	// of several tasks, so that one job of long tasks that holds all slots for
-	// a while does not look like a standstill.
+	// drainTimeConstant is the time constant of the moving average. It spans the
+	// runs of several tasks, so that one job of long tasks that holds all slots
+	// for a while does not bring the rate to 0.
 	drainMemory = 5 * time.Second
-	// drainAge is how long a measured rate stays valid without a new window.
+	// drainMaxAge is how long a measured rate stays valid without a new window.
 	drainAge = 10 * time.Second
 )
 
 // drainRate measures how fast the waiting tasks of a profile are handed out
-// while there are any. The first tasks of a backlog take the free slots at once
-// and say nothing of the rate, so measuring starts after a settling time.
+// while there are any. The first tasks of a backlog take the free slots at once,
+// whatever the rate is, so measuring starts after a settling time.
 type drainRate struct {
 	backlogged bool
 	since      time.Duration // start of the window
@@ -28,8 +28,8 @@
 	measured   bool
 }
 
-// begin opens the first window of a backlog after the settling time. The
-// expected rate stands in for a measured one that is missing or too old.
+// beginBacklog opens the first window of a backlog after the settling time. The
+// expected rate replaces a measured one that is missing or too old.
 func (d *drainRate) begin(now, settle time.Duration, expected float64) {
 	if d.backlogged {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// handedOut counts a task that left the queue.
+// countHandedOut counts a task that left the queue.
 func (d *drainRate) handedOut(now time.Duration) {
 	if d.backlogged && now >= d.since {
 		d.count++
@@ -50,13 +50,13 @@
 	}
 }
 
-// end closes the backlog.
+// endBacklog ends the backlog.
 func (d *drainRate) end(now time.Duration) {
 	d.close(now)
 	d.backlogged = false
 }
 
-// close ends a window that is long enough.
+// closeWindow ends a window that is long enough, and updates the rate from it.
 func (d *drainRate) close(now time.Duration) {
 	elapsed := now - d.since
 	if !d.backlogged || elapsed < drainWindow {
--- a/admission/explain.go
+++ b/admission/explain.go
@@ -7,7 +7,7 @@
 	"github.com/burdockward/burdockward/api"
 )
 
-// keptRefusals is the number of refusals that Explain remembers.
+// maxRefusals is the number of refusals that Explain can report.
 const keptRefusals = 1024
 
 // Explanation says where a submission stands, or why it was refused.
@@ -36,15 +36,15 @@
 	// DrainRate is the rate of the profile's queue in tasks a second.
 	DrainRate float64 `json:"drain_rate"`
 	// UnderGuarantee says whether the profile runs less than its guaranteed
-	// share here, and LimitReached that units of its limit were not at hand.
+	// share here, and LimitReached that it had no free limit units.
 	UnderGuarantee bool `json:"under_guarantee"`
 	LimitReached   bool `json:"limit_reached"`
 	// Refused is the failure of a submission that was refused recently.
 	Refused *api.Failure `json:"refused,omitempty"`
 }
 
-// Explain says where a submission stands. It visits the submissions that go
-// before it, so that it is meant for operators' questions.
+// Explain says where a submission stands. It visits all submissions that go before
+// it, which is too slow for anything but operators' queries.
 func (s *State) Explain(now time.Duration, id ID) Explanation {
 	u := s.subs[id]
 	if u == nil {
@@ -68,7 +68,7 @@
 	return e
 }
 
-// refusalRing keeps the newest refusals.
+// refusalRing holds the newest refusals, at most maxRefusals.
 type refusalRing struct {
 	ids      []ID
 	failures map[ID]*api.Failure
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -12,7 +12,7 @@
 	// defaultStragglerFactor is the multiple of the 95th percentile beyond which
 	// a task is a straggler when the profile names none.
 	defaultStragglerFactor = 8
-	// leastStraggler is the run time below which no task is a straggler.
+	// minStragglerRunTime is the run time below which no task is a straggler.
 	leastStraggler = time.Second
 )
 
@@ -32,7 +32,7 @@
 	return u, &u.tasks[ref.Task]
 }
 
-// Started notes that a target has taken a task.
+// RecordStart records that a target has accepted a task.
 func (s *State) Started(now time.Duration, ref TaskRef) {
 	u, t := s.lookup(ref)
 	if u == nil || t.run.element != nil {
@@ -42,7 +42,7 @@
 	t.run.element = u.queue.started.PushBack(t.run)
 }
 
-// Finished notes the end of a task that was handed out, and learns from its run
+// RecordEnd records the end of a task that was handed out, and learns from its run
 // time. It is called once for each such task, also when its submission is gone.
 func (s *State) Finished(now time.Duration, ref TaskRef, ran time.Duration, outcome Outcome) {
 	u, t := s.lookup(ref)
@@ -57,8 +57,9 @@
 	s.release(u)
 }
 
-// learn takes in a run time. A failed task says nothing of the time that others
-// take; a stopped one says that it would have taken longer.
+// learn records a run time for predictions. The run time of a failed task does not
+// predict that of others. A stopped task would have taken longer than it ran, so it
+// counts when it ran longer than expected.
 func (q *queue) learn(now time.Duration, u *submission, t *task, ran time.Duration, outcome Outcome) {
 	longer := outcome == OutcomeStopped && ran > t.expected
 	if outcome == OutcomeDone || longer {
@@ -67,7 +68,7 @@
 	}
 }
 
-// unlist ends the run of a task.
+// endRun removes the run of a task from the started ones.
 func (q *queue) unlist(t *task) {
 	if t.run.element != nil {
 		q.started.Remove(t.run.element)
@@ -75,8 +76,8 @@
 	t.run = nil
 }
 
-// release counts a task that is no longer out, and forgets a submission with
-// nothing left to do.
+// releaseTask subtracts a task that is no longer out from the counts, and deletes
+// its submission when it is gone or all its tasks have finished.
 func (s *State) release(u *submission) {
 	u.out--
 	u.queue.out--
@@ -88,8 +89,8 @@
 	s.forgetIdle(u.queue)
 }
 
-// Requeue takes back a task that a target refused as not started, or that was
-// not sent. It is handed out again before other tasks of its submission.
+// Requeue returns a task to the queue that a target refused as not started, or
+// that was not sent. It is handed out again before other tasks of its submission.
 func (s *State) Requeue(ref TaskRef) {
 	u, t := s.lookup(ref)
 	if u == nil {
@@ -114,8 +115,8 @@
 }
 
 // Remove drops submissions that were cancelled or have failed, and returns their
-// tasks that are out. None of their tasks is handed out any more. The end of
-// those that are out is still reported with Finished or Requeue.
+// tasks that are out. None of their tasks is handed out any more. The caller still
+// reports the end of those that are out with RecordEnd or Requeue.
 func (s *State) Remove(now time.Duration, ids ...ID) []TaskRef {
 	var out []TaskRef
 	for _, id := range ids {
@@ -143,7 +144,7 @@
 	return refs
 }
 
-// drop takes a submission out of the queues.
+// drop marks a submission as gone and removes it from the queues.
 func (s *State) drop(now time.Duration, u *submission) {
 	u.gone = true
 	q := u.queue
@@ -173,7 +174,7 @@
 	return given
 }
 
-// expired returns the failure of a submission that is given up for its deadline.
+// expiryFailure returns the failure of a submission given up for its deadline.
 func (s *State) expired(now time.Duration, u *submission) *api.Failure {
 	q := u.queue
 	wait := seconds(float64(q.waiting) / s.drainRate(now, q))
@@ -221,8 +222,8 @@
 	return found
 }
 
-// stragglerAfter returns the run time beyond which a task is a straggler; 0 when
-// too few tasks ran to know.
+// stragglerAfter returns the run time beyond which a task is a straggler, or 0
+// before there are enough observations.
 func (q *queue) stragglerAfter() time.Duration {
 	p95 := q.runs.percentile(95)
 	if p95 == 0 {
--- a/admission/next.go
+++ b/admission/next.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// fairEvery is the number of picks of which one goes to the profile that
-	// was served least recently, whatever its band, so that none starves.
+	// fairPickInterval is the number of picks of which one goes to the profile
+	// that was served least recently, whatever its band, so that none starves.
 	fairEvery = 16
-	// asideChecks is the number of set-aside profiles that one call checks
+	// setAsideChecks is the number of set-aside profiles that one call checks
 	// before it picks.
 	asideChecks = 8
 )
 
-// Next hands out the next task to start. usable says whether the limit units of
-// a profile are at hand; it may be asked more than once and takes nothing: the
-// owner takes the units of the task that is returned. A task that was handed out
-// ends with Finished or Requeue.
+// Next hands out the next task to start. usable reports whether limit units of a
+// profile are free; it may be called more than once for a profile and must take
+// none. The caller takes the units of the returned task. It ends each task that
+// was handed out with RecordEnd or Requeue.
 //
-// A profile that is not usable is set aside, and some of those set aside are
-// asked for again by each call, all of them when nothing else is to be had.
+// A profile that is not usable is set aside. Each call checks some of the profiles
+// set aside again, and all of them when no other profile has a task to start.
 func (s *State) Next(now time.Duration, usable func(profileName string) bool) (TaskRef, bool) {
 	s.recheck(usable, min(asideChecks, len(s.aside)))
 	q, fair := s.pick(usable)
@@ -31,7 +31,8 @@
 	return s.handOut(now, q, fair), true
 }
 
-// recheck asks again for the n queues that were set aside first.
+// recheck calls usable for the n queues that were set aside first, and returns
+// the usable ones to the heaps.
 func (s *State) recheck(usable func(string) bool, n int) {
 	for range n {
 		q := s.aside[0]
@@ -45,8 +46,8 @@
 	}
 }
 
-// pick returns the queue to serve, and sets aside those that can't be. fair is
-// set when it was chosen as the one served least recently.
+// pick returns the queue to serve, or nil, and sets aside the unusable ones that
+// come before it. fair says that it is picked as the least recently served one.
 func (s *State) pick(usable func(string) bool) (q *queue, fair bool) {
 	fair = (s.picks+1)%fairEvery == 0
 	for {
@@ -61,6 +62,7 @@
 	}
 }
 
+// setAside moves a queue from the heaps to the list of unusable queues.
 func (s *State) setAside(q *queue) {
 	s.ready.remove(q)
 	s.served.remove(q)
@@ -68,7 +70,7 @@
 	s.aside = append(s.aside, q)
 }
 
-// handOut takes the next task of a queue.
+// handOut marks the next task of a queue as handed out, and charges it.
 func (s *State) handOut(now time.Duration, q *queue, fair bool) TaskRef {
 	u := q.subs.top()
 	index := u.takeNext()
@@ -91,7 +93,8 @@
 	return ref
 }
 
-// takeNext returns the index of the task to hand out next.
+// takeNext removes the next task from those to hand out, and returns its index.
+// Requeued tasks come first.
 func (u *submission) takeNext() int {
 	if n := len(u.requeued); n > 0 {
 		index := u.requeued[n-1]
@@ -102,7 +105,8 @@
 	return u.next - 1
 }
 
-// charge books the expected slot time of a task; Finished corrects it.
+// charge adds the expected slot time of a task to the tag of its queue; RecordEnd
+// corrects it by the actual time.
 func (s *State) charge(q *queue, r *running, fair bool) {
 	s.picks++
 	q.servedAt = s.picks
@@ -112,7 +116,8 @@
 	q.tag[q.band] += r.charged.Seconds() / q.weight()
 }
 
-// replace moves a submission to its place after its tasks changed.
+// reposition updates the give-up time and rank of a submission whose tasks
+// changed, and its places in the heaps.
 func (s *State) replace(u *submission) {
 	u.giveUpAt = u.deadlineAt
 	if u.waiting > 0 {
