--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -38,7 +38,7 @@
 	must.Nil(t, s.Admit(now, job(id, profileName, n), wholeDomain))
 }
 
-// teach runs n tasks of the given run time and declared time.
+// teach runs n submissions of one task with the given run time and declared time.
 func teach(t *testing.T, s *State, now time.Duration, profileName string, n int, ran, declared time.Duration) {
 	t.Helper()
 	for i := range n {
@@ -107,11 +107,11 @@
 	must.NotNil(t, f, must.Sprint("declared times are a fourth of the measured ones, so 3 s means 12 s"))
 	must.Eq(t, api.KindNeverRunnable, f.Kind)
 	long.ID = "later"
-	must.Nil(t, s.Admit(evidenceAge+time.Second, long, wholeDomain), must.Sprint("old evidence refuses nothing"))
+	must.Nil(t, s.Admit(evidenceAge+time.Second, long, wholeDomain), must.Sprint("observations older than evidenceMaxAge refuse no work"))
 }
 
-// TestOneSubmissionIsNoEvidence runs 170 tasks that are alike and declared eight
-// times too short. Work of other submissions must not be refused for that.
+// One submission of 170 tasks runs eight times longer than declared. Other
+// submissions must not be refused for that.
 func TestOneSubmissionIsNoEvidence(t *testing.T) {
 	s := newState(testProfile("tiles"))
 	teach(t, s, 0, "tiles", 30, 100*ms, 100*ms)
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkExpire measures a look at the deadlines while none has passed.
+// BenchmarkExpire measures Expire while no deadline has passed.
 func BenchmarkExpire(b *testing.B) {
 	s, _ := benchState(b, 100_000)
 	for b.Loop() {
--- a/admission/fuzz_test.go
+++ b/admission/fuzz_test.go
@@ -16,8 +16,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result; a flag on the
+// command line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -37,7 +37,7 @@
 // modelQueue bounds the waiting tasks of the State that is tested.
 const modelQueue = 15
 
-// modelSub is a submission as the oracle knows it.
+// modelSub is the oracle's record of a submission.
 type modelSub struct {
 	id       ID
 	profile  string
@@ -58,7 +58,7 @@
 
 func (m *modelSub) begun() bool { return m.count(taskWaiting) < len(m.tasks) }
 
-// machine drives a State and a naive oracle by the same steps.
+// machine applies the same steps to a State and to a naive oracle.
 type machine struct {
 	state    *State
 	now      time.Duration
@@ -127,7 +127,7 @@
 	return m.profiles[i], true
 }
 
-// drop checks a submission that was given up, and forgets its waiting tasks.
+// drop checks a submission that was given up, and marks it as gone.
 func (m *machine) drop(t *rapid.T, g GivenUp) {
 	s := m.find(g.ID)
 	if s == nil || s.gone {
@@ -207,7 +207,7 @@
 	}
 	s := m.find(ref.ID)
 	if s == nil || s.gone || s.tasks[ref.Task] != taskWaiting || s.profile != ref.Profile || !usable[ref.Profile] {
-		t.Fatalf("%+v was handed out, and must not be", ref)
+		t.Fatalf("%+v was handed out, but is not waiting or not usable", ref)
 	}
 	m.picks++
 	if m.picks%fairEvery != 0 {
@@ -220,7 +220,7 @@
 	}
 }
 
-// checkShares refuses a pick while another profile should have gone first.
+// checkShares fails the test if another profile should have been picked.
 func (m *machine) checkShares(t *rapid.T, picked string, usable map[string]bool) {
 	p, listed := m.profile(picked)
 	if !listed {
@@ -306,7 +306,7 @@
 	}
 }
 
-// Check compares the counts after each step.
+// Check compares the State's counts with the oracle's after each step.
 func (m *machine) Check(t *rapid.T) {
 	must.Eq(t, m.waiting(""), m.state.QueueLen())
 	wants, tasks := 0, 0
@@ -326,7 +326,8 @@
 	must.Eq(t, tasks, m.state.QueueLen()+len(m.out)+m.finished+m.dropped)
 }
 
-// drain ends all that is left, and checks that nothing is kept.
+// drain ends all tasks and removes all submissions, and checks that the State is
+// empty.
 func (m *machine) drain(t *rapid.T) {
 	for _, ref := range m.out {
 		m.state.Finished(m.now, ref, ms, OutcomeDone)
--- a/admission/shares_test.go
+++ b/admission/shares_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// serve hands out n tasks, each of which ends after its profile's run time as
-// soon as slots tasks are out, and counts them by profile.
+// serve hands out n tasks and counts them by profile. When slots tasks are out, it
+// ends the oldest one with its profile's run time.
 func serve(s *State, n, slots int, ran map[string]time.Duration) map[string]int {
 	var out []TaskRef
 	served := map[string]int{}
@@ -119,12 +119,12 @@
 	must.False(t, ok)
 	for _, p := range profiles {
 		ref, ok := s.Next(0, func(name string) bool { return name == p.Name })
-		must.True(t, ok, must.Sprint("its units came back"))
+		must.True(t, ok, must.Sprint("its units are free again"))
 		must.Eq(t, p.Name, ref.Profile)
 	}
 	one := func(name string) bool { asked++; return name == "p00" }
 	_, _ = s.Next(0, one)
 	asked = 0
 	_, _ = s.Next(0, one)
-	must.LessEq(t, asideChecks+1, asked, must.Sprint("a call checks few of those set aside while there is work"))
+	must.LessEq(t, asideChecks+1, asked, must.Sprint("a call checks few set-aside profiles while another has work"))
 }
