--- a/placement/bucket.go
+++ b/placement/bucket.go
@@ -28,7 +28,8 @@
 	t.bucketIndex = noIndex
 }
 
-// better draws two targets and returns the faster one; nil when there is none.
+// drawFaster draws two targets and returns the one with the lower run-time ratio;
+// nil when the bucket is empty.
 func (b *bucket) better(rng *rand.Rand) *target {
 	n := len(b.targets)
 	if n == 0 {
@@ -45,7 +46,8 @@
 	return first
 }
 
-// place puts the target into the bucket that its state asks for.
+// updateBucket moves the target to the bucket that bucketOf returns for it, and
+// marks its verdict as pending when its use has changed.
 func (s *State) place(t *target) {
 	s.noteVerdict(t)
 	b := s.bucketOf(t)
@@ -64,6 +66,8 @@
 	}
 }
 
+// bucketOf returns the bucket of a target by its state; nil when it may not be
+// picked. A target in quarantine is probed by one task at a time.
 func (s *State) bucketOf(t *target) *bucket {
 	switch {
 	case t.removed || !t.free || t.leaving() || t.paced:
@@ -81,8 +85,9 @@
 	return &s.ready
 }
 
-// pace keeps a target that is not in quarantine from being picked until the
-// given time. Its units are of no use until then, so that others are asked for.
+// backOff keeps a target that is not in quarantine from being picked until the
+// given time. Its units are excluded until then, so that the VM requests units of
+// other targets.
 func (s *State) pace(t *target, until time.Duration) {
 	if t.quarantined() {
 		return
@@ -94,7 +99,8 @@
 	s.wakes.set(t, until)
 }
 
-// probe plans the next probe of a target. One that rests is woken before.
+// scheduleProbe sets the time of the next probe of a target. A target that backs
+// off is woken at the end of its backoff instead, and then for the probe.
 func (s *State) probe(t *target, at time.Duration) {
 	t.probeAt = at
 	if !t.paced {
@@ -102,11 +108,11 @@
 	}
 }
 
-// Wake brings back the targets whose time has come. Call it when Next is due;
-// Pick does so as well.
+// Wake ends the backoffs that are over, and makes the probes due whose time has
+// come. The caller calls it at the time that NextWake returns. Pick does the same.
 func (s *State) Wake(now time.Duration) { s.wake(now) }
 
-// wake brings back the targets whose time has come.
+// wake implements Wake.
 func (s *State) wake(now time.Duration) {
 	for len(s.wakes) > 0 && s.wakes[0].wakeAt <= now {
 		t := s.wakes[0]
@@ -115,7 +121,7 @@
 		switch {
 		case t.cause == CauseNone:
 		case now < t.probeAt:
-			// It rested for less time than it is to wait for its next probe.
+			// The backoff was shorter than the wait for the next probe.
 			s.wakes.set(t, t.probeAt)
 		default:
 			t.due = true
@@ -160,6 +166,7 @@
 	return t
 }
 
+// set adds the target with this time, or changes its time.
 func (h *wakeHeap) set(t *target, at time.Duration) {
 	t.wakeAt = at
 	if t.heapIndex == noIndex {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,11 +1,14 @@
 // Package placement decides which target takes the next task.
 //
-// Targets with free units are picked at random, the better one of two. A target
-// that fails, does not answer or is slow, by evidence from several submissions,
-// is used less or not at all until probes show that it works. Failures that many
-// targets share are held against the class of work, not against the targets.
+// Its input is the platform's list of targets, which targets have free units, and
+// the starts, refusals and ends of tasks. Its output is the target to use, and the
+// targets whose units are of no use to the VM. It picks the faster of two random
+// targets with free units. A target that fails, does not answer or is slow, by
+// evidence from several submissions, is used less or not at all until probes
+// succeed. Failures that many targets share count against the class of work
+// instead. The number of targets in quarantine is bounded.
 //
-// State is plain data: the time is an argument and so is the randomness. Only
+// State is plain data: the time and the source of randomness are arguments. Only
 // one goroutine may use a State.
 package placement
 
@@ -21,7 +24,7 @@
 	ID string
 	// Rack groups targets that fail together; empty is a rack of its own.
 	Rack string
-	// Leaving tells that the platform lists the target as leaving.
+	// Leaving says that the platform lists the target as leaving.
 	Leaving bool
 }
 
@@ -32,10 +35,10 @@
 const (
 	// OutcomeDone is a result.
 	OutcomeDone Outcome = iota + 1
-	// OutcomeFailed is a failure that the target answered.
+	// OutcomeFailed is a failure that the target reported.
 	OutcomeFailed
-	// OutcomeStopped is a task that was stopped on request; no evidence but for
-	// its run time.
+	// OutcomeStopped is a task that was stopped on request. Only its run time
+	// counts as evidence.
 	OutcomeStopped
 	// OutcomeLost is a connection that broke after the start was written.
 	OutcomeLost
@@ -46,7 +49,8 @@
 	Target string
 	// Class is the profile, or a finer class of work with similar run times.
 	Class string
-	// Submission tells evidence of one job from that of several.
+	// Submission identifies the job, so that several failures of one job count
+	// less than those of several jobs.
 	Submission string
 	// Runtime is the time from start to end.
 	Runtime time.Duration
@@ -60,7 +64,7 @@
 const (
 	// RefusedFull means that all slots of the target are in use.
 	RefusedFull Refusal = iota + 1
-	// RefusedLease means that the lease had lapsed.
+	// RefusedLease means that the lease had expired.
 	RefusedLease
 	// RefusedLeaving means that the target is leaving.
 	RefusedLeaving
@@ -75,18 +79,18 @@
 	// MaxQuarantined is the largest fraction of the targets in quarantine at
 	// once. Default 0.25; one of two or more targets is always allowed.
 	MaxQuarantined float64
-	// ProbeAfter is the first interval between probes; it doubles with each
-	// probe that fails, up to ProbeMost. Defaults 1 s and 1 min.
+	// ProbeInterval is the first interval between probes; it doubles with each
+	// probe that fails, up to MaxProbeInterval. Defaults 1 s and 1 min.
 	ProbeAfter time.Duration
 	ProbeMost  time.Duration
-	// UnreachableProbeAfter is the first interval for a target without
-	// connection. Default 250 ms.
+	// UnreachableProbeInterval is the first interval for a target to which no
+	// connection could be made. Default 250 ms.
 	UnreachableProbeAfter time.Duration
 	// ProbeSuccesses is how many probes in a row must succeed. Default 3.
 	ProbeSuccesses int
 	// SlowRatio is the run-time ratio from which a target is slow. Default 2.
 	SlowRatio float64
-	// UnresponsiveFactor is the multiple of the learned 99th percentile after
+	// UnresponsiveFactor is the multiple of the 99th percentile of run times after
 	// which several unanswered tasks make a target unresponsive. Default 4.
 	UnresponsiveFactor float64
 }
@@ -115,13 +119,14 @@
 	targets map[string]*target
 	// ordered holds the targets sorted by id.
 	ordered []*target
-	// unusedIndex holds the indexes in the classes' tables that are free again.
+	// unusedIndex holds the free indexes in the classes' tables, and unusedRack
+	// the free ones of racks.
 	unusedIndex []int
 	racks       map[string]*rack
 	unusedRack  []int
 
-	// ready holds targets in good health with free units, last those that are
-	// used when nothing else is free, due those that need a probe.
+	// ready holds healthy targets with free units, lastResort those that are used
+	// only when no other target is free, and probeDue those that need a probe.
 	ready, last, due bucket
 	wakes            wakeHeap
 
@@ -130,7 +135,8 @@
 
 	quarantined int
 	exclusions  []Exclusion
-	// judged are the targets whose use may have changed since Verdicts was called.
+	// pendingVerdicts are the targets whose use may have changed since the last
+	// call of TakeVerdicts.
 	judged []*target
 }
 
@@ -145,8 +151,8 @@
 	}
 }
 
-// SetTargets replaces the list of targets. The result of Pick follows at once;
-// what is known of targets that stay is kept.
+// SetTargets replaces the list of targets. Pick uses the new list at once. Targets
+// that stay keep their evidence.
 func (s *State) SetTargets(now time.Duration, list []Target) {
 	listed := make(map[string]bool, len(list))
 	for _, spec := range list {
@@ -167,7 +173,7 @@
 		t = s.add(spec)
 	}
 	if spec.Leaving {
-		// The list has caught up with what the target may have said itself.
+		// From now on the list says when the target stops leaving.
 		t.saidLeaving = false
 	}
 	t.listedLeaving = spec.Leaving
@@ -197,6 +203,7 @@
 
 func compareTargetID(t *target, id string) int { return strings.Compare(t.id, id) }
 
+// newIndex returns an unused index in the classes' tables.
 func (s *State) newIndex() int {
 	if n := len(s.unusedIndex); n > 0 {
 		index := s.unusedIndex[n-1]
@@ -235,6 +242,8 @@
 	}
 }
 
+// moveRack puts a target into another rack and forgets its outcomes, which are
+// counted by rack.
 func (s *State) moveRack(t *target, name string) {
 	for _, c := range s.classes {
 		c.forget(t)
@@ -261,8 +270,8 @@
 	t.removed = true
 }
 
-// SetFree tells whether the VM holds free units of the target's slots. A target
-// that the list has not named yet is picked only once it does.
+// SetFree sets whether the VM holds free units of the target's slots. A target
+// that is not on the list yet is picked only once it is.
 func (s *State) SetFree(name string, free bool) {
 	t := s.targets[name]
 	if t == nil && !free {
@@ -276,8 +285,9 @@
 	s.place(t)
 }
 
-// Leaving notes that the target said that it is leaving. It gets no more tasks
-// until the list shows it leaving and then live again, or Staying is called.
+// MarkLeaving records that the target reported that it is leaving. It gets no more
+// tasks until the list shows it leaving and then live again, or MarkStaying is
+// called.
 func (s *State) Leaving(name string) {
 	if t := s.targets[name]; t != nil {
 		t.saidLeaving = true
@@ -285,7 +295,8 @@
 	}
 }
 
-// Staying notes that the target granted a lease and did not say that it leaves.
+// MarkStaying records that the target granted a lease without reporting that it
+// is leaving.
 func (s *State) Staying(name string) {
 	if t := s.targets[name]; t != nil {
 		t.saidLeaving = false
@@ -293,8 +304,8 @@
 	}
 }
 
-// Pick chooses the target of the next task among those with free units; false
-// says that none may be used now.
+// Pick returns the target of the next task, one with free units. It returns false
+// when no target may be used now.
 func (s *State) Pick(now time.Duration, rng *rand.Rand) (string, bool) {
 	s.wake(now)
 	for {
@@ -309,6 +320,8 @@
 	}
 }
 
+// candidate draws a target: one that needs a probe, else a healthy one, else one of
+// the last resort; nil when there is none.
 func (s *State) candidate(rng *rand.Rand) *target {
 	for _, b := range []*bucket{&s.due, &s.ready, &s.last} {
 		if t := b.better(rng); t != nil {
@@ -318,8 +331,8 @@
 	return nil
 }
 
-// Next is when a target that waits may be picked again; false says that none
-// waits.
+// NextWake returns the earliest time at which a target that backs off or waits for
+// a probe may be picked again. It returns false when there is no such target.
 func (s *State) Next() (time.Duration, bool) {
 	if len(s.wakes) == 0 {
 		return 0, false
@@ -327,8 +340,8 @@
 	return s.wakes[0].wakeAt, true
 }
 
-// Started notes a start that is about to be sent. Exactly one call of Finished
-// or Refused follows.
+// RecordStart records a start that is about to be sent. Exactly one call of
+// RecordEnd or RecordRefusal follows.
 func (s *State) Started(now time.Duration, name, className, submission string) {
 	t := s.targets[name]
 	if t == nil {
@@ -339,7 +352,7 @@
 	s.place(t)
 }
 
-// Finished notes the end of a started task.
+// RecordEnd records the end of a started task.
 func (s *State) Finished(now time.Duration, r Result) {
 	t := s.targets[r.Target]
 	c := s.class(r.Class)
@@ -365,7 +378,7 @@
 	s.place(t)
 }
 
-// Refused notes that a start did not begin.
+// RecordRefusal records that a start did not begin.
 func (s *State) Refused(now time.Duration, name string, reason Refusal) {
 	t := s.targets[name]
 	if t == nil {
--- a/placement/target.go
+++ b/placement/target.go
@@ -8,15 +8,16 @@
 const (
 	// noIndex is the place of a target that is in no bucket or heap.
 	noIndex = -1
-	// unansweredTasks and unansweredJobs are how many unanswered tasks, of how
-	// many submissions, make a target unresponsive.
+	// minUnansweredTasks and minUnansweredJobs are how many unanswered tasks, of
+	// how many submissions, make a target unresponsive.
 	unansweredTasks = 3
 	unansweredJobs  = 2
-	// fullPause is how long a target that was full rests.
+	// fullBackOff is how long a target that was full is not picked.
 	fullPause = 20 * time.Millisecond
 	// ratioWeight is the weight of the newest task in a target's ratio.
 	ratioWeight = 1.0 / 16
-	// slowTasks and slowSubmissions are the evidence that makes a target slow.
+	// slowTasks and slowSubmissions are how many tasks, of how many submissions,
+	// are needed before a target counts as slow.
 	slowTasks       = 8
 	slowSubmissions = 3
 )
@@ -34,11 +35,11 @@
 	CauseUnreachable
 	// CauseUnresponsive is quarantine: several tasks got no answer.
 	CauseUnresponsive
-	// CauseSlow means that tasks take longer here; the target is used when
-	// nothing else is free.
+	// CauseSlow means that tasks take longer here; the target is used only when
+	// no other is free.
 	CauseSlow
 	// CauseDoubted means that some tasks failed, or that too many targets are in
-	// quarantine already; the target is used when nothing else is free.
+	// quarantine already; the target is used only when no other is free.
 	CauseDoubted
 )
 
@@ -47,7 +48,7 @@
 // String returns the name that operators see.
 func (c Cause) String() string { return causeNames[c] }
 
-// target is what is known of one target.
+// target is the state of one target.
 type target struct {
 	id       string
 	index    int
@@ -56,29 +57,29 @@
 
 	free                       bool
 	listedLeaving, saidLeaving bool
-	// unlisted tells that units came before the list named the target.
+	// unlisted says that the VM got units before the target was on the list.
 	unlisted bool
 	removed  bool
 
 	cause Cause
 	since time.Duration
-	// reportedUse and reportedCause are what Verdicts told last; judged tells that
-	// they may differ by now.
+	// reportedUse and reportedCause are what TakeVerdicts returned last, and
+	// verdictPending says that they may be out of date.
 	reportedUse   string
 	reportedCause Cause
 	judged        bool
-	// due tells that a probe may start.
+	// probeDue says that a probe may start.
 	due bool
-	// probeAt is when the next probe may start, if it is not used normally.
+	// probeAt is when the next probe may start, unless the target is used normally.
 	probeAt        time.Duration
 	probeWait      time.Duration
 	probeSuccesses int
-	// paced tells that the target rests until wakeAt.
+	// backingOff says that the target is not picked before wakeAt.
 	paced bool
 
-	// evidence is the score of failures, in nats; see health.go.
+	// evidence is the failure score, in nats; see health.go.
 	evidence float64
-	// failedJobs are the latest submissions that count in evidence.
+	// failedJobs are the newest submissions that count in evidence.
 	failedJobs []string
 
 	// logRatio is the moving mean of log(run time / class mean).
@@ -86,16 +87,17 @@
 	// newestRatio is the newest sample in logRatio.
 	newestRatio float64
 	tasks       int
-	// ratioJobs are the latest submissions that count in logRatio.
+	// ratioJobs are the newest submissions that count in logRatio.
 	ratioJobs []string
 
 	running int
-	// waiting holds since when up to unansweredTasks tasks wait, oldest first,
-	// counted from the last end of any task.
+	// unansweredSince holds the times since which up to minUnansweredTasks tasks
+	// are unanswered, oldest first: their starts, or the last end of any task.
 	waiting []time.Duration
-	// waitingJobs are the latest submissions that started tasks since then.
+	// unansweredSubmissions are the newest submissions that started tasks since
+	// the last end of any task.
 	waitingJobs []string
-	// patience is how long an answer may take.
+	// answerTimeout is how long an answer may take.
 	patience time.Duration
 
 	done, failed int64
@@ -110,14 +112,18 @@
 	return t.cause == CauseFailures || t.cause == CauseUnreachable || t.cause == CauseUnresponsive
 }
 
-// lastResort tells whether the target is used only when nothing else is free.
+// isLastResort reports whether the target is used only when no other is free.
 func (t *target) lastResort() bool { return t.cause == CauseSlow || t.cause == CauseDoubted }
 
+// isLeaving reports whether the target may get no tasks, because it leaves or is
+// not on the list yet.
 func (t *target) leaving() bool { return t.listedLeaving || t.saidLeaving || t.unlisted }
 
-// ratio is the run time of tasks here in relation to the rest.
+// ratio returns the mean ratio of run times at the target to those of their class.
 func (t *target) ratio() float64 { return math.Exp(t.logRatio) }
 
+// recordStart counts a start, and raises the answer timeout to factor times the
+// 99th percentile of the class.
 func (t *target) started(now time.Duration, c *class, submission string, factor float64) {
 	if t.running == 0 {
 		t.patience = 0
@@ -130,7 +136,8 @@
 	t.waitingJobs = remember(t.waitingJobs, submission, unansweredJobs)
 }
 
-// ended notes a sign of life: the other tasks wait from now on.
+// recordEnd counts the end of a task. The target has answered, so that the wait for
+// the other tasks' answers is counted from now.
 func (t *target) ended(now time.Duration) {
 	t.running = max(0, t.running-1)
 	t.waiting = t.waiting[:min(len(t.waiting), t.running)]
@@ -140,13 +147,14 @@
 	t.waitingJobs = t.waitingJobs[:0]
 }
 
-// withdrawn notes a start that did not begin.
+// withdrawStart removes a start that did not begin from the counts.
 func (t *target) withdrawn() {
 	t.running = max(0, t.running-1)
 	t.waiting = t.waiting[:min(len(t.waiting), t.running)]
 }
 
-// unresponsive tells whether several tasks wait beyond patience.
+// isUnresponsive reports whether enough tasks of enough submissions are unanswered
+// for longer than the answer timeout.
 func (t *target) unresponsive(now time.Duration) bool {
 	if len(t.waiting) < unansweredTasks || len(t.waitingJobs) < unansweredJobs || t.patience == 0 {
 		return false
@@ -154,6 +162,7 @@
 	return now-t.waiting[unansweredTasks-1] > t.patience
 }
 
+// learnRatio adds the ratio of a run time to the class mean to the target's mean.
 func (t *target) learnRatio(c *class, r Result) {
 	mean := c.mean()
 	if mean <= 0 || r.Runtime <= 0 {
@@ -167,7 +176,8 @@
 	t.ratioJobs = remember(t.ratioJobs, r.Submission, slowSubmissions)
 }
 
-// remember adds a name to a short list of distinct names, the oldest leaves.
+// addRecent adds a name to a list of distinct names. The oldest one is removed
+// when the list has most names.
 func remember(list []string, name string, most int) []string {
 	for _, n := range list {
 		if n == name {
