--- a/placement/explain.go
+++ b/placement/explain.go
@@ -10,7 +10,7 @@
 	UseLeaving    = "leaving"
 )
 
-// Explanation tells operators how a target is used and why.
+// Explanation reports to operators how a target is used and why.
 type Explanation struct {
 	Target string `json:"target"`
 	// Use is one of the uses.
@@ -19,9 +19,10 @@
 	Cause string `json:"cause"`
 	// Since is when the cause arose, on the VM's monotonic clock.
 	Since time.Duration `json:"since"`
-	// Ratio is the run time of tasks in relation to the rest.
+	// Ratio is the mean ratio of run times here to those of their class.
 	Ratio float64 `json:"ratio"`
-	// Evidence against the target in nats, and the submissions that it rests on.
+	// Evidence is the failure score in nats, and Submissions the newest ones that
+	// count in it.
 	Evidence    float64  `json:"evidence"`
 	Submissions []string `json:"submissions"`
 	Running     int      `json:"running"`
@@ -33,7 +34,7 @@
 	ProbeSuccesses int           `json:"probe_successes"`
 }
 
-// Explain returns what is known of a target.
+// Explain returns the use and the evidence of a target; false when it is unknown.
 func (s *State) Explain(name string) (Explanation, bool) {
 	t := s.targets[name]
 	if t == nil {
@@ -58,7 +59,7 @@
 	return e, true
 }
 
-// Use is how a target is used, one of the uses; empty when it is not known.
+// Use returns how a target is used, one of the uses; empty when it is unknown.
 func (s *State) Use(name string) string {
 	t := s.targets[name]
 	if t == nil {
--- a/placement/health.go
+++ b/placement/health.go
@@ -6,24 +6,27 @@
 )
 
 // Evidence against a target is a sequential likelihood ratio, in nats: a failure
-// adds log(pBad / pClass), a success adds log((1-pBad) / (1-pClass)), the sum
-// never falls below zero. pBad is the failure rate of a bad target and pClass
-// what the class of work shows elsewhere. So a failure that is usual for the
-// class weighs nothing.
+// adds log(pBad / pClass), a success adds log((1-pBad) / (1-pClass)), and the sum
+// never falls below zero. pBad is the failure rate of a bad target, and pClass the
+// failure rate of the class of work elsewhere. A failure in a class that fails as
+// often elsewhere adds nothing.
 const (
 	badTargetRate = 0.5
 	leastRate     = 0.01
-	// mostRateOfSuccess keeps a success worth something in a failing class.
+	// maxRateForSuccess bounds pClass for successes, so that a success in a failing
+	// class still lowers the evidence.
 	mostRateOfSuccess = 0.4
-	// quarantineEvidence and quarantineJobs send a target into quarantine:
-	// three failures in a row of a class that fails nowhere else.
+	// quarantineEvidence and quarantineJobs are the evidence and the number of
+	// submissions that put a target into quarantine: three failures in a row of a
+	// class that does not fail elsewhere.
 	quarantineEvidence = 10.0
 	quarantineJobs     = 3
-	// doubtEvidence makes a target the last resort.
+	// doubtedEvidence is the evidence from which a target is used only as the last
+	// resort.
 	doubtEvidence = quarantineEvidence / 2
 )
 
-// noteSuccess weighs a result.
+// recordSuccess lowers the evidence against a target that returned a result.
 func (s *State) noteSuccess(now time.Duration, t *target, c *class) {
 	t.done++
 	c.note(t, outcomeGood)
@@ -36,14 +39,15 @@
 	s.endProbe(now, t, probeSucceeded)
 }
 
-// rateElsewhere is the failure rate of the class without this target's share.
+// rateElsewhere returns the failure rate of the class: the higher of its mean rate
+// and of the part of the targets in other racks that failed it last.
 func (c *class) rateElsewhere(t *target) float64 {
 	return min(1, max(leastRate, c.failureRate, c.badElsewhere(t)))
 }
 
-// noteFailure weighs a failure of a started task. A submission counts once at a
-// target, and the more racks it failed in the less it counts: that is the
-// submission's own fault then.
+// recordFailure adds the failure of a started task to the evidence. A submission
+// counts once at a target. The more racks it failed in, the less it counts, since
+// the submission itself is then the likely cause.
 func (s *State) noteFailure(now time.Duration, t *target, c *class, r Result) {
 	t.failed++
 	rate := c.rateElsewhere(t)
@@ -51,7 +55,7 @@
 	weight := math.Max(0, math.Log(badTargetRate/rate))
 	s.blame(now, t, r.Submission, weight)
 	if rest := c.mean() - r.Runtime; rest > 0 {
-		// A failing target must not come back sooner than a working one.
+		// A target that fails fast must not be free sooner than a working one.
 		s.pace(t, now+rest)
 	}
 	s.endProbe(now, t, probeFailed)
@@ -60,8 +64,9 @@
 	}
 }
 
-// noteUnreachable weighs a connection that could not be made. Tasks that were lost with
-// the target no longer speak against their class of work: nothing newer could.
+// recordUnreachable records that no connection could be made. The outcomes at the
+// target no longer count for their classes: its tasks that were lost would count
+// as failures of the class, and no newer outcome can replace them.
 func (s *State) noteUnreachable(now time.Duration, t *target) {
 	t.failed++
 	for _, c := range s.classes {
@@ -78,7 +83,9 @@
 	}
 }
 
-// noteUnresponsive takes a target out that has stopped answering.
+// checkUnresponsive puts a target that has stopped answering into quarantine, or
+// lets it back off when too many targets are there. It reports whether the target
+// may not be picked now.
 func (s *State) noteUnresponsive(now time.Duration, t *target) bool {
 	if t.quarantined() || !t.unresponsive(now) {
 		return false
@@ -91,7 +98,7 @@
 	return t.bucket == nil
 }
 
-// mostQuarantined is how many targets may be in quarantine at once.
+// quarantineLimit returns how many targets may be in quarantine at once.
 func (s *State) mostQuarantined() int {
 	n := len(s.targets)
 	if n < 2 {
@@ -100,7 +107,8 @@
 	return max(1, int(float64(n)*s.opts.MaxQuarantined))
 }
 
-// quarantine takes a target out of use, unless too many are out already.
+// quarantine puts a target into quarantine, unless quarantineLimit targets are there
+// already. It reports whether the target is in quarantine.
 func (s *State) quarantine(now time.Duration, t *target, cause Cause) bool {
 	if t.quarantined() {
 		return true
@@ -124,7 +132,7 @@
 	return true
 }
 
-// unpace ends the rest of a target.
+// endBackOff ends the backoff of a target.
 func (s *State) unpace(t *target) {
 	if t.paced {
 		t.paced = false
@@ -132,7 +140,7 @@
 	}
 }
 
-// reinstate brings a target back into normal use.
+// reinstate returns a target to normal use, without evidence.
 func (s *State) reinstate(t *target) {
 	if t.quarantined() {
 		s.quarantined--
@@ -147,8 +155,8 @@
 	s.place(t)
 }
 
-// enforceCap brings targets back when the list has become shorter, those first
-// that have been out longest.
+// enforceQuarantineLimit reinstates targets when the list has become shorter, those
+// first that have been in quarantine longest.
 func (s *State) enforceCap(time.Duration) {
 	for s.quarantined > s.mostQuarantined() {
 		var oldest *target
@@ -161,7 +169,7 @@
 	}
 }
 
-// probeOutcome is what a probe showed.
+// probeOutcome is the result of a probe.
 type probeOutcome uint8
 
 const (
@@ -170,7 +178,9 @@
 	probeUndecided
 )
 
-// endProbe moves a target that is probed by the end of one of its tasks.
+// updateProbe schedules the next probe of a target after the end of one of its
+// tasks. A target in quarantine is reinstated after enough successes in a row, and
+// a failure doubles its probe interval.
 func (s *State) endProbe(now time.Duration, t *target, outcome probeOutcome) {
 	switch {
 	case t.cause == CauseDoubted && outcome == probeSucceeded:
@@ -199,7 +209,7 @@
 	}
 }
 
-// judgeDoubt moves a target between normal use and use as the last resort by the
+// updateDoubted moves a target between normal use and use as the last resort by the
 // evidence of failures.
 func (s *State) judgeDoubt(now time.Duration, t *target) {
 	doubted := t.evidence >= doubtEvidence
@@ -217,9 +227,9 @@
 	s.place(t)
 }
 
-// judgeSlow moves a target between normal use and use as the last resort. The
-// newest task counts alone for a slow target, so that a few good ones in a row
-// bring it back.
+// updateSlow moves a target between normal use and use as the last resort by its
+// run times. For a slow target only the newest task counts, so that a few good ones
+// in a row reinstate it.
 func (s *State) judgeSlow(now time.Duration, t *target) {
 	limit := math.Log(s.opts.SlowRatio)
 	if t.cause == CauseSlow {
@@ -238,6 +248,8 @@
 	s.probe(t, now+t.probeWait)
 }
 
+// endSlowProbe schedules the next probe of a slow target, or reinstates it after
+// enough good tasks in a row.
 func (s *State) endSlowProbe(now time.Duration, t *target, good bool) {
 	if !good {
 		t.probeSuccesses = 0
@@ -258,13 +270,13 @@
 	s.reinstate(t)
 }
 
-// Exclusion tells whether units of a target are of use to this VM.
+// Exclusion says whether units of a target are of use to this VM.
 type Exclusion struct {
 	Target   string
 	Excluded bool
 }
 
-// Exclusions returns the changes since the last call, for the capacity duty.
+// TakeExclusions returns the changes since the last call, for the capacity duty.
 func (s *State) Exclusions() []Exclusion {
 	changes := s.exclusions
 	s.exclusions = nil
@@ -275,7 +287,8 @@
 	s.exclusions = append(s.exclusions, Exclusion{Target: t.id, Excluded: excluded})
 }
 
-// noteProbeDue asks for a unit to probe with when the VM holds none.
+// requestProbeUnit ends the exclusion of a target in quarantine of which the VM
+// holds no free unit, so that the VM requests one for the probe.
 func (s *State) noteProbeDue(t *target) {
 	if t.quarantined() && !t.free {
 		s.exclude(t, false)
--- a/placement/verdict.go
+++ b/placement/verdict.go
@@ -7,12 +7,12 @@
 	Before, Use string
 	// Cause is why the target is not used normally.
 	Cause Cause
-	// Submissions are the latest ones that count against the target.
+	// Submissions are the newest ones that count against the target.
 	Submissions []string
 }
 
-// Verdicts returns the changes since the last call, for the log. A target that
-// changed to and fro in between is left out.
+// TakeVerdicts returns the changes since the last call, for the log. A target
+// whose use changed and changed back in between is left out.
 func (s *State) Verdicts() []Verdict {
 	var list []Verdict
 	for _, t := range s.judged {
@@ -35,8 +35,8 @@
 	return list
 }
 
-// noteVerdict remembers a target whose use may have changed since Verdicts told
-// of it. A target that the list has not named yet has none.
+// markVerdictPending adds a target to pendingVerdicts when its use may differ from
+// the reported one. A target that is not on the list yet has no verdict.
 func (s *State) noteVerdict(t *target) {
 	same := t.cause == t.reportedCause && t.leaving() == (t.reportedUse == UseLeaving)
 	if same || t.judged || t.unlisted {
