--- a/placement/class.go
+++ b/placement/class.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxClasses bounds the classes that are kept apart.
+	// maxClasses bounds the classes that have a record of their own.
 	maxClasses = 1024
-	// otherClass collects the classes beyond.
+	// otherClass is the common record of all further classes.
 	otherClass = ""
 	// meanWeight is the weight of the newest task in a class's mean.
 	meanWeight = 1.0 / 64
@@ -18,11 +18,12 @@
 	histogramBuckets = 80
 	histogramFirst   = 100 * time.Microsecond
 	histogramStep    = 1.25
-	// histogramMost is the weight at which a histogram is halved.
+	// maxHistogramWeight is the weight at which a histogram is halved.
 	histogramMost = 4096
-	// p99Every is how many tasks share one computation of the percentile.
+	// p99Interval is the number of tasks between two computations of the
+	// percentile.
 	p99Every = 64
-	// leastSamples is how many tasks a percentile needs.
+	// minP99Samples is how many tasks a percentile needs.
 	leastSamples = 32
 )
 
@@ -44,14 +45,16 @@
 	percentile  time.Duration
 	failureRate float64
 
-	// last holds the newest outcome at each target, by its index; seen and bad
-	// count targets by rack and in all.
+	// lastOutcomes holds the newest outcome at each target, by its index. seen and
+	// bad count the targets with an outcome and with a bad one by rack, allSeen and
+	// allBad over all racks.
 	last              []lastOutcome
 	seen, bad         []int
 	allSeen, allBad   int
 	sincePercentileOf int
 }
 
+// class returns the record of a class of work, a new one when it has none.
 func (s *State) class(name string) *class {
 	if c := s.classes[name]; c != nil {
 		return c
@@ -67,7 +70,7 @@
 	return c
 }
 
-// mean is the learned (geometric) mean run time; 0 while nothing is known.
+// mean returns the geometric mean run time, or 0 before the first task ended.
 func (c *class) mean() time.Duration {
 	if c.tasks == 0 {
 		return 0
@@ -75,6 +78,7 @@
 	return time.Duration(math.Exp(c.logMean))
 }
 
+// recordRuntime adds a run time to the mean and to the histogram.
 func (c *class) learn(runtime time.Duration) {
 	runtime = max(runtime, time.Microsecond)
 	weight := max(meanWeight, 1/float64(c.tasks+1))
@@ -100,6 +104,7 @@
 	return min(i, histogramBuckets-1)
 }
 
+// halve halves the weight of all recorded run times.
 func (c *class) halve() {
 	c.weight = 0
 	for i := range c.histogram {
@@ -108,7 +113,7 @@
 	}
 }
 
-// p99 is the learned 99th percentile of run time; 0 while too little is known.
+// p99 returns the 99th percentile of run times, or 0 while there are too few.
 func (c *class) p99() time.Duration { return c.percentile }
 
 // computeP99 returns the upper end of the histogram bucket of the percentile.
@@ -127,7 +132,7 @@
 	return 0
 }
 
-// note records how a task of the class ended at the target.
+// recordOutcome records how a task of the class ended at the target.
 func (c *class) note(t *target, outcome lastOutcome) {
 	sample := 0.0
 	if outcome == outcomeBad {
@@ -137,6 +142,7 @@
 	c.set(t, outcome)
 }
 
+// setOutcome replaces the newest outcome at the target, and updates the counts.
 func (c *class) set(t *target, outcome lastOutcome) {
 	c.last = grow(c.last, t.index+1)
 	c.seen = grow(c.seen, t.rack+1)
@@ -146,6 +152,7 @@
 	c.count(t.rack, outcome, 1)
 }
 
+// addCount adds n to the counts of targets with this outcome.
 func (c *class) count(rack int, outcome lastOutcome, n int) {
 	if outcome == outcomeUnseen {
 		return
@@ -158,15 +165,15 @@
 	}
 }
 
-// forget drops the outcome of a target.
+// forget removes the outcome of a target.
 func (c *class) forget(t *target) {
 	if t.index < len(c.last) {
 		c.set(t, outcomeUnseen)
 	}
 }
 
-// badElsewhere is the fraction of the targets outside the target's rack at which
-// the newest task of the class failed.
+// badElsewhere returns the fraction of the targets outside the target's rack at
+// which the newest task of the class failed.
 func (c *class) badElsewhere(t *target) float64 {
 	seen, bad := c.allSeen, c.allBad
 	if t.rack < len(c.seen) {
@@ -179,6 +186,7 @@
 	return float64(bad) / float64(seen)
 }
 
+// grow appends zero values to the list until it has n items.
 func grow[T any](list []T, n int) []T {
 	for len(list) < n {
 		var zero T
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// maxJobs bounds the failing submissions that are remembered.
+	// maxJobs bounds the failing submissions that are stored.
 	maxJobs = 4096
 	// maxJobFailures is the number of targets beyond which a failing submission
-	// says nothing about any of them.
+	// counts against none of them.
 	maxJobFailures = 16
 )
 
-// jobTable remembers at which targets submissions failed, the oldest leave.
+// jobTable holds the targets at which submissions failed. Beyond maxJobs the oldest
+// submission is removed.
 type jobTable struct {
 	jobs  map[string]*job
 	order []string
@@ -24,16 +25,17 @@
 type job struct {
 	failures []failure
 	racks    []int
-	// poisonous tells that it failed at so many targets that none is to blame.
+	// poisonous says that it failed at more than maxJobFailures targets, so that
+	// it counts against none of them.
 	poisonous bool
 }
 
-// failure is what a submission holds against one target.
+// failure is the failure of a submission at one target.
 type failure struct {
 	target *target
 	// weight is the evidence of the failure alone, in nats.
 	weight float64
-	// counted is the part that is in the target's evidence.
+	// counted is the part of weight that is in the target's evidence.
 	counted float64
 }
 
@@ -41,6 +43,7 @@
 	return jobTable{jobs: make(map[string]*job)}
 }
 
+// get returns the record of a submission, a new one when it has none.
 func (j *jobTable) get(submission string) *job {
 	if found := j.jobs[submission]; found != nil {
 		return found
@@ -57,8 +60,9 @@
 	return added
 }
 
-// blame adds the failure of a submission to the evidence against the target, and
-// divides what the submission says over the racks that it failed in.
+// addFailure adds the failure of a submission to the evidence against the target.
+// Each failure of the submission is weighted by 1 / the number of racks in which
+// it failed.
 func (s *State) blame(now time.Duration, t *target, submission string, weight float64) {
 	j := s.jobs.get(submission)
 	known := slices.ContainsFunc(j.failures, func(f failure) bool { return f.target == t })
@@ -83,7 +87,9 @@
 	}
 }
 
-// recount changes what a failure adds to the evidence against its target.
+// updateFailure changes the share of a failure that counts in the evidence against
+// its target. A target in quarantine for failures is reinstated when its evidence
+// falls below doubtedEvidence before a probe succeeded.
 func (s *State) recount(now time.Duration, f *failure, share float64) {
 	counted := f.weight * share
 	t := f.target
