--- a/placement/exclude_test.go
+++ b/placement/exclude_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRestingTargetsAreExcluded loses more targets than may be in quarantine:
-// the units of all of them must be of no use, so that the VM asks for others.
+// More targets are unreachable than may be in quarantine. The units of all of them
+// must be excluded, so that the VM requests units of others.
 func TestRestingTargetsAreExcluded(t *testing.T) {
 	s := New(Options{})
 	var list []Target
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -22,8 +22,8 @@
 	must.Eq(t, "quarantine", f.use(3))
 }
 
-// Two of four targets fail, one may be in quarantine. The other one gets no more
-// tasks than a working one.
+// Two of four targets fail, of which one may be in quarantine. The other one must
+// get no more tasks than a working one.
 func TestFailingTargetBeyondTheCapIsNotPreferred(t *testing.T) {
 	f := newFleet(4)
 	f.saturate(2*time.Second, good)
@@ -205,7 +205,7 @@
 	must.True(t, ok)
 }
 
-// end ends a task at a target of the test's choice.
+// end starts and ends a task at target i.
 func (f *fleet) end(i int, job string, runtime time.Duration, outcome Outcome) {
 	f.s.Started(f.now, targetID(i), "class", job)
 	f.now += time.Millisecond
@@ -309,8 +309,9 @@
 	must.Between(t, 700, picks[targetID(0)], 800)
 }
 
-// A rack that was lost with its tasks says nothing of the class of work: its targets
-// have no newer outcomes that could make good for the lost ones.
+// A rack is lost with its tasks. The lost tasks must not raise the failure rate of
+// the class, which would hide a failing target elsewhere: no newer outcome could
+// replace them.
 func TestLostRackHidesNoFailingTarget(t *testing.T) {
 	f := newFleet(8)
 	for i := 4; i < 8; i++ {
--- a/placement/placement_fuzz_test.go
+++ b/placement/placement_fuzz_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// oracle keeps, in the plainest way, what the rules allow.
+// oracle records by simple rules which picks and quarantines are allowed.
 type oracle struct {
 	t   *rapid.T
 	s   *State
 	rng *rand.Rand
 	now time.Duration
-	// listed, leaving, said and free are by target; said is what the target
-	// itself said since the list last showed it as leaving.
+	// listed, leaving, said and free are by target; said means that the target
+	// itself reported leaving since the list last showed it as leaving.
 	listed, leaving, said, free map[string]bool
 	running                     []oracleTask
 	// failures are the submissions that failed at a target since it was last in
@@ -74,10 +74,10 @@
 	o.check()
 }
 
-// ids are the listed targets in order.
+// ids returns the listed targets in order.
 func (o *oracle) ids() []string { return slices.Sorted(maps.Keys(o.listed)) }
 
-// forget drops what belongs to a target that is no longer listed.
+// forget removes the records of a target that is no longer listed.
 func (o *oracle) forget(id string) {
 	delete(o.said, id)
 	delete(o.free, id)
@@ -97,11 +97,11 @@
 	o.s.SetFree(id, free)
 }
 
-// use is how the target is used, by what operators are told.
+// use returns the State's explanation of the target.
 func (o *oracle) use(id string) Explanation {
 	e, ok := o.s.Explain(id)
 	if !ok {
-		o.t.Fatalf("%s is listed and not known", id)
+		o.t.Fatalf("%s is listed, but unknown to the State", id)
 	}
 	return e
 }
@@ -135,7 +135,8 @@
 	o.check()
 }
 
-// checkProbe allows a probe when its time has come and nothing runs there.
+// checkProbe fails the test unless the time of the probe has come and no task runs
+// at the target.
 func (o *oracle) checkProbe(before Explanation) {
 	if before.NextProbe > o.now {
 		o.t.Fatalf("%s was probed %v too early", before.Target, before.NextProbe-o.now)
@@ -147,13 +148,13 @@
 	}
 }
 
-// checkNothing makes sure that nothing could be picked: after the longest rest
-// every target in normal use is.
+// checkNothing fails the test if a target could be picked: one that is listed, has
+// free units, is not leaving, not in quarantine and does not back off.
 func (o *oracle) checkNothing() {
 	for _, id := range o.ids() {
 		usable := !o.leaving[id] && !o.said[id] && o.free[id]
 		if t := o.s.targets[id]; usable && !t.quarantined() && !t.paced {
-			o.t.Fatalf("nothing was picked, %s is free: %+v", id, o.use(id))
+			o.t.Fatalf("no target was picked, but %s is free: %+v", id, o.use(id))
 		}
 	}
 }
@@ -200,7 +201,8 @@
 	o.failures[k.target][k.job] = true
 }
 
-// check compares the quarantine with its rules.
+// check fails the test if a target is in quarantine without its cause, or if too
+// many targets are.
 func (o *oracle) check() {
 	out := 0
 	for _, id := range o.ids() {
@@ -214,7 +216,7 @@
 		case "unreachable":
 			out++
 			if !o.unreachable[id] {
-				o.t.Fatalf("%s is out and was never unreachable", id)
+				o.t.Fatalf("%s is in quarantine as unreachable, but never was", id)
 			}
 		case "unresponsive":
 			out++
@@ -229,7 +231,7 @@
 	o.checkTables()
 }
 
-// checkTables counts the outcomes of each class anew.
+// checkTables compares the counts of each class with a new count of its outcomes.
 func (o *oracle) checkTables() {
 	for name, c := range o.s.classes {
 		seen, bad := 0, 0
@@ -243,7 +245,7 @@
 			}
 		}
 		if seen != c.allSeen || bad != c.allBad {
-			o.t.Fatalf("%s counts %d bad of %d targets, there are %d of %d", name, c.allBad, c.allSeen, bad, seen)
+			o.t.Fatalf("%s counts %d bad of %d targets, but there are %d of %d", name, c.allBad, c.allSeen, bad, seen)
 		}
 	}
 }
@@ -283,7 +285,8 @@
 	}
 }
 
-// recover lets every target work: all have to come back.
+// recover makes every task succeed, and fails the test unless all targets return to
+// normal use.
 func (o *oracle) recover() {
 	for len(o.running) > 0 {
 		k := o.running[0]
@@ -308,7 +311,7 @@
 	}
 	for _, id := range o.ids() {
 		if e := o.use(id); !o.leaving[id] && e.Use != "normal" {
-			o.t.Fatalf("%s works and is not back: %+v", id, e)
+			o.t.Fatalf("%s works, but is not in normal use: %+v", id, e)
 		}
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same runs each time; flags of the command line win.
+	// The same seed in every run; flags on the command line override it.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "300")
@@ -20,7 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// fleet drives a State with n targets, four to a rack, all with free units.
+// fleet runs tasks against a State with n targets, four to a rack, all with free
+// units.
 type fleet struct {
 	s    *State
 	now  time.Duration
