--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,9 +1,13 @@
-// Package dispatch is the duty that runs submissions: it admits them, starts
-// each task at most once on a target, gathers results, and answers whole or with
-// a typed failure.
+// Package dispatch is the duty that runs submissions. It admits them, starts their
+// tasks on targets, collects the results, and answers each submission once: with
+// all results or with a typed failure.
 //
-// One goroutine owns all state. What happens outside, starts at targets and
-// messages of other duties, comes in as events through a bounded ring.
+// A task is sent again only when its start was refused or was not sent, so that it
+// runs at most once. A submission is reported as not run only when none of its
+// tasks may have started.
+//
+// One goroutine owns all state. Answers of targets and calls of other duties reach
+// it as events through a bounded ring.
 package dispatch
 
 import (
@@ -25,19 +29,20 @@
 type Options struct {
 	// Holder names this process at targets: "<vm id>/<incarnation>".
 	Holder string
-	// RingSize is the most events that wait.
+	// RingSize is the maximum number of waiting events.
 	RingSize int
-	// Submissions is the most submissions that are held at once.
+	// Submissions is the maximum number of unfinished submissions.
 	Submissions int
-	// Tick is the time between two looks at deadlines while there is work.
+	// Tick is the time between two checks of deadlines while there is work.
 	Tick time.Duration
-	// Placer decides which target takes a task, Limits which profiles may start.
+	// Placer decides which target takes a task, and Limits which profiles may
+	// start one.
 	Placer Placer
 	Limits Limits
 	// Admission orders the work.
 	Admission *admission.State
 	Targets   TargetClient
-	// Note explains decisions about a submission to operators.
+	// LogEvent records decisions about a submission for operators.
 	Note  func(keyText string, e submission.Event)
 	Scope tally.Scope
 	Log   *slog.Logger
@@ -57,17 +62,18 @@
 	DefaultTick     = 10 * time.Millisecond
 )
 
-// shortestWait keeps a due time in the past from keeping the duty busy.
+// minWait bounds the timer from below, so that a due time in the past does not make
+// the duty loop without a pause.
 const shortestWait = time.Millisecond
 
-// limitsInterval is the least time between two looks at the wants of limits,
-// which cost time for each limit.
+// limitsInterval is the minimum time between two calls of WantLimits, which visit
+// every limit.
 const limitsInterval = 5 * time.Millisecond
 
-// idleTick is the time between two looks at the state of a duty without work.
+// idleTick is the time between two ticks of a duty without work.
 const idleTick = 250 * time.Millisecond
 
-// Target is a target as the platform's list names it.
+// Target is one target of the platform's list.
 type Target struct {
 	ID      string
 	Address string
@@ -77,42 +83,44 @@
 	Leaving bool
 }
 
-// Placer decides which target takes the next task. The duty calls it from its
-// own goroutine alone.
+// Placer decides which target takes the next task. The duty calls it only from its
+// own goroutine.
 type Placer interface {
 	// SetTargets replaces the known targets.
 	SetTargets(now time.Duration, targets []Target)
-	// Pick names a target with a free slot for the next task.
+	// Pick returns a target with a free slot for the next task.
 	Pick(now time.Duration) (target string, ok bool)
-	// Begin takes the slot of a target that Pick named.
+	// Begin takes a slot of a target that Pick returned.
 	Begin(now time.Duration, target, profileName, submission string)
-	// End gives the slot back with what became of the task.
+	// End returns the slot and reports how the start ended.
 	End(now time.Duration, end End)
-	// Want says how many more tasks could start now.
+	// Want reports how many more tasks could start now.
 	Want(now time.Duration, tasks int)
-	// Tick does what is due, and says when it must be called again at the latest.
+	// Tick does the work that is due. It returns the latest time of its next call;
+	// ok is false when none is needed.
 	Tick(now time.Duration) (next time.Duration, ok bool)
-	// Slots is the number of slots in the failure domain that can be used, and
-	// the share of its load that this VM carries.
+	// Slots returns the number of usable slots in the failure domain, and the
+	// share of its load that this VM carries.
 	Slots(now time.Duration) (slots int, share float64)
 }
 
 // Limits holds the units of profile limits and team quotas of this VM.
 type Limits interface {
-	// Usable says whether a task of the profile may start now.
+	// Usable reports whether a task of the profile may start now.
 	Usable(profileName string) bool
-	// Take takes a unit of each pool that a task of the profile needs, and names
+	// Take takes a unit of each pool that a task of the profile needs, and returns
 	// the pools for Give.
 	Take(profileName string) []string
-	// Give puts the units back.
+	// Give returns the units.
 	Give(now time.Duration, pools []string)
 	// SetProfiles replaces the limits.
 	SetProfiles(now time.Duration, profiles []profile.Profile, teams []profile.Team)
-	// WantLimits takes, for each limited profile, how many tasks wait.
+	// WantLimits calls waiting for each limited profile, and requests units for
+	// that many waiting tasks.
 	WantLimits(now time.Duration, waiting func(profileName string) int)
 }
 
-// End is what became of a task at a target.
+// End describes how the start of a task at a target ended.
 type End struct {
 	Target     string
 	Submission string
@@ -122,7 +130,7 @@
 	Result  Result
 	// Reason says why a task was not started.
 	Reason targetclient.Reason
-	// Load is the target's own report, nil without one.
+	// Load is the target's own report; nil without one.
 	Load *targetclient.Load
 }
 
@@ -134,9 +142,10 @@
 	ResultDone Result = iota
 	ResultFailed
 	ResultStopped
-	// ResultNotStarted means refused by the target or never sent.
+	// ResultNotStarted means that the target refused it or that it was not sent.
 	ResultNotStarted
-	// ResultUnreachable means never sent since no connection could be had.
+	// ResultUnreachable means that it was not sent since no connection could be
+	// made.
 	ResultUnreachable
 	// ResultUnknown means that the task may have run.
 	ResultUnknown
@@ -154,15 +163,15 @@
 	refused map[string]map[string]uint64
 	// kept are the units of tasks of unknown outcome.
 	kept []keptUnits
-	// running counts starts whose answer is awaited.
+	// running counts the starts without an answer.
 	running int
-	// limitsAt is when limits were told what waits, limitsWanted whether anything
-	// did.
+	// limitsUpdatedAt is the time of the last call of WantLimits, and limitsWanted
+	// says whether tasks waited then.
 	limitsAt     time.Duration
 	limitsWanted bool
-	// tickedAt is when the duty last looked at deadlines and stragglers.
+	// lastTick is when the duty last checked deadlines and stragglers.
 	tickedAt time.Duration
-	// placerDue is when the placer must be called again; 0 is never.
+	// placerDue is when Tick of the placer must be called again; 0 is never.
 	placerDue time.Duration
 	starter   *starter
 	stopper   *stopper
@@ -171,7 +180,7 @@
 	stopped   chan struct{}
 }
 
-// New makes a duty; Run drives it.
+// New makes a duty, which does nothing before Run.
 func New(o Options) *Duty {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
@@ -203,21 +212,21 @@
 	return d
 }
 
-// now is the time since the duty started, on the monotonic clock.
+// now returns the time since the duty was made, on the monotonic clock.
 func (d *Duty) now() time.Duration { return time.Since(d.start) }
 
-// job is a submission that runs here.
+// job is an unfinished submission of this VM.
 type job struct {
 	sub     *submission.Submission
 	done    func(*submission.Outcome)
 	results []json.RawMessage
-	// finished counts results; begun says that a task may have started.
+	// finished counts results, and begun says that a task may have started.
 	finished int
 	begun    bool
 	flights  map[int]*flight
 }
 
-// flight is a start whose answer is awaited.
+// inflightTask is a task whose start has no answer yet.
 type flight struct {
 	job     *job
 	ref     admission.TaskRef
@@ -225,16 +234,16 @@
 	profile string
 	// pools are the limits and quotas of which the task holds a unit.
 	pools []string
-	// runLimit is the longest run of the task, kept by the target.
+	// runLimit is the longest run of the task; the target enforces it.
 	runLimit time.Duration
-	// decidedAt is before the view lease was looked at for the task, which a paused
-	// process may start much later.
+	// decidedAt is a time before the view lease was checked for the task. After a
+	// process pause the start may be sent much later.
 	decidedAt time.Time
 	// stopping says that the target was asked to end the task.
 	stopping bool
 }
 
-// Run drives the duty until the context ends.
+// Run processes events and ticks until the context ends.
 func (d *Duty) Run(ctx context.Context) error {
 	defer close(d.stopped)
 	go d.stopper.run(ctx)
@@ -256,8 +265,8 @@
 	}
 }
 
-// drain applies what else waits, so that one look at the queues serves many
-// events.
+// applyWaiting applies the other waiting events, so that one call of schedule
+// follows many events.
 func (d *Duty) drain() {
 	for range d.events.Len() {
 		e := <-d.events.Items()
@@ -265,7 +274,7 @@
 	}
 }
 
-// nextTick is the time until the duty must look at its state again.
+// nextTick returns the time until the next tick of the duty or of the placer.
 func (d *Duty) nextTick() time.Duration {
 	now := d.now()
 	wait := d.tickedAt + d.tickInterval() - now
@@ -275,7 +284,7 @@
 	return max(shortestWait, wait)
 }
 
-// tickInterval is the time between two looks at the state.
+// tickInterval returns the time between two ticks.
 func (d *Duty) tickInterval() time.Duration {
 	if len(d.jobs) > 0 {
 		return d.options.Tick
@@ -283,8 +292,8 @@
 	return idleTick
 }
 
-// tickWhenDue looks at the state when its time has come. It is asked after events as
-// well: under load they follow each other so closely that the timer never ends.
+// tickWhenDue calls tick when tickInterval has passed. Run calls it after events as
+// well: under load they follow each other so closely that the timer never fires.
 func (d *Duty) tickWhenDue() {
 	now := d.now()
 	if now < d.tickedAt+d.tickInterval() {
@@ -294,7 +303,8 @@
 	d.tick(now)
 }
 
-// tick looks at deadlines and stragglers.
+// tick ends submissions past their deadline and stragglers, releases kept units,
+// logs changes of targets' use, and updates the gauges.
 func (d *Duty) tick(now time.Duration) {
 	for _, g := range d.options.Admission.Expire(now) {
 		d.givenUp(g)
@@ -308,7 +318,8 @@
 	d.metrics.running.Update(float64(d.running))
 }
 
-// schedule starts tasks while there is a slot and a task for it.
+// schedule starts tasks while there are free slots and startable tasks, and then
+// reports the remaining demand to the placer and the limits.
 func (d *Duty) schedule() {
 	now := d.now()
 	adm := d.options.Admission
@@ -334,7 +345,8 @@
 	d.placerDue = due
 }
 
-// wantLimits tells the limits what waits, while something does and once after.
+// wantLimits calls WantLimits at most once in limitsInterval, while tasks wait and
+// once after the last one has left the queue.
 func (d *Duty) wantLimits(now time.Duration) {
 	waiting := d.options.Admission.QueueLen() > 0
 	if !waiting && !d.limitsWanted || now < d.limitsAt+limitsInterval {
@@ -345,6 +357,7 @@
 	d.options.Limits.WantLimits(now, d.options.Admission.ProfileQueueLen)
 }
 
+// startTask takes the slot and the units of a task, and sends its start.
 func (d *Duty) startTask(now time.Duration, ref admission.TaskRef, targetID string) {
 	j := d.jobs[string(ref.ID)]
 	f := &flight{job: j, ref: ref, target: targetID, profile: j.sub.Profile, decidedAt: d.start.Add(now)}
@@ -360,22 +373,23 @@
 	d.starter.start(f, f.runLimit)
 }
 
-// Submit takes a submission whose key was granted to this VM.
+// Submit queues a submission whose key was granted to this VM. It calls done once
+// with the outcome, at once when the ring is full.
 func (d *Duty) Submit(s *submission.Submission, done func(*submission.Outcome)) {
 	if d.events.Offer(&submitEvent{sub: s, done: done, at: d.now()}) {
 		return
 	}
 	done(submission.Refused(&api.Failure{
 		Kind:         api.KindOverloaded,
-		Message:      "this VM takes in submissions faster than it can queue them: submit again under a new key",
+		Message:      "this VM receives submissions faster than it can queue them: submit again under a new key",
 		Run:          api.NotRun,
 		RetryAfterMS: time.Second.Milliseconds(),
 		Key:          s.KeyText,
 	}))
 }
 
-// deliver hands an event to the duty and waits for room: results must not be
-// lost. It gives up only when the duty has stopped.
+// deliver adds an event to the ring and waits while the ring is full, because
+// results must not be lost. It drops the event only when the duty has stopped.
 func (d *Duty) deliver(e event) {
 	for !d.events.Offer(e) {
 		select {
