--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -12,12 +12,12 @@
 	"github.com/burdockward/burdockward/targetclient"
 )
 
-// event is something that happened outside the duty.
+// event is a change from outside that the duty's goroutine applies to its state.
 type event interface {
 	apply(d *Duty)
 }
 
-// submitEvent brings a submission whose key was granted to this VM.
+// submitEvent adds a submission whose key was granted to this VM.
 type submitEvent struct {
 	sub  *submission.Submission
 	done func(*submission.Outcome)
@@ -43,11 +43,13 @@
 	d.note(id, "admitted", "")
 }
 
-// note explains a decision about a submission as a whole.
+// logEvent records a decision about a submission as a whole.
 func (d *Duty) note(id, text, reason string) {
 	d.options.Note(id, submission.Event{Text: text, Reason: reason, Task: submission.NoTask})
 }
 
+// admit passes a submission to admission unless the VM has too many already. It
+// returns the failure with which it is refused, or nil.
 func (d *Duty) admit(e *submitEvent, now time.Duration) *api.Failure {
 	if len(d.jobs) >= d.options.Submissions {
 		return &api.Failure{
@@ -69,6 +71,7 @@
 	return d.options.Admission.Admit(now, request, admission.Capacity{Slots: slots, Share: share})
 }
 
+// expected returns the declared run times of the tasks.
 func expected(tasks []api.Task) []time.Duration {
 	times := make([]time.Duration, len(tasks))
 	for i, t := range tasks {
@@ -89,11 +92,11 @@
 	d.refused[profileName][string(kind)]++
 }
 
-// maxRefusedProfiles bounds the profiles whose refusals are counted apart, since
-// callers choose the names.
+// maxRefusedProfiles bounds the profiles whose refusals are counted separately,
+// since callers choose the names.
 const maxRefusedProfiles = 1000
 
-// leaseEvent brings the time of a target's lease.
+// leaseEvent reports the validity time of a target's lease.
 type leaseEvent struct{ ttl time.Duration }
 
 func (e *leaseEvent) apply(d *Duty) {
@@ -102,7 +105,7 @@
 	}
 }
 
-// endedEvent brings the end of a start.
+// endedEvent reports how a start ended.
 type endedEvent struct {
 	flight  *flight
 	result  Result
@@ -137,7 +140,7 @@
 	d.apply(j, e)
 }
 
-// endTask tells admission what became of a task that it handed out.
+// endTask reports to admission how the start of a task ended.
 func (d *Duty) endTask(now time.Duration, e *endedEvent) {
 	ref := e.flight.ref
 	switch e.result {
@@ -155,7 +158,8 @@
 	}
 }
 
-// apply takes the end of a start into the job that awaits it.
+// applyEnd applies the end of a start to its job: it stores the result, and answers
+// or fails the job.
 func (d *Duty) apply(j *job, e *endedEvent) {
 	ref := e.flight.ref
 	switch e.result {
@@ -179,7 +183,7 @@
 	}
 }
 
-// answer ends a job whose results are whole.
+// answer ends a job that has all its results.
 func (d *Duty) answer(j *job) {
 	id := j.sub.KeyText
 	delete(d.jobs, id)
@@ -188,7 +192,8 @@
 	j.done(submission.Answered(id, j.results))
 }
 
-// fail ends a job at once: what waits is dropped and what runs is stopped.
+// fail ends a job at once with a failure. Its waiting tasks are dropped and its
+// running ones are stopped.
 func (d *Duty) fail(j *job, f *api.Failure) {
 	id := j.sub.KeyText
 	delete(d.jobs, id)
@@ -206,7 +211,7 @@
 	j.done(submission.Refused(f))
 }
 
-// givenUp ends a job that admission has given up.
+// failGivenUp fails a job that admission has given up.
 func (d *Duty) givenUp(g admission.GivenUp) {
 	j := d.jobs[string(g.ID)]
 	if j == nil {
@@ -216,7 +221,8 @@
 	d.fail(j, &f)
 }
 
-// straggler treats a task that runs far longer than others, as its profile says.
+// handleStraggler fails the job of a straggler, unless its profile lets stragglers
+// run. The task is stopped, with a checkpoint if the profile asks for one.
 func (d *Duty) straggler(s admission.Straggler) {
 	j := d.jobs[string(s.ID)]
 	if j == nil || s.Action == profile.StragglerWait {
@@ -255,7 +261,7 @@
 	}
 }
 
-// againAdvice says what the caller can do after tasks were started.
+// retryAdvice says what the caller can do after tasks were started.
 func againAdvice(j *job) string {
 	if j.sub.Idempotent {
 		return "the work is idempotent, submit it again under a new key"
@@ -263,7 +269,8 @@
 	return "check the work's effect before you submit it under a new key"
 }
 
-// EndAll ends every submission at once, for a planned stop whose time is over.
+// EndAll fails every unfinished submission at once, for a planned stop whose time
+// is over.
 func (d *Duty) EndAll() {
 	d.DoWait(func(time.Duration) {
 		for _, j := range d.jobs {
@@ -277,7 +284,7 @@
 	})
 }
 
-// cancelEvent ends a submission at its caller's wish.
+// cancelEvent ends a submission that its caller cancelled.
 type cancelEvent struct{ id string }
 
 func (e *cancelEvent) apply(d *Duty) {
@@ -295,7 +302,7 @@
 // Cancel ends a submission; its outcome follows as for any failure.
 func (d *Duty) Cancel(id string) { d.deliver(&cancelEvent{id: id}) }
 
-// lookEvent asks for the state of a submission.
+// progressEvent requests the progress of a submission.
 type lookEvent struct {
 	id    string
 	reply chan lookReply
@@ -318,7 +325,8 @@
 	}
 }
 
-// Look describes an unfinished submission.
+// Progress returns the state of an unfinished submission, its number of tasks and
+// how many of them are done.
 func (d *Duty) Look(id string) (state string, tasks, done int) {
 	e := &lookEvent{id: id, reply: make(chan lookReply, 1)}
 	d.deliver(e)
@@ -331,7 +339,7 @@
 }
 
 // callEvent runs a function in the duty's goroutine. Other duties use it through
-// Do to reach the states that the duty owns.
+// Do to access the state that the duty owns.
 type callEvent struct{ call func(now time.Duration) }
 
 func (e *callEvent) apply(d *Duty) { e.call(d.now()) }
@@ -339,13 +347,14 @@
 // Do runs call in the duty's goroutine, later. It never waits for call to end.
 func (d *Duty) Do(call func(now time.Duration)) { d.deliver(&callEvent{call: call}) }
 
-// TryDo is Do for callers that must not block; false says that call is dropped.
+// TryDo is Do for callers that must not block; it returns false when the ring is
+// full and call is dropped.
 func (d *Duty) TryDo(call func(now time.Duration)) bool {
 	return d.events.Offer(&callEvent{call: call})
 }
 
-// DoWait runs call in the duty's goroutine and waits for its end; false says that
-// the duty has stopped.
+// DoWait runs call in the duty's goroutine and waits for its end; it returns false
+// when the duty has stopped.
 func (d *Duty) DoWait(call func(now time.Duration)) bool {
 	ended := make(chan struct{})
 	d.deliver(&callEvent{call: func(now time.Duration) {
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -14,14 +14,15 @@
 )
 
 // leaseMargin is the time before the end of a lease in which it is no longer
-// used, so that a start does not reach the target late.
+// used, so that a start does not reach the target after the lease has expired.
 const leaseMargin = 250 * time.Millisecond
 
-// maxStartDelay is the longest time from the decision to start a task to its
-// start; a start that is later is decided anew. It covers one call for a lease.
+// maxStartDelay is the longest time from the decision to start a task to sending
+// its start. A later start is not sent, and its task is requeued. The time covers
+// one request for a lease.
 const maxStartDelay = 2 * time.Second
 
-// starter sends starts to targets, each from a goroutine of its own, and takes
+// starter sends starts to targets, each from a goroutine of its own, and acquires
 // the leases that they need.
 type starter struct {
 	client  TargetClient
@@ -37,7 +38,7 @@
 // targetLease is this VM's lease at one target.
 type targetLease struct {
 	address string
-	// acquiring is held while one goroutine asks for a lease; the others wait.
+	// acquiring is held while one goroutine requests a lease; the others wait.
 	acquiring sync.Mutex
 
 	mu      sync.Mutex
@@ -58,7 +59,7 @@
 }
 
 // setTargets replaces the known targets. A target at another address is another
-// process, whose leases start anew.
+// process, which does not know the lease of the previous one.
 func (s *starter) setTargets(targets []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,17 +74,20 @@
 	s.targets = next
 }
 
+// lease returns the lease at a target; nil when the target is unknown.
 func (s *starter) lease(id string) *targetLease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.targets[id]
 }
 
-// start sends the start of a flight and delivers its end.
+// start sends the start of a task and delivers its end.
 func (s *starter) start(f *flight, runLimit time.Duration) {
 	go func() { s.deliver(s.run(f, runLimit)) }()
 }
 
+// run acquires a lease, sends the start and waits for its answer. It sends nothing
+// without a lease or after maxStartDelay.
 func (s *starter) run(f *flight, runLimit time.Duration) *endedEvent {
 	ctx := trace.ContextWithSpanContext(context.Background(), f.job.sub.Span)
 	ctx, span := s.tracer.Start(ctx, "start", trace.WithSpanKind(trace.SpanKindClient))
@@ -98,13 +102,14 @@
 		return s.noLease(f, err)
 	}
 	if time.Since(f.decidedAt) > maxStartDelay {
-		// The process was paused: limits and slots may be in other hands by now.
+		// The process was paused. Other VMs may use its slots and units by now.
 		return &endedEvent{flight: f, result: ResultNotStarted, reason: targetclient.ReasonCancelled}
 	}
 	return s.send(ctx, f, l, id, runLimit)
 }
 
-// acquire gives a lease that holds for a while, taking one when there is none.
+// acquire returns a lease that is valid for at least leaseMargin, and requests one
+// when there is none.
 func (s *starter) acquire(ctx context.Context, l *targetLease) (string, error) {
 	if id, ok := l.current(); ok {
 		return id, nil
@@ -125,7 +130,7 @@
 	return lease.ID, nil
 }
 
-// noLease ends a flight without lease: nothing was sent.
+// leaseFailed returns the end of a start that was not sent for lack of a lease.
 func (s *starter) noLease(f *flight, err error) *endedEvent {
 	e := &endedEvent{flight: f, result: ResultUnreachable, reason: targetclient.ReasonUnreachable, err: err}
 	var refused *targetclient.LeaseRefusedError
@@ -136,6 +141,7 @@
 	return e
 }
 
+// send sends the start and returns its end.
 func (s *starter) send(ctx context.Context, f *flight, l *targetLease, lease string, runLimit time.Duration) *endedEvent {
 	sent := time.Now()
 	response, err := s.client.Start(ctx, l.address, targetclient.StartRequest{
@@ -165,6 +171,8 @@
 	return e
 }
 
+// startFailed completes the end of a start that returned an error. Only a
+// NotStartedError proves that the task did not run.
 func (s *starter) startFailed(e *endedEvent, l *targetLease, lease string, err error) *endedEvent {
 	e.err = err
 	var notStarted *targetclient.NotStartedError
@@ -184,7 +192,7 @@
 	return e
 }
 
-// current gives the lease if it holds for a while.
+// current returns the lease if it is valid for at least leaseMargin.
 func (l *targetLease) current() (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +202,7 @@
 	return l.id, true
 }
 
-// set takes a new lease; its time counts from before it was asked for.
+// set stores a new lease. Its time counts from before it was requested.
 func (l *targetLease) set(lease targetclient.Lease, asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,8 +211,8 @@
 	l.expires = asked.Add(l.ttl)
 }
 
-// renewed notes that a start sent at the given time was taken, which renews the
-// lease.
+// renew extends the lease after an accepted start, which the target counts as a
+// renewal. The new time counts from when the start was sent.
 func (l *targetLease) renewed(id string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -213,7 +221,7 @@
 	}
 }
 
-// lapsed drops a lease that the target no longer knows.
+// drop removes a lease that the target no longer knows.
 func (l *targetLease) lapsed(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,7 +230,7 @@
 	}
 }
 
-// left is the time until the lease of a target lapses; 0 without one.
+// leaseLeft returns the time until the lease of a target expires; 0 without one.
 func (s *starter) left(id string) time.Duration {
 	l := s.lease(id)
 	if l == nil {
