--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -32,8 +32,8 @@
 	s.setLimitPools(now, units)
 }
 
-// keepFormerRun begins a new longest run and keeps the former one for as long as
-// tasks admitted under it may run.
+// keepPreviousRun resets the longest run for a new configuration, and keeps the
+// previous one for as long as tasks started under it may run.
 func (s *Shared) keepFormerRun(now time.Duration) {
 	if now >= s.formerRunUntil || s.longestRun > s.formerRun {
 		s.formerRun = s.longestRun
@@ -42,13 +42,14 @@
 	s.longestRun = 0
 }
 
-// use notes that tasks of a profile need a unit of a pool.
+// addPool records that tasks of a profile need a unit of a pool.
 func (s *Shared) use(p profile.Profile, pool string) {
 	s.longestRun = max(s.longestRun, time.Duration(p.MaxRunMS)*time.Millisecond)
 	s.limits[p.Name] = append(s.limits[p.Name], pool)
 	s.users[pool] = append(s.users[pool], p.Name)
 }
 
+// setLimitPools replaces the pools of limits and quotas by those of units.
 func (s *Shared) setLimitPools(now time.Duration, units map[string]int) {
 	for _, pool := range s.limitPools {
 		if _, stays := units[pool]; !stays {
@@ -99,18 +100,19 @@
 	}
 }
 
-// reclaimMargin covers the way of a start to its target.
+// reclaimMargin covers the transfer time of a start to its target.
 const reclaimMargin = time.Second
 
-// defaultTargetLease is assumed while no target has given a lease.
+// defaultTargetLease is assumed while no target has granted a lease.
 const defaultTargetLease = 10 * time.Second
 
-// noteLease takes the time of a target's lease.
+// recordTargetLease records the validity time of a target's lease.
 func (s *Shared) noteLease(ttl time.Duration) { s.targetLease = max(s.targetLease, ttl) }
 
-// reclaimAfter is how long tasks of a lost VM may still run: it may have used its
-// view lease to the end, taken a target's lease for the start as late as that may
-// be, used this to the end, for the longest task.
+// reclaimAfter returns how long tasks of a lost VM may still run. The VM may have
+// decided a start at the end of its view lease, sent it maxStartDelay later under a
+// lease that the target had just granted, and sent a task of the longest run at the
+// end of that lease.
 func (s *Shared) reclaimAfter(now time.Duration) time.Duration {
 	lease := s.targetLease
 	if lease == 0 {
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -8,7 +8,7 @@
 	"github.com/burdockward/burdockward/quota"
 )
 
-// teamUnits is how many units of a team's quota this failure domain may use.
+// teamUnits returns how many units of a team's quota this failure domain may use.
 func (s *Shared) teamUnits(t profile.Team) int {
 	base := t.Share(s.options.Domain, s.options.Domains)
 	if !t.Lend {
@@ -20,7 +20,7 @@
 	return quota.Least(base)
 }
 
-// setMovable notes the teams whose shares move.
+// setMovable records the teams whose shares move between failure domains.
 func (s *Shared) setMovable(teams []profile.Team) {
 	s.movable = map[string]bool{}
 	for _, t := range teams {
@@ -32,6 +32,7 @@
 	}
 }
 
+// limitPool returns the pool of a limit or quota.
 func (s *Shared) limitPool(name string, units int) capacity.Pool {
 	p := capacity.Pool{Name: name, Kind: capacity.KindLimit, Capacity: units}
 	for team := range s.movable {
@@ -40,7 +41,7 @@
 	return p
 }
 
-// SetQuotaShares takes how many units of each team this failure domain may use now.
+// SetQuotaShares sets how many units of each team this failure domain may use now.
 func (s *Shared) SetQuotaShares(now time.Duration, shares map[string]int) {
 	for team, units := range shares {
 		if !s.movable[team] || s.quotaShares[team] == units {
@@ -51,17 +52,19 @@
 	}
 }
 
-// QuotaUsage describes the use of a team's quota here; false says that another VM is
-// the home of its pool.
+// QuotaUsage returns the use of a team's quota here; false when another VM is the
+// home of its pool.
 func (s *Shared) QuotaUsage(team string) (capacity.Usage, bool) {
 	return s.capacity.Usage(capacity.TeamPool(team))
 }
 
-// QuotaReserve is how long tasks may run after the VM that started them was lost.
+// QuotaReserve returns how long tasks may run after the VM that started them was
+// lost.
 func (s *Shared) QuotaReserve(now time.Duration) time.Duration { return s.reclaimAfter(now) }
 
-// admissionTeams lets admission hand out what a team may have at the most here, when
-// shares move: the pools bound what starts.
+// admissionTeams returns the teams for admission. A team whose shares move gets its
+// whole quota in this failure domain: the share may grow up to that, and the pools
+// bound what starts.
 func (d *Duty) admissionTeams(teams []profile.Team) []profile.Team {
 	shared, ok := d.options.Placer.(*Shared)
 	if !ok {
--- a/dispatch/shared.go
+++ b/dispatch/shared.go
@@ -10,33 +10,34 @@
 	"github.com/burdockward/burdockward/targetclient"
 )
 
-// digestInterval is the least time between two digests for the heartbeats.
+// digestInterval is the minimum time between two digests for the heartbeats.
 const digestInterval = 500 * time.Millisecond
 
 // SharedOptions are the settings of a Shared.
 type SharedOptions struct {
 	Capacity  capacity.Options
 	Placement placement.Options
-	// Domain is this failure domain, Domains are all; they decide the quota
-	// shares here.
+	// Domain is this failure domain, and Domains are all. They determine the quota
+	// shares of Domain.
 	Domain  string
 	Domains []string
 	// Send sends a capacity message to a member.
 	Send func(to capacity.Member, m *capacitypb.Message)
-	// Revoke sends a revocation to a target; the answer is taken with revoked. Nil
-	// asks no target, so that only time frees the units of lost VMs.
+	// Revoke sends a revocation to a target; recordRevocation takes the answer.
+	// When it is nil, the units of lost VMs become free only after reclaimAfter.
 	Revoke func(Revocation)
-	// LeaseValid says whether limits may be used.
+	// LeaseValid reports whether limits may be used.
 	LeaseValid func() bool
-	// ViewLease is how long limits may be used without word of the other members.
+	// ViewLease is how long limits may be used without a message of the other
+	// members.
 	ViewLease time.Duration
-	// SetDigest spreads the digest of this VM's slots on heartbeats.
+	// SetDigest puts the digest of this VM's slots on its heartbeats.
 	SetDigest func(body []byte)
 	RNG       *rand.Rand
 }
 
 // Shared places tasks on slots that the VMs of the failure domain share, and
-// keeps limits and quotas with them. It implements Placer and Limits.
+// enforces limits and quotas together with them. It implements Placer and Limits.
 type Shared struct {
 	options  SharedOptions
 	capacity *capacity.State
@@ -44,27 +45,30 @@
 	targets  map[string]Target
 	// limits are the pools of which a task of a profile needs a unit.
 	limits map[string][]string
-	// limitPools are all of them by name, users the profiles that need each.
+	// limitPools are all of these pools, sorted, and poolProfiles the profiles
+	// whose tasks need each.
 	limitPools []string
 	users      map[string][]string
 	// movable are the teams whose quota shares move between failure domains, and
-	// quotaShares what the quota duty lets this one use.
+	// quotaShares the units that the quota duty lets this one use.
 	movable     map[string]bool
 	quotaShares map[string]int
 	// longestRun is the longest run that a profile with a limit or quota allows,
-	// targetLease the longest lease that a target gave.
+	// and targetLease the longest lease that a target granted.
 	longestRun, targetLease time.Duration
-	// formerRun was the longest run before the last configuration, under which
-	// tasks may run until formerRunUntil.
+	// previousRun is the longest run of earlier configurations, whose tasks may run
+	// until previousRunUntil.
 	formerRun, formerRunUntil time.Duration
 	// members is the number of VMs in the view.
 	members int
-	// usableSlots is the number of slots of targets in use, as of usableAt.
+	// usableSlots is the number of usable slots, as counted at usableAt; 0 for
+	// usableAt means that the count is out of date.
 	usableSlots int
 	usableAt    time.Duration
-	// saidLeaving is when targets said that they leave.
+	// reportedLeaving is when targets reported that they leave.
 	saidLeaving map[string]time.Duration
-	// digestAt is when the digest was spread, digested what it said.
+	// digestAt is when the last digest was set, and lastDigest its free slots and
+	// wanted tasks.
 	digestAt time.Duration
 	digested [2]int
 	wanted   int
@@ -90,7 +94,7 @@
 	return s
 }
 
-// send hands out what the capacity state has to say.
+// send sends the messages of the capacity state.
 func (s *Shared) send(out []capacity.Out) {
 	for _, o := range out {
 		s.options.Send(o.To, o.Msg)
@@ -104,7 +108,7 @@
 	for _, t := range targets {
 		list = append(list, placement.Target{ID: t.ID, Rack: t.Rack, Leaving: t.Leaving})
 		if known, ok := s.targets[t.ID]; ok && known.Address != t.Address {
-			// Another process, which has not said that it leaves.
+			// Another process, which has not reported leaving.
 			s.place.Staying(t.ID)
 		}
 		next[t.ID] = t
@@ -126,7 +130,7 @@
 	s.exclude()
 }
 
-// exclude tells the capacity state which targets are of no use to this VM.
+// applyExclusions passes placement's changed exclusions to the capacity state.
 func (s *Shared) exclude() {
 	for _, e := range s.place.Exclusions() {
 		s.capacity.SetExcluded(e.Target, e.Excluded)
@@ -168,6 +172,8 @@
 	s.exclude()
 }
 
+// refusal returns placement's reason of a start that did not begin; false for one
+// that did or may have.
 func refusal(e End) (placement.Refusal, bool) {
 	switch e.Result {
 	case ResultUnreachable:
@@ -187,6 +193,7 @@
 	return placement.RefusedUnsent, true
 }
 
+// outcome returns placement's outcome of a task that was started or may have been.
 func outcome(r Result) placement.Outcome {
 	switch r {
 	case ResultDone:
@@ -223,13 +230,13 @@
 	return next, ok
 }
 
-// saidLeavingFor is how long a target's word that it leaves counts when the list
-// does not confirm it.
+// reportedLeavingTimeout is how long a target's report that it leaves counts while
+// the list does not confirm it.
 const saidLeavingFor = time.Minute
 
-// forgetSaid tries targets again that said that they leave and are still listed
-// as live: another process may have taken their place. One that still leaves
-// refuses the start.
+// expireReportedLeaving makes targets usable again that reported leaving longer
+// than reportedLeavingTimeout ago and are still listed as live: another process may
+// have replaced them. One that still leaves refuses the start.
 func (s *Shared) forgetSaid(now time.Duration) {
 	for id, at := range s.saidLeaving {
 		if now-at >= saidLeavingFor {
@@ -239,7 +246,8 @@
 	}
 }
 
-// spreadDigest puts changed figures onto the heartbeats, not too often.
+// updateDigest sets a new digest when its figures have changed, at most once in
+// digestInterval.
 func (s *Shared) spreadDigest(now time.Duration) {
 	figures := [2]int{s.capacity.FreeSlots(), s.wanted}
 	if figures == s.digested || now < s.digestAt+digestInterval {
@@ -260,11 +268,11 @@
 	return total, min(1, max(share, 1/float64(max(1, s.members))))
 }
 
-// usableRenewal is how long the count of usable slots is kept.
+// usableMaxAge is how long the count of usable slots is reused.
 const usableRenewal = 100 * time.Millisecond
 
-// usable counts the slots of targets that are neither leaving nor in quarantine.
-// Those that rest for a moment after a failed connection are among them.
+// countUsable returns the number of slots of targets that are neither leaving nor
+// in quarantine. It includes targets that back off after a failed connection.
 func (s *Shared) usable(now time.Duration) int {
 	if s.usableAt > 0 && now < s.usableAt+usableRenewal {
 		return s.usableSlots
@@ -286,15 +294,15 @@
 	s.send(s.capacity.SetView(now, v))
 }
 
-// SetDigest takes the digest of a member.
+// SetDigest stores the digest of a member.
 func (s *Shared) SetDigest(member string, body []byte) { s.capacity.SetDigest(member, body) }
 
-// Receive takes a message of a member and returns the answers.
+// Receive applies a message of a member and returns the replies.
 func (s *Shared) Receive(now time.Duration, from capacity.Member, m *capacitypb.Message) []*capacitypb.Message {
 	replies, out := s.capacity.Receive(now, from, m)
 	s.send(out)
 	return replies
 }
 
-// Leave gives all units back, for a planned stop.
+// Leave returns all units, for a planned stop.
 func (s *Shared) Leave(now time.Duration) { s.send(s.capacity.Leave(now)) }
