--- a/dispatch/baseline.go
+++ b/dispatch/baseline.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Baseline is a placer without shared capacity, for measurements: every VM guesses
-// from its own traffic, and targets refuse what is too much.
+// Baseline is a placer without shared capacity, to compare Shared with: every VM
+// counts only its own tasks, and targets refuse starts beyond their slots.
 type Baseline struct {
 	policy  BaselinePolicy
 	rng     *rand.Rand
@@ -17,7 +17,7 @@
 	next    int
 }
 
-// BaselinePolicy is the choice of a Baseline.
+// BaselinePolicy is the order in which a Baseline tries targets.
 type BaselinePolicy int
 
 // The baseline policies.
@@ -27,7 +27,7 @@
 	BaselineLeastOutstanding
 )
 
-// fullPause is how long a target that refused as full is left alone.
+// fullBackOff is how long a target is not picked after a start did not begin there.
 const fullPause = 5 * time.Millisecond
 
 type baselineTarget struct {
@@ -96,7 +96,8 @@
 	return best
 }
 
-// usable looks at this VM's own traffic alone.
+// usable reports whether this VM's own tasks leave a slot free, and no start was
+// refused lately.
 func (b *Baseline) usable(now time.Duration, t *baselineTarget) bool {
 	return t.outstanding < t.Slots && now >= t.fullUntil
 }
--- a/dispatch/revoke.go
+++ b/dispatch/revoke.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxRevocations bounds the revocations that wait; further ones are dropped and
-	// asked for again.
+	// maxRevocations bounds the waiting revocations. Further ones are dropped, and
+	// requested again later.
 	maxRevocations = 1024
-	// parallelRevocations bounds the revocations at the same time.
+	// parallelRevocations bounds the revocations sent at the same time.
 	parallelRevocations = 16
-	// clockMargin covers clocks of VMs that run apart during a view lease.
+	// clockMargin covers the drift between the clocks of VMs during a view lease.
 	clockMargin = 250 * time.Millisecond
 )
 
-// Revocation asks a target to revoke the leases of all but some holders, and for
-// the tasks of the others that run there.
+// Revocation asks a target to revoke the leases of all holders except Holders, and
+// to list the tasks of the others that run there.
 type Revocation struct {
 	Target  string
 	Address string
@@ -66,8 +66,8 @@
 	}
 }
 
-// revoke sends one revocation. An error says nothing of what runs: the target
-// counts as one that has not answered and is asked again.
+// revoke sends one revocation and delivers its answer. After an error the running
+// tasks are unknown: the target counts as unanswered and is asked again.
 func (r *revoker) revoke(ctx context.Context, revocation Revocation) {
 	r.messages.Inc(1)
 	tasks, err := r.client.Revoke(ctx, revocation.Address, revocation.Holders)
@@ -78,7 +78,7 @@
 	r.deliver(&revokedEvent{revocation: revocation, running: units(tasks)})
 }
 
-// units counts the units of each limit that tasks hold.
+// countUnits returns the number of units of each limit that the tasks hold.
 func units(tasks []targetclient.RunningTask) map[string]int {
 	held := map[string]int{}
 	for _, t := range tasks {
@@ -89,7 +89,7 @@
 	return held
 }
 
-// revokedEvent brings the answer to a revocation.
+// revokedEvent reports the answer to a revocation.
 type revokedEvent struct {
 	revocation Revocation
 	running    map[string]int
@@ -101,11 +101,11 @@
 	}
 }
 
-// Revoke sends a revocation, later; the answer goes to the placer.
+// Revoke queues a revocation for sending; its answer goes to the placer.
 func (d *Duty) Revoke(r Revocation) { d.revoker.waiting.Offer(r) }
 
-// revokeDue asks targets that may run tasks of lost VMs, and returns when to look
-// again.
+// revokeDue sends revocations to targets that may run tasks of lost VMs, and
+// returns when it must be called again; false when it need not.
 func (s *Shared) revokeDue(now time.Duration) (time.Duration, bool) {
 	due, out := s.capacity.Revocations(now)
 	s.send(out)
@@ -128,7 +128,8 @@
 	return names
 }
 
-// revoked takes the answer of a target, unless another process has its name now.
+// recordRevocation passes the answer of a target to the capacity state, unless the
+// target is now another process at another address.
 func (s *Shared) revoked(now time.Duration, r Revocation, running map[string]int) {
 	if s.targets[r.Target].Address != r.Address {
 		return
@@ -136,7 +137,8 @@
 	s.send(s.capacity.Revoked(now, r.View, r.Target, running))
 }
 
-// setRevocable tells which targets may run tasks, leaving ones included.
+// setRevocable passes the targets that may run tasks, leaving ones included, to the
+// capacity state.
 func (s *Shared) setRevocable(now time.Duration, targets []Target) {
 	list := make([]capacity.TargetSlots, 0, len(targets))
 	for _, t := range targets {
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -9,14 +9,15 @@
 	"github.com/burdockward/burdockward/placement"
 )
 
-// TargetStatus is a target as this VM sees it.
+// TargetStatus is this VM's state of a target.
 type TargetStatus struct {
 	Target
-	// Held is the number of slots that this VM may use, Free those without a task.
+	// Held is the number of slots that this VM may use, and Free those of them
+	// without a task.
 	Held, Free int
-	// Placement is the verdict on the target, if it is placed by shared slots.
+	// Placement says how the target is used and why.
 	Placement placement.Explanation
-	// LeaseLeft is the time until this VM's lease lapses; 0 without one.
+	// LeaseLeft is the time until this VM's lease expires; 0 without one.
 	LeaseLeft time.Duration
 }
 
@@ -28,13 +29,13 @@
 	Refused map[string]uint64
 }
 
-// Status is the duty's own state.
+// Status is the state of the duty's targets and profiles.
 type Status struct {
 	Targets  []TargetStatus
 	Profiles []ProfileStatus
 }
 
-// Status describes the duty now; it is empty when the duty has stopped.
+// Status returns the current state; it is empty when the duty has stopped.
 func (d *Duty) Status() Status {
 	var s Status
 	d.DoWait(func(time.Duration) {
@@ -66,21 +67,21 @@
 	return list
 }
 
-// Explain says where a submission of this VM stands.
+// Explain returns admission's explanation of a submission of this VM.
 func (d *Duty) Explain(id string) admission.Explanation {
 	var e admission.Explanation
 	d.DoWait(func(now time.Duration) { e = d.options.Admission.Explain(now, admission.ID(id)) })
 	return e
 }
 
-// TargetCounts sums up the targets of a VM.
+// TargetCounts holds the numbers of targets and slots of a VM.
 type TargetCounts struct {
 	Targets, Held, Free int
-	// Use counts the targets by their use, as package placement names it.
+	// Use counts the targets by their use, such as placement.UseNormal.
 	Use map[string]int
 }
 
-// CountTargets sums up the targets.
+// CountTargets counts the targets and their slots.
 func (d *Duty) CountTargets() TargetCounts {
 	counts := TargetCounts{Use: map[string]int{}}
 	d.DoWait(func(time.Duration) {
--- a/dispatch/stop.go
+++ b/dispatch/stop.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// stopPause gathers stops, so that a wave of cancellations costs one message
-	// a target.
+	// stopBatchDelay is how long stops are collected, so that many cancellations
+	// at once cost one message a target.
 	stopPause = 10 * time.Millisecond
-	// maxStops bounds the stops that wait; further ones are left to the run
-	// limit of their tasks.
+	// maxStops bounds the waiting stops. Further ones are dropped; the run limit
+	// ends their tasks.
 	maxStops = 100000
-	// parallelStops bounds the stop messages at the same time.
+	// parallelStops bounds the stop messages sent at the same time.
 	parallelStops = 16
 )
 
@@ -35,7 +35,7 @@
 	count     int
 }
 
-// stopGroup are stops that fit into one message.
+// stopGroup identifies the stops that are sent in one message.
 type stopGroup struct {
 	target     string
 	checkpoint bool
@@ -61,7 +61,7 @@
 	s.addresses = addresses
 }
 
-// stop asks for the end of a running task, soon.
+// stop queues the stop of a running task for the next batch.
 func (s *stopper) stop(targetID string, id targetclient.TaskID, checkpoint bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,6 +78,7 @@
 	}
 }
 
+// run sends batches of stops until the context ends.
 func (s *stopper) run(ctx context.Context) {
 	for {
 		select {
@@ -96,8 +97,8 @@
 	}
 }
 
-// flush sends what waits. A lost stop is not repeated: the run limit ends the
-// task.
+// flush sends the waiting stops. A lost stop is not repeated: the run limit ends
+// the task.
 func (s *stopper) flush(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(parallelStops)
@@ -117,6 +118,8 @@
 	checkpoint bool
 }
 
+// takeMessages removes the waiting stops and returns them as messages. Stops for
+// unknown targets are dropped.
 func (s *stopper) take() []stopMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/unknown.go
+++ b/dispatch/unknown.go
@@ -11,9 +11,9 @@
 	until time.Duration
 }
 
-// giveUnits puts back the units of a task that has ended. When its outcome is unknown it
-// may run on at its target, which stops it at its run limit; until then its units are in
-// use.
+// giveUnits returns the units of a task that has ended. A task of unknown outcome may
+// still run at its target, which stops it at its run limit. Until then its units
+// are kept.
 func (d *Duty) giveUnits(now time.Duration, e *endedEvent) {
 	f := e.flight
 	until := now - e.runTime + f.runLimit + reclaimMargin
@@ -25,7 +25,7 @@
 	d.kept = append(d.kept, keptUnits{pools: f.pools, until: until})
 }
 
-// releaseUnits puts back the units of tasks that can't run any more.
+// releaseKeptUnits returns the units of tasks that can't run any more.
 func (d *Duty) releaseUnits(now time.Duration) {
 	d.kept = slices.DeleteFunc(d.kept, func(k keptUnits) bool {
 		if k.until > now {
--- a/dispatch/verdicts.go
+++ b/dispatch/verdicts.go
@@ -13,8 +13,8 @@
 	cause       placement.Cause
 }
 
-// logVerdicts tells how the use of targets changed, with one line for all targets
-// that changed alike, since those of a rack often do.
+// logVerdicts logs how the use of targets changed, with one line for all targets
+// with the same change, since those of a rack often change together.
 func (d *Duty) logVerdicts() {
 	shared, ok := d.options.Placer.(*Shared)
 	if !ok {
@@ -39,7 +39,8 @@
 	}
 }
 
-// groupVerdicts parts the verdicts by what changed, in order of appearance.
+// groupVerdicts groups the verdicts by their change. It also returns the groups in
+// the order of their first verdict.
 func groupVerdicts(verdicts []placement.Verdict) (map[verdictGroup][]placement.Verdict, []verdictGroup) {
 	groups := map[verdictGroup][]placement.Verdict{}
 	var order []verdictGroup
