--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -23,22 +23,23 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result; a flag on the
+// command line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// behaviour is what a fake target does with one start.
+// behaviour is the answer of a fake target to one start.
 type behaviour struct {
 	runTime time.Duration
 	err     error
 	outcome targetclient.Outcome
 }
 
-// fakeTargets answers starts as drawn beforehand and keeps the oracle's log.
+// fakeTargets answers starts by next, and counts the starts of each task that began
+// or may have begun.
 type fakeTargets struct {
 	mu     sync.Mutex
 	next   func() behaviour
@@ -73,7 +74,7 @@
 }
 
 func (f *fakeTargets) Revoke(context.Context, string, []string) ([]targetclient.RunningTask, error) {
-	return nil, errors.New("not asked for")
+	return nil, errors.New("no revocation expected")
 }
 
 func (f *fakeTargets) starts(id string) int {
@@ -88,7 +89,7 @@
 	return sum
 }
 
-// unlimited holds no limits.
+// unlimited implements Limits without limits.
 type unlimited struct{}
 
 func (unlimited) Usable(string) bool                                           { return true }
@@ -125,7 +126,7 @@
 	errUnsent  = &targetclient.NotStartedError{Reason: targetclient.ReasonUnreachable}
 )
 
-// drawBehaviours draws what targets do, mostly good.
+// drawBehaviours draws the answers of targets, most of them results.
 func drawBehaviours(t *rapid.T) func() behaviour {
 	kinds := rapid.SliceOfN(rapid.IntRange(0, 19), 1, 60).Draw(t, "behaviours")
 	times := rapid.SliceOfN(rapid.IntRange(1, 900), 1, 20).Draw(t, "run times in ms")
@@ -172,13 +173,13 @@
 	return p
 }
 
-// check compares an outcome with the log of the targets.
+// check compares an outcome with the starts that the targets counted.
 func (p *pending) check(t *rapid.T, f *fakeTargets) {
 	must.Eq(t, 1, p.calls)
 	starts := f.starts(p.id)
 	switch p.outcome.Run {
 	case api.NotRun:
-		must.Eq(t, 0, starts, must.Sprintf("%s was told not run", p.id))
+		must.Eq(t, 0, starts, must.Sprintf("%s was answered as not run", p.id))
 	case api.Completed:
 		var answer api.Answer
 		must.NoError(t, json.Unmarshal(p.outcome.Body, &answer))
@@ -189,8 +190,8 @@
 	}
 }
 
-// inBubble runs f with a fake clock. A panic, by which rapid ends a check, leaves
-// the bubble as it came.
+// inBubble runs f with a fake clock. A panic, by which rapid ends a check, is passed
+// on to the caller.
 func inBubble(t *testing.T, f func()) {
 	var panicked any
 	synctest.Test(t, func(*testing.T) {
@@ -202,8 +203,9 @@
 	}
 }
 
-// TestOnceWholeAndTrue draws submissions, targets' behaviour, cancellations and
-// deadlines, and checks every outcome against the log of the targets.
+// Draws submissions, targets' behaviour, cancellations and deadlines, and compares
+// every outcome with the starts that the targets counted: each task starts at most
+// once, an answer has all results, and work reported as not run never started.
 func TestOnceWholeAndTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
--- a/dispatch/pause_test.go
+++ b/dispatch/pause_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pausing is a limit at which the process pauses, once.
+// pausing pauses the process once, in the check of the limit.
 type pausing struct {
 	unlimited
 	pause time.Duration
@@ -26,7 +26,8 @@
 	return true
 }
 
-// A lost VM may have paused after it looked at its view lease.
+// A process may pause after it has checked its view lease, and count as lost
+// meanwhile. The start that it decided must not be sent after the pause.
 func TestStartIsNotSentAfterAPauseInItsDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -26,7 +26,7 @@
 	}
 	now := s.reclaimAfter(0)
 	s.Tick(now)
-	// Nothing was heard of the shares: half of the base share is certain.
+	// Without quota shares half of the base share may be used.
 	must.Eq(t, 5, usable(now))
 	s.SetQuotaShares(now, map[string]int{"x": 9, "other": 3})
 	must.Eq(t, 9, usable(now))
@@ -37,7 +37,7 @@
 	must.Eq(t, 0, u.Out)
 	s.SetQuotaShares(now, map[string]int{"x": 6})
 	must.Eq(t, 6, usable(now))
-	// The operators end the lending.
+	// The operators set Lend to false.
 	teams[0].Lend = false
 	s.SetProfiles(now, profiles, teams)
 	must.Eq(t, 9, usable(now))
--- a/dispatch/revoke_test.go
+++ b/dispatch/revoke_test.go
@@ -25,8 +25,7 @@
 
 func TestFirstViewRevokesLeasesOfFormerProcesses(t *testing.T) {
 	s, asked := newLimited(t, Target{ID: "t1", Address: "t1:1", Slots: 4}, Target{ID: "t2", Address: "t2:1", Slots: 4, Leaving: true})
-	// A start may be decided in the last moment of a view lease and be sent as late
-	// as that may be.
+	// A start may be decided at the end of a view lease and sent maxStartDelay later.
 	s.Tick(maxStartDelay)
 	must.SliceEmpty(t, *asked)
 	s.Tick(maxStartDelay + clockMargin)
--- a/dispatch/shared_test.go
+++ b/dispatch/shared_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// newAlone makes the shared placer of a VM that is alone in its view.
+// newAlone makes the shared placer of a VM that is the only member of its view.
 func newAlone(targets ...string) *Shared {
 	self := capacity.Member{ID: "a", Incarnation: 1}
 	s := NewShared(SharedOptions{
@@ -34,7 +34,7 @@
 	return s
 }
 
-// fail makes a start at each target end without connection.
+// fail begins a start at each target and ends it as unreachable.
 func (s *Shared) fail(now time.Duration, targets ...string) {
 	for _, id := range targets {
 		s.Begin(now, id, "p", "job")
@@ -49,7 +49,7 @@
 	must.Eq(t, 1, share)
 	s.fail(2*time.Second, "t1", "t2", "t3", "t4")
 	slots, share = s.Slots(2 * time.Second)
-	// One is in quarantine; the others are tried again in a moment.
+	// One target is in quarantine; the others back off for a short time.
 	must.Eq(t, 12, slots)
 	must.Positive(t, share)
 }
@@ -77,7 +77,8 @@
 	must.Less(t, long, s.reclaimAfter(2*time.Minute))
 }
 
-// The duty sleeps until the due time: one in the past would keep it busy.
+// The duty sleeps until the time that Tick returns. A time in the past would make
+// it loop without a pause.
 func TestNothingIsDueInThePast(t *testing.T) {
 	s := newAlone("t1", "t2", "t3", "t4")
 	s.fail(time.Second, "t1", "t2", "t3", "t4")
--- a/dispatch/tick_test.go
+++ b/dispatch/tick_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Events that come in quicker succession than the tick must not put off the look at
+// Events that follow each other faster than the tick must not delay the check of
 // deadlines: a submission that is given up gets its answer at once.
 func TestDeadlinesAreLookedAtUnderSteadyLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/dispatch/unknown_test.go
+++ b/dispatch/unknown_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// oneUnit is a limit of one unit; given is when it was put back.
+// oneUnit is a limit of one unit; given is when the unit was returned.
 type oneUnit struct {
 	unlimited
 	begin time.Time
@@ -28,8 +28,8 @@
 	}
 }
 
-// A task whose connection broke may run on at its target: its unit of a limit is in use
-// until its run limit has passed.
+// A task whose connection broke may still run at its target: its unit of a limit is
+// kept until its run limit has passed.
 func TestUnitOfUnknownOutcomeIsKeptWhileTheTaskMayRun(t *testing.T) {
 	const broke, runLimit = 100 * time.Millisecond, 2 * time.Second
 	for name, test := range map[string]struct {
--- a/dispatch/verdicts_test.go
+++ b/dispatch/verdicts_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Targets that change alike are told in one line, and only once.
+// Targets with the same change are logged in one line, and only once.
 func TestVerdictsAreLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	shared := newAlone("t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8")
