--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -302,7 +302,7 @@
 // Cancel ends a submission; its outcome follows as for any failure.
 func (d *Duty) Cancel(id string) { d.deliver(&cancelEvent{id: id}) }
 
-// progressEvent requests the progress of a submission.
+// lookEvent requests the state of a submission.
 type lookEvent struct {
 	id    string
 	reply chan lookReply
@@ -325,8 +325,8 @@
 	}
 }
 
-// Progress returns the state of an unfinished submission, its number of tasks and
-// how many of them are done.
+// Look returns the state of an unfinished submission, its number of tasks and how
+// many of them are done.
 func (d *Duty) Look(id string) (state string, tasks, done int) {
 	e := &lookEvent{id: id, reply: make(chan lookReply, 1)}
 	d.deliver(e)
