--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -7,7 +7,7 @@
 //
 // Units move in numbered items that are applied exactly once, so that lost,
 // repeated and reordered messages neither create nor lose units inside a view.
-// A view change starts from what the survivors report.
+// After a view change the homes count the units from the reports of all members.
 //
 // State is plain data: the time is an argument, messages are results. Only one
 // goroutine may use a State.
@@ -28,7 +28,7 @@
 // TeamPool is the name of the limit pool of a team's quota share.
 func TeamPool(team string) string { return "team/" + team }
 
-// Kind tells how strictly a pool is kept.
+// Kind says who enforces a pool, and when the units of a lost VM are free again.
 type Kind uint8
 
 // The kinds of pool.
@@ -36,8 +36,8 @@
 	// KindSlots is the pool of one target's slots. The target itself refuses a
 	// start beyond its slots, so a unit of a lost VM is free again at once.
 	KindSlots Kind = iota + 1
-	// KindLimit is the pool of a profile's limit or a team's quota. Nobody else
-	// enforces it, so a unit of a lost VM is free only after ReclaimAfter.
+	// KindLimit is the pool of a profile's limit or a team's quota. Only the VMs
+	// enforce it, so a unit of a lost VM is free only after ReclaimAfter.
 	KindLimit
 )
 
@@ -48,8 +48,8 @@
 	Kind Kind
 	// Capacity is the number of units in the failure domain.
 	Capacity int
-	// Movable tells that the capacity follows what is idle, so that the home keeps
-	// idle units together instead of lending each member a part.
+	// Movable says that the capacity moves to other failure domains while it is
+	// idle. The home then keeps idle units instead of lending each member a part.
 	Movable bool
 }
 
@@ -67,7 +67,7 @@
 	// Parent is the ID of the view that this one replaced; empty for the first.
 	Parent  string
 	Members []Member
-	// Leavers were members of the parent. They take part to hand over ledgers.
+	// Leavers were members of the parent. They only hand over their ledgers.
 	Leavers []Member
 }
 
@@ -89,27 +89,28 @@
 	// may still decide on starts and take leases at targets: the view lease and
 	// the longest delay of a start. Default 10 s.
 	RevokeAfter time.Duration
-	// IdleAfter is the window in which a unit must not have been needed before
-	// it goes home. Default 2 s.
+	// IdleAfter is how long a unit must not have been needed before it is returned
+	// to the home. Default 2 s.
 	IdleAfter time.Duration
-	// FlushDelay is how long units that come free wait for others to travel in
-	// the same message. Default 10 ms.
+	// FlushDelay is how long freed units wait for others to be sent in the same
+	// message. Default 10 ms.
 	FlushDelay time.Duration
-	// AckDelay is how long the acknowledgement of units that came with a reply
-	// waits for another message to ride on. Default 2 s.
+	// AckDelay is how long the acknowledgement of units in a reply waits to be
+	// sent with another message. Default 2 s.
 	AckDelay time.Duration
 	// RetryAfter is the first interval at which unacknowledged items and
-	// unanswered asks are sent again; it doubles up to RetryMost. Defaults
+	// unanswered asks are sent again; it doubles up to MaxRetryAfter. Defaults
 	// 500 ms and 8 s.
 	RetryAfter time.Duration
 	RetryMost  time.Duration
 	// MessagesPerTask bounds the messages that move slots, in messages a started
-	// task; a few a second are always free. Default 0.03.
+	// task; budgetRate more a second are always allowed. Default 0.03.
 	MessagesPerTask float64
-	// LeaverWait is how long a view change waits for the ledgers of a VM that
+	// LeaverTimeout is how long a view change waits for the ledgers of a VM that
 	// leaves, before it counts as lost. Default 2 s.
 	LeaverWait time.Duration
-	// AskPause is the least time between two asks to the same VM. Default 5 ms.
+	// AskInterval is the minimum time between two asks to the same VM. Default
+	// 5 ms.
 	AskPause time.Duration
 	// OnFree is called when a slot pool gains its first free unit (true) or
 	// loses its last one (false), excluded targets included. It must not call
@@ -147,45 +148,47 @@
 	view View
 	// installed is when the view was installed here.
 	installed time.Duration
-	// inherits tells that the previous view here was the parent of this one.
+	// inherits says that the previous view here was the parent of this one.
 	inherits bool
-	// member tells that this VM is a member and not a leaver.
+	// isMember says that this VM is a member and not a leaver.
 	member bool
-	// previous are the members of the parent view, as far as known.
+	// parentMembers are the members of the parent view, as far as known.
 	previous []Member
-	// lease tells that limit units may be used.
+	// lease says that limit units may be used.
 	lease bool
-	// leaving tells that the VM gives up its units.
+	// leaving says that the VM returns all its units.
 	leaving bool
 
 	pools map[string]*pool
-	// ordered holds the pools sorted by name, for decisions that look at all.
+	// ordered holds the pools sorted by name, for loops over all of them.
 	ordered []*pool
-	// unlistedUntil is until when a limit pool without ledger stays blocked.
+	// unlistedBlockedUntil is until when a limit pool stays blocked of which no
+	// member has handed over a ledger.
 	unlistedUntil time.Duration
-	// lossAt is when the view was installed after a loss, or without parent, so
-	// that former tasks of limits that become known later may still run; afterLoss
-	// tells whether it was.
+	// lossAt is when a view was last installed after a loss or without a parent,
+	// and afterLoss says whether one was. Tasks of lost VMs may then still run under
+	// limits that become known later.
 	lossAt      time.Duration
 	afterLoss   bool
 	revocations revocations
-	// resolved tells that every member of the view has reported.
+	// resolved says that every member of the view has reported.
 	resolved bool
 
 	links map[string]*link
 	// peers holds the links to other members sorted by id, leavers those to
 	// leavers.
 	peers, leavers []*link
-	// leaversUntil is until when reports of leavers are waited for.
+	// leaversUntil is the end of the wait for the reports of leavers.
 	leaversUntil time.Duration
 
 	slots  slotState
 	digest uint64
-	// windowEnd ends the window over which idle units are looked for.
+	// windowEnd is the end of the window in which unneeded units are counted.
 	windowEnd time.Duration
-	// active tells that units moved or were used in the window.
+	// active says that units moved or were used in the window.
 	active bool
-	// expiry is the earliest time at which a ledger changes by itself.
+	// nextExpiry is the next time at which a block, a reservation or the wait for
+	// a recall or a leaver ends.
 	expiry time.Duration
 }
 
@@ -201,12 +204,12 @@
 	}
 }
 
-// SetLease tells whether the VM's view lease is valid. Units of limit pools are
-// taken only while it is. It must not be valid once the VM has promised another
-// view, also when it is the only member of its own.
+// SetLease sets whether the VM's view lease is valid. Units of limit pools are
+// taken only while it is. It must be invalid once the VM has promised another
+// view, even when it is the only member of its own.
 func (s *State) SetLease(valid bool) { s.lease = valid }
 
-// Free is the number of units of the pool that Take would give.
+// Free returns the number of units of the pool that can be taken.
 func (s *State) Free(name string) int {
 	p := s.pools[name]
 	if p == nil || !s.mayTake(p) {
@@ -215,7 +218,7 @@
 	return p.free
 }
 
-// Held is the number of units of the pool that the VM holds, and how many of
+// Held returns the number of units of the pool that the VM holds, and how many of
 // them are in use.
 func (s *State) Held(name string) (held, used int) {
 	p := s.pools[name]
@@ -225,7 +228,7 @@
 	return p.free + p.used, p.used
 }
 
-// FreeSlots is the number of free slot units on usable targets.
+// FreeSlots returns the number of free slot units on usable targets.
 func (s *State) FreeSlots() int { return s.slots.free }
 
 // FreeTargets calls visit for each usable target with free units until visit
@@ -238,7 +241,7 @@
 	}
 }
 
-// Take takes one unit for a task and tells whether there was one.
+// Take takes one unit for a task, and reports whether there was one.
 func (s *State) Take(name string) bool {
 	p := s.pools[name]
 	if p == nil || p.free == 0 || !s.mayTake(p) {
@@ -252,6 +255,7 @@
 	return true
 }
 
+// canTake reports whether free units of the pool may be used now.
 func (s *State) mayTake(p *pool) bool {
 	if p.kind == KindLimit {
 		return s.lease && s.member
@@ -259,7 +263,7 @@
 	return p.configured
 }
 
-// Give puts back the unit of a task that has ended or was not started.
+// Give returns the unit of a task that has ended or was not started.
 func (s *State) Give(now time.Duration, name string) {
 	p := s.pools[name]
 	if p == nil || p.used == 0 {
@@ -285,7 +289,8 @@
 	}
 }
 
-// giveStale ends the use of a unit that may be in other hands by now.
+// giveStale returns a stale unit, which may be lent to another VM already, to its
+// home.
 func (s *State) giveStale(now time.Duration, p *pool) {
 	p.stale--
 	switch home := s.links[p.home]; {
@@ -297,8 +302,9 @@
 	s.drop(p)
 }
 
-// Leave gives back every unit that is or comes free, so that a planned stop
-// leaves nothing reserved. Call it when the VM admits no more work.
+// Leave returns every free unit to its home, and from now on each unit that comes
+// free, so that nothing is reserved after a planned stop. The caller calls it when
+// the VM admits no more work.
 func (s *State) Leave(now time.Duration) []Out {
 	s.leaving = true
 	for _, p := range s.ordered {
@@ -309,7 +315,8 @@
 	return s.collect(now)
 }
 
-// HandedOver tells whether every member has what this leaver had to hand over.
+// HandedOver reports whether this VM is a leaver, and every member has acknowledged
+// all that it had to hand over.
 func (s *State) HandedOver() bool {
 	for _, l := range s.peers {
 		if len(l.items) > 0 {
@@ -319,7 +326,8 @@
 	return !s.member
 }
 
-// mustReturn tells whether a unit that comes free has to go home at once.
+// mustReturn reports whether a unit that comes free must be returned to its home at
+// once: the pool is not configured, the VM leaves, or a recall is open.
 func (s *State) mustReturn(p *pool) bool {
 	if p.ledger != nil || s.links[p.home] == nil {
 		return false
--- a/capacity/pool.go
+++ b/capacity/pool.go
@@ -16,16 +16,17 @@
 	notListed = -1
 )
 
-// pool is what this VM knows of one pool.
+// pool is this VM's state of one pool.
 type pool struct {
 	name     string
 	kind     Kind
 	capacity int
 	// movable is Pool.Movable.
 	movable bool
-	// configured tells that SetPool named the pool; units of other pools go home.
+	// configured says that the pool was set by SetPool. Units of other pools are
+	// returned to their home.
 	configured bool
-	// excluded tells that the target takes no tasks of this VM.
+	// excluded says that the target takes no tasks of this VM.
 	excluded bool
 
 	// home is the id of the member that keeps the ledger.
@@ -36,32 +37,33 @@
 	free, used int
 	// stale is how many units of a limit pool were in use when this VM came back
 	// after it had missed a view. Their reservation may be over and the units lent
-	// again, so that they go home instead of being used again.
+	// again, so they are returned to the home instead of being used again.
 	stale int
-	// low is the smallest number of free units in the window.
+	// minFree is the smallest number of free units in the window.
 	low int
-	// keep is what an open recall lets this VM hold, or keepAll.
+	// keep is how many units an open recall lets this VM hold, or keepAll.
 	keep int
 
 	// index is the place in the list of free slots, or notListed.
 	index int
 	// counted is how many free units count as free slots.
 	counted int
-	// announced is what OnFree was told last.
+	// announced is the last argument of OnFree.
 	announced bool
 
 	demand demand
 }
 
-// demand is the wish of this VM for units of a limit pool or for slot units.
+// demand is this VM's demand for units of a limit pool.
 type demand struct {
 	// want is how many units would be used now beside those in use.
 	want int
-	// asked is how many the home was asked for and has not granted yet.
+	// asked is how many units the home was asked for and has not granted yet.
 	asked int
-	// pauseUntil is when a larger want may be sent.
+	// nextAskAt is when a larger want may be sent.
 	pauseUntil time.Duration
-	// retryAt is when the same want is sent again, and wait its interval.
+	// retryAt is when the same want is sent again, and retryInterval the time
+	// between two such asks.
 	retryAt, wait time.Duration
 }
 
@@ -83,7 +85,7 @@
 	return s.collect(now)
 }
 
-// RemovePool drops a pool. Units in use stay so until they are given back.
+// RemovePool removes a pool. Units in use stay in use until Give is called.
 func (s *State) RemovePool(now time.Duration, name string) []Out {
 	p := s.pools[name]
 	if p == nil || !p.configured {
@@ -103,9 +105,9 @@
 	return s.collect(now)
 }
 
-// SetExcluded tells whether the target takes no tasks of this VM, for instance
-// in quarantine. Its units neither count as free slots nor are asked for; one
-// is kept, and can be taken, for probes.
+// SetExcluded sets whether the target takes no tasks of this VM, for instance
+// in quarantine. The units of an excluded target neither count as free slots nor
+// are asked for. One of them is kept, and can be taken, for probes.
 func (s *State) SetExcluded(target string, excluded bool) {
 	p := s.pools[target]
 	if p == nil || p.kind != KindSlots {
@@ -115,7 +117,7 @@
 	s.relist(p)
 }
 
-// pool returns the named pool and creates it where it is not known.
+// pool returns the named pool, and creates it when it is unknown.
 func (s *State) pool(name string, kind Kind) *pool {
 	if p := s.pools[name]; p != nil {
 		return p
@@ -132,7 +134,8 @@
 
 func comparePoolName(p *pool, name string) int { return strings.Compare(p.name, name) }
 
-// drop forgets a pool that is not configured and of which no unit is left.
+// dropIfUnused deletes a pool that is not configured, of which this VM holds no
+// unit and whose ledger, if it is here, is empty.
 func (s *State) drop(p *pool) {
 	if p.configured || p.free > 0 || p.used > 0 {
 		return
@@ -145,7 +148,7 @@
 	s.ordered = slices.Delete(s.ordered, at, at+1)
 }
 
-// assignHome finds the home of a pool that was not known at the view change.
+// assignHome sets the home of a pool that became known after the view change.
 func (s *State) assignHome(p *pool) {
 	p.home = homeOf(s.view.Members, p.name)
 	if p.home != s.opts.Self.ID {
@@ -158,7 +161,7 @@
 	}
 }
 
-// homeOf is the id of the member that ranks first for the name.
+// homeOf returns the id of the member that ranks first for the name.
 func homeOf(members []Member, name string) string {
 	var home string
 	var best uint64
@@ -191,7 +194,8 @@
 	s.relist(p)
 }
 
-// relist keeps the list of free slots in step with one pool.
+// updateFreeSlots updates the list and the count of free slots after a change of
+// one pool.
 func (s *State) relist(p *pool) {
 	if p.kind != KindSlots {
 		return
@@ -227,7 +231,7 @@
 	}
 }
 
-// unlist takes a pool out of the list of free slots in constant time.
+// unlist removes a pool from the list of free slots in constant time.
 func (s *State) unlist(p *pool) {
 	last := len(s.slots.list) - 1
 	moved := s.slots.list[last]
@@ -247,8 +251,8 @@
 	s.sendUnits(now, l, p, n)
 }
 
-// sendUnits hands units, which no longer count as held, to the link. The home
-// counts them as lent from now on.
+// sendUnits adds units, which no longer count as held, to the batch of the link. A
+// home counts them as lent from now on.
 func (s *State) sendUnits(now time.Duration, l *link, p *pool, n int) {
 	if p.ledger != nil {
 		p.ledger.lend(l.member.ID, n)
@@ -256,7 +260,8 @@
 	l.add(now+s.opts.FlushDelay, &capacitypb.Units{Pool: p.name, Count: uint32(n), Kind: capacitypb.Kind(p.kind)})
 }
 
-// receiveUnits takes units from a peer.
+// receiveUnits applies units that a peer has sent: a grant, or a return to this
+// home. Stale ones become free only by the ledger.
 func (s *State) receiveUnits(now time.Duration, l *link, u *capacitypb.Units) {
 	p, n := s.pool(u.Pool, Kind(u.Kind)), int(u.Count)
 	p.demand.asked = max(0, p.demand.asked-n)
