--- a/capacity/ledger.go
+++ b/capacity/ledger.go
@@ -10,23 +10,25 @@
 // never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// ledger is what the home of a pool knows about the units that it doesn't hold.
+// ledger is the home's record of the units of a pool that it doesn't hold.
 type ledger struct {
-	// known tells that outside is complete: every member has reported.
+	// known says that lentTotal is complete: every member has reported.
 	known bool
 	// blockedUntil is until when units that nobody reported stay unusable,
 	// because a lost VM may use them.
 	blockedUntil time.Duration
 	blocked      bool
-	// lent counts units by the id of the holder, in transit included. Slot units
-	// move between holders without notice, so only the sum means anything then.
+	// lent counts units by the id of the holder, in transit included, and lentTotal
+	// is their sum. Slot units move between holders without a message to the home,
+	// so only the sum is meaningful for them.
 	lent    map[string]int
 	outside int
 	// reservations hold units of lost VMs.
 	reservations []reservation
 	// wants counts the units of a limit pool that members ask for.
 	wants map[string]int
-	// recallAt is when units may be recalled again, and wait the interval.
+	// recallAt is when units may be recalled again, and recallInterval the time
+	// between two recalls.
 	recallAt, recallWait time.Duration
 }
 
@@ -40,10 +42,13 @@
 	return &ledger{lent: make(map[string]int), wants: make(map[string]int)}
 }
 
+// isEmpty reports whether all units of the pool are known to be at the home.
 func (l *ledger) empty() bool {
 	return l.known && !l.blocked && l.outside == 0 && len(l.reservations) == 0
 }
 
+// addLent adds n units, or subtracts them when n is negative, to those lent to the
+// holder.
 func (l *ledger) lend(holder string, n int) {
 	l.lent[holder] += n
 	l.outside += n
@@ -55,6 +60,7 @@
 	l.blockedUntil = max(l.blockedUntil, until)
 }
 
+// reserved returns the number of reserved units.
 func (l *ledger) reserved() int {
 	sum := 0
 	for _, r := range l.reservations {
@@ -85,8 +91,8 @@
 	return next
 }
 
-// settle brings the free units of the home in step with the ledger. The result is how
-// many units too many are out.
+// updateFree sets the home's free units to the capacity less the lent, reserved and
+// used ones. It returns by how many units those exceed the capacity.
 func (s *State) settle(p *pool) int {
 	l := p.ledger
 	if !l.known || l.blocked {
@@ -97,8 +103,8 @@
 	return max(0, -free)
 }
 
-// balance settles the ledger of a pool of this home, serves the members that
-// want units and recalls units where that is not enough.
+// balance updates the free units of a pool of this home, grants them to the members
+// that want some, and recalls units when there are too few.
 func (s *State) balance(now time.Duration, p *pool) {
 	excess := s.settle(p)
 	if p.kind == KindLimit && len(p.ledger.wants) > 0 {
@@ -107,8 +113,8 @@
 	s.recall(now, p, excess)
 }
 
-// serveWants gives free units to the members that want them, one at a time to
-// the one that holds the fewest, this VM included.
+// serveWants grants free units to the members that want them, one at a time to the
+// one that holds the fewest. Units that this VM wants count as granted to it.
 func (s *State) serveWants(now time.Duration, p *pool) {
 	l := p.ledger
 	grants := make(map[*link]int)
@@ -141,8 +147,8 @@
 	}
 }
 
-// neediest is the link of the wanting member that holds the fewest units; nil
-// when this VM comes first or nobody wants any.
+// nextGrantee returns the link of the wanting member that holds the fewest units;
+// nil when this VM holds no more and wants some, or when no member wants any.
 func (s *State) neediest(p *pool, ownHeld int, ownWants bool) *link {
 	var best *link
 	held := math.MaxInt
@@ -162,8 +168,8 @@
 	return best
 }
 
-// recall asks holders for units that others want, down to an equal share, or
-// that are beyond the capacity.
+// recall asks holders to return units that others want, down to an equal share, or
+// that exceed the capacity. It repeats this at a growing interval.
 func (s *State) recall(now time.Duration, p *pool, excess int) {
 	l := p.ledger
 	short := len(l.wants) > 0 || p.kind == KindLimit && p.demand.want > p.free
@@ -190,8 +196,8 @@
 	}
 }
 
-// equalShare divides a limit pool over the members that use it. The holders of
-// slot units are not known, so that all of those are recalled.
+// equalShare returns the part of a limit pool for each member that uses it. It is 0
+// for slots: their holders are unknown, so all units are recalled.
 func (s *State) equalShare(p *pool) int {
 	if p.kind == KindSlots {
 		return 0
@@ -202,7 +208,7 @@
 	}
 	for _, peer := range s.peers {
 		id := peer.member.ID
-		// Standing units alone don't tell that the member needs any.
+		// A member that holds only its standing units may not need any.
 		if p.ledger.lent[id] > s.standing(p) || p.ledger.wants[id] > 0 {
 			users++
 		}
@@ -210,7 +216,7 @@
 	return p.capacity / max(1, users)
 }
 
-// receiveRecall gives back what the home recalls: idle units at once, others as
+// receiveRecall returns units that the home recalls: idle ones at once, others when
 // they come free.
 func (s *State) receiveRecall(now time.Duration, r *capacitypb.Recall) {
 	p := s.pools[r.Pool]
@@ -228,7 +234,8 @@
 	}
 }
 
-// backoff doubles an interval from first to most.
+// backoff returns the interval after last: first, and then twice the last one, up to
+// most.
 func backoff(last, first, most time.Duration) time.Duration {
 	if last == 0 {
 		return first
--- a/capacity/reachable.go
+++ b/capacity/reachable.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reachable is how many slots this VM could use at once: those that it holds,
-// and those that the other members said they have free.
+// Reachable returns how many slots this VM could use at once: those that it holds,
+// and the free ones in the digests of the other members.
 func (s *State) Reachable() int {
 	reachable := s.held()
 	for _, l := range s.peers {
@@ -12,9 +12,9 @@
 	return reachable
 }
 
-// SetReclaimAfter changes Options.ReclaimAfter for units that get lost from now
-// on, and for limit pools that become known from now on: tasks of lost VMs may
-// still run under a limit that was not known when they were lost.
+// SetReclaimAfter changes Options.ReclaimAfter for units that are lost from now on,
+// and for limit pools that become known from now on. Tasks of lost VMs may still run
+// under a limit that was unknown when the VMs were lost.
 func (s *State) SetReclaimAfter(now, d time.Duration) {
 	s.opts.ReclaimAfter = d
 	until := s.lossAt + d
--- a/capacity/standing.go
+++ b/capacity/standing.go
@@ -3,9 +3,10 @@
 import "time"
 
 // Standing units: the home of an idle limit pool lends an equal part to each
-// member, so that the loss or restart of the home stops nobody.
+// member, so that all can still start tasks while the home is lost or restarts.
 
-// standing is the part of a limit pool that each member may keep without need.
+// standing returns how many units of a limit pool each member may hold without
+// wanting any.
 func (s *State) standing(p *pool) int {
 	if p.movable {
 		return 0
@@ -13,8 +14,8 @@
 	return p.capacity / (len(s.peers) + 1)
 }
 
-// lendStanding gives each member its standing units of a pool that nobody wants
-// more of.
+// lendStanding lends each member its standing units of a pool of this home, unless
+// some member wants units.
 func (s *State) lendStanding(now time.Duration, p *pool) {
 	l := p.ledger
 	if p.kind != KindLimit || !l.known || l.blocked || len(l.wants) > 0 || p.demand.want > 0 || s.leaving {
--- a/capacity/usage.go
+++ b/capacity/usage.go
@@ -1,19 +1,19 @@
 package capacity
 
-// Usage is what the home of a limit pool knows of its use.
+// Usage is the use of a limit pool, as its home records it.
 type Usage struct {
-	// Known tells that Out is complete: every member has reported, and nothing that
-	// nobody reported may be in use.
+	// Known says that Out is complete: every member has reported, and the pool is
+	// not blocked for unreported units.
 	Known bool
-	// Capacity is the number of units that the home lends at the most.
+	// Capacity is the number of units that the home lends at most.
 	Capacity int
 	// Out is the number of units that are lent, in use at the home or reserved.
 	Out int
-	// Want is how many units members and the home would use beside those.
+	// Want is how many more units members and the home would use.
 	Want int
 }
 
-// Usage describes a limit pool; false says that this VM is not its home.
+// Usage returns the use of a limit pool; false when this VM is not its home.
 func (s *State) Usage(name string) (Usage, bool) {
 	p := s.pools[name]
 	if p == nil || p.ledger == nil || p.kind != KindLimit || !s.member {
