--- a/capacity/ask.go
+++ b/capacity/ask.go
@@ -7,16 +7,16 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// maxExcluded is the most excluded targets that an ask names.
+// maxExcluded is the maximum number of excluded targets in an ask.
 const maxExcluded = 64
 
-// wantPart is the part of the held units, one in so many, from which on a want is
-// worth asking peers that are not known to have free units.
+// askDivisor is the divisor of the held units that gives the smallest want for which
+// peers are asked that are not known to have free units.
 const wantPart = 8
 
-// askSlots asks for what is missing: the peers that are known to have free units,
-// the one with the most first, else one that may have some. All are asked to
-// remember a want that lasts.
+// askSlots asks peers for the missing slot units: those that are known to have free
+// units, the one with the most first. When there are none, it asks one that may have
+// some. A want that lasts is sent to all peers, which record it.
 func (s *State) askSlots(now time.Duration) {
 	missing := s.missing() - s.askedFor(now)
 	if missing <= 0 || s.leaving || !s.member {
@@ -43,7 +43,8 @@
 	s.askUnasked(now)
 }
 
-// askedFor is how many units peers were asked for and have not answered yet.
+// pendingAsked returns how many units peers were asked for without an answer yet. It
+// drops asks that are older than RetryAfter.
 func (s *State) askedFor(now time.Duration) int {
 	sum := 0
 	for _, l := range s.peers {
@@ -56,7 +57,8 @@
 	return sum
 }
 
-// mayAsk takes a message for n units from the budget.
+// spendAsk takes a message for n units from the budget, and reports whether there was
+// credit for it.
 func (s *State) mayAsk(now time.Duration, n int) bool {
 	if s.slots.budget.spend(now, n, s.slots.used, now-s.slots.missingSince) {
 		return true
@@ -66,9 +68,9 @@
 }
 
 // askUnasked asks the peer that holds the most units of those that were not asked
-// since units are missing: what is known of its free ones may be out of date. It
-// does so only for a want beyond a part of what this VM holds, of which units for
-// a smaller one come free soon.
+// since units are missing: its digest may be out of date. It does so only for a want
+// of at least 1 / askDivisor of the units that this VM holds; units for a smaller one
+// soon come free here.
 func (s *State) askUnasked(now time.Duration) {
 	missing := s.missing()
 	var most *link
@@ -82,8 +84,8 @@
 	}
 }
 
-// askBusy asks all VMs to remember the want, since what is known of them may be
-// out of date. It does so less and less often while the want lasts.
+// askAll sends the want to all peers, which record it, since their digests may be out
+// of date. The interval grows while the want lasts.
 func (s *State) askBusy(now time.Duration) {
 	if now > s.slots.retryAt+s.slots.wait {
 		s.slots.wait = 0
@@ -95,6 +97,7 @@
 	}
 }
 
+// askSlotsOf adds an ask for n slot units to the next message of the link.
 func (s *State) askSlotsOf(now time.Duration, l *link, n int) {
 	l.slots.asked = n
 	l.slots.askAt = now + s.opts.AskPause
@@ -108,6 +111,7 @@
 	return sorted
 }
 
+// excludedTargets returns the excluded targets, at most maxExcluded.
 func (s *State) excluded() []string {
 	var names []string
 	for _, p := range s.ordered {
--- a/capacity/budget.go
+++ b/capacity/budget.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// budget bounds the messages that move slots: started tasks earn them, and so
-// does time. A message that moves few units waits until there is credit for
-// several, or until the want has lasted for a while: a VM that uses many units has
-// some that come free soon, and one that uses none does not wait.
+// budget bounds the messages that move slots. Started tasks and time earn credit. A
+// message that moves few units waits until there is credit for several messages, or
+// until the want has lasted for a while: a VM that uses many units soon gets some of
+// them free. A VM that uses none does not wait.
 type budget struct {
 	credit float64
 	at     time.Duration
 }
 
 const (
-	// budgetMost is the largest credit, in messages.
+	// maxCredit is the largest credit, in messages.
 	budgetMost = 10
-	// budgetRate is what time earns, in messages a second.
+	// budgetRate is the credit that time earns, in messages a second.
 	budgetRate = 2
-	// budgetReserve is the most credit that a message has to leave, less one for
-	// each unit that it moves; more than budgetMost is waited for.
+	// maxReserve is the largest credit that must remain after a message, less one
+	// for each unit that it moves. A want must last for a while when the reserve
+	// exceeds maxCredit.
 	budgetReserve = 20
 	// reservePerUsed is the reserve for each unit in use.
 	reservePerUsed = 4
-	// budgetPatience is how long a want lasts for each message of the reserve
-	// that it may use.
+	// reserveDecay is the time of waiting that lowers the reserve by one message.
 	budgetPatience = 10 * time.Millisecond
 )
 
 // earn adds the credit of a task.
 func (b *budget) earn(messages float64) { b.credit = min(budgetMost, b.credit+messages) }
 
-// spend takes one message's credit, if there is enough for so many units that
-// have been wanted for so long by a VM that uses so many.
+// spend takes the credit of one message and reports true, if enough credit remains.
+// The reserve grows with the used units of the VM, and falls with the units that the
+// message moves and the time that they have been wanted.
 func (b *budget) spend(now time.Duration, units, used int, waited time.Duration) bool {
 	b.earn(budgetRate * (now - b.at).Seconds())
 	b.at = now
--- a/capacity/slots.go
+++ b/capacity/slots.go
@@ -9,14 +9,14 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// slotState is this VM's part of all slot pools together.
+// slotState is this VM's state of all slot pools together.
 type slotState struct {
 	// list holds the usable slot pools with free units, in no particular order.
 	list []*pool
 	// free counts their units, and used the slot units in use.
 	free, used int
-	// low is the smallest number of free units in the window: units that were not
-	// needed.
+	// minFree is the smallest number of free units in the window: that many were
+	// not needed.
 	low int
 	// want is how many slot units would be used now beside those in use.
 	want int
@@ -25,20 +25,21 @@
 	// divert alternates between keeping and giving units that come free while
 	// this VM and a VM that holds fewer both want some.
 	divert bool
-	// retryAt is when VMs without free units are asked again.
+	// retryAt is when VMs without free units are asked again, and retryInterval
+	// the time between two such asks.
 	retryAt, wait time.Duration
-	// budget bounds the messages, and budgetAt is when to look at it again.
+	// budget bounds the messages, and budgetAt is when it may have credit again.
 	budget   budget
 	budgetAt time.Duration
 	// missingSince is since when this VM lacks slot units.
 	missingSince time.Duration
-	// shareAt is when free units are shared with hungry VMs; 0 is not due.
+	// shareAt is when spare units are given to peers that want some; 0 when not due.
 	shareAt time.Duration
-	// spareSince is since when a VM is hungry while there are units to spare.
+	// spareSince is since when a peer wants units while this VM has spare ones.
 	spareSince time.Duration
 }
 
-// peerSlots is what is known of the slots of a peer.
+// peerSlots is the state of a peer's slots by its newest digest and asks.
 type peerSlots struct {
 	sequence           uint64
 	free, wanted, held int
@@ -49,9 +50,9 @@
 	askAt time.Duration
 }
 
-// Want tells how many units this VM would use now beside those in use, free ones
-// included: of the named limit pool, or slot units of any target for Slots. Call
-// it whenever that changes.
+// Want sets how many units this VM would use now beside those in use, free ones
+// included: of the named limit pool, or slot units of any target for Slots. The
+// caller calls it whenever that changes.
 func (s *State) Want(now time.Duration, name string, n int) []Out {
 	n = max(0, n)
 	if name != Slots {
@@ -73,6 +74,7 @@
 	return s.collect(now)
 }
 
+// wantLimit sets the wanted units of a limit pool.
 func (s *State) wantLimit(now time.Duration, name string, n int) {
 	p := s.pools[name]
 	if p == nil || p.kind != KindLimit {
@@ -95,8 +97,8 @@
 	s.askLimit(now, p)
 }
 
-// askLimit asks the home for units: when the want has grown, or has stood for
-// the retry interval.
+// askLimit asks the home for the missing units when the want has grown, or again
+// after the retry interval.
 func (s *State) askLimit(now time.Duration, p *pool) {
 	d := &p.demand
 	l := s.links[p.home]
@@ -115,25 +117,26 @@
 	l.asks = append(l.asks, &capacitypb.Ask{Pool: p.name, Count: uint32(missing)})
 }
 
-// missing is how many slot units this VM lacks.
+// missing returns how many slot units this VM lacks.
 func (s *State) missing() int { return max(0, s.slots.want-s.slots.free) }
 
-// held is how many usable slot units this VM holds.
+// held returns how many usable slot units this VM holds.
 func (s *State) held() int { return s.slots.free + s.slots.used }
 
-// serveSlotAsk answers a peer that asks for slot units, and remembers what it
-// can't give now.
+// serveSlotAsk gives spare units to a peer that asks for slot units, and records how
+// many more it wants.
 func (s *State) serveSlotAsk(now time.Duration, l *link, a *capacitypb.Ask) {
 	l.slots.excluded = a.Excluded
 	l.slots.wanted = max(l.slots.wanted, int(a.Count))
 	s.grantSlots(now, l, min(int(a.Count), s.spare()))
 }
 
-// spare is how many free units may be given away: all that this VM does not want
-// itself. Tasks that come later take units that come free, or ask.
+// spare returns how many free slot units this VM does not want itself and may give
+// away. Later tasks use units that come free, or ask.
 func (s *State) spare() int { return max(0, s.slots.free-s.slots.want) }
 
-// grantSlots gives up to n free units, spread over the targets.
+// grantSlots gives up to n free units to a peer, spread over the targets that the peer
+// does not exclude.
 func (s *State) grantSlots(now time.Duration, l *link, n int) {
 	each := 1
 	if len(s.slots.list) > 0 {
@@ -153,6 +156,7 @@
 	}
 }
 
+// giveSlots sends n free units of a pool to a peer.
 func (s *State) giveSlots(now time.Duration, l *link, p *pool, n int) {
 	s.addFree(p, -n)
 	s.sendUnits(now, l, p, n)
@@ -160,7 +164,7 @@
 	l.slots.held += n
 }
 
-// scheduleShare plans to share free units when some peer wants them.
+// scheduleShare sets the time to share spare units when some peer wants units.
 func (s *State) scheduleShare(now time.Duration) {
 	if s.slots.shareAt > 0 {
 		return
@@ -172,7 +176,8 @@
 	s.slots.shareAt = now + s.opts.FlushDelay
 }
 
-// hungry are the peers that want units, the one that holds the fewest first.
+// wantingPeers returns the peers that want slot units, the one that holds the fewest
+// first.
 func (s *State) hungry() []*link {
 	var hungry []*link
 	for _, l := range s.peers {
@@ -184,11 +189,11 @@
 	return hungry
 }
 
-// sharePatience is how many times longer units to spare wait than a want that asks
-// for them: the hungry VM has units of its own that come free.
+// shareWaitFactor is how many times longer spare units wait than a want that asks for
+// units: the VM that wants them has units of its own that come free.
 const sharePatience = 4
 
-// share gives spare units to the hungry peers in equal parts.
+// share gives spare units to the peers that want some, in equal parts.
 func (s *State) share(now time.Duration) {
 	s.slots.shareAt = 0
 	hungry := s.hungry()
@@ -204,11 +209,12 @@
 }
 
 // handoverDelay is how much longer than FlushDelay the units that shareFreed gives
-// wait for others to travel in the same message.
+// wait for others to be sent in the same message.
 const handoverDelay = 30 * time.Millisecond
 
-// shareFreed looks after a unit that came free: while this VM wants more itself,
-// every other one goes to a hungry peer that holds fewer.
+// shareFreed decides on a slot unit that came free. While this VM wants units itself,
+// it gives every other one to the peer that wants some and holds the fewest, if that
+// holds fewer than this VM.
 func (s *State) shareFreed(now time.Duration, p *pool) {
 	if s.slots.free > s.slots.want {
 		s.scheduleShare(now)
@@ -232,7 +238,7 @@
 	}
 }
 
-// newDigest describes this VM's slots now.
+// newDigest makes a digest of this VM's current slots.
 func (s *State) newDigest() *capacitypb.Digest {
 	s.digest++
 	return &capacitypb.Digest{
@@ -243,7 +249,8 @@
 	}
 }
 
-// Digest summarizes this VM's slots for the heartbeats to other members.
+// Digest returns the encoded digest of this VM's slots, for the heartbeats to other
+// members.
 func (s *State) Digest() []byte {
 	b, err := proto.Marshal(s.newDigest())
 	if err != nil {
@@ -252,8 +259,8 @@
 	return b
 }
 
-// SetDigest takes the digest that came with a heartbeat of a member. Digests of
-// unknown members and unreadable ones are ignored.
+// SetDigest stores the digest in a heartbeat of a member. Digests of unknown members
+// and unreadable ones are ignored.
 func (s *State) SetDigest(member string, digest []byte) {
 	l := s.links[member]
 	if l == nil {
@@ -266,6 +273,7 @@
 	s.noteDigest(l, &d)
 }
 
+// applyDigest stores a digest that is newer than the last one of the peer.
 func (s *State) noteDigest(l *link, d *capacitypb.Digest) {
 	if d == nil || d.Sequence <= l.slots.sequence {
 		return
