--- a/capacity/link.go
+++ b/capacity/link.go
@@ -8,48 +8,50 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// maxUnacked is the most items that wait for the acknowledgement of one peer.
+// maxUnacked is the maximum number of unacknowledged items of one link.
 const maxUnacked = 8
 
-// reportAckDelay is the most that the acknowledgement of a report waits for
-// another message to ride on.
+// reportAckDelay is how long the acknowledgement of a report waits at most to be
+// sent with another message.
 const reportAckDelay = 100 * time.Millisecond
 
 // link is the exchange with one other member of the view.
 type link struct {
 	member Member
-	// leaver tells that the peer has left the view and only hands over.
+	// leaver says that the peer has left the view and only hands over ledgers.
 	leaver bool
 
-	// items are sent and not yet acknowledged; last is the newest number given.
+	// items are not yet acknowledged, and lastNumber is the number of the newest.
 	items []*capacitypb.Item
 	last  uint64
-	// retryAt is when items are sent again, and wait the interval.
+	// retryAt is when items are sent again, and retryInterval the time between two
+	// sendings.
 	retryAt, wait time.Duration
-	// seen is the newest item of the peer that was applied.
+	// lastApplied is the number of the newest item of the peer that was applied.
 	seen uint64
-	// ackAt is when the peer gets an acknowledgement of its own; 0 is not owed.
+	// ackAt is when an acknowledgement is sent at the latest; 0 when none is due.
 	ackAt time.Duration
 
 	// report is the peer's report in this view.
 	report *capacitypb.Report
 
-	// batch are units on their way into the next item, and batchAt is when that
-	// is sent at the latest.
+	// batch holds the units of the next item, and batchAt is when that is sent at
+	// the latest.
 	batch   []*capacitypb.Units
 	batchAt time.Duration
 
 	asks    []*capacitypb.Ask
 	recalls []*capacitypb.Recall
-	// revoked are answers of targets that the peer has not been told.
+	// revoked are answers of targets that were not sent to the peer yet.
 	revoked []*capacitypb.Revoked
 
 	slots peerSlots
 }
 
+// hasReported reports whether the peer's report in this view has arrived.
 func (l *link) reported() bool { return l.report != nil }
 
-// add puts units into the batch.
+// addUnits adds units to the batch, which is sent at due unless it is earlier.
 func (l *link) add(due time.Duration, u *capacitypb.Units) {
 	if len(l.batch) == 0 {
 		l.batchAt = due
@@ -73,14 +75,15 @@
 	return strings.Compare(a.Pool, b.Pool)
 }
 
-// number turns the item into the next one of the link.
+// appendItem gives the item the next number and adds it to the unacknowledged ones.
 func (l *link) number(item *capacitypb.Item) {
 	l.last++
 	item.Number = l.last
 	l.items = append(l.items, item)
 }
 
-// flush makes an item of the batch, unless too many wait already.
+// flush makes an item of the batch, unless maxUnacked items wait already. It reports
+// whether it did.
 func (l *link) flush() bool {
 	if len(l.batch) == 0 || len(l.items) >= maxUnacked {
 		return false
@@ -90,7 +93,7 @@
 	return true
 }
 
-// acknowledged forgets the items up to the number.
+// acknowledge removes the items up to the number.
 func (l *link) acknowledged(number uint64) {
 	for len(l.items) > 0 && l.items[0].Number <= number {
 		l.items = l.items[1:]
@@ -98,7 +101,7 @@
 	}
 }
 
-// due tells whether a message has to go out now.
+// isDue reports whether a message must be sent now.
 func (l *link) due(now time.Duration) bool {
 	if len(l.asks) > 0 || len(l.recalls) > 0 {
 		return true
@@ -106,7 +109,7 @@
 	return l.nextDue() <= now
 }
 
-// nextDue is when a message has to go out at the latest.
+// nextDue returns the latest time at which a message must be sent.
 func (l *link) nextDue() time.Duration {
 	next := never
 	if len(l.items) > 0 {
@@ -132,7 +135,8 @@
 	return out
 }
 
-// message says everything that there is to say to the peer.
+// newMessage makes a message with all items, asks and recalls for the peer, the
+// digest and the acknowledgement.
 func (s *State) message(now time.Duration, l *link) *capacitypb.Message {
 	if l.flush() {
 		l.wait = 0
@@ -156,8 +160,9 @@
 	return m
 }
 
-// Receive applies a message of a peer. The replies go back to it, with the
-// response of the same call where that is possible.
+// Receive applies a message of a peer. The caller sends the replies back to it, in
+// the response of the same call where that is possible, and the other messages to
+// their members.
 func (s *State) Receive(now time.Duration, from Member, m *capacitypb.Message) (replies []*capacitypb.Message, out []Out) {
 	l := s.links[from.ID]
 	if l == nil || l.member.Incarnation != from.Incarnation || m.GetView() != s.view.ID {
@@ -183,9 +188,9 @@
 	return replies, s.collect(now)
 }
 
-// answer is the reply to a message. The receiver acknowledges its units late, so
-// that they are sent again late as well. When the answer is lost, the ask is
-// repeated before that, and its answer holds them again.
+// newAnswer makes the reply to a message. The receiver acknowledges its units after
+// AckDelay, so they are sent again only after that. When the answer is lost, the
+// peer repeats its ask before, and the answer to that contains the units again.
 func (s *State) answer(now time.Duration, l *link) *capacitypb.Message {
 	m := s.message(now, l)
 	m.Answer = true
@@ -195,8 +200,8 @@
 	return m
 }
 
-// receiveAnswer notes the answer to an ask and owes the acknowledgement of the
-// items that came with it. A view change waits for that of a report.
+// receiveAnswer records the answer to an ask, and schedules the acknowledgement of
+// its items. That of a report is sent sooner, since a view change waits for it.
 func (s *State) receiveAnswer(now time.Duration, l *link, m *capacitypb.Message) {
 	l.slots.asked = 0
 	if len(m.Items) == 0 {
@@ -211,12 +216,13 @@
 	}
 }
 
+// hasReport reports whether the message contains the sender's report.
 func hasReport(m *capacitypb.Message) bool {
 	return slices.ContainsFunc(m.Items, func(i *capacitypb.Item) bool { return i.Report != nil })
 }
 
-// receiveItem applies the next item of a peer; others are repeated or come too
-// early, and the peer sends those again.
+// receiveItem applies the next item of a peer. Other items are ignored: repeated
+// ones were applied, and the peer sends early ones again.
 func (s *State) receiveItem(now time.Duration, l *link, item *capacitypb.Item) {
 	if item.Number != l.seen+1 {
 		return
@@ -235,7 +241,7 @@
 	}
 }
 
-// receiveAsk serves a peer that asks for units.
+// receiveAsk records a peer's ask for units, and grants what is free.
 func (s *State) receiveAsk(now time.Duration, l *link, a *capacitypb.Ask) {
 	if a.Pool == Slots {
 		s.serveSlotAsk(now, l, a)
--- a/capacity/tick.go
+++ b/capacity/tick.go
@@ -6,8 +6,8 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// Next is when Tick has something to do at the latest; false says that nothing
-// is due until another call changes the state.
+// NextTick returns the latest time of the next call of Tick; false when none is
+// needed until another call changes the state.
 func (s *State) Next() (time.Duration, bool) {
 	next := s.expiry
 	if s.active {
@@ -25,7 +25,7 @@
 	return next, next != never
 }
 
-// nextAsk is when slots may be asked for again.
+// nextAsk returns when slots may be asked for again.
 func (s *State) nextAsk() time.Duration {
 	next := s.slots.retryAt
 	for _, l := range s.peers {
@@ -39,7 +39,7 @@
 	return max(next, s.slots.budgetAt)
 }
 
-// Tick does what is due by time.
+// Tick does the work that is due and returns the messages to send.
 func (s *State) Tick(now time.Duration) []Out {
 	if s.view.ID == "" {
 		return nil
@@ -60,7 +60,7 @@
 	return s.collect(now)
 }
 
-// expireLedgers ends reservations and retries recalls.
+// expireLedgers ends blocks and reservations that have run out, and repeats recalls.
 func (s *State) expireLedgers(now time.Duration) {
 	s.expiry = never
 	if now >= s.unlistedUntil {
@@ -83,7 +83,8 @@
 	}
 }
 
-// endWindow sends home what was not needed in the window.
+// endWindow returns units that were not needed in the window to their homes, and
+// begins the next window.
 func (s *State) endWindow(now time.Duration) {
 	s.active = false
 	s.windowEnd = now + s.opts.IdleAfter
@@ -94,13 +95,13 @@
 	idle := s.slots.low
 	s.slots.low = s.slots.free
 	if idle < s.slots.free {
-		// Another window shows whether the others are idle too.
+		// The next window shows whether the other free units are idle too.
 		s.active = true
 	}
 }
 
-// returnIdleSlots sends half of the units that were not needed home, so that a
-// load that comes back finds some here still.
+// returnIdleSlots returns half of the slot units that were not needed, so that some
+// are still here when the load returns.
 func (s *State) returnIdleSlots(now time.Duration) {
 	idle := (s.slots.low - s.slots.want + 1) / 2
 	for _, p := range append([]*pool(nil), s.slots.list...) {
@@ -116,8 +117,9 @@
 	}
 }
 
-// endPoolWindow sends idle limit units and unusable slot units home, and takes
-// back an ask that is no longer meant.
+// endPoolWindow returns idle limit units and unusable slot units to the home, and
+// cancels an ask for units that are no longer wanted. The home lends standing units
+// instead.
 func (s *State) endPoolWindow(now time.Duration, p *pool) {
 	if p.ledger == nil {
 		s.sendHome(now, p, s.unneeded(p))
@@ -132,8 +134,8 @@
 	s.drop(p)
 }
 
-// unneeded is how many borrowed units of the pool alone go home. Slots of usable
-// targets are looked at together, in returnIdleSlots.
+// unneeded returns how many units of the pool are returned to the home. It is 0 for
+// slots of usable targets, which returnIdleSlots counts together.
 func (s *State) unneeded(p *pool) int {
 	switch {
 	case p.kind == KindLimit && p.configured:
@@ -146,7 +148,7 @@
 	return 0
 }
 
-// cancelAsk tells the home that units asked for are no longer wanted.
+// cancelAsk withdraws the ask for units of a pool that this VM no longer wants.
 func (s *State) cancelAsk(p *pool) {
 	l := s.links[p.home]
 	if l == nil || p.demand.asked == 0 || p.demand.want > 0 {
