--- a/capacity/revoke.go
+++ b/capacity/revoke.go
@@ -9,17 +9,18 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// After a loss nobody knows which tasks of the lost VMs still run. Each target is
-// asked once to revoke the leases of all but the members of the view, and answers
-// with the tasks of other holders that it runs. The home of the target's slots
-// asks it, and tells the other members. Units of lost VMs that no such task uses
-// are free then. They stay reserved by time for targets that don't answer.
+// After a loss the members don't know which tasks of the lost VMs still run. The home
+// of a target's slots asks the target to revoke the leases of all but the members of
+// the view. The target answers with the tasks of other holders that it runs, and the
+// home shares the answer with the other members. Units of lost VMs that no such task
+// uses are free then. For targets that don't answer, units stay reserved until their
+// time is over.
 //
-// A target is asked only RevokeAfter the view was installed: by then a lost VM
-// neither decides on starts nor takes leases for them, so that what it may still
-// start is under a lease that is revoked.
+// A target is asked only RevokeAfter after the view was installed. By then a lost VM
+// neither decides on starts nor takes leases for them, so that anything it may still
+// start uses a lease that is revoked.
 
-// TargetSlots is a target that may run tasks, a leaving one included.
+// TargetSlots is a target that may run tasks; it may be leaving.
 type TargetSlots struct {
 	Target string
 	Slots  int
@@ -34,33 +35,34 @@
 	Holders []Member
 }
 
-// revocations is what is known of the targets since the view was installed.
+// revocations holds the targets' answers in this view.
 type revocations struct {
-	// needed tells that tasks of lost VMs may run.
+	// needed says that tasks of lost VMs may run.
 	needed bool
 	// targets are those that may run tasks, by id.
 	targets map[string]*revocation
-	// shareAt is when answers go to the other members; 0 is not due.
+	// shareAt is when answers are sent to the other members; 0 when none are due.
 	shareAt time.Duration
 }
 
-// revocation is what is known of one target.
+// revocation is the state of one target.
 type revocation struct {
 	slots int
-	// unlistedAt is when the target was no longer listed; 0 while it is.
+	// unlistedAt is when the target was removed from the list; 0 while it is on it.
 	unlistedAt time.Duration
-	// mine tells that this VM asks the target.
+	// askedHere says that this VM asks the target.
 	mine bool
-	// answered tells that leases were revoked in this view; running are the units
-	// of limit pools that tasks of other holders used then.
+	// answered says that the target has revoked leases in this view, and running
+	// holds the units of limit pools that tasks of other holders used then.
 	answered bool
 	running  map[string]int
-	// askAt is when the target is asked next, and wait the interval.
+	// askAt is when the target is asked next, and askInterval the time between two
+	// asks.
 	askAt, wait time.Duration
 }
 
-// SetTargets replaces the targets that may run tasks. One that is no longer
-// listed and has not answered counts for ReclaimAfter more.
+// SetTargets replaces the targets that may run tasks. One that is no longer listed
+// counts for ReclaimAfter more, since its tasks may still run.
 func (s *State) SetTargets(now time.Duration, targets []TargetSlots) {
 	for _, r := range s.revocations.targets {
 		if r.unlistedAt == 0 {
@@ -79,7 +81,7 @@
 	}
 }
 
-// revocation returns what is known of a target and creates it where nothing is.
+// revocation returns the state of a target, and creates it when it is unknown.
 func (s *State) revocation(target string) *revocation {
 	r := s.revocations.targets[target]
 	if r == nil {
@@ -90,14 +92,15 @@
 	return r
 }
 
-// revokeFrom is from when on targets are asked in this view.
+// revokeFrom returns when targets may be asked first in this view.
 func (s *State) revokeFrom() time.Duration { return s.installed + s.opts.RevokeAfter }
 
-// revokeUntil is when the wait by time is over and no target is asked any more.
+// revokeUntil returns when the reservations end by time, so that targets need not be
+// asked any more.
 func (s *State) revokeUntil() time.Duration { return s.installed + s.opts.ReclaimAfter }
 
-// restartRevocations forgets the answers of the former view: they don't cover
-// what was lost since.
+// restartRevocations drops the answers of the previous view: they don't cover VMs
+// that were lost since.
 func (s *State) restartRevocations() {
 	s.revocations.needed = false
 	s.revocations.shareAt = 0
@@ -107,18 +110,19 @@
 	}
 }
 
-// asksDue tells whether targets are asked at all now or later.
+// needsRevocations reports whether this VM has to ask targets in this view.
 func (s *State) asksDue(now time.Duration) bool {
 	return s.resolved && s.member && s.revocations.needed && now < s.revokeUntil()
 }
 
-// asks tells whether this VM has to ask the target, or to ask it again.
+// mustAsk reports whether this VM has to ask the target, for the first time or
+// again.
 func (r *revocation) asks() bool {
 	return r.mine && r.unlistedAt == 0 && (!r.answered || len(r.running) > 0)
 }
 
-// Revocations returns the revocations that are due, and what has to be told to
-// other members about answers.
+// Revocations returns the revocations that are due, and the messages that share
+// answers with other members.
 func (s *State) Revocations(now time.Duration) ([]Revocation, []Out) {
 	var due []Revocation
 	if s.asksDue(now) {
@@ -135,8 +139,8 @@
 	return due, s.shareRevoked(now)
 }
 
-// NextRevocation is when Revocations has something to do at the latest; false
-// says that nothing is due.
+// NextRevocation returns the latest time of the next call of Revocations; false when
+// none is needed.
 func (s *State) NextRevocation(now time.Duration) (time.Duration, bool) {
 	next := never
 	if s.revocations.shareAt > 0 {
@@ -152,8 +156,9 @@
 	return next, next != never
 }
 
-// Revoked takes a target's answer to a revocation of the view: the units of each
-// limit pool that tasks of other holders use there.
+// RecordRevoked records a target's answer to a revocation of the view: the units of
+// each limit pool that tasks of other holders use there. Answers for other views are
+// ignored.
 func (s *State) Revoked(now time.Duration, view, target string, running map[string]int) []Out {
 	if view != s.view.ID {
 		return nil
@@ -177,7 +182,7 @@
 	return s.collect(now)
 }
 
-// shareRevoked tells the other members what targets answered.
+// shareRevoked sends the targets' answers to the other members.
 func (s *State) shareRevoked(now time.Duration) []Out {
 	if s.revocations.shareAt == 0 || now < s.revocations.shareAt {
 		return nil
@@ -199,7 +204,8 @@
 	return s.collect(now)
 }
 
-// receiveRevoked takes what this or another member learned from targets.
+// receiveRevoked records answers that targets gave to this or another member, and
+// frees the units that no task uses.
 func (s *State) receiveRevoked(now time.Duration, answers []*capacitypb.Revoked) {
 	if len(answers) == 0 {
 		return
@@ -217,6 +223,7 @@
 	}
 }
 
+// recordAnswer stores the answer of one target.
 func (s *State) noteRevoked(now time.Duration, answer *capacitypb.Revoked) {
 	r := s.revocations.targets[answer.Target]
 	if r == nil {
@@ -233,9 +240,9 @@
 	}
 }
 
-// mostRunning is the most units of a limit pool that tasks of lost VMs use: those
-// that targets told, and all slots of targets that have not answered. False says
-// that nothing is known.
+// maxRunning returns how many units of a limit pool tasks of lost VMs use at most:
+// those that targets reported, and all slots of targets that have not answered. It
+// returns false before RevokeAfter, and when no target is listed.
 func (s *State) mostRunning(now time.Duration, name string) (int, bool) {
 	if !s.resolved || now < s.revokeFrom() {
 		return 0, false
@@ -264,7 +271,7 @@
 	}
 	if l.blocked {
 		if p.capacity-l.outside-p.used-p.free < most {
-			// Units at hand would have to be recalled.
+			// The home would have to recall units that are lent or free.
 			return
 		}
 		l.blocked = false
@@ -273,7 +280,7 @@
 	l.trim(most)
 }
 
-// latest is when the last block or reservation ends.
+// latestEnd returns when the last block or reservation ends.
 func (l *ledger) latest() time.Duration {
 	until := l.blockedUntil
 	for _, r := range l.reservations {
@@ -282,7 +289,8 @@
 	return until
 }
 
-// trim leaves at most the given units reserved, those that end last.
+// trim reduces the reservations to at most the given units. The ones that end last
+// are kept.
 func (l *ledger) trim(most int) {
 	slices.SortStableFunc(l.reservations, func(a, b reservation) int { return cmp.Compare(b.until, a.until) })
 	kept := l.reservations[:0]
--- a/capacity/view.go
+++ b/capacity/view.go
@@ -8,9 +8,9 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-// SetView installs a view. Units at hand stay usable; the homes learn from the
-// survivors' reports which units are left. Units on their way are given up: the
-// receiver reports them if it got them.
+// SetView installs a view. Units that this VM holds stay usable, and it reports them
+// to their homes. The sender drops units in transit; the receiver reports them if it
+// got them.
 func (s *State) SetView(now time.Duration, v View) []Out {
 	if v.ID == s.view.ID {
 		return nil
@@ -36,16 +36,17 @@
 	return s.collect(now)
 }
 
-// keepUnlisted blocks what this VM can't know when the view is replaced before
-// all its members have reported.
+// extendUnlistedBlock blocks limit pools without ledger for ReclaimAfter when the
+// previous view is replaced before all its members have reported, since this VM then
+// does not know all units.
 func (s *State) keepUnlisted(now time.Duration) {
 	if !s.resolved {
 		s.unlistedUntil = now + s.opts.ReclaimAfter
 	}
 }
 
-// forgetFree drops the free units and ledgers of a VM that missed a view: others
-// may have counted its units as lost. Units in use are reported.
+// dropFree drops the free units and ledgers of a VM that missed a view: others may
+// have counted its units as lost. Units in use are reported.
 func (s *State) forgetFree() {
 	for _, p := range s.ordered {
 		s.addFree(p, -p.free)
@@ -57,8 +58,8 @@
 	s.unlistedUntil = 0
 }
 
-// moveHomes assigns every pool to its home in the new view, reserves what lost
-// members hold and returns the reports for the other members.
+// moveHomes assigns every pool to its home in the new view, reserves the units of
+// lost members and returns the reports for the other members.
 func (s *State) moveHomes(now time.Duration) map[string]*capacitypb.Report {
 	reports := make(map[string]*capacitypb.Report, len(s.view.Members))
 	for _, m := range s.view.Members {
@@ -79,7 +80,7 @@
 		}
 		p.ledger = nil
 		if !s.member {
-			// A leaver needs no free units; the new home makes them anew.
+			// A leaver needs no free units; the new home counts them as free.
 			s.addFree(p, -p.free)
 		}
 		if held := p.free + p.used; held > 0 {
@@ -90,6 +91,8 @@
 	return reports
 }
 
+// newReport makes a report without holdings and ledgers. It names the parent view
+// only when this VM comes from it.
 func (s *State) newReport(now time.Duration) *capacitypb.Report {
 	if !s.inherits {
 		return &capacitypb.Report{}
@@ -104,7 +107,7 @@
 	return r
 }
 
-// handOver describes the ledger of a limit pool to the new home.
+// handOver returns the ledger of a limit pool for its new home.
 func (s *State) handOver(now time.Duration, p *pool) *capacitypb.Ledger {
 	l := p.ledger
 	h := &capacitypb.Ledger{Pool: p.name}
@@ -124,7 +127,8 @@
 	return h
 }
 
-// remainingMS rounds up, so that a reservation never gets shorter on its way.
+// remainingMS returns the time until a moment in milliseconds. It rounds up, so that
+// a reservation does not become shorter when it is handed over.
 func remainingMS(now, until time.Duration) int64 {
 	if until <= now {
 		return 0
@@ -132,8 +136,8 @@
 	return int64((until-now)/time.Millisecond) + 1
 }
 
-// reserveLost turns what members that are not in the new view hold into
-// reservations.
+// reserveLost reserves the limit units that members hold who are not in the new
+// view.
 func (s *State) reserveLost(now time.Duration, p *pool) {
 	l := p.ledger
 	if l == nil || p.kind != KindLimit {
@@ -151,18 +155,20 @@
 	}
 }
 
+// reserve adds a reservation to the ledger.
 func (s *State) reserve(l *ledger, units int, until time.Duration) {
 	l.reservations = append(l.reservations, reservation{units: units, until: until})
 	s.expiry = min(s.expiry, until)
 }
 
+// isSame reports whether both are the same process.
 func (m Member) same(other Member) bool {
 	return m.ID == other.ID && m.Incarnation == other.Incarnation
 }
 
-// keepLedger prepares the ledger of a pool whose home is here. The ledger of a
-// limit pool goes on when this VM was its home before: what it lent bounds what
-// the survivors hold. Any other starts anew.
+// prepareLedger prepares the ledger of a pool whose home is here. The ledger of a
+// limit pool is kept when this VM was its home before: the survivors hold no more
+// units than it lent. Any other pool gets a new ledger.
 func (s *State) keepLedger(p *pool) {
 	if p.ledger != nil && p.kind == KindLimit {
 		clear(p.ledger.wants)
@@ -172,6 +178,7 @@
 	p.ledger = newLedger()
 }
 
+// blockLedger blocks a ledger until the given time; 0 does nothing.
 func (s *State) blockLedger(l *ledger, until time.Duration) {
 	if until <= 0 {
 		return
@@ -210,7 +217,8 @@
 	})
 }
 
-// receiveReport takes a peer's holdings into the ledgers.
+// receiveReport records a peer's holdings in the ledgers of this home, and completes
+// the ledgers when it is the last report.
 func (s *State) receiveReport(now time.Duration, l *link, r *capacitypb.Report) {
 	if l.reported() {
 		return
@@ -233,8 +241,8 @@
 	s.resolve(now)
 }
 
-// receiveHolding notes the units that a peer holds of a pool of this home. Those
-// of a leaver are in use for the last time.
+// receiveHolding records the units that a peer holds of a pool of this home. A leaver
+// uses its units only until its tasks end, so those are reserved.
 func (s *State) receiveHolding(now time.Duration, l *link, u *capacitypb.Units) {
 	p := s.pool(u.Pool, Kind(u.Kind))
 	switch {
@@ -264,7 +272,8 @@
 			s.pool(h.Pool, KindLimit)
 		}
 	}
-	// Pools that only ledgers name are known from here on, as they inherit below.
+	// The pools that only handed-over ledgers name were created above, and inherit
+	// their ledgers below.
 	s.resolved = true
 	for _, p := range slices.Clone(s.ordered) {
 		if p.ledger == nil {
@@ -279,7 +288,8 @@
 	}
 }
 
-// blockUnlisted finds until when limit pools that no ledger names are blocked.
+// blockUnlisted sets until when limit pools are blocked that no handed-over ledger
+// names.
 func (s *State) blockUnlisted(now time.Duration) {
 	until := s.unlistedUntil
 	if len(s.previous) == 0 || slices.ContainsFunc(s.previous, s.isLost) {
@@ -299,13 +309,13 @@
 	}
 }
 
-// reporters are the members and leavers that have reported.
+// reporters returns the links to members and leavers that have reported.
 func (s *State) reporters() []*link {
 	all := slices.Concat(s.peers, s.leavers)
 	return slices.DeleteFunc(all, func(l *link) bool { return !l.reported() })
 }
 
-// isLost tells whether the member of the parent view is gone without a word.
+// isLost reports whether a member of the parent view has not reported in this one.
 func (s *State) isLost(m Member) bool {
 	if m.same(s.opts.Self) {
 		return false
@@ -314,9 +324,9 @@
 	return l == nil || !m.same(l.member) || !l.reported()
 }
 
-// inherit takes over the ledger of a limit pool from its home in the parent
-// view. Where that home can't tell, the units that no survivor reported count as
-// held by lost VMs until ReclaimAfter has passed.
+// inheritLedger takes over the ledger of a limit pool from its home in the parent
+// view. When that home has not handed it over, the units that no survivor reported
+// count as held by lost VMs until ReclaimAfter has passed.
 func (s *State) inherit(now time.Duration, p *pool) {
 	home := homeOf(s.previous, p.name)
 	if home == s.opts.Self.ID && s.inherits {
@@ -343,15 +353,16 @@
 	}
 }
 
-// blockUnlistedBy blocks a pool that its former home had not configured yet for
-// as long as that home would have.
+// blockUnlistedBy blocks a pool of which its previous home had no ledger for as long
+// as that home blocks such pools.
 func (s *State) blockUnlistedBy(now time.Duration, l *ledger, source *link) {
 	if ms := source.report.UnlistedBlockedMs; ms > 0 {
 		s.blockLedger(l, now+time.Duration(ms)*time.Millisecond)
 	}
 }
 
-// descends tells whether the peer comes from the parent view and was a member.
+// descends reports whether the peer comes from the parent view and was a member of
+// it.
 func (s *State) descends(l *link) bool {
 	return l.report.Parent != "" && l.report.Parent == s.view.Parent && slices.ContainsFunc(s.previous, l.member.same)
 }
