--- a/capacity/ask_test.go
+++ b/capacity/ask_test.go
@@ -20,7 +20,7 @@
 	must.Eq(t, 1, l.sent)
 	l.run(2 * time.Second)
 	must.SliceEmpty(t, l.states["b"].links["a"].items)
-	// The ask and one acknowledgement; no units were sent again.
+	// One ask and one acknowledgement: no units were sent again.
 	must.Eq(t, 2, l.sent)
 }
 
@@ -64,7 +64,7 @@
 	l.heartbeats()
 	l.want("a", Slots, 10)
 	l.want("b", Slots, 96)
-	// The ask has arrived at a, and no answer has come back.
+	// The ask has arrived at a, and no answer has arrived at b.
 	l.run(time.Millisecond)
 	must.Eq(t, 10, l.states["a"].FreeSlots())
 }
@@ -107,7 +107,7 @@
 	l.start("a")
 	lost := l.states["a"].Want(l.now, Slots, len(l.waiting["a"]))
 	must.Greater(t, 0, len(lost))
-	// No heartbeat tells the others.
+	// No heartbeat carries the want to the other VMs.
 	l.run(600 * time.Millisecond)
 	l.start("a")
 	must.Eq(t, 12, len(l.responses))
--- a/capacity/burst_test.go
+++ b/capacity/burst_test.go
@@ -20,8 +20,8 @@
 	return 1 + l.rng.IntN(3)
 }
 
-// burstSeeds is how many loads a case runs: at 95 % the tail of one alone says
-// little.
+// burstSeeds is how many loads a case runs: at 95 % the 99th percentile of a single
+// load varies much.
 const burstSeeds = 12
 
 func TestBurstsOnFewSlotsCostFewMessages(t *testing.T) {
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same runs each time; flags of the command line win.
+	// The same seed in every run; flags on the command line override it.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "120")
@@ -22,7 +22,7 @@
 
 func member(id string) Member { return Member{ID: id, Incarnation: 1} }
 
-// cluster joins states by messages that arrive after a delay.
+// cluster connects states by messages that arrive after a delay.
 type cluster struct {
 	t      *testing.T
 	now    time.Duration
@@ -34,7 +34,7 @@
 	sent int
 }
 
-// flight is a message or its reply on the way.
+// delivery is a message or a reply in transit.
 type flight struct {
 	at       time.Duration
 	from, to string
@@ -76,7 +76,7 @@
 	}
 }
 
-// carry delivers a message now or puts it into the queue.
+// deliver delivers a message if its time has come, else it adds it to the queue.
 func (c *cluster) carry(f flight) {
 	if f.at > c.now {
 		c.queue = append(c.queue, f)
@@ -89,7 +89,7 @@
 	}
 }
 
-// arrive delivers what has been on the way long enough.
+// arrive delivers the messages that are due.
 func (c *cluster) arrive() {
 	queue := c.queue
 	c.queue = nil
@@ -115,7 +115,7 @@
 	return n
 }
 
-// pools sets a pool at every VM.
+// pool sets a pool at every VM.
 func (c *cluster) pool(name string, kind Kind, capacity int) {
 	c.each(func(s *State) []Out {
 		return s.SetPool(c.now, Pool{Name: name, Kind: kind, Capacity: capacity})
@@ -132,7 +132,8 @@
 
 const limitPool = "profile/p"
 
-// newLimitCluster has three VMs whose limit of 12 is free to use.
+// newLimitCluster returns a cluster of three VMs with a limit of 12 that is no longer
+// blocked.
 func newLimitCluster(t *testing.T) *cluster {
 	c := newCluster(t, Options{ReclaimAfter: time.Second, IdleAfter: 100 * time.Millisecond}, "a", "b", "c")
 	c.pool(limitPool, KindLimit, 12)
@@ -141,7 +142,7 @@
 	return c
 }
 
-// home is the VM that keeps the ledger of the limit, and others the other ones.
+// home returns the VM that keeps the ledger of the limit, and the other VMs.
 func (c *cluster) home() (home string, others []string) {
 	for _, id := range c.order {
 		if c.states[id].pools[limitPool].ledger != nil {
@@ -303,8 +304,8 @@
 	must.Len(t, 0, replies)
 }
 
-// The units of a lost home stay unused for a while; those that it had lent in
-// advance do not.
+// The home of a limit is lost. The other VMs can use their standing units at once, and
+// the home's own units after ReclaimAfter.
 func TestLossOfTheHomeStopsNobody(t *testing.T) {
 	c := newLimitCluster(t)
 	_, others := c.home()
@@ -331,8 +332,8 @@
 	must.Eq(t, 4, total)
 }
 
-// A limit that becomes known long after the start may have been in use when all
-// VMs were restarted, by tasks that its own profile lets run that long.
+// A limit that becomes known long after the first view may have been in use before it,
+// by tasks that its profile lets run that long.
 func TestLimitThatIsKnownLateWaitsFromTheStart(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: time.Second}, "a", "b", "c")
 	c.view("v1", "", "a", "b", "c")
--- a/capacity/fleet_test.go
+++ b/capacity/fleet_test.go
@@ -9,12 +9,13 @@
 
 // fleetTarget is a target that runs tasks and revokes leases.
 type fleetTarget struct {
-	// silent targets answer no revocation and take none in; late ones answer long
-	// after they have revoked.
+	// silent targets neither receive nor answer revocations; late ones revoke at
+	// once and answer late.
 	silent, late bool
 }
 
-// revocationCall is a revocation on its way to a target, then its answer.
+// revocationCall is a revocation in transit to a target, or its answer in transit
+// back.
 type revocationCall struct {
 	Revocation
 	from    *vm
@@ -43,7 +44,8 @@
 	return targets
 }
 
-// limitedAt counts the tasks under limits that are at a target or on their way.
+// limitedAt counts the tasks under limits that run at a target or whose starts are in
+// transit to it.
 func (w *world) limitedAt(target string) int {
 	n := 0
 	for _, k := range w.tasks {
@@ -54,7 +56,7 @@
 	return n
 }
 
-// askTargets sends the revocations that a VM wants.
+// askTargets sends the revocations that are due at a VM.
 func (w *world) askTargets(v *vm) {
 	due, outs := v.state.Revocations(w.now)
 	w.post(v, outs)
@@ -69,7 +71,8 @@
 	}
 }
 
-// revoke lets revocations reach their targets, and answers their askers.
+// revoke delivers revocations to their targets, and the answers to the VMs that
+// asked.
 func (w *world) revoke() {
 	asked := w.asked
 	w.asked = nil
@@ -91,8 +94,9 @@
 	}
 }
 
-// revokeAt refuses the starts under way whose leases the target has given to
-// others than the holders, and counts what of others runs.
+// revokeAt ends the leases that the target has granted to others than the holders.
+// Starts in transit under them are refused; the running tasks of others are counted
+// by pool.
 func (w *world) revokeAt(target string, holders []Member) map[string]int {
 	running := make(map[string]int)
 	for _, k := range w.tasks {
@@ -109,7 +113,7 @@
 	return running
 }
 
-// troubleTarget makes a target answer, answer late or not at all, or restart.
+// disturbTarget makes a target answer in time, late or not at all, and may restart it.
 func (w *world) troubleTarget(t *rapid.T) {
 	id := rapid.SampledFrom(testTargets).Draw(t, "target")
 	f := w.fleet[id]
--- a/capacity/limit_fuzz_test.go
+++ b/capacity/limit_fuzz_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// checkLimits compares what runs with the limits.
+// checkLimits fails the test if more tasks run under a limit than it allows.
 func (w *world) checkLimits() {
 	running := make(map[string]int)
 	for _, k := range w.tasks {
@@ -66,7 +66,7 @@
 	w.pass(testReclaim + 500*time.Millisecond)
 }
 
-// rest ends the load of a VM.
+// rest ends the demand of a VM.
 func (w *world) rest(v *vm) {
 	v.busy = false
 	for _, name := range append([]string{Slots}, testLimits...) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkWhole lets each VM in turn use every unit of every pool. Of the slots a
-// VM that is in use keeps one.
+// checkWhole lets each VM in turn take every unit of every pool, and fails the test
+// if units are missing or too many. Each other VM may keep one slot unit.
 func (w *world) checkWhole() {
 	slots := len(testTargets) * testSlots
 	for _, v := range w.vms {
@@ -96,7 +96,8 @@
 	}
 }
 
-// gather lets one VM take units as they come, and gives them back.
+// gather lets one VM take units for a while, and returns them. It fails the test if
+// the VM got fewer than least or more than units.
 func (w *world) gather(v *vm, pools []string, want string, units, least int) {
 	var taken []string
 	for range 40 {
@@ -139,7 +140,7 @@
 	}
 }
 
-// kill ends a process, and at times starts another on the VM at once.
+// kill ends a process, and may start another on the VM at once.
 func (w *world) kill(t *rapid.T) {
 	v := w.pick(func(v *vm) bool { return v.alive })
 	v.alive = false
@@ -148,7 +149,7 @@
 	}
 }
 
-// calm lets the VMs recover from faults.
+// calm ends the faults of VMs and network, and lets all VMs join the view.
 func (w *world) calm(t *rapid.T) {
 	for _, v := range w.vms {
 		v.paused = false
@@ -161,7 +162,7 @@
 	w.pass(testReclaim + 50*time.Millisecond)
 }
 
-// survivors are the VMs that have promised the next view.
+// survivors returns the members of the view that act.
 func (w *world) survivors() []*vm {
 	var survivors []*vm
 	for _, v := range w.vms {
@@ -188,7 +189,7 @@
 	w.install(survivors, nil)
 }
 
-// rejoin takes in VMs that act and are no members.
+// rejoin adds the VMs that act and are not members to the view.
 func (w *world) rejoin(*rapid.T) {
 	members := w.survivors()
 	for _, v := range w.vms {
@@ -199,7 +200,7 @@
 	w.install(members, nil)
 }
 
-// leave takes a member out that has nothing in use.
+// leave makes a member leave the view.
 func (w *world) leave(*rapid.T) {
 	members := w.survivors()
 	if len(members) == 1 {
--- a/capacity/revoke_test.go
+++ b/capacity/revoke_test.go
@@ -12,8 +12,8 @@
 	reclaimAfter = 10 * time.Second
 )
 
-// lossCluster has three VMs that share a limit of 12 and two targets of four
-// slots; one VM that is not the home of the limit was lost with five units.
+// lossCluster is a cluster of three VMs that shared a limit of 12 and two targets of
+// four slots. One VM, not the home of the limit, was lost with five units in use.
 type lossCluster struct {
 	*cluster
 	home, other string
@@ -37,7 +37,7 @@
 	return l
 }
 
-// list gives all VMs a list of targets.
+// list sets the list of targets at all VMs.
 func (c *cluster) list(ids ...string) {
 	var targets []TargetSlots
 	for _, id := range ids {
@@ -48,8 +48,8 @@
 	}
 }
 
-// pass passes time; targets answer revocations with the tasks that run, and those
-// that are not named don't answer.
+// pass passes time. The targets in running answer revocations with that number of
+// tasks under the limit; other targets don't answer.
 func (l *lossCluster) pass(d time.Duration, running map[string]int) {
 	for end := l.now + d; l.now < end; {
 		l.run(time.Millisecond)
@@ -66,7 +66,7 @@
 	}
 }
 
-// usable is how many units of the limit the VMs hold or can have.
+// usable returns how many units of the limit the VMs hold or can get.
 func (l *lossCluster) usable() int {
 	home := l.states[l.home].pools[limitPool]
 	return home.free + home.used + home.ledger.outside
@@ -79,7 +79,7 @@
 	must.Eq(t, 7, l.usable())
 	l.pass(100*time.Millisecond, map[string]int{"t1": 2, "t2": 0})
 	must.Eq(t, 10, l.usable())
-	// Each target is asked by one member alone, once while nothing runs there.
+	// Each target is asked by one member, and once if nothing runs there.
 	must.Len(t, 2, l.asked)
 	must.Eq(t, []Member{member(l.order[0]), member(l.order[1])}, l.asked[0].Holders)
 	l.pass(time.Second, map[string]int{"t1": 0, "t2": 0})
@@ -105,7 +105,7 @@
 	must.Eq(t, 7, l.usable())
 }
 
-// answer brings the home answers of targets that run nothing.
+// answer records answers of targets without tasks at the home.
 func (l *lossCluster) answer(view string, targets ...string) {
 	for _, target := range targets {
 		l.send(l.home, l.states[l.home].Revoked(l.now, view, target, nil))
@@ -122,7 +122,8 @@
 	must.Eq(t, 7, l.usable())
 }
 
-// The limit of a lost home stays blocked, and its holders keep what they have.
+// When the home of a limit is lost and targets don't answer, the limit stays blocked,
+// but holders keep the units that they have.
 func TestSilentTargetsCostTheHoldersNothing(t *testing.T) {
 	l := newLossCluster(t)
 	l.want(l.other, limitPool, 7)
@@ -139,7 +140,8 @@
 	must.Eq(t, 12, l.total())
 }
 
-// The next view asks again for what the former one had no answer to.
+// A view that follows a loss asks the targets again that did not answer in the
+// previous one.
 func TestLossIsPassedOnToTheNextView(t *testing.T) {
 	l := newLossCluster(t)
 	l.order = append(l.order, "d")
@@ -152,7 +154,7 @@
 	must.Eq(t, 12, l.total())
 }
 
-// total is how many units the VMs hold.
+// total returns how many units of the limit the VMs hold.
 func (l *lossCluster) total() int {
 	total := 0
 	for _, id := range l.order {
@@ -162,7 +164,7 @@
 	return total
 }
 
-// After the first view the limit is free without the wait by time.
+// After the first view the answers of targets free the limit before ReclaimAfter.
 func TestFirstViewAsksTargets(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: reclaimAfter, RevokeAfter: revokeAfter}, "a", "b", "c")
 	l := &lossCluster{cluster: c}
@@ -171,7 +173,7 @@
 	l.view("v1", "", "a", "b", "c")
 	l.pass(200*time.Millisecond, map[string]int{"t1": 3, "t2": 0})
 	must.Eq(t, 9, l.total())
-	// A limit that becomes known later waits for the same tasks alone.
+	// A limit that becomes known later is free by the same answers.
 	l.pool("profile/q", KindLimit, 5)
 	l.pass(200*time.Millisecond, nil)
 	must.Eq(t, 5, l.takeAll("profile/q"))
--- a/capacity/slots_test.go
+++ b/capacity/slots_test.go
@@ -18,16 +18,16 @@
 	meanRun = 200 * time.Millisecond
 )
 
-// slotLoad runs tasks on the slots of three VMs in virtual time. Jobs come at
+// slotLoad runs tasks on the slots of three VMs in virtual time. Jobs arrive at
 // random; a message takes 1 ms each way.
 type slotLoad struct {
 	*cluster
 	rng   *rand.Rand
 	slots int
-	// jobSize draws the number of tasks of a job, meanSize is its mean.
+	// jobSize draws the number of tasks of a job, and meanSize is its mean.
 	jobSize  func() int
 	meanSize float64
-	// weights say which part of the slots' power is asked for at each VM.
+	// weights are the load at each VM, as a part of what all slots can run.
 	weights map[string]float64
 	waiting map[string][]slotTask
 	ends    endHeap
@@ -102,7 +102,7 @@
 	}
 }
 
-// arriveAt draws the jobs that come to a VM in one millisecond.
+// arriveAt draws the jobs that arrive at a VM in one millisecond.
 func (l *slotLoad) arriveAt(id string) {
 	jobs := l.weights[id] * float64(l.slots) / (1000 * meanRun.Seconds()) / l.meanSize
 	for ; jobs > 0; jobs-- {
@@ -141,7 +141,7 @@
 	}
 }
 
-// ideal returns the responses of the trace through one queue over all slots.
+// ideal returns the response times of the same tasks in one queue over all slots.
 func (l *slotLoad) ideal() []time.Duration {
 	free := make(endHeap, l.slots)
 	var responses []time.Duration
@@ -160,8 +160,9 @@
 	return sorted[len(sorted)*99/100]
 }
 
-// Messages count beyond replies, which travel with responses; the ratio is that
-// of the 99th percentile of response time to that of one queue over all slots.
+// Bounds the messages a task, without replies, which are sent with responses. The
+// ratio is that of the 99th percentile of response time to the one of a single queue
+// over all slots.
 func TestSlotsFollowTheLoad(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
--- a/capacity/view_test.go
+++ b/capacity/view_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A VM that has left the view reuses no unit that comes free: the new home counts
-// on its end.
+// A VM that has left the view must not reuse a unit that comes free: the new home
+// has reserved it only until the running task ends.
 func TestLeaverReusesNoLimitUnit(t *testing.T) {
 	c := newLimitCluster(t)
 	_, others := c.home()
@@ -22,7 +22,7 @@
 	must.False(t, leaver.Take(limitPool))
 }
 
-// takeAll lets every VM take what it can get.
+// takeAll lets every VM in turn take all units that it can get.
 func (c *cluster) takeAll(pool string) int {
 	total := 0
 	for _, id := range c.order {
@@ -34,7 +34,8 @@
 	return total
 }
 
-// Nobody knows what ran before the first view, also for limits that come later.
+// Tasks of earlier processes may run when the first view is installed, also under
+// limits that are configured later.
 func TestLimitsWaitAfterTheFirstView(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: time.Second}, "a", "b", "c")
 	c.view("v1", "", "a", "b", "c")
@@ -44,7 +45,8 @@
 	must.Eq(t, 12, c.takeAll(limitPool))
 }
 
-// The reservation of its units may be over and the units lent again.
+// When a VM has missed a view, the reservation of its units may be over and the units
+// lent again.
 func TestVMThatMissedAViewUsesNoUnitAgain(t *testing.T) {
 	c := newLimitCluster(t)
 	_, others := c.home()
@@ -82,7 +84,7 @@
 	}
 }
 
-// The configuration may reach a new VM after the ledger that it has to keep.
+// The configuration may reach a new VM after the ledger that is handed over to it.
 func TestHomeThatLearnsOfALimitLateKeepsTheReservations(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: time.Second, LeaverWait: time.Second}, "a", "b", "c")
 	newcomer := homeOf([]Member{member("a"), member("b"), member("c")}, limitPool)
@@ -113,7 +115,8 @@
 	must.Eq(t, 0, c.take(newcomer, limitPool))
 }
 
-// Nor may the home of the limit use it, while it can't tell which units are free.
+// The blocked home of a limit must not use a unit that a VM which missed a view
+// returns: it does not know yet whether the unit is lent again.
 func TestUnitOfVMThatMissedAViewIsOfNoUseToABlockedHome(t *testing.T) {
 	c := newLimitCluster(t)
 	home, others := c.home()
--- a/capacity/world_test.go
+++ b/capacity/world_test.go
@@ -28,8 +28,8 @@
 	testTargets = []string{"t0", "t1", "t2", "t3", "t4"}
 )
 
-// world is a failure domain with a membership that keeps its promises, a network
-// that loses, repeats and reorders, and VMs that die, pause and restart.
+// world simulates a failure domain: a correct membership, a network that loses,
+// repeats and reorders messages, and VMs that die, pause and restart.
 type world struct {
 	t       *rapid.T
 	now     time.Duration
@@ -37,11 +37,11 @@
 	packets []packet
 	// rng draws the noise of network and load, from a seed that rapid drew.
 	rng *rand.Rand
-	// loss and repeat are the parts of the packets in a thousand.
+	// loss and repeat are how many of a thousand packets are lost and repeated.
 	loss, repeat int
-	// tasks holds what runs at targets, also for VMs that are gone.
+	// tasks holds the tasks at targets, also those of VMs that are gone.
 	tasks []*task
-	// fleet are the targets, by id, and asked the revocations under way.
+	// fleet are the targets, by id, and asked the revocations in transit.
 	fleet map[string]*fleetTarget
 	asked []revocationCall
 	view  View
@@ -54,16 +54,16 @@
 	alive bool
 	// paused VMs neither act nor answer.
 	paused bool
-	// view is what is installed, next what is to be installed.
+	// view is the installed view, and next the one that is to be installed.
 	view *View
 	next *View
-	// promised tells that the VM takes no more part in its view.
+	// promised says that the VM has promised another view and left this one.
 	promised bool
 	// acked is when another member last acknowledged this VM's view.
 	acked map[Member]time.Duration
-	// configured is how many of the limits have come here.
+	// configured is how many of the limits are configured here.
 	configured int
-	// busy VMs have work for all they can get.
+	// busy VMs have tasks for all units that they can get.
 	busy bool
 }
 
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// install forms a view: members promise at once and install later.
+// install forms a view: members and leavers promise it at once and install it later.
 func (w *world) install(members, leavers []*vm) {
 	w.views++
 	view := View{ID: fmt.Sprint("view", w.views), Parent: w.view.ID}
@@ -169,7 +169,7 @@
 	w.view = view
 }
 
-// adopt installs the view that waits at a VM.
+// adopt installs the next view of a VM, if there is one.
 func (w *world) adopt(v *vm) {
 	if v.next == nil {
 		return
@@ -182,7 +182,7 @@
 	w.post(v, v.state.SetView(w.now, *v.view))
 }
 
-// acknowledge lets members of the same view confirm it to each other.
+// acknowledge records at each VM which members are in the same view.
 func (w *world) acknowledge() {
 	for _, v := range w.vms {
 		if !v.alive || v.paused || v.view == nil {
@@ -233,7 +233,8 @@
 	}
 }
 
-// catchUp lets views and limits arrive at a VM some time.
+// catchUp installs the next view and configures the next limit of a VM at random
+// times.
 func (w *world) catchUp(v *vm) {
 	if v.next != nil && w.rng.IntN(5) == 0 {
 		w.adopt(v)
@@ -245,7 +246,7 @@
 	}
 }
 
-// arrive delivers the packets whose time has come.
+// arrive delivers the packets that are due.
 func (w *world) arrive() {
 	var later []packet
 	sent := w.packets
@@ -260,7 +261,7 @@
 	w.packets = append(w.packets, later...)
 }
 
-// work ends and starts tasks as the dispatch duty does.
+// work ends and starts tasks like the dispatch duty.
 func (w *world) work(v *vm) {
 	w.endTasks(v)
 	if !v.busy || v.state.leaving {
@@ -274,7 +275,7 @@
 	w.startTask(v, target)
 }
 
-// heartbeat carries the digest to the other members now and then.
+// heartbeat delivers the digest to the other members every 50 ms.
 func (w *world) heartbeat(v *vm) {
 	if v.view == nil || w.now%(50*time.Millisecond) != 0 {
 		return
@@ -298,8 +299,8 @@
 	w.post(v, outs)
 }
 
-// startTask takes a unit and starts a task. A start is under way as long as the
-// lease for it lasts at most.
+// startTask takes a unit and starts a task. A start is in transit at most until the
+// lease for it ends.
 func (w *world) startTask(v *vm, pool string) bool {
 	v.state.SetLease(w.leaseValid(v))
 	if !v.state.Take(pool) {
@@ -332,7 +333,7 @@
 	return pool
 }
 
-// endTasks gives back the units of tasks whose answer has come.
+// endTasks returns the units of a VM's tasks that have ended.
 func (w *world) endTasks(v *vm) {
 	kept := w.tasks[:0]
 	for _, k := range w.tasks {
