--- a/quota/row.go
+++ b/quota/row.go
@@ -7,11 +7,11 @@
 	entry Entry
 	// version is the commit that wrote or deleted the row.
 	version uint64
-	// deleted tells that somebody removed the row by hand.
+	// deleted says that the row was removed by hand.
 	deleted bool
 }
 
-// expected is the version that a commit must name for the row.
+// expectedVersion returns the version that a commit must name for the row.
 func (r row) expected() uint64 {
 	if r.deleted {
 		return 0
@@ -23,12 +23,13 @@
 // neither lent nor borrowed, and its row has version 0.
 type rows map[string]row
 
-// lent is what a failure domain has lent and its base share still allows.
+// lent returns how many units a failure domain has lent, at most as many as its base
+// share now allows.
 func (r rows) lent(domain string, base int) int {
 	return min(max(0, -r[domain].entry.Delta), base-Least(base))
 }
 
-// totals adds up what all failure domains have lent and borrowed.
+// totals returns how many units all failure domains have lent and borrowed.
 func (r rows) totals(base map[string]int) (lent, borrowed int) {
 	for domain, units := range base {
 		lent += r.lent(domain, units)
@@ -37,15 +38,15 @@
 	return lent, borrowed
 }
 
-// unclaimed is how many lent units nobody has borrowed.
+// unclaimed returns how many lent units are not borrowed.
 func (r rows) unclaimed(base map[string]int) int {
 	lent, borrowed := r.totals(base)
 	return max(0, lent-borrowed)
 }
 
-// borrowed is what a failure domain may use beyond its base share. When operators have
-// made the lenders' base shares smaller, less is lent than was borrowed, and every
-// borrower has its part of the rest.
+// borrowed returns how many units a failure domain may use beyond its base share. When
+// operators have reduced the lenders' base shares, less is lent than was borrowed, and
+// each borrower gets a proportional part of what is lent.
 func (r rows) borrowed(domain string, base map[string]int) int {
 	delta := max(0, r[domain].entry.Delta)
 	lent, borrowed := r.totals(base)
@@ -55,8 +56,8 @@
 	return delta * lent / borrowed
 }
 
-// wanted is how many units the other failure domains want, and owed how many of them
-// lenders want back.
+// wanted returns how many units the failure domains other than but want, and how many
+// of those are owed to lenders, which want them back.
 func (r rows) wanted(but string) (wanted, owed int) {
 	for domain, other := range r {
 		if domain == but {
--- a/quota/state.go
+++ b/quota/state.go
@@ -12,61 +12,64 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// noCeiling is the ceiling of a team whose share is not being lowered.
+// noCeiling is the ceiling while a team's share is not being lowered.
 const noCeiling = math.MaxInt
 
-// State decides about the shares of one failure domain, as far as this VM is the home
-// of their pools.
+// State decides on the shares of one failure domain, for the teams of whose pools this
+// VM is the home.
 type State struct {
 	opts  Options
 	teams map[string]*team
 	names []string
 	// reserve is how long tasks may run beyond the lease of the VM that started them.
 	reserve time.Duration
-	// version is the newest commit of the table that a read has shown.
+	// version is the newest commit of the table that a read has returned.
 	version uint64
-	// terms counts the times that this process became a home.
+	// terms counts how often this process became a home.
 	terms int
-	// underWay tells that a commit has been handed out by Next and not ended by Done.
+	// attemptPending says that NextAttempt has returned a commit for which RecordResult
+	// was not called yet.
 	underWay bool
-	// turn is the team that Next looks at first.
+	// turn is the index in names of the team that NextAttempt checked last.
 	turn int
 }
 
-// team is what is known of one team.
+// team is the state of one team.
 type team struct {
 	name  string
 	base  map[string]int
 	rows  rows
 	usage Usage
-	// token names this process and its present term as the home, which began at
-	// homeSince. hadRow tells that it has held the row in this term.
+	// token names this process and its current term as the home, which began at
+	// homeSince. hadRow says that it has held the row in this term.
 	token     string
 	homeSince time.Duration
 	hadRow    bool
-	// seen tells when each row was first seen at its version, for leases of others.
+	// seenAt holds when each row was first seen at its version, for the leases of
+	// other failure domains.
 	seen map[string]time.Duration
-	// read tells that the table was read since this VM became the home.
+	// read says that the table was read since this VM became the home.
 	read bool
-	// stale tells that a commit did not take effect for sure, so that a read that
-	// began after staleAt has to come first.
+	// stale says that a commit may not have taken effect. The next commit waits for a
+	// read that began at staleAt or later.
 	stale   bool
 	staleAt time.Duration
 
 	// ceiling bounds the share while it is being lowered, and lowered is the delta
-	// that is committed when no more than the ceiling is out.
+	// that is committed when no more units than the ceiling are out.
 	ceiling int
 	lowered int
-	// doubtful is the version that a commit of unknown outcome expected of this
-	// failure domain's row: until the row has a newer one, it may still take effect.
+	// isUncertain says that a commit of unknown outcome may still take effect, until
+	// the row of this failure domain is newer than uncertainVersion, which the commit
+	// expected.
 	doubtful  uint64
 	hasDoubts bool
 
-	// sentAt is when the first commit that expects sentFor was sent.
+	// sentAt is when the first commit that expects sentVersion was sent.
 	sentAt  time.Duration
 	sentFor uint64
 	sent    bool
-	// renewedAt is when the commit was sent that the newest own row comes from.
+	// renewedAt is when the commit was sent that wrote the newest own row.
 	renewedAt time.Duration
 	renewed   bool
 	// wroteAt is when the row was last written.
@@ -75,7 +78,7 @@
 	neededAt time.Duration
 }
 
-// New returns a state that knows no team.
+// New returns a state without teams.
 func New(opts Options) *State {
 	return &State{opts: opts.withDefaults(), teams: map[string]*team{}}
 }
@@ -89,7 +92,7 @@
 		t := s.teams[spec.Name]
 		if t == nil {
 			t = &team{name: spec.Name, rows: rows{}, seen: map[string]time.Duration{}, ceiling: noCeiling}
-			// The whole table is read anew for a team that was not kept.
+			// Only a read of the whole table returns all rows of a new team.
 			s.version = 0
 		}
 		t.base = maps.Clone(spec.Base)
@@ -99,7 +102,7 @@
 	s.names = slices.Sorted(maps.Keys(next))
 }
 
-// Homes tells whether this VM is the home of any team's pool.
+// IsHome reports whether this VM is the home of any team's pool.
 func (s *State) Homes() bool {
 	for _, t := range s.teams {
 		if t.usage.Home {
@@ -109,8 +112,8 @@
 	return false
 }
 
-// Moving tells whether anything is lent, borrowed or wanted, so that reads are worth
-// more.
+// IsMoving reports whether any units are lent, borrowed or wanted, so that the table
+// changes more often.
 func (s *State) Moving() bool {
 	for _, t := range s.teams {
 		for _, r := range t.rows {
@@ -122,11 +125,11 @@
 	return false
 }
 
-// Version is the commit up to which the table was read.
+// Version returns the commit up to which the table was read.
 func (s *State) Version() uint64 { return s.version }
 
-// Share is how many units of a team the failure domain may use now; false for a team
-// whose shares don't move.
+// Share returns how many units of a team the failure domain may use now; false for a
+// team whose shares don't move.
 func (s *State) Share(now time.Duration, name string) (int, bool) {
 	t := s.teams[name]
 	if t == nil {
@@ -135,6 +138,9 @@
 	return s.share(now, t), true
 }
 
+// share returns the units of a team that the failure domain may use now: MinShare while
+// this VM does not hold the row, else the base share without the lent units and, under
+// a lease, with the borrowed ones.
 func (s *State) share(now time.Duration, t *team) int {
 	base := t.base[s.opts.Domain]
 	if !t.owned(s.opts.Domain) {
@@ -147,17 +153,18 @@
 	return min(share, t.ceiling)
 }
 
-// owned tells whether the newest known row names this term of this process.
+// isOwned reports whether the newest known row names the current term of this process.
 func (t *team) owned(domain string) bool {
 	return t.usage.Home && t.rows[domain].entry.Holder == t.token && t.token != ""
 }
 
-// leased tells whether borrowed units may be used.
+// hasLease reports whether borrowed units may be used.
 func (s *State) leased(now time.Duration, t *team) bool {
 	return t.renewed && now < t.renewedAt+s.opts.Lease
 }
 
-// Use takes what the failure domain does with its share of a team.
+// RecordUsage records the use of a team's share. It begins or ends a term as the home,
+// and begins to lower the share when units are to be lent or returned.
 func (s *State) Use(now time.Duration, name string, u Usage) {
 	t := s.teams[name]
 	if t == nil {
@@ -175,8 +182,8 @@
 	}
 }
 
-// changeHome begins or ends a term as the home. What a former term has sent may still
-// take effect, until the new one has taken over the row.
+// changeHome begins or ends a term as the home. Commits of the previous term may still
+// take effect until the new one has taken over the row.
 func (s *State) changeHome(now time.Duration, t *team, home bool) {
 	t.token = ""
 	t.read = false
@@ -193,7 +200,7 @@
 	}
 }
 
-// lower begins to lower the share, to lend or to return units.
+// startLowering sets the ceiling when units are to be lent or returned.
 func (s *State) lower(now time.Duration, t *team) {
 	if t.ceiling != noCeiling {
 		return
@@ -212,7 +219,7 @@
 	t.ceiling = base - after.lent(s.opts.Domain, base) + after.borrowed(s.opts.Domain, t.base)
 }
 
-// surplus is how many units to lend or to return.
+// surplus returns how many units to lend or to return.
 func (s *State) surplus(now time.Duration, t *team) int {
 	base := t.base[s.opts.Domain]
 	delta := t.rows[s.opts.Domain].entry.Delta
@@ -232,8 +239,8 @@
 	return min(wanted-unclaimed, spare/2, most)
 }
 
-// Read takes the rows of a read that began at the given time. An answer from an older
-// state than was seen before tells nothing.
+// ApplyRead applies the rows of a read that began at the given time. A read of an older
+// version than one before is ignored.
 func (s *State) Read(now, begunAt time.Duration, changes tableservice.Changes) {
 	if changes.Version < s.version {
 		return
@@ -259,7 +266,8 @@
 	}
 }
 
-// learn takes a row that is newer than the known one.
+// applyRow stores a row that is newer than the known one. A newer own row ends the
+// lowering of the share, unless a commit of unknown outcome may still take effect.
 func (s *State) learn(now time.Duration, t *team, domain string, r row) {
 	if r.version <= t.rows[domain].version {
 		return
@@ -283,5 +291,5 @@
 	}
 }
 
-// rowKey is the key of the row of a team in a failure domain.
+// rowKey returns the key of the row of a team in a failure domain.
 func rowKey(team, domain string) string { return team + "/" + domain }
