--- a/quota/attempt.go
+++ b/quota/attempt.go
@@ -16,7 +16,7 @@
 	expect map[string]uint64
 }
 
-// Commit is the transaction of an attempt.
+// Commit returns the transaction of an attempt.
 func (a Attempt) Commit() (tableservice.Commit, error) {
 	value, err := json.Marshal(a.entry)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return commit, nil
 }
 
-// Result is what became of an attempt.
+// Result is the result of an attempt.
 type Result int
 
 // The results of an attempt.
@@ -38,12 +38,12 @@
 	Applied Result = iota
 	// Refused means that it did not and will not take effect.
 	Refused
-	// Unknown means that it may have taken effect, or may later.
+	// Unknown means that it may have taken effect, or may do so later.
 	Unknown
 )
 
-// Next hands out the next commit to make; false says that there is none now. Done has
-// to be called before the next one.
+// NextAttempt returns the next commit to make; false when there is none now. The caller
+// calls RecordResult for it before the next one is returned.
 func (s *State) Next(now time.Duration) (Attempt, bool) {
 	if s.underWay {
 		return Attempt{}, false
@@ -63,8 +63,8 @@
 	return Attempt{}, false
 }
 
-// noteSent remembers when a commit of the own row was sent first: a lease counts from
-// there, whichever of several attempts took effect.
+// recordSent records when a commit that expects the present version of the own row was
+// first sent. A lease counts from then, whichever of several attempts takes effect.
 func (s *State) noteSent(now time.Duration, t *team, a Attempt) {
 	if a.domain != s.opts.Domain {
 		return
@@ -75,7 +75,9 @@
 	}
 }
 
-// attempt is what is due for a team, the most urgent first.
+// dueAttempt returns the most urgent commit that is due for a team; false when none is.
+// In this order: take over the row, lend or return units, renew the lease, take units,
+// reclaim units, and report a changed want.
 func (s *State) attempt(now time.Duration, t *team) (Attempt, bool) {
 	own := t.rows[s.opts.Domain].entry
 	switch {
@@ -102,8 +104,9 @@
 	return s.write(t, own), changed && now >= t.wroteAt+s.opts.Pause
 }
 
-// mayTakeOver tells whether this term may take over the row: once its predecessor can't
-// act any more, and not from a successor. A row without holder was reclaimed by others.
+// canTakeOver reports whether this term may take over the row. It waits until its
+// predecessor can't commit any more, and does not take the row back from a successor. A
+// row without holder was reclaimed by another failure domain.
 func (s *State) mayTakeOver(now time.Duration, t *team) bool {
 	if t.hadRow && t.rows[s.opts.Domain].entry.Holder != "" {
 		return false
@@ -111,13 +114,13 @@
 	return now >= t.homeSince+s.opts.TakeoverAfter
 }
 
-// isLow tells whether no more units are out than will be left.
+// isBelowCeiling reports whether no more units are out than the lowered share has.
 func (s *State) isLow(t *team) bool {
 	u := t.usage
 	return u.Known && u.Capacity <= t.ceiling && u.Out <= t.ceiling
 }
 
-// want is how many more units this failure domain could use.
+// want returns how many more units this failure domain could use.
 func (s *State) want(t *team) int {
 	if t.usage.Out < t.usage.Capacity {
 		return 0
@@ -125,8 +128,8 @@
 	return t.usage.Want
 }
 
-// raise takes units that were lent and that nobody has borrowed: a lender's own ones
-// back, or others' ones beyond what lenders want back.
+// raise returns a commit that takes lent units which are not borrowed: a lender takes
+// its own units back, and a borrower takes units that no lender wants back.
 func (s *State) raise(t *team) (Attempt, bool) {
 	own := t.rows[s.opts.Domain].entry
 	n := min(s.want(t), t.rows.unclaimed(t.base))
@@ -142,15 +145,16 @@
 	own.Delta += n
 	own.Want = s.want(t) - n
 	a := s.write(t, own)
-	// Nobody else may have claimed the same units in between.
+	// The commit fails if another failure domain has taken the same units.
 	for domain := range t.base {
 		a.expect[domain] = t.rows[domain].expected()
 	}
 	return a, true
 }
 
-// reclaim ends what a failure domain has borrowed whose lease is long over, when this
-// one wants units and there are no others.
+// reclaim returns a commit that ends the borrowing of a failure domain whose lease has
+// expired and whose tasks have ended, when this one wants units and no lent units are
+// left.
 func (s *State) reclaim(now time.Duration, t *team) (Attempt, bool) {
 	if s.want(t) == 0 || t.rows.unclaimed(t.base) > 0 {
 		return Attempt{}, false
@@ -167,6 +171,7 @@
 	return Attempt{}, false
 }
 
+// domains returns the failure domains of the team, sorted.
 func (t *team) domains() []string {
 	list := make([]string, 0, len(t.base))
 	for domain := range t.base {
@@ -176,7 +181,7 @@
 	return list
 }
 
-// write is a commit of the own row.
+// newWrite returns a commit of the own row.
 func (s *State) write(t *team, entry Entry) Attempt {
 	own := t.rows[s.opts.Domain]
 	entry.Beat = own.entry.Beat + 1
@@ -188,8 +193,8 @@
 	}
 }
 
-// Done ends an attempt that Next handed out. Version is that of a commit that took
-// effect.
+// RecordResult records the result of an attempt that NextAttempt returned. Version is
+// that of a commit that took effect.
 func (s *State) Done(now time.Duration, a Attempt, result Result, version uint64) {
 	s.underWay = false
 	t := s.teams[a.team]
@@ -212,8 +217,8 @@
 	t.staleAt = now
 }
 
-// giveUp ends the lowering of a share whose commit was refused, unless an earlier
-// commit of it may still take effect.
+// abortLowering ends the lowering of a share whose commit was refused, unless an earlier
+// commit may still take effect.
 func (s *State) giveUp(t *team, a Attempt) {
 	if a.domain == s.opts.Domain && !t.hasDoubts {
 		t.ceiling = noCeiling
--- a/quota/duty.go
+++ b/quota/duty.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// tickInterval is the time between two looks at the use of shares. It is also
-	// how long a share may be used beyond the end of its lease.
+	// tickInterval is the time between two updates of the shares. It is also how long
+	// a share may be used beyond the end of its lease.
 	tickInterval = time.Second
-	// readWhileMoving and readAtRest are the times between two reads of the table.
+	// movingReadInterval and idleReadInterval are the times between two reads of the
+	// table, with and without lent, borrowed or wanted units.
 	readWhileMoving = 2 * time.Second
 	readAtRest      = 5 * time.Second
 	// readTimeout bounds one read.
 	readTimeout = 2 * time.Second
 )
 
-// Pools is the use of the teams' pools in this failure domain.
+// Pools accesses the teams' pools in this failure domain.
 type Pools interface {
-	// Look describes the use of each team, and how long tasks may run after the VM
-	// that started them was lost.
+	// Usages returns the use of each team's share, and how long tasks may run after
+	// the VM that started them was lost.
 	Look(teams []string) (map[string]Usage, time.Duration)
-	// SetShares says how many units of each team may be used from now on.
+	// SetShares sets how many units of each team may be used from now on.
 	SetShares(shares map[string]int)
 }
 
@@ -36,7 +37,7 @@
 	State Options
 	Store tableservice.Tables
 	Pools Pools
-	// Now is the monotonic time since the start of the process.
+	// Now returns the monotonic time since the start of the process.
 	Now   func() time.Duration
 	Log   *slog.Logger
 	Scope tally.Scope
@@ -52,7 +53,7 @@
 	mu    sync.Mutex
 	teams []Team
 
-	// The rest is used by the goroutine of Run alone.
+	// Only the goroutine of Run uses the following fields.
 	known   []Team
 	reading bool
 	readAt  time.Duration
@@ -71,7 +72,7 @@
 	err     error
 }
 
-// NewDuty makes a duty. Run starts it.
+// NewDuty makes a duty, which does nothing before Run.
 func NewDuty(options DutyOptions) *Duty {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -95,7 +96,7 @@
 	d.teams = teams
 }
 
-// Run drives the duty until the context ends.
+// Run reads, commits and updates the shares until the context ends.
 func (d *Duty) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -117,7 +118,8 @@
 	}
 }
 
-// look takes the use of the shares and says what they may be from now on.
+// updateShares records the use of the shares, and sets the shares that may be used from
+// now on.
 func (d *Duty) look() {
 	d.mu.Lock()
 	teams := d.teams
@@ -142,7 +144,7 @@
 	d.options.Pools.SetShares(shares)
 }
 
-// note logs a share that has changed at its home.
+// logShare logs a share that has changed at its home.
 func (d *Duty) note(name string, u Usage, share int) {
 	if !u.Home || d.shares[name] == share {
 		return
@@ -152,7 +154,8 @@
 	d.options.Log.Info("quota share changed", "team", name, "share", share, "out", u.Out, "wanted", u.Want)
 }
 
-// act reads the table and commits what is due, one of each at a time.
+// act starts a read of the table and a commit when they are due. At most one of each
+// runs at a time.
 func (d *Duty) act(ctx context.Context) {
 	if !d.state.Homes() {
 		return
@@ -173,6 +176,7 @@
 	}
 }
 
+// read reads the rows that changed since a version, and delivers them to Run.
 func (d *Duty) read(ctx context.Context, now time.Duration, since uint64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -180,6 +184,7 @@
 	d.reads <- readResult{begunAt: now, changes: changes, err: err}
 }
 
+// commit makes the commit of an attempt, and delivers its result to Run.
 func (d *Duty) commit(ctx context.Context, a Attempt) {
 	commit, err := a.Commit()
 	if err != nil {
@@ -190,8 +195,8 @@
 	d.commits <- commitResult{attempt: a, version: version, err: err}
 }
 
-// result tells what became of a commit. Whatever is not known to have been refused may
-// still take effect.
+// result returns the result of a commit by its error. A commit that is not known to have
+// been refused may still take effect.
 func result(err error) Result {
 	var conflict *tableservice.ConflictError
 	switch {
