--- a/quota/duty_test.go
+++ b/quota/duty_test.go
@@ -11,12 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedStore is the table service as duties reach it.
+// sharedStore is a table service that duties call from their goroutines.
 type sharedStore struct {
 	mu    sync.Mutex
 	store *store
 	reads int
-	// down lets every call fail; loseAnswers lets commits take effect unseen.
+	// down makes every call fail. loseAnswers makes commits take effect and return an
+	// unknown outcome.
 	down, loseAnswers bool
 }
 
@@ -51,14 +52,14 @@
 	s.down, s.loseAnswers = down, loseAnswers
 }
 
-// calls counts the commits that took effect and the reads.
+// calls returns the number of commits that took effect and of reads.
 func (s *sharedStore) calls() (commits uint64, reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.version, s.reads
 }
 
-// busyPools is the home of a pool of which so many units are wanted in all.
+// busyPools is the home of a pool of which wants units are wanted in total.
 type busyPools struct {
 	mu              sync.Mutex
 	wants, capacity int
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result; a flag on the
+// command line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "400")
@@ -30,13 +30,13 @@
 	viewLease   = 5 * time.Second
 )
 
-// lateCommit is a commit whose answer was lost and that has not taken effect yet.
+// lateCommit is a commit of unknown outcome that may take effect at a later time.
 type lateCommit struct {
 	at     time.Duration
 	commit tableservice.Commit
 }
 
-// store is the table service, with its past states for stale reads.
+// store simulates the table service, with its past states for stale reads.
 type store struct {
 	version uint64
 	rows    map[string]tableservice.Row
@@ -68,8 +68,8 @@
 	return true
 }
 
-// domainWorld is one failure domain: its homes, of which the newest grants units, and
-// the tasks that run there.
+// domainWorld simulates one failure domain: its homes, of which the newest grants units,
+// and the end times of its running tasks.
 type domainWorld struct {
 	name     string
 	homes    []*home
@@ -82,9 +82,10 @@
 // home is a process that is or was the home of the team's pool.
 type home struct {
 	state *State
-	// out is what a former home believes; the newest one sees what runs.
+	// out is the number of units out at the end of a previous home's term. The newest
+	// home uses the number of running tasks instead.
 	out int
-	// validUntil is when the view lease of a former home ends.
+	// validUntil is when the view lease of a previous home ends.
 	validUntil time.Duration
 }
 
@@ -113,8 +114,8 @@
 	return w
 }
 
-// newHome replaces the home. The former one goes on for a while, but members no longer
-// take units of it.
+// newHome replaces the home. The previous one continues under its view lease, but members
+// no longer take units from it.
 func (w *world) newHome(d *domainWorld) {
 	if n := len(d.homes); n > 0 {
 		former := d.homes[n-1]
@@ -145,7 +146,7 @@
 	w.store.late = waiting
 }
 
-// tick lets one home observe, read and commit. The order is that of Duty.
+// tick lets one home record its usage, read and commit, in the order of Duty.
 func (w *world) tick(d *domainWorld, h *home) {
 	newest := h == d.homes[len(d.homes)-1]
 	u := Usage{Home: true, Valid: newest || w.now < h.validUntil, Known: true, Out: h.out}
@@ -156,7 +157,7 @@
 	h.state.Use(w.now, team1, u)
 	w.grant(d, h, newest)
 	if newest {
-		// What is out is looked at again below the new capacity.
+		// The usage is recorded again with the new capacity.
 		u.Out, u.Capacity = len(d.ends), d.capacity
 		h.state.Use(w.now, team1, u)
 	}
@@ -169,7 +170,7 @@
 	w.grant(d, h, newest)
 }
 
-// grant uses the share that the home allows, and starts what waits.
+// grant sets the capacity to the share of the newest home, and starts waiting tasks.
 func (w *world) grant(d *domainWorld, h *home, newest bool) {
 	if !newest {
 		return
@@ -219,7 +220,7 @@
 	}
 }
 
-// check is the oracle: whatever happens, no more tasks run than the quota allows.
+// check is the oracle: no more tasks run than the quota allows.
 func (w *world) check() {
 	running := 0
 	for _, d := range w.domains {
@@ -228,8 +229,8 @@
 	must.LessEq(w.t, w.quota, running)
 }
 
-// TestFuzzQuotaHolds lets shares move under lost and late commits, stale reads, cuts
-// and changes of homes.
+// Moves shares under lost and late commits, stale reads, network cuts and changes of
+// homes.
 func TestFuzzQuotaHolds(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -259,7 +260,7 @@
 			moved++
 		}
 	})
-	// The oracle proves nothing unless shares do move.
+	// Without moved shares the oracle would check nothing.
 	must.Greater(t, 100, moved)
 	t.Logf("shares moved in %d histories", moved)
 }
--- a/quota/state_test.go
+++ b/quota/state_test.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-// use tells a state what is out and wanted, at the share that it allows.
+// use records usage at a state, with the share that it allows as the capacity.
 func (p *pair) use(s *State, out, want int) {
 	for range 2 {
 		s.Use(p.now, team1, Usage{Home: true, Valid: true, Known: true, Capacity: p.share(s), Out: out, Want: want})
@@ -49,7 +49,7 @@
 
 func (p *pair) read(s *State) { s.Read(p.now, p.now, p.store.past[len(p.store.past)-1]) }
 
-// next reads and takes the next attempt, which there must be.
+// next reads the table and returns the next attempt; the test fails without one.
 func (p *pair) next(s *State) (Attempt, tableservice.Commit) {
 	p.t.Helper()
 	p.read(s)
@@ -60,7 +60,7 @@
 	return a, commit
 }
 
-// round reads and commits once.
+// round reads the table and makes the next commit.
 func (p *pair) round(s *State) {
 	p.t.Helper()
 	a, commit := p.next(s)
@@ -68,7 +68,7 @@
 	s.Done(p.now, a, Applied, p.store.version)
 }
 
-// lend lets a lend to b, which wants much.
+// lend makes a lend units to b, which wants 10.
 func (p *pair) lend() {
 	p.t.Helper()
 	p.now += DefaultPause
@@ -88,7 +88,7 @@
 	p.use(p.b, 4, 10)
 	p.round(p.b)
 	must.Eq(t, 8, p.share(p.b))
-	// The lender wants its units back: the borrower returns them when tasks end.
+	// The lender wants its units back. The borrower returns them when tasks end.
 	p.now += DefaultPause
 	p.use(p.a, 4, 3)
 	p.round(p.a)
@@ -122,7 +122,8 @@
 func TestUnitsAreClaimedOnce(t *testing.T) {
 	p := newPair(t)
 	p.lend()
-	// Both decide on the same rows: the lender takes back what the other borrows.
+	// Both decide by the same rows: the lender takes back the units that the other
+	// borrows.
 	p.use(p.b, 4, 10)
 	p.use(p.a, 4, 10)
 	_, borrow := p.next(p.b)
@@ -141,7 +142,7 @@
 	a, late := p.next(p.a)
 	p.a.Done(p.now, a, Unknown, 0)
 	must.Eq(t, 4, p.share(p.a))
-	// The next try is refused, which says nothing of the first one.
+	// The next attempt is refused, but the first one may still take effect.
 	a, _ = p.next(p.a)
 	p.a.Done(p.now, a, Refused, 0)
 	must.Eq(t, 4, p.share(p.a))
@@ -183,7 +184,7 @@
 	p.round(p.a)
 	p.round(p.a)
 	must.Eq(t, 8, p.share(p.a))
-	// The borrower finds that it holds the row no more.
+	// The borrower reads that it no longer holds the row.
 	p.read(p.b)
 	must.Eq(t, Least(pairBase["b"]), p.share(p.b))
 	p.use(p.b, 0, 0)
@@ -241,7 +242,7 @@
 	}
 	base := map[string]int{"a": 8, "b": 4, "c": 4}
 	must.Eq(t, 3, r.borrowed("b", base))
-	// The operators have made the lender's share smaller: it lends two at the most.
+	// The operators have reduced the lender's base share: it lends at most two.
 	base["a"] = 4
 	must.Eq(t, 1, r.borrowed("b", base))
 	must.Eq(t, 0, r.borrowed("c", base))
