--- a/admission/admit.go
+++ b/admission/admit.go
@@ -197,10 +197,12 @@
 	s.refresh(q)
 }
 
+// refuse returns the failure of a submission of which no task was run.
 func refuse(kind api.Kind, format string, args ...any) *api.Failure {
 	return &api.Failure{Kind: kind, Run: api.NotRun, Message: fmt.Sprintf(format, args...)}
 }
 
+// overloaded returns the failure of a submission that may be repeated after a wait.
 func (s *State) overloaded(id ID, wait time.Duration, format string, args ...any) *api.Failure {
 	f := refuse(api.KindOverloaded, format, args...)
 	f.RetryAfterMS = retryAfterMS(id, wait)
@@ -217,6 +219,7 @@
 	return min(wait, maxRetryAfter).Milliseconds()
 }
 
+// milliseconds converts to a duration, and bounds the result instead of overflowing.
 func milliseconds(ms int64) time.Duration {
 	return time.Duration(min(ms, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -68,6 +68,7 @@
 	d.since, d.count = now, 0
 }
 
+// isValid reports whether a rate was measured and is not too old.
 func (d *drainRate) valid(now time.Duration) bool {
 	return d.measured && now-d.measuredAt <= drainAge
 }
--- a/admission/explain.go
+++ b/admission/explain.go
@@ -75,6 +75,7 @@
 	oldest   int
 }
 
+// add stores a refusal, in place of the oldest one when there are maxRefusals.
 func (r *refusalRing) add(id ID, f *api.Failure) {
 	if r.failures == nil {
 		r.failures = make(map[ID]*api.Failure, keptRefusals)
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -23,7 +23,8 @@
 	Action profile.StragglerAction
 }
 
-// lookup returns a task that was handed out and has not ended.
+// lookup returns a task that was handed out and has not ended, with its submission;
+// nil for any other.
 func (s *State) lookup(ref TaskRef) (*submission, *task) {
 	u := s.subs[ref.ID]
 	if u == nil || ref.Task < 0 || ref.Task >= len(u.tasks) || u.tasks[ref.Task].run == nil {
@@ -131,6 +132,7 @@
 	return out
 }
 
+// outRefs returns the tasks that were handed out and have not ended.
 func (u *submission) outRefs() []TaskRef {
 	if u.out == 0 {
 		return nil
@@ -188,6 +190,7 @@
 	return f
 }
 
+// removedProfileFailure returns the failure of a submission whose profile was removed.
 func removedProfile(u *submission) *api.Failure {
 	f := refuse(api.KindUnknownProfile, "profile %q was removed while the work waited: pick another profile and submit again under a new key", u.queue.profile.Name)
 	f.Key = string(u.id)
@@ -204,6 +207,9 @@
 	return found
 }
 
+// stragglers appends the new stragglers of a queue to found. A reported task leaves
+// the list of started ones, but keeps an element, so that RecordStart does not add it
+// again.
 func (q *queue) stragglers(now time.Duration, found []Straggler) []Straggler {
 	action := q.profile.Straggler
 	longest := q.stragglerAfter()
--- a/admission/next.go
+++ b/admission/next.go
@@ -132,6 +132,7 @@
 	u.queue.subs.put(u)
 }
 
+// job returns the submission in the form that Order ranks.
 func (u *submission) job() Job {
 	return Job{
 		ArrivedAt:    u.arrivedAt,
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -68,6 +68,7 @@
 	return l
 }
 
+// readyBefore orders queues by band, then by start tag.
 func goesBefore(a, b *queue) bool {
 	if a.band != b.band {
 		return a.band < b.band
@@ -236,6 +237,8 @@
 	q.band = band
 }
 
+// removeFromReady removes a queue without waiting tasks from the heaps and from the
+// queues set aside.
 func (s *State) leaveReady(q *queue) {
 	s.ready.remove(q)
 	s.served.remove(q)
--- a/admission/sizes.go
+++ b/admission/sizes.go
@@ -22,6 +22,7 @@
 	jobs  int
 }
 
+// sizeBucket returns the index of the bucket for this much work.
 func sizeBucket(work time.Duration) int {
 	steps := 2 * math.Log2(max(1, float64(work)/float64(time.Millisecond)))
 	return min(int(steps), sizeBuckets-1)
--- a/dispatch/baseline.go
+++ b/dispatch/baseline.go
@@ -79,6 +79,7 @@
 // Begin implements Placer.
 func (b *Baseline) Begin(_ time.Duration, target, _, _ string) { b.byID[target].outstanding++ }
 
+// first returns the index of the target to try first, by the policy.
 func (b *Baseline) first() int {
 	switch b.policy {
 	case BaselineRandom:
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -80,6 +80,7 @@
 	return times
 }
 
+// countRefusal counts a refusal in the metrics and for Status.
 func (d *Duty) countRefusal(profileName string, kind api.Kind) {
 	tags := map[string]string{"kind": string(kind)}
 	d.metrics.scope.Tagged(tags).Counter("submissions_refused").Inc(1)
@@ -241,6 +242,7 @@
 	})
 }
 
+// taskFailure returns the failure of a job of which a task failed or was stopped.
 func taskFailed(j *job, task int, e *endedEvent) *api.Failure {
 	text := "stopped by the target"
 	if e.err != nil {
@@ -253,6 +255,8 @@
 	}
 }
 
+// targetLossFailure returns the failure of a job of which a task may or may not have
+// run.
 func targetLost(j *job, task int, e *endedEvent) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindTargetLost,
@@ -308,6 +312,7 @@
 	reply chan lookReply
 }
 
+// lookReply is the result of Look.
 type lookReply struct {
 	state       string
 	tasks, done int
--- a/dispatch/revoke.go
+++ b/dispatch/revoke.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// run sends the waiting revocations until the context ends.
 func (r *revoker) run(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(parallelRevocations)
@@ -120,6 +121,7 @@
 	return s.capacity.NextRevocation(now)
 }
 
+// holders returns the names of the members at targets.
 func holders(members []capacity.Member) []string {
 	names := make([]string, 0, len(members))
 	for _, m := range members {
--- a/dispatch/stop.go
+++ b/dispatch/stop.go
@@ -112,6 +112,7 @@
 	_ = g.Wait()
 }
 
+// stopMessage is one message of stops to a target.
 type stopMessage struct {
 	address    string
 	ids        []targetclient.TaskID
--- a/dispatch/unknown_test.go
+++ b/dispatch/unknown_test.go
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				// Starts under way end before the test does.
+				// The pending starts end before the test does.
 				defer time.Sleep(time.Minute)
 				defer cancel()
 				limits := &oneUnit{begin: time.Now()}
--- a/dispatch/verdicts.go
+++ b/dispatch/verdicts.go
@@ -54,6 +54,7 @@
 	return groups, order
 }
 
+// names returns the targets of the verdicts, at most maxNamedTargets.
 func names(verdicts []placement.Verdict) []string {
 	var list []string
 	for _, v := range verdicts[:min(len(verdicts), maxNamedTargets)] {
--- a/placement/bucket.go
+++ b/placement/bucket.go
@@ -176,6 +176,7 @@
 	heap.Fix(h, t.heapIndex)
 }
 
+// cancel removes the target; an absent one is ignored.
 func (h *wakeHeap) cancel(t *target) {
 	if t.heapIndex != noIndex {
 		heap.Remove(h, t.heapIndex)
--- a/placement/class.go
+++ b/placement/class.go
@@ -14,7 +14,8 @@
 	meanWeight = 1.0 / 64
 	// failureWeight is the weight of the newest task in a class's failure rate.
 	failureWeight = 1.0 / 512
-	// histogramBuckets cover 0.1 ms to over an hour in steps of a quarter.
+	// histogramBuckets cover 0.1 ms to over an hour, each a quarter longer than the
+	// one before.
 	histogramBuckets = 80
 	histogramFirst   = 100 * time.Microsecond
 	histogramStep    = 1.25
@@ -96,6 +97,7 @@
 	}
 }
 
+// histogramBucket returns the index of the bucket for this run time.
 func histogramBucket(d time.Duration) int {
 	if d <= histogramFirst {
 		return 0
--- a/placement/health.go
+++ b/placement/health.go
@@ -283,6 +283,7 @@
 	return changes
 }
 
+// setExcluded records an exclusion or its end for TakeExclusions.
 func (s *State) exclude(t *target, excluded bool) {
 	s.exclusions = append(s.exclusions, Exclusion{Target: t.id, Excluded: excluded})
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -167,6 +167,7 @@
 	s.enforceCap(now)
 }
 
+// setTarget adds or updates a target of the list.
 func (s *State) setTarget(now time.Duration, spec Target) {
 	t := s.targets[spec.ID]
 	if t == nil {
@@ -184,6 +185,7 @@
 	s.place(t)
 }
 
+// rackOf returns the name of the target's rack, a unique one for a target without.
 func rackOf(spec Target) string {
 	if spec.Rack == "" {
 		return "target/" + spec.ID
@@ -191,6 +193,7 @@
 	return "rack/" + spec.Rack
 }
 
+// add adds a target, in normal use and without evidence.
 func (s *State) add(spec Target) *target {
 	t := &target{id: spec.ID, index: s.newIndex(), heapIndex: noIndex, bucketIndex: noIndex, reportedUse: UseNormal}
 	t.rackName = rackOf(spec)
@@ -219,6 +222,7 @@
 	targets int
 }
 
+// joinRack counts one more target in a rack and returns the rack's index.
 func (s *State) joinRack(name string) int {
 	r := s.racks[name]
 	if r == nil {
@@ -233,6 +237,7 @@
 	return r.index
 }
 
+// leaveRack counts one target less in a rack, and frees its index after the last one.
 func (s *State) leaveRack(name string) {
 	r := s.racks[name]
 	r.targets--
@@ -253,6 +258,7 @@
 	t.rack = s.joinRack(name)
 }
 
+// remove deletes a target and its outcomes.
 func (s *State) remove(t *target) {
 	s.unbucket(t)
 	s.wakes.cancel(t)
--- a/quota/duty.go
+++ b/quota/duty.go
@@ -60,12 +60,14 @@
 	shares  map[string]int
 }
 
+// readResult is the result of one read of the table.
 type readResult struct {
 	begunAt time.Duration
 	changes tableservice.Changes
 	err     error
 }
 
+// commitResult is the result of one commit.
 type commitResult struct {
 	attempt Attempt
 	version uint64
