--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -119,9 +119,9 @@
 	if declared <= 0 {
 		return seconds(r.mean)
 	}
-	trust := r.trust()
+	weight := r.trust()
 	l := math.Log(declared.Seconds()) + r.declaredBias
-	return seconds(math.Exp(trust*l + (1-trust)*math.Log(r.mean)))
+	return seconds(math.Exp(weight*l + (1-weight)*math.Log(r.mean)))
 }
 
 // declaredWeight is the weight of declared times, 0 to 1.
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -299,8 +299,8 @@
 	home, others := c.home()
 	outs := c.states[others[0]].Want(c.now, limitPool, 6)
 	must.Len(t, 1, outs)
-	stranger := Member{ID: others[0], Incarnation: 2}
-	replies, _ := c.states[home].Receive(c.now, stranger, outs[0].Msg)
+	other := Member{ID: others[0], Incarnation: 2}
+	replies, _ := c.states[home].Receive(c.now, other, outs[0].Msg)
 	must.Len(t, 0, replies)
 }
 
--- a/capacity/revoke.go
+++ b/capacity/revoke.go
@@ -242,7 +242,8 @@
 
 // maxRunning returns how many units of a limit pool tasks of lost VMs use at most:
 // those that targets reported, and all slots of targets that have not answered. It
-// returns false before RevokeAfter, and when no target is listed.
+// returns false while reports are missing, before RevokeAfter has passed, and when no
+// target is listed.
 func (s *State) mostRunning(now time.Duration, name string) (int, bool) {
 	if !s.resolved || now < s.revokeFrom() {
 		return 0, false
@@ -271,7 +272,8 @@
 	}
 	if l.blocked {
 		if p.capacity-l.outside-p.used-p.free < most {
-			// The home would have to recall units that are lent or free.
+			// The reservation would exceed the units that are neither lent nor held
+			// here.
 			return
 		}
 		l.blocked = false
--- a/capacity/slots.go
+++ b/capacity/slots.go
@@ -179,14 +179,14 @@
 // wantingPeers returns the peers that want slot units, the one that holds the fewest
 // first.
 func (s *State) hungry() []*link {
-	var hungry []*link
+	var wanting []*link
 	for _, l := range s.peers {
 		if l.slots.wanted > 0 {
-			hungry = append(hungry, l)
+			wanting = append(wanting, l)
 		}
 	}
-	slices.SortStableFunc(hungry, func(a, b *link) int { return a.slots.held - b.slots.held })
-	return hungry
+	slices.SortStableFunc(wanting, func(a, b *link) int { return a.slots.held - b.slots.held })
+	return wanting
 }
 
 // shareWaitFactor is how many times longer spare units wait than a want that asks for
@@ -196,10 +196,10 @@
 // share gives spare units to the peers that want some, in equal parts.
 func (s *State) share(now time.Duration) {
 	s.slots.shareAt = 0
-	hungry := s.hungry()
+	wanting := s.hungry()
 	spare := s.spare()
-	for i, l := range hungry {
-		n := min(l.slots.wanted, spare/(len(hungry)-i))
+	for i, l := range wanting {
+		n := min(l.slots.wanted, spare/(len(wanting)-i))
 		if n == 0 || !s.slots.budget.spend(now, n, s.slots.used, (now-s.slots.spareSince)/sharePatience) {
 			continue
 		}
--- a/quota/attempt.go
+++ b/quota/attempt.go
@@ -77,7 +77,8 @@
 
 // dueAttempt returns the most urgent commit that is due for a team; false when none is.
 // In this order: take over the row, lend or return units, renew the lease, take units,
-// reclaim units, and report a changed want.
+// reclaim units, and publish a changed want. While the share is being lowered, only the
+// first three are due.
 func (s *State) attempt(now time.Duration, t *team) (Attempt, bool) {
 	own := t.rows[s.opts.Domain].entry
 	switch {
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -118,9 +118,9 @@
 // no longer take units from it.
 func (w *world) newHome(d *domainWorld) {
 	if n := len(d.homes); n > 0 {
-		former := d.homes[n-1]
-		former.out = len(d.ends)
-		former.validUntil = w.now + viewLease
+		previous := d.homes[n-1]
+		previous.out = len(d.ends)
+		previous.validUntil = w.now + viewLease
 	}
 	w.homes++
 	s := New(Options{Domain: d.name, Self: fmt.Sprint("vm", w.homes)})
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,8 +1,8 @@
 // Package quota moves shares of a team's quota between failure domains.
 //
 // A quota holds over all failure domains together. Each has a base share by the
-// configuration. If the team allows it, a failure domain that does not need its base
-// share lends a part of it to others. The lent and borrowed units are stored in the
+// configuration. Where the operators allow it, a failure domain that does not need its
+// base share lends a part of it to others. The lent and borrowed units are stored in the
 // platform's table service, in a row for each team and failure domain. Rows change only
 // by compare-and-set, so that the shares never add up to more than the quota:
 //
@@ -77,8 +77,8 @@
 	// IdleAfter is how long borrowed units must not have been needed before they are
 	// returned. Default 20 s.
 	Idle time.Duration
-	// WantInterval is the minimum time between two commits for a team that change
-	// only Entry.Want. Default 5 s.
+	// WantInterval is the minimum time between a commit for a team and the next one
+	// that changes only Entry.Want. Default 5 s.
 	Pause time.Duration
 }
 
--- a/quota/row.go
+++ b/quota/row.go
@@ -56,11 +56,11 @@
 	return delta * lent / borrowed
 }
 
-// wanted returns how many units the failure domains other than but want, and how many
-// of those are owed to lenders, which want them back.
-func (r rows) wanted(but string) (wanted, owed int) {
+// wanted returns how many units all failure domains except one want, and how many of
+// those are owed to lenders, which want them back.
+func (r rows) wanted(except string) (wanted, owed int) {
 	for domain, other := range r {
-		if domain == but {
+		if domain == except {
 			continue
 		}
 		wanted += max(0, other.entry.Want)
