--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -31,7 +31,7 @@
 	return s, subs
 }
 
-// BenchmarkTask measures Admit, Next, Started and Finished for each task, in
+// BenchmarkTask measures Admit, Next, RecordStart and RecordEnd for each task, in
 // jobs of ten tasks, beside a queue of a steady length.
 func BenchmarkTask(b *testing.B) {
 	for _, queued := range []int{100, 1_000, 10_000, 100_000} {
--- a/admission/shares_test.go
+++ b/admission/shares_test.go
@@ -72,7 +72,7 @@
 	free, served := 0, map[string]int{}
 	usable := func(name string) bool { return name == "own" || free > 0 }
 	for i := range 3200 {
-		free = i % 2 // a unit of the team comes back after each second pick
+		free = i % 2 // a unit of the team is free before each second pick
 		ref, ok := s.Next(0, usable)
 		must.True(t, ok)
 		served[ref.Profile]++
--- a/capacity/slots_test.go
+++ b/capacity/slots_test.go
@@ -160,9 +160,9 @@
 	return sorted[len(sorted)*99/100]
 }
 
-// Bounds the messages a task, without replies, which are sent with responses. The
-// ratio is that of the 99th percentile of response time to the one of a single queue
-// over all slots.
+// Bounds the messages per task, without replies, which are sent with responses, and
+// the ratio of the 99th percentile of response time to that of a single queue over
+// all slots.
 func TestSlotsFollowTheLoad(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
--- a/placement/placement_fuzz_test.go
+++ b/placement/placement_fuzz_test.go
@@ -117,7 +117,7 @@
 		return
 	}
 	if !o.listed[id] || o.leaving[id] || o.said[id] || !o.free[id] {
-		t.Fatalf("%s was picked: listed %v, leaving %v, said %v, free %v", id, o.listed[id], o.leaving[id], o.said[id], o.free[id])
+		t.Fatalf("%s was picked: listed %v, leaving %v, reported leaving %v, free %v", id, o.listed[id], o.leaving[id], o.said[id], o.free[id])
 	}
 	k := oracleTask{target: id, class: fmt.Sprint("class", o.rng.IntN(2)), started: o.now}
 	if o.use(id).Use == "quarantine" {
