--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -31,7 +31,7 @@
 	return s, subs
 }
 
-// BenchmarkTask measures Admit, Next, Started and Finished for each task, in
+// BenchmarkTask measures Admit, Next, RecordStart and RecordEnd for each task, in
 // jobs of ten tasks, beside a queue of a steady length.
 func BenchmarkTask(b *testing.B) {
 	for _, queued := range []int{100, 1_000, 10_000, 100_000} {
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkExpire measures a look at the deadlines while none has passed.
+// BenchmarkExpire measures Expire while no deadline has passed.
 func BenchmarkExpire(b *testing.B) {
 	s, _ := benchState(b, 100_000)
 	for b.Loop() {
