--- a/claim/burn_fuzz_test.go
+++ b/claim/burn_fuzz_test.go
@@ -12,34 +12,35 @@
 	"pgregory.net/rapid"
 )
 
-// exchange is one asking of another failure domain to burn a key of this one.
+// exchange is one attempt of another failure domain to have a key of this one burned.
 type exchange struct {
 	*domains.Exchange
 	key key.Key
 }
 
-// burnRequest is a message of another failure domain on its way to this one.
+// burnRequest is a message from the other failure domain to this one.
 type burnRequest struct {
 	exchange *exchange
 	address  string
 }
 
-// burnAnswer is a message on its way back.
+// burnAnswer is the message back.
 type burnAnswer struct {
 	exchange *exchange
 	response *peerpb.BurnResponse
 }
 
-// burnFuzz adds another failure domain to a fuzz: its exchanges, and the messages
-// between the two, which get lost, come late and again.
+// burnFuzz adds another failure domain to a fuzz: its exchanges, and messages between
+// the two domains that get lost, delayed and duplicated.
 type burnFuzz struct {
 	*fuzz
 	exchanges []*exchange
 	requests  []burnRequest
 	answers   []burnAnswer
-	// serving are the calls of this failure domain that answer a request.
+	// serving maps the calls that answer a request to its exchange.
 	serving map[uint64]*exchange
-	told    int
+	// notRunAnswers counts the answers that reported a key as not run.
+	told int
 }
 
 const (
@@ -60,7 +61,7 @@
 	}
 }
 
-// begin begins an exchange about a key, which often is one of the last few.
+// beginExchange begins an exchange about a key, often one of the last few.
 func (f *burnFuzz) begin() {
 	if len(f.tokens) == 0 {
 		return
@@ -77,7 +78,8 @@
 	f.exchanges = f.exchanges[max(0, len(f.exchanges)-mostBurns):]
 }
 
-// askNext asks a VM, the first or one after a silent one.
+// askNext sends the next request of an exchange, to its first VM or to the one after a
+// silent VM.
 func (f *burnFuzz) askNext() {
 	if len(f.exchanges) == 0 {
 		return
@@ -88,8 +90,8 @@
 	}
 }
 
-// serve delivers a request, which may come again later, to whatever process runs at
-// its address.
+// deliverRequest delivers a request to the process at its address, and may keep it to
+// deliver it again.
 func (f *burnFuzz) serve() {
 	r, ok := f.draw("request", len(f.requests))
 	if !ok {
@@ -101,7 +103,7 @@
 	}
 	for _, v := range f.vms {
 		if v.self.Address == request.address && !v.paused {
-			// The call may end before its number is known here.
+			// The call may end before f.call returns its number.
 			f.serving[f.number+1] = request.exchange
 			f.call(v, wishBurn, request.exchange.key.Epoch, request.exchange.key.Unique)
 		}
@@ -111,7 +113,7 @@
 	}
 }
 
-// answer sends the end of a burn back.
+// queueAnswer puts the answer to a burn request on the network.
 func (f *burnFuzz) answer(d Done) {
 	x := f.serving[d.Waiter]
 	if x == nil || d.Failure != nil {
@@ -127,7 +129,7 @@
 	f.answers = append(f.answers, burnAnswer{exchange: x, response: response})
 }
 
-// take delivers an answer, which may come again later.
+// deliverAnswer delivers an answer, and may keep it to deliver it again.
 func (f *burnFuzz) take() {
 	a, ok := f.draw("answer", len(f.answers))
 	if !ok {
@@ -140,7 +142,7 @@
 	f.tell(answer.exchange, answer.response)
 }
 
-// misdeliver hands an answer to another exchange.
+// misdeliver delivers an answer to any exchange.
 func (f *burnFuzz) misdeliver() {
 	a, ok := f.draw("answer", len(f.answers))
 	if ok {
@@ -148,8 +150,9 @@
 	}
 }
 
-// tell holds what the other failure domain tells its caller against the oracle: a
-// key that is told as not run was granted to nobody, and never will be.
+// checkAnswer passes a response to an exchange and compares the answer that the other
+// failure domain gives its caller with the oracle: a key reported as not run has not
+// been granted and never will be.
 func (f *burnFuzz) tell(x *exchange, response *peerpb.BurnResponse) {
 	x.Take(response)
 	if x.Answer().GetState() != peerpb.KeyState_KEY_STATE_NOT_RUN {
@@ -157,12 +160,13 @@
 	}
 	h := HashKey(x.key)
 	if owner, owned := f.oracle.owner[h]; owned && !f.oracle.notRun[h] {
-		f.t.Fatalf("key %s of %v told as not run", x.key, owner)
+		f.t.Fatalf("key %s of %v reported as not run", x.key, owner)
 	}
 	f.oracle.notRun[h] = true
 	f.told++
 }
 
+// draw picks one of n messages; false says that there is none.
 func (f *burnFuzz) draw(what string, n int) (int, bool) {
 	if n == 0 {
 		return 0, false
@@ -170,6 +174,7 @@
 	return f.pick(what, n), true
 }
 
+// drop loses one message.
 func drop[T any](f *fuzz, messages *[]T) {
 	if n := len(*messages); n > 0 {
 		i := f.pick("lost", n)
@@ -177,6 +182,7 @@
 	}
 }
 
+// burnStep does one random action.
 func (f *burnFuzz) act() {
 	total := 0
 	for _, a := range f.actions() {
@@ -209,8 +215,8 @@
 	return f
 }
 
-// A key that another failure domain is told of as not run is never started, before
-// or after, whatever becomes of messages and VMs.
+// A key that is reported to another failure domain as not run is never started, before
+// or after the report, whatever happens to messages and VMs.
 func TestFuzzBurnedForOtherDomain(t *testing.T) {
 	told := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -218,7 +224,7 @@
 		for range burnSteps {
 			f.act()
 		}
-		// Answers that were on their way, and all keys again.
+		// Deliver the remaining answers, then claim all keys again.
 		for _, a := range f.answers {
 			f.tell(a.exchange, a.response)
 		}
@@ -228,6 +234,6 @@
 		f.settle(time.Second)
 		told += f.told
 	})
-	// Else the check would prove nothing.
+	// Without such answers the test checks nothing.
 	must.Positive(t, told)
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,9 +1,11 @@
-// Package claim decides which entry VM runs a submission key, so that no key is
-// granted twice in the life of its failure domain.
+// Package claim decides which entry VM runs a submission key. No key is granted
+// twice while its failure domain exists.
 //
-// State is plain code that joins the records of keys with the view that package
-// membership agrees on. Duty runs it in one goroutine. docs/DESIGN.md, section 1,
-// explains the protocol and why it is safe.
+// Its input are calls of Claim, Burn and Lookup, messages of peers, and the view on
+// which package membership agrees. Its output are the ends of the calls and messages
+// to peers. State is the protocol without goroutines, clock or network; Duty runs it
+// in one goroutine. docs/DESIGN.md, section 1, explains the protocol and why it is
+// safe.
 package claim
 
 import (
@@ -18,10 +20,10 @@
 const (
 	// Unknown means that nobody has claimed the key.
 	Unknown KeyState = iota
-	// Running means that the runner is a member of the view and has the answer or
-	// will have it.
+	// Running means that the runner is a member of the view: it works on the key or
+	// holds its answer.
 	Running
-	// Lost means that the runner is gone and the outcome unknown.
+	// Lost means that the runner is no member any more and the outcome is unknown.
 	Lost
 	// NotRun means that the key was refused: it never ran and never will.
 	NotRun
@@ -36,7 +38,7 @@
 // String names the state.
 func (s KeyState) String() string { return keyStateNames[s] }
 
-// Outcome is how a key ended.
+// Outcome says how the run of a key ended.
 type Outcome uint8
 
 // The outcomes of a key.
@@ -73,5 +75,5 @@
 // Hash stands for a key in records and messages.
 type Hash = key.Hash
 
-// HashKey shortens a key.
+// HashKey returns the hash of a key.
 func HashKey(k key.Key) Hash { return key.HashText(k.String()) }
--- a/claim/duty.go
+++ b/claim/duty.go
@@ -14,7 +14,7 @@
 )
 
 // Sender hands a message to the transport. Incarnation 0 addresses any process
-// at the address. It reports whether there was room.
+// at the address. Send reports whether the transport had room for the message.
 type Sender interface {
 	Send(address string, incarnation uint64, duty peerpb.Duty, body []byte) bool
 }
@@ -28,9 +28,9 @@
 	Sender Sender
 	// Now is the monotonic time since the start of the process.
 	Now func() time.Duration
-	// Ticks wakes the duty several times per probe interval; nil takes a ticker.
+	// Ticks wakes the duty several times per probe interval; nil uses a ticker.
 	Ticks <-chan time.Time
-	// RingSize is the most events that wait for the duty.
+	// RingSize is the largest number of events that wait for the duty.
 	RingSize int
 }
 
@@ -61,10 +61,11 @@
 	events  *ring.Ring[event]
 	view    atomic.Pointer[View]
 	records atomic.Int64
-	// leaseEnd is a time, so that a paused process wakes without a lease.
+	// leaseEnd is a time instead of a flag: a process that resumes after a pause sees
+	// that its lease has lapsed before it handles any event.
 	leaseEnd atomic.Int64
 
-	// draining says that callers get another VM's token.
+	// draining says that tokens for new keys name another VM as home.
 	draining atomic.Bool
 
 	onView   []func(View, bool)
@@ -76,19 +77,19 @@
 	stopped chan struct{}
 }
 
-// event is a message to the duty; do runs in its goroutine.
+// event is work for the duty; do runs in its goroutine.
 type event struct {
 	do func(now time.Duration)
 }
 
-// call is a caller who waits for the end of a claim, burn or lookup.
+// call is a caller that waits for the end of a claim, burn or lookup.
 type call struct {
 	// number is set by the duty.
 	number uint64
 	token  string
 	hash   Hash
-	// ended is set once, by the duty when it hands over the end or by the caller
-	// when it stops waiting.
+	// ended is set once: by the duty when it sends the result, or by the caller when
+	// it stops waiting.
 	ended atomic.Bool
 	done  chan Done
 }
@@ -123,7 +124,7 @@
 	d.onDigest = append(d.onDigest, f)
 }
 
-// Run works until ctx ends.
+// Run handles events and ticks until ctx ends.
 func (d *Duty) Run(ctx context.Context) error {
 	defer close(d.stopped)
 	ticks := d.options.Ticks
@@ -145,11 +146,11 @@
 	}
 }
 
-// View is the newest snapshot of the view.
+// View returns the newest snapshot of the view.
 func (d *Duty) View() View { return *d.view.Load() }
 
-// CurrentEpoch is the token for new keys, which names their home VM; it is empty
-// while there is none.
+// CurrentEpoch returns the token for new keys, which names their home VM. It is
+// empty while there is none.
 func (d *Duty) CurrentEpoch() string { return d.view.Load().Epoch }
 
 // Ready reports whether keys can be granted here.
@@ -164,7 +165,7 @@
 	return d.options.Now() < time.Duration(d.leaseEnd.Load())
 }
 
-// Records is the number of keys that this VM keeps.
+// Records returns the number of keys that this VM has records of.
 func (d *Duty) Records() int { return int(d.records.Load()) }
 
 // Claim asks for a key. The result says whether the caller may start it or who
@@ -173,8 +174,8 @@
 	return d.call(ctx, k, d.state.Claim)
 }
 
-// Burn refuses a key for good unless somebody has it already. When the result is
-// granted, no VM will ever start the key.
+// Burn refuses a key permanently unless a process has it already. When the result
+// is granted, no VM ever starts the key.
 func (d *Duty) Burn(ctx context.Context, k key.Key) (Result, error) {
 	return d.call(ctx, k, d.state.Burn)
 }
@@ -184,6 +185,7 @@
 	return d.call(ctx, k, d.state.Lookup)
 }
 
+// call starts a call in the duty's goroutine and waits for its end.
 func (d *Duty) call(ctx context.Context, k key.Key, start func(time.Duration, uint64, string, Hash)) (Result, error) {
 	if k.Domain != d.options.Domain {
 		return Result{}, refuse(api.KindWrongDomain, 0, "the key belongs to failure domain "+k.Domain+": submit it there")
@@ -208,13 +210,13 @@
 	}
 }
 
-// giveUp ends a call without an answer, unless the answer is there already.
+// giveUp ends a call with failure, unless its result has been sent already.
 func (d *Duty) giveUp(c *call, failure *api.Failure) (Result, error) {
 	if !c.ended.CompareAndSwap(false, true) {
 		done := <-c.done
 		return done.result()
 	}
-	// Another call for the key should not find this one in its way.
+	// A later call for the key must not wait behind this one.
 	d.events.Offer(event{do: func(time.Duration) { d.cancel(c) }})
 	return Result{}, failure
 }
@@ -231,7 +233,8 @@
 	return d.Result, nil
 }
 
-// SetOutcome notes how a key that this VM runs ended. It waits for room.
+// SetOutcome records how a key that this VM runs ended. It waits until the duty has
+// recorded it.
 func (d *Duty) SetOutcome(ctx context.Context, k key.Key, outcome Outcome) error {
 	h := HashKey(k)
 	return d.do(ctx, func(time.Duration) { d.state.SetOutcome(k.Epoch, h, outcome) })
@@ -248,7 +251,7 @@
 	d.events.Offer(event{do: func(time.Duration) { d.state.Membership().SetListed(live, leaving) }})
 }
 
-// Leave leaves the view for good and hands the records over. Call it when no
+// Leave leaves the view permanently and hands the records over. Call it when no
 // submission runs any more.
 func (d *Duty) Leave(ctx context.Context) error {
 	err := d.do(ctx, func(now time.Duration) { d.state.Membership().Leave(now) })
@@ -265,7 +268,7 @@
 	}
 }
 
-// do runs f in the duty's goroutine.
+// do runs f in the duty's goroutine and waits for it.
 func (d *Duty) do(ctx context.Context, f func(now time.Duration)) error {
 	done := make(chan struct{})
 	e := event{do: func(now time.Duration) {
@@ -285,6 +288,8 @@
 	}
 }
 
+// finishCalls sends the results of ended calls to their callers. A grant whose
+// caller has stopped waiting is returned.
 func (d *Duty) finishCalls() {
 	for _, done := range d.state.TakeDone() {
 		c := d.calls[done.Waiter]
@@ -300,7 +305,8 @@
 	}
 }
 
-// publish updates the snapshots and calls back when the view has changed.
+// publish updates the snapshots that other goroutines read, and runs the callbacks
+// for digests and for a changed view.
 func (d *Duty) publish() {
 	m := d.state.Membership()
 	for _, c := range m.TakeDigestChanges() {
@@ -333,8 +339,9 @@
 	}
 }
 
-// home is the tag of the home VM for new keys: this one, so that a caller who stays
-// with the VM costs no messages, and another one before a planned stop.
+// homeForNewKeys returns the tag of the home VM of new keys. That is this VM, because
+// claims of a caller that stays with its VM then need no messages. While the VM drains
+// it is another member.
 func (d *Duty) home() string {
 	m := d.state.Membership()
 	if !d.draining.Load() {
@@ -348,7 +355,8 @@
 	return noHome
 }
 
-// Drain makes new keys belong to other VMs; a planned stop begins with it.
+// Drain makes tokens for new keys name another VM as home. A planned stop begins
+// with it.
 func (d *Duty) Drain() { d.draining.Store(true) }
 
 func (d *Duty) closeLeft() {
--- a/claim/duty_peer.go
+++ b/claim/duty_peer.go
@@ -9,16 +9,17 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// MembershipHandler takes peers' messages for DUTY_MEMBERSHIP.
+// MembershipHandler returns the handler of peers' messages for DUTY_MEMBERSHIP.
 func (d *Duty) MembershipHandler() peer.Handler {
 	return &handler{duty: d, kind: peerpb.Duty_DUTY_MEMBERSHIP, handle: d.state.HandleMembership}
 }
 
-// ClaimHandler takes peers' messages for DUTY_CLAIM.
+// ClaimHandler returns the handler of peers' messages for DUTY_CLAIM.
 func (d *Duty) ClaimHandler() peer.Handler {
 	return &handler{duty: d, kind: peerpb.Duty_DUTY_CLAIM, handle: d.state.HandleClaim}
 }
 
+// handler passes the messages of one duty to State and returns its replies.
 type handler struct {
 	duty   *Duty
 	kind   peerpb.Duty
@@ -30,7 +31,7 @@
 	replies := make(chan [][]byte, 1)
 	posted := h.duty.events.Offer(event{do: func(now time.Duration) {
 		for _, body := range bodies {
-			// A message that can't be read is dropped, as if it had been lost.
+			// A malformed message is dropped. The protocol tolerates lost messages.
 			_ = h.handle(now, from.ID, from.Incarnation, body)
 		}
 		replies <- h.duty.flush(from.ID, h)
@@ -48,8 +49,9 @@
 	}
 }
 
-// flush sends what the states have to say. Messages of the handler's duty to the
-// VM replyTo are returned instead.
+// flush finishes calls, publishes snapshots and sends the outgoing messages of both
+// states. Messages of the handler's duty to the VM replyTo are returned instead of
+// sent; with a nil handler all are sent.
 func (d *Duty) flush(replyTo string, h *handler) [][]byte {
 	d.finishCalls()
 	d.publish()
@@ -71,6 +73,7 @@
 	return replies
 }
 
+// split separates the messages to the VM replyTo from the others.
 func split(replyTo string, out []membership.Outgoing) (replies [][]byte, others []membership.Outgoing) {
 	for _, o := range out {
 		if o.To.ID == replyTo {
@@ -90,7 +93,7 @@
 	}
 }
 
-// address completes members that are known by their id alone.
+// address returns a member's address; it looks up members known by id alone.
 func (d *Duty) address(m membership.Member) string {
 	if m.Address != "" {
 		return m.Address
--- a/claim/duty_test.go
+++ b/claim/duty_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// dutyNet joins duties in the way of the transport: answers of a receiver come
-// back to the sender, and its answers to those are sent again.
+// dutyNet connects duties as the transport does: replies of a receiver go back to the
+// sender, and the sender's replies to those are sent as new messages.
 type dutyNet struct {
 	wg     sync.WaitGroup
 	duties map[string]*Duty
@@ -57,6 +57,7 @@
 	return true
 }
 
+// startDuties runs n duties for 5 seconds, until they share a view.
 func startDuties(t *testing.T, n int) (duties []*Duty, stop func()) {
 	net := &dutyNet{duties: map[string]*Duty{}}
 	start := time.Now()
@@ -143,7 +144,7 @@
 	})
 }
 
-// A grant that comes after its caller went away goes to the next call.
+// A grant that arrives after its caller has stopped waiting goes to the next call.
 func TestGrantWithoutItsCallerIsReturned(t *testing.T) {
 	d := NewDuty(Options{Domain: testDomain, Now: func() time.Duration { return 0 }, Membership: membership.Config{
 		Self: membership.Member{ID: "vm"}, Nonce: func() uint64 { return 1 },
--- a/claim/failure.go
+++ b/claim/failure.go
@@ -2,13 +2,14 @@
 
 import "github.com/burdockward/burdockward/api"
 
-// Times after which a caller may come back, in milliseconds.
+// Times after which a caller may retry, in milliseconds.
 const (
 	retrySoonMS  = 200
 	retryLaterMS = 1000
 )
 
-// refuse makes the failure of a key whose earlier fate isn't known.
+// newFailure returns the failure of a call for a key. Whether the key ran earlier is
+// not known.
 func refuse(kind api.Kind, retryAfterMS int64, message string) *api.Failure {
 	return &api.Failure{Kind: kind, Run: api.OutcomeUnknown, RetryAfterMS: retryAfterMS, Message: message}
 }
--- a/claim/guard_test.go
+++ b/claim/guard_test.go
@@ -41,8 +41,8 @@
 func loseRequests(p packet) bool  { return claimMessage(p).GetRequest() != nil }
 func loseTransfers(p packet) bool { return claimMessage(p).GetTransfer() != nil }
 
-// claimAt claims a fresh key at v whose registrar is the VM asked, and returns the
-// call, the key and the request, which is not delivered.
+// claimAt claims a new key at v of which the VM registrar is the registrar. It returns
+// the call, the key and the request, which is not delivered.
 func (w *world) claimAt(v *vm, token, registrar string) (number uint64, unique string, request packet) {
 	for i := 0; ; i++ {
 		unique = fmt.Sprint("at ", registrar, " ", i)
@@ -133,9 +133,9 @@
 	token := a.state.Membership().CurrentEpoch()
 	_, _, request := w.claimAt(w.vms["b"], token, "a")
 
-	stranger := request
-	stranger.from.Incarnation += 100
-	w.deliver(stranger)
+	nonMember := request
+	nonMember.from.Incarnation += 100
+	w.deliver(nonMember)
 	must.Eq(t, 0, a.state.Records())
 	must.SliceEmpty(t, w.packets)
 
@@ -193,12 +193,12 @@
 	for _, v := range w.vms {
 		must.False(t, v.state.Membership().Settled())
 	}
-	must.Eq(t, 2*keys, w.records(), must.Sprint("nothing is forgotten before all have opened"))
+	must.Eq(t, 2*keys, w.records(), must.Sprint("records are dropped before all members have opened"))
 	w.loses = nil
 	w.run(time.Second)
 	w.mustAgree(t, 4)
 	must.Positive(t, w.vms["d"].state.Records())
-	must.Eq(t, 2*keys, w.records(), must.Sprint("every key has two holders"))
+	must.Eq(t, 2*keys, w.records(), must.Sprint("not every key has two holders"))
 }
 
 func TestRegistrarWithoutItsRecordsGrantsNothing(t *testing.T) {
@@ -233,7 +233,7 @@
 	}
 }
 
-// records is the number of records of all processes.
+// records returns the number of records of all processes.
 func (w *world) records() int {
 	total := 0
 	for _, v := range w.vms {
@@ -295,7 +295,7 @@
 	ids := []string{"b", "c", "z"}
 	w.boot("b", ids...)
 	w.boot("c", ids...)
-	// The coordinator of a view with b is b, so that epochs last long there.
+	// The coordinator of a view with b is b, so epochs are kept long there.
 	w.config = membership.Config{EpochLength: time.Second, RetainedEpochs: 1}
 	z := w.boot("z", ids...)
 	w.run(3 * time.Second)
@@ -310,7 +310,7 @@
 	w.run(15 * time.Second)
 	w.mustAgree(t, 3)
 	_, open := w.vms["b"].state.Membership().Epochs().Find(token)
-	must.True(t, open, must.Sprint("the epoch must still be listed for the test"))
+	must.True(t, open, must.Sprint("the epoch is not listed any more, so the test checks nothing"))
 	must.Eq(t, api.KindUnavailable, w.claim(z, token, "k").Failure.Kind)
 	must.True(t, w.claim(z, z.state.Membership().CurrentEpoch(), "new").Result.Granted)
 }
--- a/claim/home.go
+++ b/claim/home.go
@@ -8,11 +8,11 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// noHome is the home of keys that any registrar may grant.
+// noHome is the home tag of keys that any registrar may grant.
 const noHome = ""
 
-// homeTag names a process in keys. It is derived from its id and incarnation, so
-// that a restarted VM has another one.
+// homeTag returns the tag that names a process in keys. It is derived from id and
+// incarnation, so a restarted VM has another tag.
 func homeTag(m membership.Member) string {
 	return strconv.FormatUint(key.Rank(m.ID, strconv.FormatUint(m.Incarnation, tagBase)), tagBase)
 }
@@ -20,10 +20,11 @@
 // tagBase is the base of numbers in tags.
 const tagBase = 36
 
-// maxTag is the longest tag, a 64-bit number.
+// maxTagLength is the length of the longest tag, a 64-bit number.
 const maxTag = 13
 
-// tokenWithHome is the token that a VM hands to callers.
+// tokenWithHome returns the token that a VM gives to callers: an epoch's token with
+// the home VM's tag.
 func tokenWithHome(epoch, home string) string {
 	if epoch == "" || home == noHome {
 		return epoch
@@ -31,7 +32,8 @@
 	return epoch + "-" + home
 }
 
-// splitToken takes the home VM's tag off the token of a key.
+// splitToken splits the token of a key into the epoch's token and the home VM's tag.
+// It reports whether both are well-formed.
 func splitToken(token string) (epoch, home string, ok bool) {
 	epoch = token
 	if strings.Count(token, "-") == 2 {
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// cutOff says which packets pass between a VM and the others: none.
+// cutOff returns a loss rule that loses all packets between a VM and the others.
 func cutOff(id string) func(p packet) bool {
 	return func(p packet) bool { return (p.from.ID == id) != (p.address == vmAddress(id)) }
 }
@@ -18,7 +18,7 @@
 	b, c := w.vms["b"], w.vms["c"]
 	token := tokenWithHome(b.state.Membership().CurrentEpoch(), homeTag(b.self))
 	must.True(t, w.claim(c, token, "k").Result.Granted)
-	// The runner is replaced, so that b alone knows the key.
+	// The runner is replaced, so b alone has a record of the key.
 	w.boot("c", "a", "b")
 	w.run(6 * time.Second)
 	w.mustAgree(t, 3)
@@ -33,14 +33,14 @@
 	}
 }
 
-// While it was alone z forgot an epoch in which it granted a key, and the others
-// kept the epoch.
+// While z is cut off it drops an epoch in which it granted a key. The others keep the
+// epoch.
 func TestHomeGrantsNothingInAnEpochThatItForgotElsewhere(t *testing.T) {
 	w := newWorld()
 	ids := []string{"b", "c", "z"}
 	w.boot("b", ids...)
 	c := w.boot("c", ids...)
-	// The coordinator of a view with b is b, so that epochs last long there.
+	// The coordinator of a view with b is b, so epochs are kept long there.
 	w.config = membership.Config{EpochLength: time.Second, RetainedEpochs: 1}
 	z := w.boot("z", ids...)
 	w.run(3 * time.Second)
@@ -59,7 +59,7 @@
 	w.run(15 * time.Second)
 	w.mustAgree(t, 3)
 	listed, _ := w.vms["b"].state.Membership().Epochs().Find(epoch)
-	must.True(t, listed.Open, must.Sprint("the epoch must still be listed for the test"))
+	must.True(t, listed.Open, must.Sprint("the epoch is not listed any more, so the test checks nothing"))
 	for _, id := range w.ids() {
 		must.False(t, w.claim(w.vms[id], token, "k").Result.Granted)
 	}
--- a/claim/idle_test.go
+++ b/claim/idle_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// exchangeBytes is about what HTTP adds to one exchange, both ways.
+// exchangeBytes is roughly the HTTP overhead of one exchange, in both directions.
 const exchangeBytes = 400
 
-// An exchange is one request and one response, so a message that is answered at
-// once costs half of the HTTP part.
+// An exchange is one request and one response. So a message that is answered at once
+// accounts for half of the overhead.
 func TestControlOfAnIdleVMIsWithinItsBudget(t *testing.T) {
 	const (
 		vms     = 9
--- a/claim/leave_test.go
+++ b/claim/leave_test.go
@@ -41,7 +41,7 @@
 	w.flush(v)
 }
 
-// removeLeft ends the processes that have left.
+// removeLeft removes the processes that have left.
 func (w *world) removeLeft() {
 	for _, id := range w.ids() {
 		if w.vms[id].state.Membership().Left() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// runAndRemoveLeft lets time pass; processes end as soon as they have left.
+// runAndRemoveLeft lets time pass and removes processes as soon as they have left.
 func (w *world) runAndRemoveLeft(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.tick(testTick)
@@ -64,10 +64,10 @@
 	}
 }
 
-// leaveLongest is how long a planned stop may take when no VM dies.
+// maxLeaveDuration is how long a planned stop may take when no VM dies.
 const leaveLongest = 500 * time.Millisecond
 
-// deliverNext delivers one message, after some time when none is on its way.
+// deliverNext delivers the next message. Without any it lets time pass.
 func (w *world) deliverNext() {
 	if len(w.packets) == 0 {
 		w.tick(testTick)
@@ -78,17 +78,16 @@
 	w.deliver(p)
 }
 
-// moments is more steps of deliverNext than a view change takes.
+// changeSteps is more steps of deliverNext than a view change takes.
 const moments = 120
 
-// TestAllVMsLeaveTogether stops all VMs at every moment of the view change that the
-// first ones cause.
+// The other VMs leave at every step of the view change that the first two leavers cause.
 func TestAllVMsLeaveTogether(t *testing.T) {
-	for moment := range moments {
+	for step := range moments {
 		w := startWorld(t, "a", "b", "c", "d")
 		w.leave("c")
 		w.leave("d")
-		for range moment {
+		for range step {
 			w.deliverNext()
 			w.removeLeft()
 		}
@@ -98,11 +97,11 @@
 			}
 		}
 		w.runAndRemoveLeft(leaveLongest)
-		must.MapEmpty(t, w.vms, must.Sprintf("after %d steps:\n%s", moment, w.summary()))
+		must.MapEmpty(t, w.vms, must.Sprintf("after %d steps:\n%s", step, w.summary()))
 	}
 }
 
-// runs lets a VM be granted keys and notes how they ended.
+// grantAndComplete lets a VM claim keys and completes them.
 func (w *world) runs(t *testing.T, id, token string, uniques ...string) {
 	for _, unique := range uniques {
 		must.True(t, w.claim(w.vms[id], token, unique).Result.Granted)
@@ -111,81 +110,79 @@
 	}
 }
 
-// TestLeaversHandOverToThoseWhoStay stops a second VM at every moment of the view
-// change that the first one causes.
+// A second VM leaves at every step of the view change that the first leaver causes.
 func TestLeaversHandOverToThoseWhoStay(t *testing.T) {
-	for moment := range moments {
+	for step := range moments {
 		w := startWorld(t, "a", "b", "c", "d")
 		token := w.vms["a"].state.Membership().CurrentEpoch()
 		w.runs(t, "a", token, "1", "2", "3", "4")
 		w.runs(t, "c", token, "5", "6", "7", "8")
 		w.leave("c")
-		for range moment {
+		for range step {
 			w.deliverNext()
 			w.removeLeft()
 		}
 		w.leave("a")
 		w.runAndRemoveLeft(leaveLongest)
-		must.Eq(t, []string{"b", "d"}, w.ids(), must.Sprintf("after %d steps:\n%s", moment, w.summary()))
+		must.Eq(t, []string{"b", "d"}, w.ids(), must.Sprintf("after %d steps:\n%s", step, w.summary()))
 		w.run(time.Second)
 		w.mustAgree(t, 2)
 		for i := range 8 {
 			r := w.claim(w.vms["d"], token, fmt.Sprint(i+1)).Result
-			must.Eq(t, Completed, r.State, must.Sprintf("after %d steps: key %d", moment, i+1))
+			must.Eq(t, Completed, r.State, must.Sprintf("after %d steps: key %d", step, i+1))
 		}
 	}
 }
 
-// lossNoticed is how long the notice of a lost VM may take during a planned stop,
-// with the view change that follows.
+// lossDetection is how long the detection of a lost VM and the view change that follows
+// may take during a planned stop.
 const lossNoticed = (membership.DefaultProbes+1)*membership.DefaultProbeInterval + leaveLongest
 
-// TestLeaverIsNotHeldUpByLoss kills a VM at every moment of the view change that a
-// leaver causes: the proposer, a participant, or one that would have been the last to
-// stay.
+// A VM dies at every step of the view change that a leaver causes: the proposer, a
+// participant, or the only one that would have stayed.
 func TestLeaverIsNotHeldUpByLoss(t *testing.T) {
 	for _, lost := range []string{"a", "c"} {
-		for moment := range moments {
+		for step := range moments {
 			w := startWorld(t, "a", "b", "c")
 			token := w.vms["b"].state.Membership().CurrentEpoch()
 			w.runs(t, "b", token, "1", "2", "3", "4")
 			w.leave("b")
-			for range moment {
+			for range step {
 				w.deliverNext()
 				w.removeLeft()
 			}
 			delete(w.vms, lost)
 			w.runAndRemoveLeft(lossNoticed)
-			must.Nil(t, w.vms["b"], must.Sprintf("%s lost after %d steps:\n%s", lost, moment, w.summary()))
+			must.Nil(t, w.vms["b"], must.Sprintf("%s lost after %d steps:\n%s", lost, step, w.summary()))
 			w.run(4 * time.Second)
 			w.mustAgree(t, 1)
 			stays := w.vms[w.ids()[0]]
 			for i := range 4 {
 				r := w.claim(stays, token, fmt.Sprint(i+1)).Result
-				must.Eq(t, Completed, r.State, must.Sprintf("%s lost after %d steps: key %d", lost, moment, i+1))
+				must.Eq(t, Completed, r.State, must.Sprintf("%s lost after %d steps: key %d", lost, step, i+1))
 			}
 		}
 	}
 }
 
-// TestLeavingProposerGoesOn stops the VM that leads the change for a leaver, and kills
-// another one, at every moment of it.
+// The proposer leaves and another VM dies at every step of the view change that a first
+// leaver causes.
 func TestLeavingProposerGoesOn(t *testing.T) {
-	for moment := range moments {
+	for step := range moments {
 		w := startWorld(t, "a", "b", "c", "d")
 		w.leave("d")
-		for range moment {
+		for range step {
 			w.deliverNext()
 			w.removeLeft()
 		}
 		delete(w.vms, "c")
 		w.leave("a")
 		w.runAndRemoveLeft(2 * lossNoticed)
-		must.Eq(t, []string{"b"}, w.ids(), must.Sprintf("after %d steps:\n%s", moment, w.summary()))
+		must.Eq(t, []string{"b"}, w.ids(), must.Sprintf("after %d steps:\n%s", step, w.summary()))
 	}
 }
 
-// TestLeaverStaysUntilItsRecordsAreTaken loses all that a leaver hands over for a while.
+// The network loses all claim messages of a leaver for a while.
 func TestLeaverStaysUntilItsRecordsAreTaken(t *testing.T) {
 	w := startWorld(t, "a", "b", "c")
 	token := w.vms["b"].state.Membership().CurrentEpoch()
@@ -202,22 +199,22 @@
 	}
 }
 
-// TestLeaverAnswersLateClaims claims at a VM at every moment of its planned stop: the
-// port of callers closes last, and waits for these claims.
+// A claim arrives at every step of a planned stop. The callers' port closes last and
+// waits for such claims.
 func TestLeaverAnswersLateClaims(t *testing.T) {
-	for moment := range moments {
+	for step := range moments {
 		w := startWorld(t, "a", "b", "c")
 		token := w.vms["b"].state.Membership().CurrentEpoch()
 		leaver := w.vms["b"]
 		w.leave("b")
-		for range moment {
+		for range step {
 			w.deliverNext()
 		}
 		number := w.call(leaver, wishClaim, token, "late")
 		w.run(leaveLongest)
 		must.True(t, leaver.state.Membership().Left())
 		d, answered := leaver.ended[number]
-		must.True(t, answered, must.Sprintf("after %d steps:\n%s", moment, w.summary()))
+		must.True(t, answered, must.Sprintf("after %d steps:\n%s", step, w.summary()))
 		must.True(t, d.Failure != nil || d.Result.Granted, must.Sprint(d))
 	}
 }
--- a/claim/ranking.go
+++ b/claim/ranking.go
@@ -8,8 +8,8 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// buckets is the number of parts that keys are split into; all keys of a part
-// have the same registrar and backup.
+// buckets is the number of groups that keys are hashed into. All keys of a bucket
+// have the same registrar and backup, unless their home VM is a member.
 const buckets = 1024
 
 // ranking gives the registrar and the backup of each key in a view. Members are
@@ -22,7 +22,8 @@
 	homes map[string]membership.Member
 }
 
-// noMember says that a view has too few members.
+// noMember marks a bucket without a registrar or backup, as the view has too few
+// members.
 const noMember = -1
 
 func newRanking(view *membership.View) *ranking {
@@ -36,6 +37,7 @@
 	return r
 }
 
+// topTwo returns the positions of the two members that rank highest for a name.
 func topTwo(name string, members []membership.Member) (first, second int8) {
 	first, second = noMember, noMember
 	var firstRank, secondRank uint64
@@ -54,7 +56,7 @@
 
 func bucketOf(h Hash) int { return int(binary.LittleEndian.Uint16(h[:])) % buckets }
 
-// registrar is the member that speaks for the key: its home VM while that is a
+// registrar returns the member that decides on a key: its home VM while that is a
 // member, else the one that ranks first.
 func (r *ranking) registrar(home string, h Hash) membership.Member {
 	if m, ok := r.homes[home]; ok {
@@ -63,13 +65,13 @@
 	return r.at(r.first[bucketOf(h)])
 }
 
-// hasHome says whether the home VM of a key is a member.
+// hasHome reports whether the home VM of a key is a member.
 func (r *ranking) hasHome(home string) bool {
 	_, ok := r.homes[home]
 	return ok
 }
 
-// backup is the second holder when the registrar is the runner.
+// backup returns the second holder of a key when the registrar is the runner.
 func (r *ranking) backup(h Hash) membership.Member { return r.at(r.second[bucketOf(h)]) }
 
 func (r *ranking) at(i int8) membership.Member {
@@ -79,10 +81,11 @@
 	return r.members[i]
 }
 
-// holders are the members that keep the record of a key: the registrar and the
-// runner, or the backup when the runner is the registrar or gone. The second one
-// is empty in a view of one member, and for a key that its home VM runs: when that
-// VM is lost, the key is refused as any other of its keys that nobody knows.
+// holders returns the members that keep the record of a key: the registrar and the
+// runner, or the backup when the runner is the registrar or no member. The second
+// one is empty in a view of one member. It is empty as well when the key has its home
+// VM as registrar and no other member as runner: once that VM is lost, every key of
+// this home that no member knows is refused.
 func (r *ranking) holders(home string, h Hash, runner membership.Member) [2]membership.Member {
 	registrar := r.registrar(home, h)
 	if !runner.Same(registrar) && r.has(runner) {
--- a/claim/record.go
+++ b/claim/record.go
@@ -4,22 +4,22 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// record says which process has a key. Records are many, so members are kept in
-// a table and named by position.
+// record says which process has a key. There are up to a million records, so they
+// name processes and home tags by position in the tables of records.
 type record struct {
 	runner uint32
 	// home is the position of the home VM's tag.
 	home    uint32
 	outcome Outcome
-	// handed says that this process accepted the grant and passed it on to a
-	// caller; only then may the key have been started here.
+	// handedOut says that this process accepted the grant and gave it to a caller.
+	// Only then may the key have been started here.
 	handed bool
 }
 
-// nobody is the runner of a key that two processes seem to have.
+// noRunner is the runner of a key for which the records of two processes disagree.
 const nobody = 0
 
-// records are the known keys by epoch token.
+// records holds the records of known keys by epoch token and hash.
 type records struct {
 	epochs  map[string]map[Hash]record
 	runners []membership.Member
@@ -38,10 +38,10 @@
 func newRecords() *records {
 	return &records{
 		epochs: map[string]map[Hash]record{},
-		// Position 0 is nobody.
+		// Position 0 is noRunner.
 		runners: make([]membership.Member, 1),
 		indexes: map[runnerID]uint32{},
-		// Position 0 is no home.
+		// Position 0 is noHome.
 		homes:       []string{noHome},
 		homeIndexes: map[string]uint32{noHome: 0},
 	}
@@ -70,13 +70,13 @@
 	r.count += len(epoch) - before
 }
 
-// dropEpoch forgets all keys of an epoch.
+// dropEpoch removes all records of an epoch.
 func (r *records) dropEpoch(token string) {
 	r.count -= len(r.epochs[token])
 	delete(r.epochs, token)
 }
 
-// intern returns the position of a process in the table.
+// internRunner returns the position of a process in the table and adds it if needed.
 func (r *records) intern(m membership.Member) uint32 {
 	if m.ID == "" {
 		return nobody
@@ -91,7 +91,7 @@
 	return i
 }
 
-// internHome returns the position of a home VM's tag.
+// internHome returns the position of a home VM's tag and adds it if needed.
 func (r *records) internHome(home string) uint32 {
 	if i, ok := r.homeIndexes[home]; ok {
 		return i
@@ -102,14 +102,14 @@
 	return i
 }
 
-// home is the tag of a record's home VM.
+// home returns the tag of a record's home VM.
 func (r *records) home(rec record) string { return r.homes[rec.home] }
 
-// runner is the process of a record.
+// runner returns the process that has a record's key.
 func (r *records) runner(rec record) membership.Member { return r.runners[rec.runner] }
 
-// compactRunners forgets processes that no record names, once the table has
-// become long.
+// compactTables drops processes and home tags that no record names, once one of the
+// tables has atLeast entries.
 func (r *records) compactRunners(atLeast int) {
 	if len(r.runners) < atLeast && len(r.homes) < atLeast {
 		return
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// recordBytes is the heap that one record takes, with its share of the maps.
+// recordBytes returns the heap bytes of one record, with its share of the maps.
 func recordBytes(n int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/claim/request.go
+++ b/claim/request.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// wish says what a waiting call wants of a key.
+// callKind says what a call asks for.
 type wish uint8
 
 const (
@@ -26,42 +26,45 @@
 	deadline time.Duration
 }
 
-// pending is a key that another VM is asked about.
+// pending is a key with calls that wait for a decision.
 type pending struct {
 	token string
 	// home is the tag of the key's home VM.
 	home    string
 	waiters []waiter
-	// to is the VM that was asked in the view; it is empty while none could be.
-	to      membership.Member
-	view    membership.ViewID
-	lookup  bool
+	// to is the VM to which the last request went, in view. It is empty while no
+	// request could be sent.
+	to     membership.Member
+	view   membership.ViewID
+	lookup bool
+	// askedAt is the time of the last attempt, firstAt of the first one in the view.
 	askedAt time.Duration
 	firstAt time.Duration
 }
 
-// wantsKey reports whether a call wants to have the key.
+// wantsKey reports whether any waiting call is a claim or burn.
 func (p *pending) wantsKey() bool {
 	return slices.ContainsFunc(p.waiters, func(w waiter) bool { return w.wish != wishLookup })
 }
 
-// Claim asks for a key on behalf of a submission. The call ends in TakeDone.
+// Claim starts a call that asks for a key on behalf of a submission. TakeDone returns
+// its end.
 func (s *State) Claim(now time.Duration, number uint64, token string, h Hash) {
 	s.start(now, waiter{number: number, wish: wishClaim}, token, h)
 }
 
-// Burn refuses a key that nobody has claimed, for good: it is claimed with the
-// outcome NotRun.
+// Burn starts a call that permanently refuses a key that nobody has claimed: the key
+// is claimed with the outcome OutcomeNotRun.
 func (s *State) Burn(now time.Duration, number uint64, token string, h Hash) {
 	s.start(now, waiter{number: number, wish: wishBurn}, token, h)
 }
 
-// Lookup asks who has a key.
+// Lookup starts a call that asks who has a key.
 func (s *State) Lookup(now time.Duration, number uint64, token string, h Hash) {
 	s.start(now, waiter{number: number, wish: wishLookup}, token, h)
 }
 
-// Cancel forgets a call.
+// Cancel removes a call; TakeDone will not return it.
 func (s *State) Cancel(number uint64, h Hash) {
 	p := s.pending[h]
 	if p == nil {
@@ -74,7 +77,7 @@
 }
 
 // Return takes back a grant that its caller did not receive. The key has not been
-// started; the next Claim on this VM may have it.
+// started, and the next Claim on this VM may get it.
 func (s *State) Return(token string, h Hash) {
 	epoch, _, _ := splitToken(token)
 	rec, ok := s.records.get(epoch, h)
@@ -84,7 +87,7 @@
 	}
 }
 
-// SetOutcome notes how a key that this process runs ended.
+// SetOutcome records how a key that this process runs ended.
 func (s *State) SetOutcome(token string, h Hash, outcome Outcome) {
 	epoch, _, _ := splitToken(token)
 	rec, ok := s.records.get(epoch, h)
@@ -94,6 +97,8 @@
 	}
 }
 
+// startCall ends a call at once if this process has the key, else adds it to the
+// calls that wait for a decision on the key.
 func (s *State) start(now time.Duration, w waiter, token string, h Hash) {
 	epoch, home, valid := splitToken(token)
 	if !valid {
@@ -117,7 +122,7 @@
 	}
 }
 
-// ask decides the key here or sends a request to the VM that can.
+// decideOrAsk decides on a key here or sends a request to its registrar.
 func (s *State) ask(now time.Duration, h Hash, p *pending) {
 	p.to = membership.Member{}
 	p.askedAt = now
@@ -149,9 +154,9 @@
 	s.sendRequest(registrar, h, p)
 }
 
-// askSelf decides a key as its registrar. A grant to itself must be recorded by
-// the backup before it counts, unless this is the home VM of the key: nobody else
-// ever grants such a key.
+// decideAsRegistrar decides on a key as its registrar. The backup must record a grant
+// to this process before it counts. That is not needed at the home VM of the key: no
+// other VM ever grants such a key.
 func (s *State) askSelf(h Hash, p *pending) {
 	if !s.opened {
 		return
@@ -178,7 +183,7 @@
 	}}})
 }
 
-// decide answers a request from the records, and records a grant.
+// decide returns the verdict on a request by the records, and records a grant.
 func (s *State) decide(runner membership.Member, token, home string, h Hash, lookup bool) (claimpb.Verdict, record) {
 	epoch, ok := s.m.Epochs().Find(token)
 	if !ok {
@@ -189,14 +194,15 @@
 	case known && (lookup || !s.records.runner(rec).Same(runner)):
 		return claimpb.Verdict_VERDICT_TAKEN, rec
 	case known && !epoch.Open:
-		// The grant may be void: only an open epoch vouches for its records.
+		// The grant may be void: only the records of an open epoch are complete.
 		return claimpb.Verdict_VERDICT_TAKEN, rec
 	case known:
 		return claimpb.Verdict_VERDICT_GRANTED, rec
 	case !epoch.Open || s.homeIsGone(home):
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
 	case s.barred[token] && home != noHome:
-		// This process is the home, and may have forgotten the key elsewhere.
+		// This process is the home, and may have forgotten the key while it was in
+		// another view.
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
 	case lookup:
 		return claimpb.Verdict_VERDICT_UNKNOWN, record{}
@@ -208,7 +214,8 @@
 	return claimpb.Verdict_VERDICT_GRANTED, rec
 }
 
-// homeIsGone says that the only VM that may grant the key is not a member.
+// homeIsGone reports whether the key has a home VM that is not a member. No other VM
+// may grant the key.
 func (s *State) homeIsGone(home string) bool { return home != noHome && !s.ranking.hasHome(home) }
 
 func (s *State) handleRequest(from membership.Member, r *claimpb.Request) {
@@ -217,8 +224,8 @@
 		return
 	}
 	h := Hash(r.GetKey())
-	// The registrar speaks for all holders, so it must know what they know. The
-	// backup only adds its copy to the word of the registrar.
+	// The registrar decides for all holders, so it must have all records first. The
+	// backup only stores a copy of what the registrar has decided.
 	isRegistrar := s.ranking.registrar(r.GetHome(), h).Same(s.m.Self())
 	if isRegistrar && !s.opened {
 		return
@@ -252,7 +259,7 @@
 	s.settle(h, p, a.GetVerdict(), rec)
 }
 
-// settle ends the calls that wait for a key.
+// resolve ends the calls that wait for a key according to the verdict.
 func (s *State) settle(h Hash, p *pending, verdict claimpb.Verdict, rec record) {
 	switch verdict {
 	case claimpb.Verdict_VERDICT_GRANTED:
@@ -270,8 +277,9 @@
 	}
 }
 
-// accept records a grant as its second holder and hands it to the first call
-// that wants the key. This process takes part in the view of the grant.
+// acceptGrant records a grant as its second holder and gives it to the first claim or
+// burn that waits. The caller has checked that the grant belongs to the current view
+// and that this process takes part in it.
 func (s *State) accept(h Hash, p *pending) {
 	epoch, listed := s.m.Epochs().Find(p.token)
 	if !listed || !epoch.Open {
@@ -298,9 +306,9 @@
 	s.end(h, p, Done{Result: result})
 }
 
-// taken is the end of a call for a key that another call has. A key of this
-// process that was never handed out here may have been granted by a view that is
-// gone.
+// takenResult returns the end of a call for a key that is taken. If the record names
+// this process but no call here got the key, an earlier view may have granted it.
+// Such a grant can't be confirmed.
 func (s *State) taken(rec record, lookup bool) Done {
 	if !s.isSelf(rec) || rec.outcome != OutcomeNone {
 		return Done{Result: s.result(rec)}
@@ -311,6 +319,7 @@
 	return Done{Failure: failVoid()}
 }
 
+// resultOf returns the result for a recorded key that is not granted to the caller.
 func (s *State) result(rec record) Result {
 	runner := s.records.runner(rec)
 	r := Result{Runner: runner, State: Lost}
@@ -324,7 +333,7 @@
 
 func (s *State) isSelf(rec record) bool { return s.records.runner(rec).Same(s.m.Self()) }
 
-// end ends all calls for a key in the same way.
+// endAll ends all calls for a key with the same result.
 func (s *State) end(h Hash, p *pending, d Done) {
 	for _, w := range p.waiters {
 		s.finish(w.number, d)
@@ -333,12 +342,14 @@
 	delete(s.pending, h)
 }
 
+// endCall queues the end of one call for TakeDone.
 func (s *State) finish(number uint64, d Done) {
 	d.Waiter = number
 	s.done = append(s.done, d)
 }
 
-// tickPending repeats requests and gives up those that took too long.
+// tickPending ends calls that have timed out and repeats requests that are due. A VM
+// that has left requests unanswered for SuspectAfter is probed.
 func (s *State) tickPending(now time.Duration) {
 	for _, h := range s.pendingKeys() {
 		p := s.pending[h]
@@ -353,6 +364,7 @@
 	}
 }
 
+// expireCalls ends the calls for a key whose deadline has passed.
 func (s *State) expire(now time.Duration, h Hash, p *pending) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(w waiter) bool {
 		late := now >= w.deadline
@@ -366,7 +378,8 @@
 	}
 }
 
-// resendPending asks again in a new view.
+// resendPending decides or asks again about all pending keys: the view is new, or has
+// just been opened.
 func (s *State) resendPending(now time.Duration) {
 	for _, h := range s.pendingKeys() {
 		p := s.pending[h]
@@ -375,6 +388,7 @@
 	}
 }
 
+// pendingKeys returns the pending keys in a fixed order.
 func (s *State) pendingKeys() []Hash {
 	return slices.SortedFunc(maps.Keys(s.pending), func(a, b Hash) int { return slices.Compare(a[:], b[:]) })
 }
--- a/claim/state.go
+++ b/claim/state.go
@@ -10,14 +10,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Config sets a State up. Zero values take the defaults.
+// Config holds the settings of a State. Zero values stand for the defaults.
 type Config struct {
 	// MaxRecords is the number of records beyond which the oldest epoch is
 	// retired early. No key is granted beyond MaxRecords plus a quarter.
 	MaxRecords int
-	// Wait is how long a claim waits for an answer, over view changes.
+	// CallTimeout is how long a call waits for an answer, view changes included.
 	Wait time.Duration
-	// Retry is the time between two requests for the same key.
+	// RetryInterval is the time between two requests for the same key.
 	Retry time.Duration
 	// SuspectAfter is how long a VM may leave a request unanswered before it is
 	// probed.
@@ -33,9 +33,9 @@
 )
 
 const (
-	// transferRetry is the time between repetitions of an unacknowledged chunk.
+	// transferRetryInterval is the time between repetitions of an unacknowledged chunk.
 	transferRetry = 50 * time.Millisecond
-	// runnersKept is the length of the table of processes that is not compacted.
+	// minCompactLength is the table length from which on unused entries are dropped.
 	runnersKept = 1024
 )
 
@@ -48,24 +48,25 @@
 	Failure *api.Failure
 }
 
-// State holds the records of one process and its part of the view. It is not
-// safe for concurrent use.
+// State holds one process's records of keys, its membership state and its unfinished
+// calls and transfers. It is not safe for concurrent use.
 type State struct {
 	cfg Config
 	m   *membership.State
 
 	records *records
-	// view is the view that the records are arranged for.
+	// view is the view for which transfers of the records were planned last.
 	view    membership.ViewID
 	ranking *ranking
-	// purged is the epoch list that records were last checked against, and
-	// settledPurged says that they were checked against the settled view.
+	// purgedSequence is the epoch list by which records were last dropped.
+	// purgedMovedRecords says that the records which other members hold in the settled
+	// view were dropped.
 	purged        uint64
 	settledPurged bool
 	opened        bool
-	// barred are open epochs that this process may have forgotten keys of.
+	// blocked are the open epochs of which this process may have forgotten keys.
 	barred map[string]bool
-	// listed are the tokens of the epoch list that Sync saw last.
+	// listed holds the tokens of the epoch list listSeen, which Sync saw last.
 	listed   map[string]bool
 	listSeen listID
 
@@ -77,11 +78,11 @@
 	done []Done
 }
 
-// ErrMessage is the class of errors about messages that can't be read.
+// ErrMessage is the class of errors about malformed messages.
 var ErrMessage = errs.Tag("claim message")
 
-// New makes the state of a process that knows no keys. The membership state
-// must be driven through this one only.
+// New returns the state of a process that knows no keys. From then on the caller
+// passes messages and ticks for m to this state, which follows the changes of m.
 func New(cfg Config, m *membership.State) *State {
 	if cfg.MaxRecords == 0 {
 		cfg.MaxRecords = DefaultMaxRecords
@@ -106,37 +107,37 @@
 	}
 }
 
-// Membership is the state of the view. Call Sync after any call that changes it.
+// Membership returns the membership state. Call Sync after any call that changes it.
 func (s *State) Membership() *membership.State { return s.m }
 
-// Records is the number of keys that this process keeps.
+// Records returns the number of keys that this process has records of.
 func (s *State) Records() int { return s.records.count }
 
 // Opened reports whether this process has the records that it must hold.
 func (s *State) Opened() bool { return s.opened }
 
-// TakeOutgoing returns the messages to send and forgets them.
+// TakeOutgoing returns the messages to send and removes them from the state.
 func (s *State) TakeOutgoing() []membership.Outgoing {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// TakeDone returns the calls that have ended and forgets them.
+// TakeDone returns the calls that have ended and removes them from the state.
 func (s *State) TakeDone() []Done {
 	done := s.done
 	s.done = nil
 	return done
 }
 
-// HandleMembership takes a message for the membership duty.
+// HandleMembership handles a peer's message for the membership duty.
 func (s *State) HandleMembership(now time.Duration, id string, incarnation uint64, body []byte) error {
 	err := s.m.Handle(now, id, incarnation, body)
 	s.Sync(now)
 	return err
 }
 
-// HandleClaim takes a message for the claim duty.
+// HandleClaim handles a peer's message for the claim duty.
 func (s *State) HandleClaim(now time.Duration, id string, incarnation uint64, body []byte) error {
 	var m claimpb.Message
 	if err := proto.Unmarshal(body, &m); err != nil {
@@ -166,7 +167,8 @@
 	s.tickBound(now)
 }
 
-// Sync follows changes of the membership state.
+// Sync follows changes of the membership state: it installs a new view and drops
+// records that this process need not hold any more.
 func (s *State) Sync(now time.Duration) {
 	if s.m.View().ID != s.view {
 		s.install(now)
@@ -176,12 +178,13 @@
 	s.purgeMoved()
 }
 
-// listID tells epoch lists apart.
+// listID identifies an epoch list.
 type listID struct {
 	view     membership.ViewID
 	sequence uint64
 }
 
+// updateListed remembers the tokens of the epoch list in use.
 func (s *State) noteList() {
 	id := listID{view: s.view, sequence: s.m.Epochs().Sequence}
 	if id == s.listSeen {
@@ -194,7 +197,7 @@
 	}
 }
 
-// purgeEpochs forgets the keys of epochs that no member lists any more.
+// purgeEpochs drops the records of epochs that no member lists any more.
 func (s *State) purgeEpochs() {
 	if s.purged == s.m.CommittedSequence() || s.m.CommittedSequence() != s.m.Epochs().Sequence {
 		return
@@ -208,7 +211,8 @@
 	s.records.compactRunners(runnersKept)
 }
 
-// purgeMoved forgets the records that other members hold, once all have them.
+// purgeMoved drops the records that other members hold, once every member has the
+// records that it must hold.
 func (s *State) purgeMoved() {
 	if s.settledPurged || !s.m.Settled() || !s.m.Active() {
 		return
@@ -225,7 +229,8 @@
 	}
 }
 
-// tickBound asks for early retirement when there are too many records.
+// tickRecordLimit asks for early retirement of the oldest epoch when there are too
+// many records.
 func (s *State) tickBound(now time.Duration) {
 	var retire uint64
 	if list := s.m.Epochs(); s.records.count > s.cfg.MaxRecords && len(list.Epochs) > 0 {
@@ -239,7 +244,7 @@
 func (s *State) send(to membership.Member, m *claimpb.Message) {
 	body, err := proto.Marshal(m)
 	if err != nil {
-		panic("claim: a message of our own can't be written: " + err.Error())
+		panic("claim: can't encode a message: " + err.Error())
 	}
 	s.out = append(s.out, membership.Outgoing{To: to, Body: body})
 }
--- a/claim/state_fuzz_fault_test.go
+++ b/claim/state_fuzz_fault_test.go
@@ -10,8 +10,8 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// runToChange lets time pass until some process leaves its view or has a new one,
-// so that the next actions fall into the middle of a view change.
+// runToChange lets time pass until the view state of some process changes, so that the
+// next actions fall into a view change.
 func (f *fuzz) runToChange() {
 	before := f.viewStates()
 	for range 30 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// viewState is what a view change alters in a process.
+// viewState is the state of a process that a view change alters.
 type viewState struct {
 	view   membership.ViewID
 	active bool
@@ -43,7 +43,7 @@
 	return states
 }
 
-// delay takes messages of the claim duty off the network until deliverDelayed.
+// delay holds messages of the claim duty back until deliverDelayed.
 func (f *fuzz) delay() {
 	isClaim := func(p packet) bool { return p.duty == peerpb.Duty_DUTY_CLAIM }
 	for range 1 + f.pick("messages", 4) {
@@ -62,9 +62,9 @@
 	f.deliverMany(n)
 }
 
-// loseHolders takes away the two processes that hold a key, the second one at any
-// moment of the view change that the first one causes, at times a third one as
-// well, and claims the key again.
+// loseHolders disturbs the two processes that hold a key, the second one during the view
+// change that the first one causes. At times it disturbs a third one as well. Then it
+// claims the key again.
 func (f *fuzz) loseHolders() {
 	if f.calm || f.isDisturbed() || len(f.used) == 0 {
 		return
@@ -94,7 +94,7 @@
 	f.claimAgain(f.used)
 }
 
-// lose1 pauses, kills, replaces or cuts off a process.
+// disturb pauses, replaces, cuts off, stops or kills a process.
 func (f *fuzz) lose1(id string) {
 	v := f.vms[id]
 	if v == nil || len(f.vms) == 1 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// finishKey notes an outcome. A refusal by the runner is one as well; the model
-// keeps it apart from a start.
+// finishKey sets the outcome of a granted key: completed, or refused by the runner,
+// which the oracle records as not run.
 func (f *fuzz) finishKey() {
 	v := f.pickVM()
 	if len(v.grants) == 0 || v.paused {
@@ -134,7 +134,7 @@
 	}
 }
 
-// returnGrant models a caller that went away before it got its grant.
+// returnGrant models a caller that stopped waiting before it got its grant.
 func (f *fuzz) returnGrant() {
 	v := f.pickVM()
 	if len(v.grants) == 0 || v.paused {
@@ -148,6 +148,7 @@
 	delete(f.oracle.owner, h)
 }
 
+// isDisturbed reports whether a process is down or paused.
 func (f *fuzz) isDisturbed() bool {
 	if len(f.vms) < len(f.names) {
 		return true
--- a/claim/state_fuzz_test.go
+++ b/claim/state_fuzz_test.go
@@ -11,11 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// oracle knows from the outside what may happen to each key. A grant counts as a
-// start, because a process may be paused for any time between the two. So the
-// owner of a key never changes, also when it is lost.
+// oracle checks the ends of calls against all earlier ones. A grant counts as a start,
+// because a process may be paused for any time between the two. So the owner of a key
+// never changes, also when it is lost.
 type oracle struct {
-	owner  map[Hash]membership.Member
+	// owner is the process to which a key was granted.
+	owner map[Hash]membership.Member
+	// notRun holds the keys that were refused.
 	notRun map[Hash]bool
 }
 
@@ -26,7 +28,7 @@
 	}
 }
 
-// see checks the end of a call.
+// check checks the end of a call.
 func (o *oracle) see(t *rapid.T, v *vm, call callInfo, d Done) {
 	if d.Failure != nil {
 		return
@@ -47,7 +49,7 @@
 		}
 		o.notRun[h] = true
 	case d.Result.State == Completed && !owned:
-		t.Fatalf("key %x reported as completed, but nobody had it", h[:4])
+		t.Fatalf("key %x reported as completed, but it was never granted", h[:4])
 	}
 }
 
@@ -62,19 +64,21 @@
 	v.grants = append(v.grants, h)
 }
 
-// fuzz drives a world by random actions.
+// fuzz drives a test cluster by random actions.
 type fuzz struct {
 	*world
 	t      *rapid.T
 	oracle *oracle
 	names  []string
 	tokens []string
-	// homes are the tags of the last processes.
+	// homes are the home tags of the processes that started last.
 	homes []string
 	// used are the last keys, all are all keys of the run.
-	used   []usedKey
-	all    []usedKey
-	fresh  int
+	used []usedKey
+	all  []usedKey
+	// keyCount is the number of keys of the run.
+	fresh int
+	// groups are the sides of a partitioned network by address.
 	groups map[string]int
 	// delayed are messages that arrive late, often in another view.
 	delayed []packet
@@ -123,7 +127,7 @@
 	return v
 }
 
-// action is one kind of step and its weight.
+// action is one kind of step with its weight in the random choice.
 type action struct {
 	weight int
 	do     func()
@@ -176,7 +180,7 @@
 	}
 }
 
-// removeLeft ends processes that have left their view.
+// removeLeft removes processes that have left their view.
 func (f *fuzz) removeLeft() {
 	for _, id := range f.ids() {
 		if f.vms[id].state.Membership().Left() && len(f.vms) > 1 {
@@ -200,7 +204,8 @@
 	return f.groups[p.from.Address] == f.groups[p.address]
 }
 
-// deliverAt delivers a message or, when its receiver is paused, leaves it.
+// deliverAt delivers a message. It keeps the message and returns false when the receiver
+// is paused.
 func (f *fuzz) deliverAt(i int) bool {
 	p := f.packets[i]
 	for _, v := range f.vms {
@@ -243,7 +248,7 @@
 	}
 }
 
-// settle lets time pass with prompt messages; faults stay as they are.
+// settle lets time pass with prompt delivery; faults stay as they are.
 func (f *fuzz) settle(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.tick(2 * testTick)
@@ -261,7 +266,7 @@
 	f.deliverMany(200)
 }
 
-// claim claims, burns or looks up a key, which often is one of the last few.
+// claim claims, burns or looks up a key, often one of the last few.
 func (f *fuzz) claim() {
 	v := f.pickVM()
 	if len(f.tokens) == 0 || v.paused {
@@ -272,14 +277,14 @@
 		token = f.tokens[f.pick("token", len(f.tokens))]
 	}
 	k := f.pickKey(f.withHome(v, token))
-	w := []wish{wishClaim, wishClaim, wishClaim, wishBurn, wishLookup}[f.pick("wish", 5)]
-	f.call(v, w, k.token, k.unique)
+	kind := []wish{wishClaim, wishClaim, wishClaim, wishBurn, wishLookup}[f.pick("kind", 5)]
+	f.call(v, kind, k.token, k.unique)
 	if f.pick("prompt", 2) == 0 {
 		f.deliverMany(40)
 	}
 }
 
-// withHome names a home VM in most tokens, often the VM at hand.
+// withHome adds a home VM to most tokens, often v.
 func (f *fuzz) withHome(v *vm, token string) string {
 	switch f.pick("home", 4) {
 	case 0:
@@ -290,6 +295,7 @@
 	return tokenWithHome(token, f.homes[f.pick("whose", len(f.homes))])
 }
 
+// pickKey returns one of the last keys or a new one.
 func (f *fuzz) pickKey(token string) usedKey {
 	if len(f.used) > 0 && f.pick("again", 3) > 0 {
 		return f.used[f.pick("used", len(f.used))]
@@ -302,7 +308,8 @@
 	return k
 }
 
-// recover ends all faults and checks that new keys are granted again.
+// recoverAndCheck ends all faults, claims all keys again, and checks that new keys are
+// granted.
 func (f *fuzz) recover() {
 	f.groups = nil
 	for _, id := range f.ids() {
@@ -321,7 +328,7 @@
 	f.grantsNew(tokenWithHome(epoch, homeTag(f.pickVM().self)))
 }
 
-// grantsNew checks that one VM is granted a new key and that all learn of it.
+// checkNewGrant checks that one VM is granted a new key and that all VMs see it running.
 func (f *fuzz) grantsNew(token string) {
 	v := f.pickVM()
 	d := f.world.claim(v, token, "new")
@@ -332,7 +339,7 @@
 	}
 }
 
-// runFuzz is one life of a failure domain.
+// runFuzz starts a failure domain, runs random actions on it and ends all faults.
 func runFuzz(t *rapid.T) {
 	f := &fuzz{world: newWorld(), t: t, oracle: newOracle()}
 	f.config = fuzzConfig
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -9,33 +9,36 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// chunkRecords is the most records of one transfer message.
+// chunkRecords is the largest number of records in one transfer message.
 const chunkRecords = 4096
 
-// outgoing are the records that one receiver needs.
+// outgoingTransfer holds the records that one receiver needs.
 type outgoing struct {
-	to      membership.Member
-	moves   []move
+	to    membership.Member
+	moves []move
+	// index is the chunk that the receiver has to acknowledge next.
 	index   uint32
 	sent    bool
 	sentAt  time.Duration
 	allDone bool
 }
 
-// incoming counts the chunks of one sender.
+// incomingTransfer counts the chunks of one sender.
 type incoming struct {
+	// next is the index of the chunk that is stored next.
 	next    uint32
 	allDone bool
 }
 
-// move is a record on its way.
+// move is a record in a transfer.
 type move struct {
 	token string
 	hash  Hash
 	rec   record
 }
 
-// install arranges the records for the view that has just been installed.
+// installView plans the transfers for the view that membership has just installed, and
+// asks again for all pending keys.
 func (s *State) install(now time.Duration) {
 	view := s.m.View()
 	before := s.ranking
@@ -58,18 +61,18 @@
 	s.resendPending(now)
 }
 
-// join forgets what this process knows from another lineage about epochs in
-// which unknown keys are granted here: the survivors know better, and a grant
-// that was never accepted may be void. Grants that it accepted stay, and so do
-// keys whose home it is: nobody else grants them, or need know of them.
+// forgetOnJoin drops records of open epochs when this process did not come to the view
+// from its parent. The survivors of the parent have the valid records, and a grant that
+// was never accepted may be void. Accepted grants stay. So do keys whose home is this
+// process: no other process grants them or needs a record of them.
 //
-// An epoch that this process no longer listed may be one that it forgot grants
-// of, so it claims no keys of it.
+// This process may have dropped its records of an epoch that it did not list any more.
+// So it claims no keys of that epoch.
 func (s *State) join(hadView bool) {
 	if !hadView {
 		return
 	}
-	barred := map[string]bool{}
+	blocked := map[string]bool{}
 	epochs := s.m.Epochs().Epochs
 	for _, e := range epochs {
 		token := e.Token()
@@ -77,13 +80,15 @@
 			continue
 		}
 		s.forgetUnaccepted(token)
-		barred[token] = s.barred[token] || !s.listed[token]
+		blocked[token] = s.barred[token] || !s.listed[token]
 	}
-	// The newest epoch was minted for this view.
-	delete(barred, epochs[len(epochs)-1].Token())
-	s.barred = barred
+	// The newest epoch was created for this view, so no keys of it are forgotten.
+	delete(blocked, epochs[len(epochs)-1].Token())
+	s.barred = blocked
 }
 
+// forgetUnaccepted drops an epoch's records of grants that no call here accepted and
+// whose home is another process.
 func (s *State) forgetUnaccepted(token string) {
 	own := homeTag(s.m.Self())
 	for h, rec := range s.records.epochs[token] {
@@ -93,8 +98,8 @@
 	}
 }
 
-// planTransfers lists for each member the records that it must hold and may
-// lack, and expects a transfer from each process that the view has.
+// planTransfers lists for each member the records that it must hold and may lack. It
+// expects a transfer from every other member and leaver.
 func (s *State) planTransfers(view *membership.View, before *ranking) {
 	s.outgoing = map[string]*outgoing{}
 	s.incoming = map[string]*incoming{}
@@ -122,14 +127,14 @@
 	}
 }
 
-// planMove adds a record to the transfers of its new holders. When the parent
-// view was settled, its holders have the record already, and the first of them
-// that survived sends it.
+// planMove adds a record to the transfers of its new holders. Before is the ranking of
+// a settled parent view, else nil. With a settled parent the record's former holders
+// have it already, and the first surviving one sends it.
 func (s *State) planMove(view *membership.View, before *ranking, mv move) {
 	runner := s.records.runner(mv.rec)
 	home := s.records.home(mv.rec)
 	if s.leavesOutcome(view, mv.rec) {
-		// The others know the key, but not how it ended.
+		// The other holders have the record without its outcome.
 		before = nil
 	}
 	var had []string
@@ -150,8 +155,8 @@
 	}
 }
 
-// leavesOutcome says that this process leaves and is the only one to know how the
-// key ended.
+// leavesOutcome reports whether this process leaves and is the only one that knows how
+// the key ended.
 func (s *State) leavesOutcome(view *membership.View, rec record) bool {
 	return s.isSelf(rec) && rec.outcome != OutcomeNone && !view.Has(s.m.Self().ID, s.m.Self().Incarnation)
 }
@@ -160,7 +165,7 @@
 	slices.SortFunc(moves, func(a, b move) int { return slices.Compare(a.hash[:], b.hash[:]) })
 }
 
-// tickTransfers sends the chunks that are due.
+// tickTransfers sends chunks for the first time or again when they are due.
 func (s *State) tickTransfers(now time.Duration) {
 	s.checkHandedOver()
 	for _, id := range slices.Sorted(maps.Keys(s.outgoing)) {
@@ -186,6 +191,7 @@
 	s.send(o.to, &claimpb.Message{Kind: &claimpb.Message_Transfer{Transfer: t}})
 }
 
+// encodeMoves writes records as columns with tables of epochs, runners and homes.
 func (s *State) encodeMoves(moves []move) *claimpb.Transfer {
 	t := &claimpb.Transfer{}
 	epochs := map[string]uint32{}
@@ -219,6 +225,8 @@
 	return t
 }
 
+// handleTransfer stores the chunk that is next and acknowledges it. A repeated chunk is
+// only acknowledged again.
 func (s *State) handleTransfer(now time.Duration, from membership.Member, t *claimpb.Transfer) {
 	in := s.incoming[from.ID]
 	if !s.isCurrentSource(from, t.GetViewNumber(), t.GetViewNonce()) || in == nil || t.GetIndex() > in.next {
@@ -237,6 +245,8 @@
 	s.checkOpen(now)
 }
 
+// isCurrentSource reports whether a message belongs to the installed view and comes
+// from one of its members or leavers.
 func (s *State) isCurrentSource(from membership.Member, number, nonce uint64) bool {
 	view := s.m.View()
 	isSource := func(m membership.Member) bool { return m.Same(from) }
@@ -252,7 +262,7 @@
 	}
 }
 
-// readMove reads one record of a transfer; false says that it is malformed.
+// readMove decodes one record of a transfer. It returns false if it is malformed.
 func (s *State) readMove(t *claimpb.Transfer, i int) (move, bool) {
 	if len(t.GetKeys()) < (i+1)*hashBytes || min(len(t.GetRunner()), len(t.GetOutcomes()), len(t.GetHome())) <= i {
 		return move{}, false
@@ -272,6 +282,7 @@
 	}, true
 }
 
+// storeMove adds a received record of a listed epoch, or its outcome.
 func (s *State) storeMove(mv move) {
 	if _, ok := s.m.Epochs().Find(mv.token); !ok {
 		return
@@ -284,12 +295,13 @@
 		known.outcome = mv.rec.outcome
 		s.records.put(mv.token, mv.hash, known)
 	case known.runner != mv.rec.runner && !known.handed:
-		// Only lineages that lived side by side can disagree, and one of the two
-		// may have started the key.
+		// Only views that existed side by side can disagree. Either runner may have
+		// started the key.
 		s.records.put(mv.token, mv.hash, record{runner: nobody, home: mv.rec.home})
 	}
 }
 
+// handleTransferAck sends the next chunk, or ends the transfer after the last one.
 func (s *State) handleTransferAck(now time.Duration, from membership.Member, ack *claimpb.TransferAck) {
 	o := s.outgoing[from.ID]
 	if !s.isCurrentSource(from, ack.GetViewNumber(), ack.GetViewNonce()) || o == nil || ack.GetIndex() != o.index {
@@ -305,7 +317,7 @@
 	s.sendChunk(now, o)
 }
 
-// checkOpen opens the view when every process of it has sent its records.
+// openIfComplete opens the view when every other member and leaver has sent its records.
 func (s *State) checkOpen(now time.Duration) {
 	if s.opened {
 		return
@@ -320,9 +332,9 @@
 	s.resendPending(now)
 }
 
-// checkHandedOver lets a leaver stop when every member that is not lost has its records.
-// One that went to another view without them is waited for, so that the hand-over fails
-// for all to see.
+// finishHandOver lets a leaver stop when every member that is not lost has its records.
+// A member that went to another view without them counts as missing, so that the
+// hand-over visibly fails instead of losing the records.
 func (s *State) checkHandedOver() {
 	for _, o := range s.outgoing {
 		if !o.allDone && !s.m.IsLost(o.to) {
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -14,8 +14,8 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. Flags of the
-// command line go first.
+// TestMain fixes the seed, so that each run gives the same result. Flags of the command
+// line override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -28,11 +28,11 @@
 const (
 	testDomain = "hall-a"
 	testTick   = 50 * time.Millisecond
-	// mostAnswers is more messages than any step can cause.
+	// maxDeliveries is more messages than any step can cause.
 	mostAnswers = 20_000
 )
 
-// packet is a message on its way.
+// packet is a message on the network.
 type packet struct {
 	from    membership.Member
 	address string
@@ -40,7 +40,7 @@
 	body    []byte
 }
 
-// vm is a process with pure states.
+// vm is a process: its state and what the test has seen of it.
 type vm struct {
 	self   membership.Member
 	state  *State
@@ -50,7 +50,7 @@
 	ended  map[uint64]Done
 }
 
-// world joins processes by a network without time of its own.
+// testCluster connects processes by a simulated network. Time passes in tick only.
 type world struct {
 	now     time.Duration
 	config  membership.Config
@@ -79,11 +79,11 @@
 
 func (w *world) nextNonce() uint64 {
 	w.nonce++
-	// Spread the bits, so that later nonces are not the larger ones.
+	// Spread the bits, so that later nonces are not always larger.
 	return w.nonce * 0x9e3779b97f4a7c15
 }
 
-// boot starts a process on a VM, also in place of an earlier one.
+// boot starts a process on a VM; it replaces an earlier one.
 func (w *world) boot(id string, seeds ...string) *vm {
 	w.lastInc++
 	self := membership.Member{ID: id, Incarnation: w.lastInc, Address: vmAddress(id)}
@@ -102,7 +102,7 @@
 
 func (w *world) ids() []string { return slices.Sorted(maps.Keys(w.vms)) }
 
-// flush collects what a process has to say.
+// flush collects the ended calls and outgoing messages of a process.
 func (w *world) flush(v *vm) {
 	for _, d := range v.state.TakeDone() {
 		v.ended[d.Waiter] = d
@@ -124,8 +124,8 @@
 	}
 }
 
-// deliver hands a message to whatever process runs at the address, also to a
-// successor of the one that was meant.
+// deliver passes a message to the process at the address, which may be a successor of
+// the intended one.
 func (w *world) deliver(p packet) {
 	if w.loses != nil && w.loses(p) {
 		return
@@ -156,8 +156,8 @@
 	}
 }
 
-// drain delivers every message in order until none is left. Messages that answer
-// each other for ever are a fault.
+// drain delivers all messages in order, also those that they cause. It panics when
+// messages answer each other endlessly.
 func (w *world) drain() {
 	for n := 0; len(w.packets) > 0; n++ {
 		if n > mostAnswers {
@@ -178,20 +178,21 @@
 }
 
 // call starts a call and returns its number.
-func (w *world) call(v *vm, wish wish, token, unique string) uint64 {
+func (w *world) call(v *vm, kind wish, token, unique string) uint64 {
 	w.number++
 	h := HashKey(key.Key{Domain: testDomain, Epoch: token, Unique: unique})
-	w.calls[w.number] = callInfo{hash: h, token: token, wish: wish}
-	v.state.start(w.now+v.skew, waiter{number: w.number, wish: wish}, token, h)
+	w.calls[w.number] = callInfo{hash: h, token: token, wish: kind}
+	v.state.start(w.now+v.skew, waiter{number: w.number, wish: kind}, token, h)
 	w.flush(v)
 	return w.number
 }
 
-// claim makes a call and lets the network answer it.
+// claim claims a key and lets the network answer the call.
 func (w *world) claim(v *vm, token, unique string) Done { return w.answer(v, wishClaim, token, unique) }
 
-func (w *world) answer(v *vm, wish wish, token, unique string) Done {
-	number := w.call(v, wish, token, unique)
+// answer starts a call, delivers all messages and returns the end of the call.
+func (w *world) answer(v *vm, kind wish, token, unique string) Done {
+	number := w.call(v, kind, token, unique)
 	w.drain()
 	return v.ended[number]
 }
