--- a/membership/change.go
+++ b/membership/change.go
@@ -7,7 +7,7 @@
 	pb "github.com/burdockward/burdockward/membership/membershippb"
 )
 
-// maxPromises bounds the views that are promised one after the other.
+// maxPromises bounds the promises that are remembered.
 const maxPromises = 16
 
 // proposal is a view change that this process leads.
@@ -17,21 +17,23 @@
 	sentAt   time.Duration
 }
 
-// participants are the processes whose promise is needed.
+// participants returns the processes whose promise is needed.
 func (c *proposal) participants() []Member { return c.view.sources() }
 
 func (c *proposal) isComplete() bool {
 	return len(c.promises) == len(c.participants())
 }
 
-// tickChange leads a view change when this process is the one to do so.
+// tickChange continues the proposal of this process, or proposes a view when one is
+// needed and this process is the proposer.
 func (s *State) tickChange(now time.Duration) {
 	s.checkAlone()
 	if s.left || s.view.ID.IsZero() || !s.isMember() {
 		return
 	}
 	if s.proposal != nil {
-		// Others have promised it, so that it goes on when this process leaves.
+		// Others have promised the proposal, so it continues also when this process
+		// leaves.
 		s.tickProposal(now)
 		return
 	}
@@ -45,7 +47,8 @@
 	s.propose(now)
 }
 
-// proposer is the member with the lowest id of those that can lead a change.
+// proposer returns the member that proposes the next view: the one with the lowest id
+// that is present and not leaving.
 func (s *State) proposer() Member {
 	for _, m := range s.view.Members {
 		if m.Same(s.cfg.Self) || s.isStaying(m) {
@@ -55,16 +58,16 @@
 	return s.cfg.Self
 }
 
-// probe asks a member without waiting for the next heartbeat: a change, and a
-// planned stop, should not wait longer than they must for one that is lost.
+// probe asks a member for its status without waiting for the next heartbeat, so that a
+// change or planned stop is not delayed when that member is lost.
 func (s *State) probe(now time.Duration, m Member) {
 	if p := s.peers[m.ID]; !p.waiting && now-p.askedAt >= s.cfg.ProbeInterval {
 		s.ask(now, m)
 	}
 }
 
-// isGone reports whether a process of the view is suspected, was restarted or has
-// gone to another view.
+// isGone reports whether a process of the view is suspected, was restarted or went to
+// another view.
 func (s *State) isGone(m Member) bool {
 	p := s.peers[m.ID]
 	return p != nil && (s.IsLost(m) || s.isElsewhere(p))
@@ -76,8 +79,8 @@
 	return p != nil && (p.suspected || p.member.Incarnation > m.Incarnation)
 }
 
-// isElsewhere reports whether a member of the view has a view that it can't come
-// from to the installed one.
+// isElsewhere reports whether a process of the view went to another view, from which it
+// can't come to the installed one.
 func (s *State) isElsewhere(p *peer) bool {
 	if p.view == s.view.ID {
 		return false
@@ -85,6 +88,8 @@
 	return p.view.Number >= s.view.ID.Number || p.refuses == s.view.ID
 }
 
+// needsChange reports whether a new view is needed: a process is gone, a change is stuck
+// or must be repeated, or in a settled view a member leaves or a candidate waits.
 func (s *State) needsChange(now time.Duration) bool {
 	if s.mustChange || slices.ContainsFunc(s.watched(), s.isGone) || s.isStuck(now) {
 		return true
@@ -96,7 +101,8 @@
 	return slices.ContainsFunc(s.others(), isLeaving) || len(s.candidates(now)) > 0
 }
 
-// isStuck reports whether a member waits for a view that nobody leads any more.
+// isStuck reports whether a member has promised a view that has not been installed
+// within joinTimeout, because its proposer is gone.
 func (s *State) isStuck(now time.Duration) bool {
 	if len(s.promises) > 0 {
 		return now-s.promisedAt > joinWait
@@ -107,6 +113,8 @@
 	})
 }
 
+// propose starts a view change without the processes that are gone. Candidates join in a
+// settled view only.
 func (s *State) propose(now time.Duration) {
 	members := []Member{s.cfg.Self}
 	var leavers []Member
@@ -139,6 +147,7 @@
 	s.decide(now)
 }
 
+// sendProposal sends the proposal to the participants that have not promised it.
 func (s *State) sendProposal(now time.Duration) {
 	c := s.proposal
 	c.sentAt = now
@@ -172,8 +181,8 @@
 	p.askedAt = now
 }
 
-// tickProposal repeats the proposal, and starts over without those that became
-// silent or went elsewhere.
+// tickProposal repeats the proposal. It gives the proposal up when a participant is gone
+// or this process is behind; the next one is made without those that are gone.
 func (s *State) tickProposal(now time.Duration) {
 	c := s.proposal
 	if now-c.sentAt < s.cfg.ProbeInterval {
@@ -196,7 +205,8 @@
 	s.sendProposal(now)
 }
 
-// promise leaves the installed view for another one.
+// makePromise records that this process leaves the installed view for another one, and
+// returns the message that says so.
 func (s *State) promise(now time.Duration, view ViewID) *pb.Promise {
 	p := promise{view: view, installed: s.view.ID}
 	if !slices.Contains(s.promises, p) {
@@ -227,6 +237,8 @@
 	s.send(p.member, &pb.Message{Kind: &pb.Message_Promise{Promise: answer}})
 }
 
+// canPromise reports whether this process promises a proposal. The proposed view must
+// include this process and be a child of the installed view or have a higher number.
 func (s *State) mayPromise(p *peer, m *pb.Propose) bool {
 	id := viewID(m.GetView())
 	participants := append(membersFrom(m.GetMembers()), membersFrom(m.GetLeavers())...)
@@ -237,7 +249,7 @@
 	if !isChild && id.Number <= s.view.ID.Number {
 		return false
 	}
-	// Of two proposers in one view the one with the lower id goes on.
+	// Of two proposers in one view the one with the lower id continues.
 	rival := s.proposal != nil && isChild && s.cfg.Self.ID < p.member.ID
 	return !rival
 }
@@ -251,7 +263,7 @@
 	s.decide(now)
 }
 
-// decide installs the proposed view when every participant has promised it.
+// installIfPromised installs the proposed view when every participant has promised it.
 func (s *State) decide(now time.Duration) {
 	c := s.proposal
 	if !c.isComplete() {
@@ -273,7 +285,7 @@
 	}
 }
 
-// survivors are the ids of participants that had the parent installed.
+// survivors returns the ids of the participants that had the parent installed.
 func (s *State) survivors(c *proposal) []string {
 	var ids []string
 	for _, m := range c.participants() {
@@ -285,14 +297,14 @@
 	return ids
 }
 
-// fence decides whether the new view may take keys of earlier epochs that it
-// doesn't know for new ones.
+// fence decides whether the new view may treat a key of an earlier epoch as new when it
+// has no record of it. If not, the view is fenced: the earlier epochs are closed.
 //
-// Every grant since the last settled view is known to two processes of the view
-// it was given in, and every older one to two members of the settled view. So an
-// unfenced view knows all of them when at most one such process is lost. Two
-// unfenced children of one view share a survivor, which installs only one of
-// them; the other one never opens, and the survivor counts as lost there.
+// Two processes have a record of every grant: two processes of the view in which it was
+// made, or two members of the last settled view if it is older. So the records are
+// complete as long as at most one such process is lost. Two unfenced children of one
+// view share a survivor, which installs only one of them. The other child never opens,
+// and the survivor counts as lost there.
 func (s *State) fence(view *View) {
 	survived := func(m Member) bool { return view.Survived(m.ID) }
 	var lost []Member
@@ -308,7 +320,8 @@
 	}
 	fewSurvivors := len(view.Survivors) < 2 && len(view.Survivors) < len(s.view.Members)
 	if len(lost) > 1 || fewSurvivors {
-		// Nothing of the past can be granted any more, so nothing is missing.
+		// Keys of earlier epochs can't be granted any more, so no missing record matters
+		// and Lost stays empty.
 		view.Fenced = true
 		return
 	}
@@ -316,10 +329,11 @@
 	view.Lost = lost
 }
 
-// nextList is the list of the proposer, closed when the view is fenced, with the
-// epochs of joined lineages, closed, and a new epoch. A newer list of another
-// survivor is not committed, since the proposer doesn't use it: nobody has made
-// keys of its new epoch or forgotten keys of the epoch that it drops.
+// nextEpochList returns the epoch list of the new view: the proposer's epochs, closed when
+// the view is fenced, the epochs of processes that join from other views, closed, and a
+// new epoch. Another survivor may have a newer list. It is not committed, because the
+// proposer doesn't use it: no caller has keys of its new epoch, and no process has
+// dropped the keys of the epoch that it leaves out.
 func (s *State) nextList(c *proposal, view *View) EpochList {
 	list := s.list.clone()
 	if view.Fenced {
@@ -338,6 +352,7 @@
 	return list
 }
 
+// addClosed adds the epochs of another list as closed ones.
 func (l *EpochList) addClosed(other EpochList) {
 	for _, e := range other.Epochs {
 		if l.has(e) {
--- a/membership/change_test.go
+++ b/membership/change_test.go
@@ -22,7 +22,7 @@
 	return members
 }
 
-// newState is a process in a settled view of the named members.
+// newState returns a process in a settled view of the named members.
 func newState(self string, ids ...string) *State {
 	nonce := uint64(100)
 	s := New(Config{Self: testMember(self), Nonce: func() uint64 { nonce++; return nonce }}, 0)
@@ -46,6 +46,7 @@
 	}
 }
 
+// sent takes the outgoing messages and returns those of one kind.
 func sent[T any](s *State) []T {
 	var out []T
 	for _, o := range s.TakeOutgoing() {
@@ -60,8 +61,8 @@
 	return out
 }
 
-// changeTo decides a view of the named participants; installed says which of them
-// come from another view than the parent.
+// changeTo installs a view of the named participants. Those in elsewhere come from
+// another view than the parent.
 func changeTo(s *State, members, leavers []string, elsewhere ...string) *View {
 	c := &proposal{
 		view: View{
@@ -184,7 +185,7 @@
 
 	s = newState("b", "a", "b", "c")
 	s.receive(testMember("c"), m)
-	must.Eq(t, 3, s.list.Sequence, must.Sprint("only the coordinator changes the list"))
+	must.Eq(t, 3, s.list.Sequence, must.Sprint("took a list that is not the coordinator's"))
 	s.receive(testMember("a"), m)
 	must.Eq(t, 4, s.list.Sequence)
 }
@@ -274,14 +275,15 @@
 	must.SliceEmpty(t, s.TakeOutgoing())
 }
 
-// A leaver of a view that is not settled waits for its members.
+// A leaver of a view that is not settled yet waits for the view's members, so it must
+// learn which of them leave.
 func TestLeaveIsToldToEarlierLeavers(t *testing.T) {
 	s := newState("a", "a", "b")
 	s.view.Leavers = testMembers("c")
 	s.Leave(testNow)
-	var told []string
+	var notified []string
 	for _, o := range s.TakeOutgoing() {
-		told = append(told, o.To.ID)
+		notified = append(notified, o.To.ID)
 	}
-	must.Eq(t, []string{"b", "c"}, told)
+	must.Eq(t, []string{"b", "c"}, notified)
 }
--- a/membership/config.go
+++ b/membership/config.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Config sets a State up. Zero durations and counts take the defaults.
+// Config holds the settings of a State. Zero durations and counts stand for the
+// defaults.
 type Config struct {
 	// Self is this process.
 	Self Member
 	// Seeds are peer addresses where other members may be found.
 	Seeds []string
-	// EpochBase is the least number of a new epoch. Unix seconds keep the order
-	// of epochs through a restart of the whole failure domain.
+	// EpochBase is the smallest number of a new epoch. With Unix seconds, epochs stay
+	// ordered through a restart of the whole failure domain.
 	EpochBase uint64
-	// Nonce gives random numbers.
+	// Nonce returns random numbers.
 	Nonce func() uint64
 
-	// Interval is the time between two heartbeats of a pair of members.
+	// HeartbeatInterval is the time between two heartbeats of a pair of members.
 	Interval time.Duration
 	// ProbeInterval is the time between probes of a silent member, and between
 	// repetitions of an unanswered message.
@@ -22,11 +23,11 @@
 	// Probes is the number of unanswered probes after which a member is
 	// suspected.
 	Probes int
-	// ViewLease is how long an answer of a member counts for LeaseValid,
-	// from the time of asking.
+	// ViewLease is how long an answer of a member counts for LeaseEnd, from the time at
+	// which the answered message was sent.
 	ViewLease time.Duration
-	// StartWait is how long a new process looks for others before it forms a
-	// view of its own.
+	// StartWait is how long a new process waits for others before it forms a view of
+	// its own.
 	StartWait time.Duration
 	// ContactInterval is the time between attempts to reach an address that
 	// belongs to no member.
--- a/membership/epoch.go
+++ b/membership/epoch.go
@@ -7,7 +7,9 @@
 	pb "github.com/burdockward/burdockward/membership/membershippb"
 )
 
-// noteSameView acts on the status of a member of the installed view.
+// handleSameView handles the status of a process with the same view. The coordinator
+// notifies members that don't know yet that the view is settled or the list committed;
+// the others learn it from the coordinator.
 func (s *State) noteSameView(now time.Duration, p *peer, st *pb.Status) {
 	if s.isCoordinator() {
 		s.tickCommit(now)
@@ -27,8 +29,8 @@
 	}
 }
 
-// tickCommit lets the coordinator find out that every member uses its list. In a
-// new view this also says that every member has opened it.
+// tickCommit commits the coordinator's list once every member uses it and has opened the
+// view. The view is settled from then on.
 func (s *State) tickCommit(now time.Duration) {
 	if !s.opened || s.settled && s.committed == s.list.Sequence {
 		return
@@ -50,7 +52,8 @@
 	}
 }
 
-// repeatNews repeats what the coordinator or a member may have missed.
+// repeatUpdates repeats messages that may have been lost: a member's status to the
+// coordinator, and the coordinator's list to members that don't use it yet.
 func (s *State) repeatNews(now time.Duration) {
 	if now-s.repeatedAt < s.cfg.ProbeInterval {
 		return
@@ -68,8 +71,8 @@
 	}
 }
 
-// commit takes note that every member uses the list: its newest open epoch may
-// be handed to callers.
+// commitList records that every member uses the list. Its newest open epoch may now be
+// given to callers.
 func (s *State) commit() {
 	s.committed = s.list.Sequence
 	for _, e := range s.list.Epochs {
@@ -79,7 +82,8 @@
 	}
 }
 
-// tickEpochs lets the coordinator mint and drop epochs.
+// tickEpochs adds a timed epoch, and drops old ones, when one is due or a member asks for
+// early retirement. The coordinator alone does so, while its last list is committed.
 func (s *State) tickEpochs(now time.Duration) {
 	if !s.isCoordinator() || !s.settled || s.committed != s.list.Sequence || len(s.promises) > 0 {
 		return
@@ -103,7 +107,7 @@
 	s.tickCommit(now)
 }
 
-// wantsRetire reports whether a member asks for the oldest epoch to be dropped.
+// isRetireRequested reports whether a member asks to drop the oldest epoch.
 func (s *State) wantsRetire() bool {
 	oldest := s.list.Epochs[0].Number
 	if s.retire == oldest {
@@ -115,8 +119,8 @@
 	})
 }
 
-// retained drops what is older than the retained timed epochs. Epochs that view
-// changes minted go with the timed epoch before them.
+// retained returns the epochs that are not older than the retained timed ones. An epoch
+// that a view change created is dropped with the timed epoch before it.
 func (s *State) retained(epochs []Epoch) []Epoch {
 	timed := 0
 	for i, e := range slices.Backward(epochs) {
@@ -132,10 +136,13 @@
 	return epochs[max(0, len(epochs)-maxEpochs):]
 }
 
+// newEpoch returns an open epoch with a higher number than newest.
 func (s *State) mint(newest uint64, timed bool) Epoch {
 	return Epoch{Number: max(newest+1, s.cfg.EpochBase), Nonce: s.cfg.Nonce(), Open: true, Timed: timed}
 }
 
+// useList puts an epoch list in use. CurrentEpoch is empty until the next commit if its
+// epoch is closed or dropped.
 func (s *State) useList(now time.Duration, list EpochList) {
 	if list.newestTimed() != s.list.newestTimed() {
 		s.timedAt = now
@@ -159,8 +166,8 @@
 		return
 	}
 	if len(s.promises) > 0 {
-		// A committed list is one that every proposer uses, so a member that may be
-		// one takes no newer list.
+		// A committed list must be one that every proposer uses. So a process that has
+		// promised a view takes no newer list, as it may be a proposer.
 		return
 	}
 	if list.Sequence > s.list.Sequence {
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -7,12 +7,13 @@
 	pb "github.com/burdockward/burdockward/membership/membershippb"
 )
 
-// peer is what is known of the process that was last heard of on a VM.
+// peer is the state of the newest known process on another VM.
 type peer struct {
 	member Member
-	heard  time.Duration
+	// heard is when its last message arrived.
+	heard time.Duration
 
-	// What its last status said.
+	// Contents of its last status.
 	view      ViewID
 	size      uint32
 	promised  bool
@@ -22,7 +23,7 @@
 	retire    uint64
 	refuses   ViewID
 	hasStatus bool
-	// installedAt is when the view was last sent to the peer again.
+	// installResentAt is when the view was last sent to the peer again.
 	installedAt time.Duration
 
 	// Unanswered messages.
@@ -31,18 +32,20 @@
 	askedAt   time.Duration
 	suspected bool
 
-	// stamp is the newest stamp of the peer; acked is the newest sending time
-	// of this process that the peer has echoed as a member of the same view.
+	// timestamp is the newest timestamp of the peer. echoedSentAt is the newest sending
+	// time of this process that the peer has echoed as a member of the same view.
 	stamp    uint64
 	acked    time.Duration
 	hasAcked bool
 
+	// sentDigests is the newest digest version of this process that the peer has.
 	digestSeen uint64
+	// receivedDigests is the newest digest version of the peer that this process has.
 	digestHave uint64
 }
 
-// hear notes a sign of life; it returns nil for a process that a newer one has
-// replaced.
+// markHeard records that a process sent a message. It returns nil for a process that a
+// newer one has replaced.
 func (s *State) hear(now time.Duration, from Member) *peer {
 	p := s.peers[from.ID]
 	if p != nil && from.Incarnation < p.member.Incarnation {
@@ -69,7 +72,7 @@
 	return p
 }
 
-// Suspect says that another duty gets no answer from a VM: it is probed at once.
+// Suspect probes a VM at once, because another duty gets no answer from it.
 func (s *State) Suspect(now time.Duration, id string) {
 	m, ok := s.view.Member(id)
 	p := s.peers[id]
@@ -79,8 +82,8 @@
 	s.ask(now, m)
 }
 
-// tickPeers sends heartbeats and probes to members, and to leavers as long as
-// their records are awaited.
+// tickPeers sends heartbeats and probes to members, and to leavers until the view is
+// settled.
 func (s *State) tickPeers(now time.Duration) {
 	for _, m := range s.watched() {
 		p := s.peers[m.ID]
@@ -100,7 +103,8 @@
 	case p.waiting && now-p.askedAt < s.cfg.ProbeInterval:
 	case p.waiting && (p.probes >= s.cfg.Probes || p.probes > 0 && s.isListedGone(m.ID)):
 		p.suspected = true
-		// A suspected member is still asked now and then, should it come back.
+		// A suspected member is still asked once per heartbeat interval, because it may
+		// come back.
 		if now-p.askedAt >= s.cfg.Interval {
 			s.ask(now, m)
 		}
@@ -112,9 +116,9 @@
 	}
 }
 
-// heartbeatDue reports whether a heartbeat must go out: the member with the
-// lower id asks, and the other one only when it hears nothing.
-// A leaver waits for all of them and asks often, as its word that it leaves may be
+// isHeartbeatDue reports whether to send a heartbeat to a member. Of two members the one
+// with the lower id sends heartbeats, and the other one only when it hears nothing. A
+// leaver waits for all members and asks often, because the message that it leaves may be
 // lost too.
 func (s *State) heartbeatDue(now time.Duration, m Member, p *peer) bool {
 	if s.leaving {
@@ -126,7 +130,8 @@
 	return now-max(p.heard, p.askedAt) >= s.cfg.Interval+2*s.cfg.ProbeInterval
 }
 
-// watched are the processes that the view needs alive.
+// watched returns the processes whose loss causes a view change: the members and, until
+// the view is settled, the leavers.
 func (s *State) watched() []Member {
 	if s.settled {
 		return s.others()
@@ -134,7 +139,7 @@
 	return s.without(s.view.sources())
 }
 
-// ask sends a status that wants an answer.
+// requestStatus sends a status and asks for one in return.
 func (s *State) ask(now time.Duration, m Member) {
 	p := s.peers[m.ID]
 	if p == nil {
@@ -146,7 +151,7 @@
 	s.sendStatus(now, m, p, true)
 }
 
-// tell sends a status that needs no answer.
+// sendUpdate sends a status that needs no answer.
 func (s *State) tell(now time.Duration, m Member) {
 	if m.ID == s.cfg.Self.ID || m.ID == "" {
 		return
@@ -165,7 +170,7 @@
 	s.send(to, &pb.Message{Kind: &pb.Message_Status{Status: st}})
 }
 
-// statusFor is the status for a peer, or for an unknown process when p is nil.
+// statusFor returns the status for a peer, or for an unknown process when p is nil.
 func (s *State) statusFor(now time.Duration, p *peer) *pb.Status {
 	st := s.status(now)
 	if p != nil {
@@ -193,11 +198,12 @@
 		ListSequence:      s.list.Sequence,
 		CommittedSequence: s.committed,
 		Retire:            s.retire,
-		// Stamps start at 1, so that 0 says that there is none.
+		// Timestamps start at 1, because 0 means that there is none.
 		Stamp: uint64(now.Milliseconds()) + 1,
 	}
 }
 
+// addDigests adds the digests that a peer has not acknowledged yet.
 func (s *State) addDigests(st *pb.Status, p *peer) {
 	if p.digestSeen == s.digestVersion {
 		return
@@ -242,7 +248,7 @@
 func (s *State) noteStatus(p *peer, st *pb.Status) {
 	id := viewID(st.GetView())
 	if id.Number < p.view.Number {
-		// Messages may overtake each other, but views only go up.
+		// Messages may overtake each other, but view numbers only increase.
 		return
 	}
 	p.view = id
@@ -272,6 +278,7 @@
 	}
 }
 
+// recordEcho records the newest sending time that a peer has echoed in the same view.
 func (s *State) noteEcho(now time.Duration, p *peer, st *pb.Status) {
 	p.stamp = max(p.stamp, st.GetStamp())
 	if st.GetEcho() == 0 || viewID(st.GetView()) != s.view.ID {
@@ -284,7 +291,8 @@
 	}
 }
 
-// noteView acts on the view of a peer.
+// handlePeerView compares the view of a peer with the installed one. It resends the
+// installed view to a source that lacks it, and records that this process is behind.
 func (s *State) noteView(now time.Duration, p *peer, st *pb.Status) {
 	id := viewID(st.GetView())
 	if s.view.ID.IsZero() && id.IsZero() {
@@ -304,8 +312,9 @@
 	}
 }
 
-// isBelow reports whether the installed view yields to another one where they
-// meet: its members wait to be admitted there.
+// yieldsTo reports whether the members of the installed view wait to be admitted to
+// another view. The view with the higher number wins, then the larger one, then the one
+// with the higher nonce.
 func (s *State) isBelow(id ViewID, size uint32) bool {
 	own := s.view.ID
 	if id.Number != own.Number {
--- a/membership/install.go
+++ b/membership/install.go
@@ -7,7 +7,8 @@
 	pb "github.com/burdockward/burdockward/membership/membershippb"
 )
 
-// repeatInstall sends the view to a process that has not installed it yet.
+// repeatInstall sends the view again to a process that has not installed it yet, at most
+// once per probe interval.
 func (s *State) repeatInstall(now time.Duration, p *peer) {
 	if p.installedAt != 0 && now-p.installedAt < s.cfg.ProbeInterval {
 		return
@@ -20,6 +21,7 @@
 	s.send(to, &pb.Message{Kind: &pb.Message_Install{Install: s.install}})
 }
 
+// handleInstall installs a view that this process has promised, else refuses it.
 func (s *State) handleInstall(now time.Duration, p *peer, m *pb.Install) {
 	view := viewFrom(m)
 	if view.ID == s.view.ID {
@@ -33,15 +35,15 @@
 	s.adopt(now, view, epochList(m.GetEpochs()))
 }
 
-// refuse tells the sender of a view that this process can't install it: it went
-// elsewhere after its promise.
+// refuse notifies the sender of a view that this process can't install it, because it
+// went to another view after its promise.
 func (s *State) refuse(now time.Duration, p *peer, view ViewID) {
 	st := s.statusFor(now, p)
 	st.Refuses = view.proto()
 	s.send(p.member, &pb.Message{Kind: &pb.Message_Status{Status: st}})
 }
 
-// adopt installs a view.
+// installView puts a view and its epoch list in force, and starts watching its processes.
 func (s *State) adopt(now time.Duration, view View, list EpochList) {
 	for _, m := range s.others() {
 		if !contains(view.Members, m) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// adoptPeer starts watching a process of the new view.
+// watchPeer starts watching a process of the new view.
 func (s *State) adoptPeer(now time.Duration, m Member) {
 	p := s.peers[m.ID]
 	if p == nil || p.member.Incarnation < m.Incarnation {
--- a/membership/join.go
+++ b/membership/join.go
@@ -7,11 +7,14 @@
 
 // contact is an address where a process outside the view may be found.
 type contact struct {
-	next  time.Duration
+	// nextAttempt is when the address is asked again.
+	next time.Duration
+	// expiresAt is when attempts end. Until the first attempt of a learned contact it
+	// holds learnedContactLifetime.
 	until time.Duration
 }
 
-// listing is what the platform's list says of a VM.
+// listing is the platform's last report of a VM.
 type listing struct {
 	address string
 	live    bool
@@ -19,17 +22,17 @@
 }
 
 const (
-	// forever is the end of contacts that the settings or the platform name.
+	// noExpiry is the end of contacts that the settings or the platform name.
 	forever = time.Duration(1<<63 - 1)
-	// learnedContacts is how long an address that a peer named is tried.
+	// learnedContactLifetime is how long an address that a peer named is tried.
 	learnedContacts = 10 * time.Minute
 	// eagerContactInterval is the time between attempts of a process that has no
 	// view or must join another one.
 	eagerContactInterval = 250 * time.Millisecond
-	// joinWait is how long a process that has heard of a better view waits to be
-	// admitted there.
+	// joinTimeout is how long a process waits to be admitted to a view to which its own
+	// one yields, and how long a promise may stay without the promised view.
 	joinWait = 3 * time.Second
-	// peerMemory is how long a process outside the view is remembered.
+	// peerRetention is how long a silent process outside the view is remembered.
 	peerMemory = time.Minute
 )
 
@@ -40,9 +43,10 @@
 	Address string
 }
 
-// SetListed takes the platform's list of the entry VMs of the failure domain. The
-// list lags, so it never admits or removes a VM by itself: live VMs are
-// contacted, and a silent VM that is leaving or gone is removed sooner.
+// SetListed takes the platform's list of the entry VMs of the failure domain: the live
+// ones, and the ids of those that are leaving. The list lags, so it never admits or
+// removes a VM by itself. Live VMs are contacted, and a silent VM that is leaving or not
+// listed any more is removed sooner.
 func (s *State) SetListed(live []ListedVM, leaving []string) {
 	for id, l := range s.listed {
 		s.listed[id] = listing{address: l.address}
@@ -59,7 +63,8 @@
 	s.dropUnlisted()
 }
 
-// dropUnlisted forgets listed VMs that are gone and belong to no view.
+// dropUnlisted drops the contacts of VMs that are not listed any more, and their listing
+// when they are not members.
 func (s *State) dropUnlisted() {
 	for id, l := range s.listed {
 		if l.live || l.leaving {
@@ -74,8 +79,8 @@
 	}
 }
 
-// isListedGone reports whether the platform says that a VM is leaving or gone.
-// A VM that was never listed may just be new.
+// isListedGone reports whether the platform lists a VM as leaving or has removed it from
+// the list. A VM that was never listed may be new.
 func (s *State) isListedGone(id string) bool {
 	l, ok := s.listed[id]
 	return ok && !l.live
@@ -90,8 +95,8 @@
 	}
 }
 
-// tickContacts asks addresses outside the view. Inside a view the coordinator
-// alone does so.
+// tickContacts asks contact addresses for their status. In a view that yields to no
+// other, the coordinator alone does so, and leaves out the members.
 func (s *State) tickContacts(now time.Duration) {
 	eager := s.view.ID.IsZero() || s.isBehind(now)
 	if !eager && !s.isCoordinator() {
@@ -118,18 +123,20 @@
 	}
 }
 
+// isMemberAddress reports whether an address belongs to a member.
 func (s *State) hasAddress(address string) bool {
 	return slices.ContainsFunc(s.view.Members, func(m Member) bool { return m.Address == address })
 }
 
+// isBehind reports whether this process waits to be admitted to another view.
 func (s *State) isBehind(now time.Duration) bool {
 	s.behind = s.behind && now-s.behindAt < joinWait
 	return s.behind
 }
 
-// tickStart forms a view of this process alone when nobody is found. Of several
-// processes that start together the one with the lowest id does so and admits the
-// others.
+// tickStart forms a view of this process alone when it has found no other process. Of
+// several processes that start together, the one with the lowest id does so and admits
+// the others.
 func (s *State) tickStart(now time.Duration) {
 	if !s.view.ID.IsZero() || now-s.started < s.cfg.StartWait || s.leaving {
 		return
@@ -154,7 +161,8 @@
 	s.adopt(now, view, list)
 }
 
-// candidates are processes that want to join: they have no view or a lower one.
+// candidates returns the processes that can join the view: those that have none, or one
+// that yields to this one.
 func (s *State) candidates(now time.Duration) []Member {
 	var out []Member
 	for _, id := range sortedKeys(s.peers) {
@@ -188,26 +196,26 @@
 	s.checkAlone()
 }
 
-// HandedOver says that every member of the view has this leaver's records.
+// MarkHandedOver is called when every member of the view has this leaver's records.
 func (s *State) HandedOver() {
 	if s.leaving && !s.isMember() {
 		s.left = true
 	}
 }
 
-// checkAlone ends a planned stop that leaves nobody to hand records to: every member
-// of the view leaves as well or is gone. Members that leave propose no view, so that
-// nobody will ask for the records.
+// leaveIfAlone ends a planned stop when there is no process to hand records to: every
+// other member of the view leaves as well or is gone. Leaving members propose no view,
+// so no process will ask for the records.
 func (s *State) checkAlone() {
 	if s.leaving && !slices.ContainsFunc(s.others(), s.isStaying) {
 		s.left = true
 	}
 }
 
-// isStaying reports whether a member of the view neither leaves nor is gone.
+// isStaying reports whether a member of the view is present and not leaving.
 func (s *State) isStaying(m Member) bool { return !s.isGone(m) && !s.peers[m.ID].leaving }
 
-// forgetPeers drops processes outside the view that have long been silent.
+// forgetPeers drops processes outside the view that have been silent for peerRetention.
 func (s *State) forgetPeers(now time.Duration) {
 	for id, p := range s.peers {
 		if now-p.heard > peerMemory && !contains(s.view.sources(), p.member) {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,8 +1,12 @@
-// Package membership agrees on which entry VMs of one failure domain work
-// together, and on the epochs under which callers make their keys.
+// Package membership agrees on the view, which is the list of entry VMs of one failure
+// domain that work together, and on the epochs under which callers make their keys.
 //
-// State is plain code: messages and the time go in, messages and changes come
-// out. docs/DESIGN.md, section 1, explains the protocol and why it is safe.
+// State is the protocol without goroutines, clock or network. Its input are messages of
+// peers, the time, and the platform's list of VMs; its output are messages and changes
+// of the view and of the peers' digests. A process takes part in one view at a time.
+// After a view change that may have lost records of keys the earlier epochs are closed,
+// so that no key is granted twice. docs/DESIGN.md, section 1, explains the protocol and
+// why it is safe.
 package membership
 
 import (
@@ -15,7 +19,7 @@
 type Member struct {
 	// ID names the VM.
 	ID string
-	// Incarnation tells a process from its predecessors on the same VM.
+	// Incarnation distinguishes a process from its predecessors on the same VM.
 	Incarnation uint64
 	// Address is the IP and port of the peer interface.
 	Address string
@@ -27,7 +31,7 @@
 // ViewID names a view. Children have a higher number than their parent.
 type ViewID struct {
 	Number uint64
-	// Nonce is random and tells apart views that were formed side by side.
+	// Nonce is random. It distinguishes views that were formed at the same time.
 	Nonce uint64
 }
 
@@ -43,18 +47,18 @@
 	// Leavers were members of the parent and hand their records over before
 	// they stop.
 	Leavers []Member
-	// Lost are members since the last settled view whose knowledge may be
+	// Lost are the members since the last settled view whose records of keys may be
 	// missing.
 	Lost []Member
 	// Survivors are the ids of members and leavers that came from the parent.
 	Survivors []string
-	// ParentSettled says that the parent was settled.
+	// ParentSettled says that every member of the parent had opened it.
 	ParentSettled bool
 	// Fenced says that the epochs of the parent were closed.
 	Fenced bool
 }
 
-// Coordinator is the member that keeps the epoch list of the view.
+// Coordinator returns the member that keeps the epoch list of the view.
 func (v *View) Coordinator() Member {
 	if len(v.Members) == 0 {
 		return Member{}
@@ -74,7 +78,7 @@
 // Survived reports whether the VM came from the parent view.
 func (v *View) Survived(id string) bool { return slices.Contains(v.Survivors, id) }
 
-// sources are the processes that hand records over when the view is installed.
+// sources returns the processes that hand records over when the view is installed.
 func (v *View) sources() []Member {
 	return slices.Concat(v.Members, v.Leavers)
 }
@@ -83,17 +87,17 @@
 type Epoch struct {
 	Number uint64
 	Nonce  uint64
-	// Open says that a key which nobody knows is new. Keys of a closed epoch are
-	// answered only when they are known.
+	// Open says that a key without a record is new. Keys of a closed epoch are answered
+	// only when there is a record.
 	Open bool
-	// Timed says that the epoch was minted because the previous one was old, not
+	// Timed says that the epoch was created because of the age of the previous one, not
 	// because of a view change. Retention counts timed epochs only.
 	Timed bool
 }
 
 const tokenBase = 36
 
-// Token is the form of the epoch that callers put into keys.
+// Token returns the text by which keys name the epoch.
 func (e Epoch) Token() string {
 	return strconv.FormatUint(e.Number, tokenBase) + "-" + strconv.FormatUint(e.Nonce, tokenBase)
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -24,7 +24,7 @@
 	Body   []byte
 }
 
-// State holds what one process knows of its failure domain. It is not safe for
+// State is one process's view, epoch list and records of its peers. It is not safe for
 // concurrent use.
 type State struct {
 	cfg     Config
@@ -38,28 +38,31 @@
 	current   string
 	opened    bool
 	settled   bool
-	// continuous says that this process came to the view from its parent.
+	// cameFromParent says that this process came to the view from its parent.
 	continuous bool
 	adoptedAt  time.Duration
-	// timedAt is when the newest timed epoch was seen first.
+	// timedAt is when this process first saw the newest timed epoch.
 	timedAt time.Duration
-	// repeatedAt is when unanswered news of the epoch list were last repeated.
+	// repeatedAt is when unacknowledged updates of the epoch list were last repeated.
 	repeatedAt time.Duration
 
-	// promises are the views that this process promised to leave its installed
-	// view for.
+	// promises are the proposed views for which this process has promised to leave its
+	// installed view.
 	promises   []promise
 	promisedAt time.Duration
 	proposal   *proposal
 	// mustChange says that a proposal was given up after it was promised.
 	mustChange bool
-	// behindAt is when a higher view without this process was last heard of.
+	// behind says that there is a view to which the installed one yields, and behindAt
+	// when a peer last reported such a view.
 	behindAt time.Duration
 	behind   bool
 
+	// leaving says that a planned stop has begun, left that it is complete.
 	leaving bool
 	left    bool
-	retire  uint64
+	// retireEpoch is the epoch that this process asks to retire early, 0 if none.
+	retire uint64
 
 	peers    map[string]*peer
 	contacts map[string]*contact
@@ -72,20 +75,22 @@
 	changes []DigestChange
 }
 
+// promise says that this process leaves the installed view for view.
 type promise struct {
 	view      ViewID
 	installed ViewID
 }
 
+// digest is a digest of this process. Its version orders it among all changes.
 type digest struct {
 	version uint64
 	body    []byte
 }
 
-// ErrMessage is the class of errors about messages that can't be read.
+// ErrMessage is the class of errors about malformed messages.
 var ErrMessage = errs.Tag("membership message")
 
-// New makes the state of a process that knows nobody yet.
+// New returns the state of a process that knows no other process yet.
 func New(cfg Config, now time.Duration) *State {
 	cfg.setDefaults()
 	s := &State{
@@ -102,17 +107,17 @@
 	return s
 }
 
-// Self is this process.
+// Self returns this process.
 func (s *State) Self() Member { return s.cfg.Self }
 
-// View is the installed view; its id is zero while there is none. The caller
-// must not change it.
+// View returns the installed view; its id is zero while there is none. The caller must
+// not change it.
 func (s *State) View() *View { return &s.view }
 
-// Epochs is the epoch list in use. The caller must not change it.
+// Epochs returns the epoch list in use. The caller must not change it.
 func (s *State) Epochs() *EpochList { return &s.list }
 
-// CurrentEpoch is the token for new keys; it is empty while there is none.
+// CurrentEpoch returns the token for new keys; it is empty while there is none.
 func (s *State) CurrentEpoch() string { return s.current }
 
 // Active reports whether this process takes part in its installed view: it is a
@@ -121,37 +126,38 @@
 	return !s.view.ID.IsZero() && len(s.promises) == 0 && s.isMember()
 }
 
-// Continuous reports whether this process came to its view from the parent view,
-// so that it knows what that view knew.
+// CameFromParent reports whether this process came to its view from the parent view, so
+// that it still has its records of that view.
 func (s *State) Continuous() bool { return s.continuous }
 
 // Settled reports whether every member is known to have opened the view.
 func (s *State) Settled() bool { return s.settled }
 
-// CommittedSequence is the newest epoch list that every member is known to use.
+// CommittedSequence returns the sequence number of the newest epoch list that every
+// member is known to use.
 func (s *State) CommittedSequence() uint64 { return s.committed }
 
-// Retired reports whether this process will take part in no view any more.
+// Retired reports whether this process takes part in no view any more.
 func (s *State) Retired() bool { return s.left || s.leaving && !s.isMember() }
 
-// Left reports whether this process has left the view for good.
+// Left reports whether this process has left the view permanently.
 func (s *State) Left() bool { return s.left }
 
-// TakeOutgoing returns the messages to send and forgets them.
+// TakeOutgoing returns the messages to send and removes them from the state.
 func (s *State) TakeOutgoing() []Outgoing {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// TakeDigestChanges returns the new digests of peers and forgets them.
+// TakeDigestChanges returns the new digests of peers and removes them from the state.
 func (s *State) TakeDigestChanges() []DigestChange {
 	changes := s.changes
 	s.changes = nil
 	return changes
 }
 
-// Handle takes a message from a peer.
+// Handle handles a message from a peer.
 func (s *State) Handle(now time.Duration, id string, incarnation uint64, body []byte) error {
 	var m pb.Message
 	if err := proto.Unmarshal(body, &m); err != nil {
@@ -193,7 +199,7 @@
 	s.forgetPeers(now)
 }
 
-// Opened says that this process has the records that it must hold in the view.
+// MarkOpened is called when this process has the records that it must hold in the view.
 func (s *State) Opened(now time.Duration) {
 	if s.opened || s.view.ID.IsZero() {
 		return
@@ -203,8 +209,8 @@
 	s.tickCommit(now)
 }
 
-// LeaseEnd is when the view lease lapses: until then every member of the view
-// has answered a message that was sent within the view lease.
+// LeaseEnd returns when the view lease lapses. Until then every member of the view has
+// answered a message that was sent within the view lease.
 func (s *State) LeaseEnd() time.Duration {
 	if !s.Active() || !s.opened {
 		return 0
@@ -226,8 +232,8 @@
 	s.digests[duty] = digest{version: s.digestVersion, body: body}
 }
 
-// SetRetire asks the coordinator to drop the oldest epoch before its time; 0
-// withdraws the wish.
+// SetRetire asks the coordinator to drop the epoch with this number early, if it is the
+// oldest; 0 withdraws the request.
 func (s *State) SetRetire(now time.Duration, number uint64) {
 	if number == s.retire {
 		return
@@ -244,7 +250,7 @@
 	return !s.view.ID.IsZero() && s.view.Coordinator().Same(s.cfg.Self)
 }
 
-// others are the members of the view without this process.
+// others returns the members of the view without this process.
 func (s *State) others() []Member { return s.without(s.view.Members) }
 
 func (s *State) without(members []Member) []Member {
@@ -260,15 +266,16 @@
 func (s *State) send(to Member, m *pb.Message) {
 	body, err := proto.Marshal(m)
 	if err != nil {
-		panic("membership: a message of our own can't be written: " + err.Error())
+		panic("membership: can't encode a message: " + err.Error())
 	}
 	s.out = append(s.out, Outgoing{To: to, Body: body})
 }
 
-// sortedKeys keeps decisions independent of the order of maps.
+// sortedKeys returns the keys in order, so that decisions don't depend on the random
+// order of maps.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Address is the peer address of a process, empty when it isn't known.
+// Address returns the peer address of a process, or "" when it isn't known.
 func (s *State) Address(m Member) string {
 	if known, ok := find(s.view.sources(), m.ID); ok && known.Same(m) {
 		return known.Address
