--- a/domains/burn.go
+++ b/domains/burn.go
@@ -8,14 +8,14 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// Peers reaches VMs of other failure domains.
+// Peers sends requests to VMs of other failure domains.
 type Peers interface {
 	Burn(ctx context.Context, address string, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error)
 }
 
-// Burn asks the home failure domain of a key to burn it and says what the home
-// knows of it. It takes ExchangeTimeout at most; the state is unclear when the home
-// can't be reached or does not say.
+// Burn asks the home failure domain of a key to burn it and returns the state of the key
+// there. It takes ExchangeTimeout at most. The state is unclear when the home can't be
+// reached or can't decide, or when maxExchanges are under way.
 func (d *Duty) Burn(ctx context.Context, k key.Key) *peerpb.BurnResponse {
 	x := NewExchange(d.options.Now(), k, d.candidates(k.Domain))
 	select {
@@ -32,7 +32,8 @@
 	return x.Answer()
 }
 
-// run asks one VM after the other until the exchange ends.
+// run asks one VM after the other until the exchange ends. The failure domain counts as
+// unreachable for a while when none of them answers.
 func (d *Duty) run(ctx context.Context, x *Exchange) {
 	asked, heard := false, false
 	for {
@@ -43,7 +44,7 @@
 		asked = true
 		response, err := d.ask(ctx, address, wait, x.key)
 		if ctx.Err() != nil {
-			// The caller has gone, which says nothing of the VMs.
+			// The caller stopped waiting, so no VM counts as silent.
 			return
 		}
 		if err != nil {
--- a/domains/burn_test.go
+++ b/domains/burn_test.go
@@ -91,7 +91,7 @@
 		must.Eq(t, ExchangeTimeout, time.Since(begin))
 		must.SliceLen(t, 3, f.asked)
 		must.Eq(t, unclear, f.burn(t))
-		must.SliceLen(t, 3, f.asked, must.Sprint("asked though it was cut off"))
+		must.SliceLen(t, 3, f.asked, must.Sprint("asked although it counts as unreachable"))
 		time.Sleep(DefaultTimes().CutOff)
 		f.answers["1"] = answer(testKey, notRun)
 		must.Eq(t, notRun, f.burn(t))
--- a/domains/directory.go
+++ b/domains/directory.go
@@ -1,10 +1,10 @@
-// Package domains knows entry VMs of the other failure domains, and asks them to
-// burn keys that are theirs.
+// Package domains keeps a few entry VMs of each other failure domain, and asks them to
+// burn keys of that domain. A burned key is refused permanently by its home.
 //
-// Directory decides which VMs are known and when to read the platform's lists,
-// Exchange decides whom to ask about one key and what the answers mean, and Duty is
-// the goroutine and the calls around them. docs/DESIGN.md, section 7, has the ways
-// that were weighed.
+// Directory decides which VMs to keep and when to read the platform's lists. Exchange
+// decides which VMs to ask about one key and which answer counts. Duty reads the lists
+// in a goroutine and runs the exchanges. The number of VMs, the rate of reads and the
+// time of an exchange are bounded. docs/DESIGN.md, section 7, compares the alternatives.
 package domains
 
 import (
@@ -17,25 +17,27 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// MaxVMs is the most VMs of one failure domain that are kept from its list, and
-// the most that the settings may name.
+// MaxVMs is the largest number of VMs of one failure domain that are kept from its list,
+// and the largest number that are used from the settings.
 const MaxVMs = 3
 
 // Times are the intervals of a Directory.
 type Times struct {
 	// Refresh is the time between two reads of one failure domain's list.
 	Refresh time.Duration
-	// Gap is the least time between two reads of any list. It doubles with each
-	// failed read, up to GapMax.
+	// MinGap is the shortest time between two reads of any list. It doubles with each
+	// failed read, up to MaxGap.
 	Gap, GapMax time.Duration
-	// Early is the least age of a list that is read again before Refresh, since a
-	// VM of it was silent or it had none.
+	// EarlyRefresh is the age at which a list is read again if one of its VMs was silent
+	// or it had none.
 	Early time.Duration
-	// CutOff is how long a failure domain of which nobody answered is not asked.
+	// UnreachablePause is how long a failure domain is not asked after none of its VMs
+	// answered.
 	CutOff time.Duration
 }
 
-// DefaultTimes keeps the reads of 23 lists far below the bound on control work.
+// DefaultTimes returns intervals that keep the reads of 23 lists far below the bound on
+// control work.
 func DefaultTimes() Times {
 	return Times{
 		Refresh: 10 * time.Minute,
@@ -51,32 +53,33 @@
 type Directory struct {
 	vm    string
 	times Times
-	// sites are the other failure domains by name, names their order.
+	// domains are the other failure domains by name, names their order.
 	sites map[string]*site
 	names []string
-	// reading says that a read is under way.
+	// reading says that a read is in progress.
 	reading  bool
 	nextRead time.Duration
 	failures int
 }
 
-// site is what is known of one failure domain.
+// remoteDomain is the state of one other failure domain.
 type site struct {
-	// version is that of the newest list, readAt the time of the newest try to read
-	// one; read says that one was read.
+	// version is that of the newest list, readAt the time of the last attempt to read
+	// one. read says that one was read.
 	version uint64
 	read    bool
 	readAt  time.Duration
-	// stale says that a VM was silent since, or that none was listed.
+	// stale says that a VM was silent since then, or that none was listed.
 	stale bool
 	seeds []string
-	// addresses are peer addresses, the next to ask first.
+	// addresses are peer addresses in the order in which they are asked.
 	addresses []string
-	cutUntil  time.Duration
+	// unreachableUntil is when the failure domain is asked again.
+	cutUntil time.Duration
 }
 
-// NewDirectory makes the directory of a VM. Domains are all failure domains, seeds
-// are peer addresses from the settings.
+// NewDirectory returns the directory of a VM. Domains are all failure domains, seeds are
+// peer addresses from the settings.
 func NewDirectory(vm, domain string, domains []string, seeds map[string][]string, times Times) *Directory {
 	d := &Directory{vm: vm, times: times, sites: map[string]*site{}}
 	for _, name := range domains {
@@ -91,8 +94,8 @@
 	return d
 }
 
-// Due says which failure domain's list to read now, and which version of it is
-// known. ListRead or ReadFailed must follow.
+// Due returns the failure domain whose list to read now, and the version of it that is
+// known. The caller must call ListRead or ReadFailed after it.
 func (d *Directory) Due(now time.Duration) (domain string, since uint64, due bool) {
 	if d.reading || now < d.nextRead {
 		return "", 0, false
@@ -112,8 +115,8 @@
 	return !s.read || age >= times.Refresh || s.stale && age >= times.Early
 }
 
-// ListRead takes the list of a failure domain. A list that is not newer changes
-// nothing, so that an old answer brings no VM back.
+// ListRead records the list of a failure domain. A list that is not newer changes no
+// address, so that a delayed answer does not bring a removed VM back.
 func (d *Directory) ListRead(now time.Duration, domain string, list tableservice.List) {
 	d.reading, d.failures, d.nextRead = false, 0, now+d.times.Gap
 	s := d.sites[domain]
@@ -123,14 +126,14 @@
 		s.addresses = s.withSeeds(d.choose(domain, list.VMs))
 		s.cutUntil = 0
 	}
-	// A failure domain that starts may have no VM on its list yet.
+	// A failure domain that has just started may have no VM on its list yet.
 	s.stale = len(s.addresses) == 0
 }
 
-// ReadFailed notes that a list could not be read; what is known is kept.
+// ReadFailed records that a list could not be read. The known addresses stay.
 func (d *Directory) ReadFailed(now time.Duration, domain string) {
 	d.reading = false
-	// Other lists, which may be in reach, come first.
+	// Other lists, which may be readable, are tried first.
 	d.sites[domain].readAt = now
 	wait := d.times.Gap
 	for range d.failures {
@@ -140,8 +143,8 @@
 	d.nextRead = now + wait
 }
 
-// choose takes a few live entry VMs of the failure domain, others at each VM that
-// chooses, so that the load spreads.
+// choose returns the addresses of a few live entry VMs of the failure domain. Different
+// VMs choose different ones, so that the load spreads.
 func (d *Directory) choose(domain string, vms []tableservice.VM) []string {
 	ranks := map[string]uint64{}
 	for _, vm := range vms {
@@ -164,8 +167,8 @@
 	return addresses
 }
 
-// Candidates are the VMs to ask in a failure domain, the best first. There are none
-// when it is not known, or was cut off a moment ago.
+// Candidates returns the addresses to ask in a failure domain, in order. There are none
+// when the domain is not known or counts as unreachable.
 func (d *Directory) Candidates(now time.Duration, domain string) []string {
 	s := d.sites[domain]
 	if s == nil || now < s.cutUntil {
@@ -174,7 +177,7 @@
 	return slices.Clone(s.addresses)
 }
 
-// Silent notes that a VM did not answer: others are asked first from now on.
+// MarkSilent records that a VM did not answer. Others are asked before it from now on.
 func (d *Directory) Silent(domain, address string) {
 	s := d.sites[domain]
 	if s == nil {
@@ -186,15 +189,15 @@
 	}
 }
 
-// Unreachable notes that none of those asked answered.
+// MarkUnreachable records that none of the VMs that were asked answered.
 func (d *Directory) Unreachable(now time.Duration, domain string) {
 	if s := d.sites[domain]; s != nil {
 		s.cutUntil = now + d.times.CutOff
 	}
 }
 
-// Addresses are the VMs of all other failure domains in turn: the best of each
-// first.
+// Addresses returns the addresses of all other failure domains: the first one of each,
+// then the second one of each, and so on.
 func (d *Directory) Addresses() []string {
 	var all []string
 	for i := range 2 * MaxVMs {
--- a/domains/directory_test.go
+++ b/domains/directory_test.go
@@ -19,7 +19,7 @@
 	return vms
 }
 
-// newDirectory makes one of the failure domain "a" among four.
+// newDirectory returns the directory of a VM in failure domain "a", one of four.
 func newDirectory(seeds map[string][]string) *Directory {
 	return NewDirectory("vm", "a", []string{"a", "b", "c", "d"}, seeds, DefaultTimes())
 }
@@ -54,7 +54,7 @@
 		}
 	}
 	must.LessEq(t, 70, reads["b"]+reads["c"]+reads["d"])
-	must.MapLen(t, 3, reads, must.Sprint("one list alone is asked for"))
+	must.MapLen(t, 3, reads, must.Sprint("only some lists are read"))
 	must.SliceLen(t, 2, d.Candidates(time.Hour, "b"))
 	must.Eq(t, []string{"seed"}, d.Candidates(time.Hour, "c"))
 	must.SliceEmpty(t, d.Candidates(time.Hour, "a"))
@@ -77,9 +77,9 @@
 	d.ListRead(0, "b", tableservice.List{Version: 2, VMs: vms})
 	must.SliceContainsAll(t, []string{"at-b0", "at-b1", "seed"}, d.Candidates(0, "b"))
 	d.ListRead(0, "b", tableservice.List{Version: 1, VMs: entries("b", 9)})
-	must.SliceLen(t, 3, d.Candidates(0, "b"), must.Sprint("an older list came back"))
+	must.SliceLen(t, 3, d.Candidates(0, "b"), must.Sprint("an older list was used"))
 	d.ListRead(0, "b", tableservice.List{Version: 3, VMs: entries("b", 9)})
-	must.SliceLen(t, MaxVMs, without(d.Candidates(0, "b"), "seed", "at-b1"), must.Sprint("at most MaxVMs of the list"))
+	must.SliceLen(t, MaxVMs, without(d.Candidates(0, "b"), "seed", "at-b1"), must.Sprint("more than MaxVMs of the list"))
 }
 
 func without(list []string, drop ...string) []string {
@@ -135,7 +135,8 @@
 	must.Eq(t, "b", domain)
 }
 
-// Whatever is read, silent or failed, the directory stays small and reads seldom.
+// Random lists, failed reads and silent VMs leave the number of addresses and the rate
+// of reads bounded.
 func TestDirectoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDirectory(map[string][]string{"b": {"1", "2", "3", "4"}})
--- a/domains/duty.go
+++ b/domains/duty.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what is due.
+	// tickInterval is the time between two checks for a list that is due.
 	tickInterval = time.Second
-	// maxExchanges is the most exchanges under way; more are not begun.
+	// maxExchanges is the largest number of concurrent exchanges; more are not begun.
 	maxExchanges = 64
 )
 
@@ -32,8 +32,8 @@
 	Peers     Peers
 	// Now is the monotonic time since the start of the process.
 	Now func() time.Duration
-	// OnAddresses gets the peer addresses of all other failure domains when they
-	// have changed, at the start too.
+	// OnAddresses gets the peer addresses of all other failure domains at the start and
+	// whenever they change.
 	OnAddresses func([]string)
 	Log         *slog.Logger
 	Scope       tally.Scope
@@ -46,13 +46,13 @@
 
 	mu        sync.Mutex
 	directory *Directory
-	// down says that the last read failed, so that only changes are logged.
+	// readFails says that the last read failed, so that only changes are logged.
 	down bool
 
 	reads, failed, exchanges, unclear tally.Counter
 }
 
-// New makes a duty.
+// New returns a duty.
 func New(o Options) *Duty {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
@@ -115,7 +115,7 @@
 	d.note(err)
 }
 
-// note logs when the lists get out of reach or back.
+// logChange logs when reading the lists begins to fail and when it works again.
 func (d *Duty) note(err error) {
 	if down := err != nil; down != d.down {
 		d.down = down
--- a/domains/duty_test.go
+++ b/domains/duty_test.go
@@ -14,8 +14,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakes are the platform and the VMs of the failure domain "b". A VM without an
-// answer hangs.
+// fakes is the platform and the VMs of failure domain "b". A VM without an answer does
+// not reply until the context ends.
 type fakes struct {
 	duty    *Duty
 	down    bool
--- a/key/key.go
+++ b/key/key.go
@@ -1,4 +1,5 @@
-// Package key reads and writes submission keys.
+// Package key parses, formats and hashes submission keys, and ranks VMs for a name by
+// rendezvous hash.
 package key
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Longest parts of a key, in bytes.
+// Largest lengths of the parts of a key, in bytes.
 const (
 	MaxDomain = 63
 	MaxEpoch  = 40
@@ -21,11 +22,11 @@
 	Domain string
 	// Epoch is the token under which the caller made the key.
 	Epoch string
-	// Unique is the caller's own part.
+	// Unique is the part that the caller chooses.
 	Unique string
 }
 
-// Parse reads "<failure domain>.<epoch>.<unique>".
+// Parse parses "<failure domain>.<epoch>.<unique>".
 func Parse(s string) (Key, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 3 {
@@ -34,18 +35,18 @@
 	k := Key{Domain: parts[0], Epoch: parts[1], Unique: parts[2]}
 	for _, p := range []struct {
 		name, value string
-		most        int
+		maxLength   int
 	}{{"failure domain", k.Domain, MaxDomain}, {"epoch", k.Epoch, MaxEpoch}, {"unique part", k.Unique, MaxUnique}} {
-		if err := checkPart(p.name, p.value, p.most); err != nil {
+		if err := checkPart(p.name, p.value, p.maxLength); err != nil {
 			return Key{}, err
 		}
 	}
 	return k, nil
 }
 
-func checkPart(name, value string, most int) error {
-	if value == "" || len(value) > most {
-		return fmt.Errorf("the %s of the key must have 1 to %d characters", name, most)
+func checkPart(name, value string, maxLength int) error {
+	if value == "" || len(value) > maxLength {
+		return fmt.Errorf("the %s of the key must have 1 to %d characters", name, maxLength)
 	}
 	for _, c := range []byte(value) {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -57,12 +58,12 @@
 	return nil
 }
 
-// String writes the key in the form that Parse reads.
+// String formats the key as Parse reads it.
 func (k Key) String() string { return k.Domain + "." + k.Epoch + "." + k.Unique }
 
-// Rank is the rendezvous weight of a member for a name; the highest weight
-// comes first. Members are compared by id alone, so that a restart on the same
-// VM keeps its place.
+// Rank returns the rendezvous weight of a member for a name; the highest weight comes
+// first. It depends on the id alone, so that a process restarted on the same VM keeps its
+// rank.
 func Rank(name, memberID string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(name)
--- a/key/key_test.go
+++ b/key/key_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result. A flag of the command
+// line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -21,8 +21,8 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		part := func(name string, most int) string {
-			return rapid.StringMatching(fmt.Sprintf("[a-zA-Z0-9_-]{1,%d}", most)).Draw(t, name)
+		part := func(name string, maxLength int) string {
+			return rapid.StringMatching(fmt.Sprintf("[a-zA-Z0-9_-]{1,%d}", maxLength)).Draw(t, name)
 		}
 		k := Key{Domain: part("domain", MaxDomain), Epoch: part("epoch", MaxEpoch), Unique: part("unique", MaxUnique)}
 		parsed, err := Parse(k.String())
@@ -55,8 +55,7 @@
 	}
 }
 
-// TestRankIsFixed compares with a known value, since VMs of two versions have to
-// agree on it.
+// VMs of two versions have to agree on ranks, so the test compares with a known value.
 func TestRankIsFixed(t *testing.T) {
 	must.Eq(t, 13859996150717462282, Rank("a", "vm1"))
 	must.NotEq(t, Rank("a", "vm1"), Rank("a", "vm2"))
--- a/membership/join.go
+++ b/membership/join.go
@@ -86,12 +86,12 @@
 	return ok && !l.live
 }
 
-func (s *State) addContact(address string, lasts time.Duration) {
+func (s *State) addContact(address string, expiresAt time.Duration) {
 	if address == "" || address == s.cfg.Self.Address {
 		return
 	}
 	if s.contacts[address] == nil {
-		s.contacts[address] = &contact{until: lasts}
+		s.contacts[address] = &contact{until: expiresAt}
 	}
 }
 
