--- a/submission/answers.go
+++ b/submission/answers.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// chunkBytes is the usual size of a chunk, and chunksOfBudget the least number
-	// of chunks in the budget: the oldest chunk is dropped as a whole.
+	// chunkBytes is the usual size of a chunk. A small budget is split into minChunks
+	// smaller ones, because the oldest chunk is dropped as a whole.
 	chunkBytes     = 64 << 10
 	chunksOfBudget = 64
-	// indexBytes is the most that the index takes for one answer.
+	// indexBytes is an upper bound of the index's memory for one answer.
 	indexBytes = 64
 )
 
-// A record in a chunk is the hash of its key, the fingerprint of its content, the
-// length of its outcome, and the outcome as the answer to a peer holds it.
+// A record in a chunk consists of the hash of its key, the fingerprint of its content, the
+// length of its outcome, and the outcome, encoded as a response to a peer.
 const (
 	fingerprintAt = key.HashBytes
 	lengthAt      = fingerprintAt + 8
 	outcomeAt     = lengthAt + 4
 )
 
-// answers keeps the outcomes of ended submissions within a budget of bytes, the
-// oldest dropped first. Nothing of them but bytes is held, so that they cost the
-// garbage collector no time.
+// answers keeps the outcomes of ended submissions within a budget of bytes, and drops the
+// oldest first. They are stored as bytes without pointers, so that the garbage collector
+// does not have to scan them.
 type answers struct {
 	budget int64
 	// chunkBytes is the size of chunks; larger answers have chunks of their own.
 	chunkBytes int
-	// chunks are the records, oldest first; the first one has the number oldest.
+	// chunks hold the records, oldest first; the first one has the number oldestChunk.
 	chunks [][]byte
 	oldest uint32
 	index  map[key.Hash]place
-	// indexed is the largest length of index since it was made, since a map does
-	// not shrink; chunked is the size of all chunks.
+	// maxIndexed is the largest length of index since it was made: a map does not
+	// shrink. chunkTotal is the size of all chunks.
 	indexed int
 	chunked int64
-	// dropped counts answers that were dropped for room.
+	// dropped counts the answers that were dropped to stay within the budget.
 	dropped int64
 }
 
-// place is where a record begins. Numbers of chunks wrap around.
+// position is where a record begins. Numbers of chunks wrap around.
 type place struct{ chunk, offset uint32 }
 
 func newAnswers(budget int64) *answers {
@@ -57,10 +57,10 @@
 	}
 }
 
-// bytes is the size of all that is kept.
+// bytes returns the memory that the answers and their index take.
 func (a *answers) bytes() int64 { return a.chunked + int64(a.indexed)*indexBytes }
 
-// put keeps the outcome of a submission, unless it is larger than the budget.
+// put stores the outcome of a submission, unless it is larger than the budget.
 func (a *answers) put(keyText string, fingerprint uint64, o *Outcome) {
 	message := toResponse(o)
 	size := outcomeAt + proto.Size(message)
@@ -85,16 +85,17 @@
 func appendMessage(b []byte, message proto.Message) []byte {
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, message)
 	if err != nil {
-		panic("submission: an outcome of our own can't be written: " + err.Error())
+		panic("submission: can't encode an outcome: " + err.Error())
 	}
 	return b
 }
 
-// room makes the last chunk have room for a record and returns its place.
+// reserve makes sure that the last chunk has room for a record, and returns the record's
+// position.
 func (a *answers) room(size int) place {
 	n := len(a.chunks)
 	if n == 0 || cap(a.chunks[n-1])-len(a.chunks[n-1]) < size {
-		// The allocator rounds sizes up, so that the capacity is what counts.
+		// The allocator rounds sizes up, so the capacity is counted.
 		chunk := slices.Grow([]byte(nil), max(size, a.chunkBytes))
 		a.chunked += int64(cap(chunk))
 		a.chunks = append(a.chunks, chunk)
@@ -103,7 +104,7 @@
 	return place{chunk: a.oldest + uint32(n-1), offset: uint32(len(a.chunks[n-1]))}
 }
 
-// dropOldest forgets the records of the oldest chunk.
+// dropOldest drops the oldest chunk with its records.
 func (a *answers) dropOldest() {
 	chunk := a.chunks[0]
 	for offset := 0; offset < len(chunk); {
@@ -119,7 +120,7 @@
 	a.shrinkIndex()
 }
 
-// shrinkIndex makes a new index once half of the old one is empty.
+// shrinkIndex replaces the index by a smaller one once half of it is unused.
 func (a *answers) shrinkIndex() {
 	if len(a.index) > a.indexed/2 {
 		return
@@ -133,7 +134,7 @@
 	return int(binary.LittleEndian.Uint32(record[lengthAt:]))
 }
 
-// get finds the outcome of a submission and the fingerprint of its content.
+// get returns the outcome of a submission and the fingerprint of its content.
 func (a *answers) get(keyText string) (o *Outcome, fingerprint uint64, ok bool) {
 	at, ok := a.index[key.HashText(keyText)]
 	if !ok {
@@ -142,7 +143,7 @@
 	record := a.chunks[at.chunk-a.oldest][at.offset:]
 	var message peerpb.WaitResponse
 	if err := proto.Unmarshal(record[outcomeAt:outcomeAt+outcomeLength(record)], &message); err != nil {
-		panic("submission: a kept outcome can't be read: " + err.Error())
+		panic("submission: can't decode a kept outcome: " + err.Error())
 	}
 	return fromResponse(&message), binary.LittleEndian.Uint64(record[fingerprintAt:]), true
 }
--- a/submission/answers_test.go
+++ b/submission/answers_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// liveHeap is the size of the reachable heap.
+// liveHeap returns the size of the reachable heap.
 func liveHeap() int64 {
 	// The second collection ends the sweep of the first one.
 	runtime.GC()
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestCountedBytesAreThoseOfTheHeap compares the counted size of kept answers with
-// the heap that they take, below the budget and once answers are dropped.
+// The counted size of kept answers is compared with the heap that they take, below the
+// budget and once answers are dropped.
 func TestCountedBytesAreThoseOfTheHeap(t *testing.T) {
 	const budget = 8 << 20
 	for _, c := range []struct{ small, bytes, large int }{
@@ -46,13 +46,13 @@
 		must.LessEq(t, budget, counted, what)
 		must.Less(t, counted+counted/20, heap, what)
 		must.Greater(t, counted*3/4, heap, what)
-		// Small answers leave no room behind that large ones can't use.
+		// Memory of dropped small answers is usable for large ones.
 		must.GreaterEq(t, min(c.large, 60), len(table.answers.index), what)
 		runtime.KeepAlive(table)
 	}
 }
 
-// TestAnswerBeyondTheBudgetDropsNoOther keeps the others, also at a budget of none.
+// An answer larger than the budget is dropped itself; the others stay.
 func TestAnswerBeyondTheBudgetDropsNoOther(t *testing.T) {
 	a := newAnswers(10_000)
 	a.put("a.e.small", 1, &Outcome{Status: statusOK, Body: []byte("small")})
--- a/submission/ask.go
+++ b/submission/ask.go
@@ -8,26 +8,26 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// Ask is what a caller asks about a key without submitting it.
+// Ask is the kind of a caller's question about a key.
 type Ask int
 
-// The asks.
+// The kinds of question.
 const (
 	// AskAnswer waits for the answer.
 	AskAnswer Ask = iota
-	// AskState looks at the state.
+	// AskState asks for the state.
 	AskState
 	// AskCancel ends the submission and waits for its outcome.
 	AskCancel
 )
 
-// Reply is the result of Ask: an outcome, or a state while there is none.
+// Reply is the result of a question: an outcome, or a state while there is none.
 type Reply struct {
 	Outcome *Outcome
 	Status  *api.Status
 }
 
-// Ask answers a caller's question about a key, wherever it runs.
+// Ask answers a caller's question about a key, whichever VM runs it.
 func (s *Service) Ask(ctx context.Context, k key.Key, ask Ask) Reply {
 	if e := s.table.get(k.String()); e != nil && s.runsHere(ctx, e) {
 		return s.askLocal(ctx, e, ask)
@@ -52,6 +52,7 @@
 	return s.askRemote(ctx, k, claim, ask)
 }
 
+// askLocal answers a question about an entry that this VM runs.
 func (s *Service) askLocal(ctx context.Context, e *entry, ask Ask) Reply {
 	if ask == AskState && !isDone(e) {
 		return Reply{Status: s.status(e.keyText)}
@@ -72,8 +73,8 @@
 	return &api.Status{Key: keyText, State: state, Runner: s.options.VM, Tasks: tasks, Done: done}
 }
 
-// askRemote looks or cancels at the runner. A cancelled submission may take longer
-// to end than one request lasts, so that its outcome is then waited for.
+// askRemote asks the runner for the state, or to cancel. A cancelled submission may take
+// longer to end than one request may last; its outcome is then awaited.
 func (s *Service) askRemote(ctx context.Context, k key.Key, claim Claim, ask Ask) Reply {
 	once, cancel := context.WithTimeout(ctx, waitPoll+waitMargin)
 	defer cancel()
--- a/submission/bounds_test.go
+++ b/submission/bounds_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestWaitIsBounded waits at another VM for a submission that does not end.
+// A caller waits at another VM for a submission that does not end.
 func TestWaitIsBounded(t *testing.T) {
 	inBubble(t, func() {
 		w := newWorld(2, 1<<20)
@@ -68,7 +68,7 @@
 	})
 }
 
-// TestCancelDuringClaim cancels submissions that no dispatcher has yet.
+// Submissions are cancelled while no dispatcher has them yet.
 func TestCancelDuringClaim(t *testing.T) {
 	inBubble(t, func() {
 		w := newWorld(1, 1<<20)
@@ -186,7 +186,7 @@
 	must.Eq(t, maxEvents+1, e.Dropped)
 }
 
-// TestStatusesAreDocumented compares the statuses with the callers' page.
+// The statuses are compared with the table in docs/API.md.
 func TestStatusesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/API.md")
 	must.NoError(t, err)
--- a/submission/explain.go
+++ b/submission/explain.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// maxExplanations bounds the submissions whose events are kept.
+// maxExplanations bounds the number of submissions whose events are kept.
 const maxExplanations = 2000
 
-// maxEvents bounds the events kept for one submission.
+// maxEvents bounds the events that are kept for one submission.
 const maxEvents = 24
 
-// NoTask stands in an Event for the submission as a whole.
+// NoTask is the task of an Event that concerns the submission as a whole.
 const NoTask = -1
 
-// Event is something that was decided about a submission.
+// Event is a decision about a submission, or a change of it.
 type Event struct {
 	Time time.Time
 	// Text names what happened.
 	Text string
 	// Task is the number of the task, or NoTask.
 	Task int
-	// Target is the target that it concerns, empty for none.
+	// Target is the target concerned, empty for none.
 	Target string
-	// Reason says why, empty when the text says it all.
+	// Reason says why, empty when the text says it already.
 	Reason string
 }
 
-// Explanation is what a VM noted about one submission.
+// Explanation is a VM's events of one submission.
 type Explanation struct {
 	// Profile is the profile that the submission named, empty when the VM never had
 	// the submission itself.
 	Profile string
-	// Events are ordered by time. Once many are kept, further starts are only
-	// counted in Dropped, and other events take the place of the newest start.
+	// Events are ordered by time. When there are maxEvents, further events are counted
+	// in Dropped, and events of the whole submission replace the last one kept.
 	Events  []Event
 	Dropped int
 }
@@ -56,20 +56,21 @@
 	return &explanations{most: most, order: list.New(), byKey: map[string]*list.Element{}}
 }
 
-// setProfile notes which profile a submission named.
+// setProfile records which profile a submission named.
 func (x *explanations) setProfile(keyText, profile string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.entry(keyText).Profile = profile
 }
 
-// add notes an event of the submission as a whole.
+// add records an event of the submission as a whole.
 func (x *explanations) add(keyText, text string) {
 	x.addEvent(keyText, Event{Text: text, Task: NoTask})
 }
 
-// addEvent notes an event. The end of a submission must stay readable after many
-// starts, so that events of the whole submission replace the newest one.
+// addEvent records an event. When there are maxEvents already, an event of the whole
+// submission replaces the last one, so that the end of a submission is kept after many
+// starts.
 func (x *explanations) addEvent(keyText string, e Event) {
 	e.Time = time.Now()
 	x.mu.Lock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// entry finds or makes the explanation of a key; the caller holds x.mu.
+// entry returns the explanation of a key and adds one if needed. The caller holds x.mu.
 func (x *explanations) entry(keyText string) *explanation {
 	el := x.byKey[keyText]
 	if el == nil {
@@ -96,6 +97,7 @@
 	return el.Value.(*explanation)
 }
 
+// trim drops the oldest explanations beyond the limit.
 func (x *explanations) trim() {
 	for x.order.Len() > x.most {
 		oldest := x.order.Remove(x.order.Front()).(*explanation)
@@ -103,7 +105,7 @@
 	}
 }
 
-// get returns a copy; one without events says that nothing is known.
+// get returns a copy of the explanation of a key. It has no events when there is none.
 func (x *explanations) get(keyText string) Explanation {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/submission/foreign.go
+++ b/submission/foreign.go
@@ -9,18 +9,18 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// Foreign answers a question about a key of another failure domain. Nothing is
-// started here, but the key may have been submitted at its home, so that the outcome
-// is unknown.
+// AskForeign answers a question about a key of another failure domain. Nothing was
+// started here, but the key may have been submitted at its home, so the outcome is
+// unknown.
 func (s *Service) Foreign(_ context.Context, k key.Key) *Outcome {
 	return s.foreign(k, api.OutcomeUnknown, "submit there; if it can't be reached and this key was never sent before, "+takeNewKey)
 }
 
 const takeNewKey = "take a key of this failure domain from GET /v1/epoch"
 
-// SubmitForeign answers a submission whose key belongs to another failure domain.
-// The key is burned at its home, so that "not run" is certain and stays so; the
-// outcome is unknown when the home knows no better or can't be reached.
+// SubmitForeign answers a submission whose key belongs to another failure domain. It has
+// the key burned at its home, so that "not run" is certain and stays true. The outcome is
+// unknown when the home can't be reached or can't decide.
 func (s *Service) SubmitForeign(ctx context.Context, k key.Key) *Outcome {
 	ctx, span := s.tracer.Start(ctx, "burn")
 	defer span.End()
@@ -41,6 +41,7 @@
 	return s.Foreign(ctx, k)
 }
 
+// wrongDomain returns the refusal of a key of another failure domain.
 func (s *Service) foreign(k key.Key, run api.RunState, advice string) *Outcome {
 	return Refused(&api.Failure{
 		Kind:    api.KindWrongDomain,
@@ -50,8 +51,8 @@
 	})
 }
 
-// ServeBurn implements peer.Burner: it burns a key of this failure domain that was
-// submitted in another one, unless the key is known here.
+// ServeBurn implements peer.Burner. It burns a key of this failure domain that was
+// submitted in another one, unless a process here has it already.
 func (s *Service) ServeBurn(ctx context.Context, r *peerpb.BurnRequest) *peerpb.BurnResponse {
 	response := &peerpb.BurnResponse{Key: r.GetKey(), CallersAddress: s.options.CallersAddress}
 	k, err := key.Parse(r.GetKey())
@@ -74,8 +75,8 @@
 	return response
 }
 
-// describe says what became of a key that somebody has. The VM that decides on keys
-// may not know how this one ended, so that its runner is asked.
+// describe sets the state of a key that a process has. The claim records may not say how
+// the key ended, so the runner is asked.
 func (s *Service) describe(ctx context.Context, k key.Key, claim Claim, response *peerpb.BurnResponse) {
 	response.Runner = claim.RunnerID
 	reply := s.Ask(ctx, k, AskState)
--- a/submission/foreign_test.go
+++ b/submission/foreign_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// home answers burns with one response.
+// fakeHome answers burns with one response.
 type home struct{ response *peerpb.BurnResponse }
 
 func (h home) Burn(context.Context, key.Key) *peerpb.BurnResponse { return h.response }
@@ -50,7 +50,7 @@
 	inBubble(t, func() {
 		w := newWorld(2, 1<<20)
 		must.Eq(t, peerpb.KeyState_KEY_STATE_NOT_RUN, burnAt(w.vms[0].service, "k"))
-		// Again, also at a VM that knows the runner alone.
+		// Again, also at a VM that only knows the runner.
 		must.Eq(t, peerpb.KeyState_KEY_STATE_NOT_RUN, burnAt(w.vms[0].service, "k"))
 		must.Eq(t, peerpb.KeyState_KEY_STATE_NOT_RUN, burnAt(w.vms[1].service, "k"))
 		for _, v := range w.vms {
@@ -106,7 +106,7 @@
 	})
 }
 
-// remote reaches the VMs of a world from another failure domain, with faults.
+// remotePeers reaches the VMs of a test cluster from another failure domain, with faults.
 type remote struct{ world *world }
 
 func (r remote) Burn(ctx context.Context, address string, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error) {
@@ -123,7 +123,7 @@
 	if gone {
 		return nil, twirp.NewError(twirp.Unavailable, "no connection")
 	}
-	// The home goes on when nobody waits any more, and gets some requests again.
+	// The home continues when no caller waits any more, and gets some requests twice.
 	served := make(chan *peerpb.BurnResponse, 2)
 	for range 1 + w.roll(6, name)/5 {
 		go func() { served <- w.vms[i].service.ServeBurn(context.Background(), request) }()
@@ -140,7 +140,7 @@
 	return response, nil
 }
 
-// newForeign makes a service of another failure domain that knows the VMs of a world.
+// newForeign returns a service of another failure domain that knows the VMs of a cluster.
 func newForeign(w *world) *Service {
 	start := time.Now()
 	var addresses []string
@@ -154,11 +154,11 @@
 	})})
 }
 
-// TestForeignIsTrue draws submissions at the home of keys and at another failure
-// domain, with faults of claims and messages and the loss of a VM: what the other
-// failure domain is told is true, for good, and comes in time.
+// Submissions are made at the home of keys and at another failure domain, with faults of
+// claims and messages and the loss of a VM. What the other failure domain replies is
+// true, stays true, and comes in time.
 func TestForeignIsTrue(t *testing.T) {
-	told := map[api.RunState]int{}
+	replies := map[api.RunState]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
 			w := newWorld(rapid.IntRange(2, 3).Draw(rt, "vms"), 1<<20)
@@ -186,14 +186,14 @@
 			synctest.Wait()
 			for _, c := range all {
 				if c.vm < 0 {
-					told[c.checkForeign(rt, w)]++
+					replies[c.checkForeign(rt, w)]++
 				}
 			}
 		})
 	})
-	// Else the check would prove nothing.
+	// Without these replies the test checks nothing.
 	for _, run := range []api.RunState{api.NotRun, api.OutcomeUnknown, api.Completed} {
-		must.Positive(t, told[run], must.Sprint(run))
+		must.Positive(t, replies[run], must.Sprint(run))
 	}
 }
 
@@ -203,7 +203,7 @@
 	c.end = time.Now()
 }
 
-// checkForeign compares what a caller was told with the oracle.
+// checkForeign compares a caller's reply with the oracle's record of its key.
 func (c *caller) checkForeign(t *rapid.T, w *world) api.RunState {
 	must.False(t, c.end.IsZero(), must.Sprint("never ended"))
 	must.LessEq(t, domains.ExchangeTimeout, c.end.Sub(c.begin))
--- a/submission/join.go
+++ b/submission/join.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// waitPoll bounds one request for an answer; a runner that does not react
-	// within waitPoll and waitMargin is looked up again.
+	// waitTimeout is how long a runner may take to respond to one request for an answer.
+	// A runner that is silent for waitTimeout and waitMargin is looked up again.
 	waitPoll   = 2 * time.Second
 	waitMargin = 500 * time.Millisecond
-	// maxJoin bounds the wait for another VM's answer. Deadlines are shorter, so
-	// that the runner ends every submission before.
+	// joinTimeout bounds the wait for another VM's answer. Deadlines are shorter, so the
+	// runner ends every submission earlier.
 	maxJoin = 10 * time.Minute
-	// lookupPause is the pause before the next look-up of a silent runner.
+	// lookupPause is the pause before the next lookup.
 	lookupPause = 100 * time.Millisecond
 )
 
-// join waits at the runner of a key for its outcome. It ends when the runner
-// answers, or when the failure domain knows that the runner is lost.
+// join waits for the outcome of a key from its runner. It ends when the runner answers,
+// or when the failure domain reports that the runner is lost.
 func (s *Service) join(ctx context.Context, k key.Key, fingerprint uint64, claim Claim) *Outcome {
 	ctx, span := s.tracer.Start(ctx, "join")
 	defer span.End()
@@ -49,7 +49,7 @@
 	}
 }
 
-// ended makes the outcome of a claim that no runner can answer any more.
+// endedOutcome returns the outcome of a claim for which no runner has an answer, or nil.
 func (s *Service) ended(k key.Key, claim Claim) *Outcome {
 	switch {
 	case claim.State == ClaimLost || claim.State == ClaimUnknown:
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// askRunner waits once at the runner; again says that the claim must be looked up.
+// askRunner asks the runner once for the outcome. If again is true, the claim must be
+// looked up before the next request.
 func (s *Service) askRunner(ctx context.Context, k key.Key, fingerprint uint64, claim Claim) (o *Outcome, again bool) {
 	ctx, cancel := context.WithTimeout(ctx, waitPoll+waitMargin)
 	defer cancel()
@@ -85,8 +86,8 @@
 	return fromResponse(response), false
 }
 
-// replacedOutcome tells a replaced process, whose submissions are lost at once,
-// from one that does not answer now.
+// replacedOutcome distinguishes a replaced process, whose submissions are lost, from one
+// that does not answer now. For the latter it returns nil and true.
 func replacedOutcome(k key.Key, err error) (*Outcome, bool) {
 	if e, ok := err.(twirp.Error); ok && e.Code() == twirp.FailedPrecondition {
 		return Refused(lost(k.String())), false
@@ -94,6 +95,7 @@
 	return nil, true
 }
 
+// fromResponse returns the outcome that another VM answered.
 func fromResponse(r *peerpb.WaitResponse) *Outcome {
 	kind, run := failureOf(r)
 	return &Outcome{
@@ -105,7 +107,7 @@
 	}
 }
 
-// failureOf reads the kind and the run state of a failure that another VM answered.
+// failureOf returns the failure kind and the run state in another VM's answer.
 func failureOf(r *peerpb.WaitResponse) (api.Kind, api.RunState) {
 	if r.GetStatus() == statusOK {
 		return "", api.Completed
@@ -127,7 +129,7 @@
 	return s.lookup(ctx, k)
 }
 
-// lookup asks who has a key, for as long as a claim may take.
+// lookup asks which process has a key, for at most ClaimTimeout.
 func (s *Service) lookup(ctx context.Context, k key.Key) (Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ClaimTimeout)
 	defer cancel()
@@ -142,8 +144,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.GetWaitMs())*time.Millisecond)
 	defer cancel()
-	// An entry that is not local yet is waited for too: the asking VM may learn
-	// of a grant from the registrar before this VM does.
+	// Wait also for an entry that is not local yet: the asking VM may learn of a grant
+	// from the registrar before this VM does.
 	here := s.runsHere(ctx, e)
 	if f := r.GetFingerprint(); f != 0 && f != e.fingerprint {
 		if !here {
@@ -165,8 +167,8 @@
 	}
 }
 
-// dropped answers for a key that has no entry here: the claim records may still
-// say how it ended.
+// responseWithoutEntry returns the response for a key that has no entry here. The claim
+// records may still say how it ended.
 func (s *Service) dropped(ctx context.Context, keyText string) *peerpb.WaitResponse {
 	k, err := key.Parse(keyText)
 	if err != nil {
@@ -188,6 +190,7 @@
 	}
 }
 
+// lookResponse returns the response for an unfinished submission.
 func (s *Service) lookResponse(keyText string) *peerpb.WaitResponse {
 	state, tasks, done := s.options.Dispatcher.Look(keyText)
 	return &peerpb.WaitResponse{Known: true, State: state, Tasks: int32(tasks), TasksDone: int32(done)}
--- a/submission/service.go
+++ b/submission/service.go
@@ -19,17 +19,17 @@
 
 // The claim states.
 const (
-	// ClaimRunning says that the runner is alive and has, or had, the key.
+	// ClaimRunning says that the runner is alive: it runs the key or has run it.
 	ClaimRunning ClaimState = iota
-	// ClaimLost says that the runner is gone and its outcome can't be known.
+	// ClaimLost says that the runner is lost and the outcome of the key unknown.
 	ClaimLost
 	// ClaimEnded says that the runner left and handed over how the key ended.
 	ClaimEnded
-	// ClaimUnknown says that nobody knows the key (Lookup only).
+	// ClaimUnknown says that there is no record of the key (Lookup only).
 	ClaimUnknown
 )
 
-// Claim is what the failure domain knows of a key.
+// Claim is the failure domain's record of a key.
 type Claim struct {
 	// Granted says that this VM, and no other, may run the key.
 	Granted bool
@@ -48,7 +48,7 @@
 type Claims interface {
 	Claim(ctx context.Context, k key.Key) (Claim, error)
 	Lookup(ctx context.Context, k key.Key) (Claim, error)
-	// Burn refuses a key for good unless somebody has it; when it is granted, the
+	// Burn refuses a key permanently unless a process has it. When it is granted, the
 	// key is never started.
 	Burn(ctx context.Context, k key.Key) (Claim, error)
 	SetOutcome(k key.Key, run api.RunState)
@@ -58,21 +58,21 @@
 type Dispatcher interface {
 	// Submit admits and runs a submission; done is called exactly once.
 	Submit(s *Submission, done func(*Outcome))
-	// Cancel asks for the end of a submission that Run was called for.
+	// Cancel asks for the end of a submission that was passed to Submit.
 	Cancel(keyText string)
-	// Look describes an unfinished submission.
+	// Look returns the state and the progress of an unfinished submission.
 	Look(keyText string) (state string, tasks, tasksDone int)
 }
 
-// Peers reaches the runners of other submissions.
+// Peers sends requests to the runners of submissions at other VMs.
 type Peers interface {
 	Wait(ctx context.Context, address string, request *peerpb.WaitRequest) (*peerpb.WaitResponse, error)
 }
 
-// Domains reaches the other failure domains.
+// Domains sends requests to the other failure domains.
 type Domains interface {
-	// Burn asks the home of a key to burn it and says what is known of it there,
-	// in a short bounded time.
+	// Burn asks the home failure domain of a key to burn it and returns the state of
+	// the key there, in a short bounded time.
 	Burn(ctx context.Context, k key.Key) *peerpb.BurnResponse
 }
 
@@ -84,9 +84,10 @@
 	CallersAddress string
 	// AnswerBytes bounds the answers that are kept.
 	AnswerBytes int64
-	// ClaimTimeout bounds how long a claim may wait for a change of membership.
+	// ClaimTimeout bounds a claim or lookup, which may have to wait for a view change.
 	ClaimTimeout time.Duration
-	// DrainRetryAfter is when a caller that met a planned stop may come back.
+	// DrainRetryAfter is the time after which a caller that was refused because of a
+	// planned stop may retry.
 	DrainRetryAfter time.Duration
 	Claims          Claims
 	Dispatcher      Dispatcher
@@ -95,7 +96,7 @@
 	Scope           tally.Scope
 }
 
-// Service takes submissions from callers and from other VMs.
+// Service serves submissions of callers and questions of other VMs about them.
 type Service struct {
 	options  Options
 	table    *table
@@ -106,7 +107,7 @@
 	claims, joined, granted, burned tally.Counter
 }
 
-// NewService makes a service.
+// NewService returns a service.
 func NewService(o Options) *Service {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
@@ -123,8 +124,8 @@
 	}
 }
 
-// Submit runs or joins a submission and waits for its outcome or the end of the
-// caller's context, which returns nil. The submission goes on without its caller.
+// Submit runs or joins a submission and waits for its outcome. It returns nil when the
+// caller's context ends first; the submission continues without its caller.
 func (s *Service) Submit(ctx context.Context, sub *Submission) *Outcome {
 	for {
 		e := s.reserve(sub)
@@ -140,11 +141,11 @@
 		if same {
 			return e.outcome
 		}
-		// The other content was not granted here, so that this one may be what runs.
+		// The other content was not granted here, so this one may be the one that runs.
 	}
 }
 
-// reserve finds the entry of a key, or adds one and starts it on its way.
+// reserve returns the entry of a key. For a new entry it starts the claim.
 func (s *Service) reserve(sub *Submission) *entry {
 	e, first := s.table.reserve(sub.KeyText, sub.Fingerprint)
 	if first {
@@ -155,9 +156,9 @@
 	return e
 }
 
-// runsHere waits for the claim of an entry and says whether this VM runs it. Until
-// then it can't be known which content of the key runs, and the dispatch duty has
-// nothing to look at or to cancel.
+// runsHere waits for the claim of an entry and reports whether this VM runs it. Before
+// that it is not decided which content of the key runs, and the dispatch duty does not
+// have the submission yet.
 func (s *Service) runsHere(ctx context.Context, e *entry) bool {
 	select {
 	case <-e.decided:
@@ -167,7 +168,8 @@
 	}
 }
 
-// own takes the reserved entry to its outcome.
+// runOrJoin claims the key of a reserved entry. Then it runs the submission here or waits
+// for the VM that has the key, and ends the entry.
 func (s *Service) own(e *entry, sub *Submission) {
 	ctx := trace.ContextWithSpanContext(context.Background(), sub.Span)
 	claim, err := s.claim(ctx, sub)
@@ -194,7 +196,7 @@
 	s.table.decide(e)
 }
 
-// claim asks the failure domain for the key, in a span of its own.
+// claim claims the key in the failure domain, in a span of its own.
 func (s *Service) claim(ctx context.Context, sub *Submission) (Claim, error) {
 	ctx, span := s.tracer.Start(ctx, "claim")
 	defer span.End()
@@ -204,7 +206,8 @@
 	return s.options.Claims.Claim(ctx, sub.Key)
 }
 
-// end stores the outcome of an entry.
+// endEntry stores the outcome of an entry, and reports it to the claim duty if this VM
+// ran the submission.
 func (s *Service) end(e *entry, k key.Key, o *Outcome) {
 	if s.table.isLocal(e) {
 		s.options.Claims.SetOutcome(k, o.Run)
@@ -220,8 +223,8 @@
 // Drain makes the service refuse new submissions as not run.
 func (s *Service) Drain() { s.draining.Store(true) }
 
-// Abandon gives the callers that wait for other VMs' answers a final word, for a
-// planned stop whose time is over.
+// Abandon ends all unfinished entries with a failure, when the time of a planned stop is
+// over. Their callers still wait for answers of other VMs.
 func (s *Service) Abandon() {
 	for _, e := range s.table.open() {
 		s.table.finish(e, Refused(&api.Failure{
@@ -234,7 +237,7 @@
 	}
 }
 
-// State names the state of a submission at this VM, as GET of it does.
+// State returns the name of a submission's state at this VM.
 func (s *Service) State(keyText string) string {
 	e := s.table.get(keyText)
 	switch {
@@ -249,16 +252,17 @@
 	return state
 }
 
-// Kept is the size of the kept answers in bytes and how many were dropped so far.
+// KeptAnswers returns the size of the kept answers in bytes and how many were dropped so
+// far.
 func (s *Service) Kept() (bytes, dropped int64) { return s.table.kept() }
 
-// Unfinished counts the submissions without outcome.
+// Unfinished returns the number of submissions without outcome.
 func (s *Service) Unfinished() int { return s.table.unfinished() }
 
-// Explain returns what was noted about a key.
+// Explain returns the recorded events of a key.
 func (s *Service) Explain(keyText string) Explanation { return s.explain.get(keyText) }
 
-// Note adds an event to the explanation of a key.
+// AddEvent adds an event to the explanation of a key.
 func (s *Service) Note(keyText string, e Event) { s.explain.addEvent(keyText, e) }
 
 func (s *Service) drainingFailure(keyText string) *api.Failure {
@@ -280,6 +284,7 @@
 	}
 }
 
+// asFailure returns the failure in err, or else an "unavailable" one, for the key.
 func asFailure(err error, keyText string) *api.Failure {
 	var f *api.Failure
 	if errors.As(err, &f) {
@@ -296,8 +301,8 @@
 	}
 }
 
-// Start begins a submission without waiting for its outcome; one is returned when
-// the key is known to belong to other content.
+// Start begins a submission without waiting for its outcome. It returns a refusal when
+// the key belongs to other content, else nil.
 func (s *Service) Start(sub *Submission) *Outcome {
 	e := s.reserve(sub)
 	if e.fingerprint == sub.Fingerprint {
--- a/submission/service_test.go
+++ b/submission/service_test.go
@@ -16,22 +16,22 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result. A flag of the command
+// line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// inBubble runs f with a fake clock, which also fails when goroutines are left. A
-// panic, by which rapid ends a check, leaves the bubble as it came.
+// inBubble runs f in a synctest bubble, which fails when goroutines are left. A panic, by
+// which rapid ends a failed check, is passed on outside the bubble.
 func inBubble(t *testing.T, f func()) {
 	var panicked any
 	synctest.Test(t, func(*testing.T) {
 		defer func() {
 			panicked = recover()
-			// What a failed check left behind may end.
+			// Gives goroutines of a failed check time to end.
 			time.Sleep(time.Hour)
 		}()
 		f()
@@ -43,13 +43,13 @@
 
 func keyOf(unique string) key.Key { return key.Key{Domain: "a", Epoch: "e", Unique: unique} }
 
-// newSubmission makes one whose profile stands for its content.
+// newSubmission returns a submission whose profile is its content.
 func newSubmission(unique, content string) *Submission {
 	k := keyOf(unique)
 	return New(&api.Submission{Key: k.String(), Profile: content, Tasks: []api.Task{{Payload: []byte("1")}}}, k)
 }
 
-// askSubmit and askStart complete the asks.
+// askSubmit and askStart are further kinds of call, besides the questions.
 const (
 	askSubmit Ask = 10 + iota
 	askStart
@@ -62,7 +62,7 @@
 	ask         Ask
 	leavesAfter time.Duration
 	begin, end  time.Time
-	// order is the place of the begin in the order of events.
+	// order is the position of the call's begin in the order of events.
 	order int
 	reply Reply
 }
@@ -101,7 +101,7 @@
 	c.end = time.Now()
 }
 
-// check compares what a caller was told with the oracle.
+// check compares a caller's reply with the oracle's record of its key.
 func (c *caller) check(t *rapid.T, w *world) {
 	what := must.Sprintf("%+v", *c)
 	must.False(t, c.end.IsZero(), must.Sprint("never ended"), what)
@@ -162,11 +162,11 @@
 	}
 }
 
-// TestOnceAndTrue draws callers, lost and leaving VMs and faults of claims and
-// peers, and checks every reply against the oracle.
+// Callers, lost and leaving VMs and faults of claims and peers are drawn at random, and
+// every reply is checked against the oracle.
 func TestOnceAndTrue(t *testing.T) { checkOnceAndTrue(t, 1<<20, false) }
 
-// TestOnceAndTrueWithDroppedAnswers has room for one answer at a VM.
+// The same with a budget for one answer at each VM.
 func TestOnceAndTrueWithDroppedAnswers(t *testing.T) { checkOnceAndTrue(t, 200, true) }
 
 func checkOnceAndTrue(t *testing.T, answerBytes int64, dropping bool) {
@@ -207,7 +207,7 @@
 	})
 }
 
-// endVM loses VM 0, stops it as planned, or makes it refuse.
+// endVM loses VM 0 (1), lets it drain and leave (2), or only lets it drain (3 and more).
 func (w *world) endVM(kind int) {
 	v := w.vms[0]
 	if kind > 1 {
--- a/submission/status.go
+++ b/submission/status.go
@@ -32,7 +32,7 @@
 	api.KindInternal:         http.StatusInternalServerError,
 }
 
-// StatusOf is the HTTP status of a kind of failure.
+// StatusOf returns the HTTP status of a kind of failure.
 func StatusOf(kind api.Kind) int {
 	if status, ok := statuses[kind]; ok {
 		return status
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -1,6 +1,11 @@
-// Package submission takes each submission from its key to its answer: it
-// reserves the key in this VM, claims it in the failure domain, hands it to the
-// dispatch duty or joins the VM that already runs it, and keeps answers.
+// Package submission decides what happens to each submission of a caller.
+//
+// It reserves the key in this VM and claims it in the failure domain. When the key is
+// granted, the dispatch duty runs the tasks here; else this VM waits for the answer of
+// the VM that runs it. Every caller of a key gets the same outcome. One key is submitted
+// to a dispatch duty at most once, and with one content. Answers of submissions that
+// this VM ran are kept within a budget of bytes. Keys of other failure domains are
+// refused, and burned at their home.
 package submission
 
 import (
@@ -20,24 +25,25 @@
 	KeyText string
 	// Profile names the profile.
 	Profile string
-	// Deadline is the time to the answer that the caller asked for; 0 takes the
+	// Deadline is the time until the answer that the caller asked for; 0 stands for the
 	// profile's.
 	Deadline time.Duration
-	// Idempotent is the caller's mark; it changes advice alone.
+	// Idempotent is the caller's statement; it only changes the advice in failures.
 	Idempotent bool
 	Tasks      []api.Task
-	// Fingerprint is a hash of the content, so that one key with two contents
-	// is refused.
+	// Fingerprint is a hash of the content, by which a second content under the same
+	// key is refused.
 	Fingerprint uint64
-	// Span is the caller's hop; later hops of the submission are its children.
+	// Span is the span of the caller's request; later spans of the submission are its
+	// children.
 	Span trace.SpanContext
 }
 
-// maxMS bounds the times that a caller gives, in milliseconds: a day is longer than
-// any submission may take, and sums of such times do not overflow.
+// maxMS bounds the durations that a caller gives, in milliseconds. A day is longer than
+// any submission may take, and sums of such durations do not overflow.
 const maxMS = int64(24 * time.Hour / time.Millisecond)
 
-// New makes a submission of a request that was checked.
+// New returns the submission of a valid request.
 func New(request *api.Submission, k key.Key) *Submission {
 	for i := range request.Tasks {
 		request.Tasks[i].ExpectedMS = min(request.Tasks[i].ExpectedMS, maxMS)
@@ -53,7 +59,7 @@
 	}
 }
 
-// fingerprint hashes what a submission asks for. It is never 0, which means
+// fingerprint returns a hash of the profile and the payloads. It is never 0, which means
 // "not compared" between VMs.
 func fingerprint(request *api.Submission) uint64 {
 	d := xxhash.New()
@@ -74,15 +80,15 @@
 	Status int
 	// Body is the JSON body.
 	Body []byte
-	// RetryAfter is when to come back; 0 says that it does not help.
+	// RetryAfter is the time after which to retry; 0 means that a retry does not help.
 	RetryAfter time.Duration
-	// Run says what happened to the tasks; api.Completed for an answer.
+	// Run says what happened to the tasks; it is api.Completed for an answer.
 	Run api.RunState
 	// Kind is the kind of failure; empty for an answer.
 	Kind api.Kind
 }
 
-// Answered makes the outcome of a submission whose tasks all ended well.
+// Answered returns the outcome of a submission whose tasks have all completed.
 func Answered(keyText string, results []json.RawMessage) *Outcome {
 	body, err := json.Marshal(&api.Answer{Key: keyText, Results: results})
 	if err != nil {
@@ -96,11 +102,11 @@
 	return &Outcome{Status: statusOK, Body: append(body, '\n'), Run: api.Completed}
 }
 
-// Refused makes the outcome of a failure.
+// Refused returns the outcome of a failure.
 func Refused(f *api.Failure) *Outcome {
 	body, err := json.Marshal(&api.FailureBody{Error: f})
 	if err != nil {
-		// Failure holds only strings and numbers.
+		// Failure holds only strings and numbers, so it can always be encoded.
 		panic(err)
 	}
 	return &Outcome{
--- a/submission/table.go
+++ b/submission/table.go
@@ -4,13 +4,12 @@
 	"sync"
 )
 
-// entry is a submission that this VM knows: its own, or one that it waits for at
-// another VM.
+// entry is a submission that this VM runs, or whose answer it awaits from another VM.
 type entry struct {
 	keyText     string
 	fingerprint uint64
-	// decided is closed when the claim has ended: the submission was handed to the
-	// dispatch duty of this VM, or it is not this VM's.
+	// decided is closed when the claim has ended: the submission was passed to the
+	// dispatch duty of this VM, or another VM has the key.
 	decided   chan struct{}
 	isDecided bool
 	// done is closed when outcome is set.
@@ -20,15 +19,15 @@
 	local bool
 }
 
-// closed is the channel of entries whose claim and run have ended.
+// closedChannel is the channel of entries whose claim and run have ended.
 var closed = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// table holds the submissions of one VM: an entry for each one without outcome, and
-// the answers of those that have ended here. The claim records remember the rest.
+// table holds the submissions of one VM: an entry for each one without outcome, and the
+// answers of those that ended here. Of the others only claim records remain.
 type table struct {
 	mu      sync.Mutex
 	entries map[string]*entry
@@ -39,8 +38,8 @@
 	return &table{entries: map[string]*entry{}, answers: newAnswers(budget)}
 }
 
-// reserve finds or adds the entry of a key; first says that it was added, so that
-// exactly one goroutine of this VM goes on to claim the key.
+// reserve returns the entry of a key and adds one if needed. It returns true for a new
+// entry, so that exactly one goroutine of this VM claims the key.
 func (t *table) reserve(keyText string, fingerprint uint64) (e *entry, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,14 +56,15 @@
 	return e, true
 }
 
-// get finds an entry.
+// get returns the entry of a key, or nil.
 func (t *table) get(keyText string) *entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.find(keyText)
 }
 
-// find returns the entry of a key, one made of its answer when it has ended, or nil.
+// find returns the entry of a key, an entry made from its kept answer, or nil. The caller
+// holds mu.
 func (t *table) find(keyText string) *entry {
 	if e := t.entries[keyText]; e != nil {
 		return e
@@ -84,7 +84,7 @@
 	}
 }
 
-// setLocal notes that this VM runs the entry.
+// setLocal records that this VM runs the entry.
 func (t *table) setLocal(e *entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +97,7 @@
 	return e.local
 }
 
-// decide notes that the claim of the entry has ended.
+// markDecided records that the claim of the entry has ended.
 func (t *table) decide(e *entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,8 +112,8 @@
 	close(e.decided)
 }
 
-// finish sets the outcome once and wakes all who wait. Only answers of entries that
-// this VM ran are kept; others can be asked for again where they ran.
+// finish sets the outcome of an entry once and wakes all waiting goroutines. Only answers
+// of entries that this VM ran are kept; others can be asked for again where they ran.
 func (t *table) finish(e *entry, o *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// open lists the entries without outcome.
+// unfinishedEntries returns the entries without outcome.
 func (t *table) open() []*entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,14 +140,15 @@
 	return list
 }
 
-// kept is the size of the kept answers in bytes and how many were dropped so far.
+// keptAnswers returns the size of the kept answers in bytes and how many were dropped so
+// far.
 func (t *table) kept() (bytes, dropped int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.answers.bytes(), t.answers.dropped
 }
 
-// unfinished counts entries without outcome.
+// unfinished returns the number of entries without outcome.
 func (t *table) unfinished() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -14,18 +14,18 @@
 	"github.com/twitchtv/twirp"
 )
 
-// record is what the oracle knows of a key.
+// record is the oracle's record of a key.
 type record struct {
-	// runner is the VM that was granted the key; handed says that it knows.
+	// runner is the VM that was granted the key; handedOut says that it got the grant.
 	runner  int
 	handed  bool
 	granted time.Time
-	// grant is the place of the grant in the order of events; 0 is none.
+	// grantOrder is the position of the grant in the order of events; 0 is none.
 	grant int
-	// noted is what the runner said of the end.
+	// reportedRun is the outcome that the runner reported.
 	noted api.RunState
-	// submits counts what reached a dispatcher, content is its fingerprint and
-	// outcome its end.
+	// submits counts the submissions of the key to a dispatcher. Content is the
+	// fingerprint of the last one and outcome its end.
 	submits int
 	content uint64
 	outcome *Outcome
@@ -35,34 +35,34 @@
 	burned bool
 }
 
-// vm is one service and how its process ended.
+// vm is one service and the end of its process.
 type vm struct {
 	service *Service
-	// lostAt and leftAt are zero while it lives.
+	// lostAt and leftAt are zero while the process runs.
 	lostAt, leftAt, drainedAt time.Time
 	jobs                      map[string]chan struct{}
 }
 
-// world holds the oracle. Its faults come from a seed and the name and number of
-// each call, so that the order of goroutines does not change them.
+// testCluster holds the oracle and the VMs. Its faults depend on a seed and the name and
+// number of each call, so that the order of goroutines does not change them.
 type world struct {
 	mu     sync.Mutex
 	seed   uint32
 	faulty bool
-	// dropping says that answers may be dropped for room.
+	// dropping says that answers may be dropped to stay within the budget.
 	dropping bool
-	// hang lets claims and look-ups wait for the end of their contexts.
+	// claimsHang makes claims and lookups wait for the end of their contexts.
 	hang bool
-	// runMS bounds the run time of submissions; 0 runs them until a cancel.
+	// runMS bounds the run time of submissions; with 0 they run until they are cancelled.
 	runMS int
 	keys  map[string]*record
 	vms   []*vm
 	calls map[string]int
-	// events counts grants and begins of calls, which orders those of one instant.
+	// events counts grants and begins of calls, which orders those of the same instant.
 	events int
 }
 
-// event returns the place of the next event in the order of all.
+// event returns the position of the next event in the order of events.
 func (w *world) event() int {
 	w.events++
 	return w.events
@@ -83,7 +83,7 @@
 	return w
 }
 
-// roll throws a number below n for the next call of a name.
+// roll returns a pseudo-random number below n for the next call of a name.
 func (w *world) roll(n int, name string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +95,7 @@
 
 func (w *world) fault(n int, name string) bool { return w.faulty && w.roll(n, name) == 0 }
 
-// node is one VM's view of the world: its claims, dispatcher and peers.
+// node is the claims, dispatcher and peers of one VM.
 type node struct {
 	world *world
 	index int
@@ -105,9 +105,9 @@
 
 var errBusy = &api.Failure{Kind: api.KindUnavailable, Message: "ask again", Run: api.OutcomeUnknown}
 
-// pause waits up to most; long pauses are rare.
-func (n *node) pause(ctx context.Context, name string, most int) error {
-	d := time.Duration(n.world.roll(most, name)) * time.Millisecond
+// pause waits for less than maxMS milliseconds, rarely for up to 20 times as long.
+func (n *node) pause(ctx context.Context, name string, maxMS int) error {
+	d := time.Duration(n.world.roll(maxMS, name)) * time.Millisecond
 	if n.world.fault(9, name) {
 		d *= 20
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// Claim grants each key once. The answer may be late, or lost after the grant,
-// which then waits for the runner's next claim.
+// Claim grants each key once. The answer may be late, or lost after the grant; the next
+// claim of the runner then gets the grant.
 func (n *node) Claim(ctx context.Context, k key.Key) (Claim, error) {
 	w, name := n.world, n.name("claim", k.String())
 	early := n.pause(ctx, name, 60)
@@ -156,7 +156,7 @@
 	return c, nil
 }
 
-// Burn takes a key that nobody has for good. The answer may be late or lost.
+// Burn permanently takes a key that was not granted. The answer may be late or lost.
 func (n *node) Burn(ctx context.Context, k key.Key) (Claim, error) {
 	w, name := n.world, n.name("burn", k.String())
 	if n.pause(ctx, name, 60) != nil || w.fault(12, name) {
@@ -186,8 +186,8 @@
 	f(n.world.keys[keyText])
 }
 
-// lostAfter is how long the failure domain takes to notice a loss. Some replaced
-// processes are noticed by those alone who ask the new one.
+// lossDetection is how long the failure domain takes to detect a lost VM. With some seeds
+// only VMs that send a request to the replaced process detect the loss.
 const lostAfter = 700 * time.Millisecond
 
 func (w *world) claim(r *record, asker int) Claim {
@@ -223,14 +223,14 @@
 	n.note(k.String(), func(r *record) { r.noted = run })
 }
 
-// ends are the failures that a dispatcher may end a submission with.
+// failedEnds are the failures with which a dispatcher may end a submission.
 var ends = []api.Failure{
 	{Kind: api.KindOverloaded, Run: api.NotRun, RetryAfterMS: 800},
 	{Kind: api.KindTaskFailed, Run: api.Failed},
 	{Kind: api.KindTargetLost, Run: api.OutcomeUnknown},
 }
 
-// Submit ends a submission after some time, or at a cancel.
+// Submit ends a submission after some time, or when it is cancelled.
 func (n *node) Submit(s *Submission, done func(*Outcome)) {
 	w, name := n.world, n.name("run", s.KeyText)
 	cancel := make(chan struct{}, 1)
@@ -271,7 +271,8 @@
 
 func (n *node) Look(string) (state string, tasks, done int) { return "running", 1, 0 }
 
-// Wait reaches the runner, unless it is lost, the message is, or it hangs.
+// Wait passes a request to the runner. It fails or hangs at random, and when the runner
+// is lost or has left.
 func (n *node) Wait(ctx context.Context, address string, r *peerpb.WaitRequest) (*peerpb.WaitResponse, error) {
 	w, name := n.world, n.name("wait", r.GetKey())
 	if err := n.pause(ctx, name, 20); err != nil {
