--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -1,4 +1,9 @@
 // Package frontend serves the callers' HTTP interface, described in docs/API.md.
+//
+// It reads and checks requests, passes submissions and questions about keys to the
+// submission service, and writes outcomes as responses. The size of a request, the
+// number of callers that wait and the time to write a response are bounded. A request
+// is reported as not run only when no VM can have started it.
 package frontend
 
 import (
@@ -20,11 +25,12 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// writeTimeout bounds the writing of one answer. Answers are some megabytes at most; a
-// caller that reads more slowly holds a place that others need, and a planned stop.
+// writeTimeout bounds the writing of one answer. Answers are some megabytes at most. A
+// caller that reads more slowly would keep a place from other callers and delay a planned
+// stop.
 const writeTimeout = 30 * time.Second
 
-// Service is what the interface needs of the submission service.
+// Service is the part of the submission service that the interface uses.
 type Service interface {
 	Submit(ctx context.Context, s *submission.Submission) *submission.Outcome
 	Start(s *submission.Submission) *submission.Outcome
@@ -40,11 +46,11 @@
 	// MaxBodyBytes bounds a request body in bytes, MaxTasks the tasks in it.
 	MaxBodyBytes int64
 	MaxTasks     int
-	// MaxInFlight bounds the submissions that callers wait for at this VM.
+	// MaxInFlight bounds the number of submit requests in progress at this VM.
 	MaxInFlight int
-	// Epoch is the epoch token for new keys; empty while there is none.
+	// Epoch returns the epoch token for new keys; it is empty while there is none.
 	Epoch func() string
-	// Ready says whether the balancer should send work here.
+	// Ready reports whether the balancer should send work here.
 	Ready   func() bool
 	Service Service
 	Scope   tally.Scope
@@ -61,7 +67,7 @@
 	latency  tally.Histogram
 }
 
-// New makes a server.
+// New returns a server.
 func New(o Options) *Server {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
@@ -78,7 +84,7 @@
 	}
 }
 
-// Handler is the handler of the callers' port.
+// Handler returns the handler of the callers' port.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/submissions", s.submit)
@@ -91,7 +97,7 @@
 	return s.withHeaders(mux)
 }
 
-// withHeaders puts the epoch and the failure domain on every response.
+// withHeaders adds the failure domain, the VM and the epoch to every response.
 func (s *Server) withHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
@@ -160,6 +166,8 @@
 	s.latency.RecordDuration(time.Since(start))
 }
 
+// answer runs or starts a submission, or burns its key if it belongs to another failure
+// domain, and writes the response.
 func (s *Server) answer(ctx context.Context, w http.ResponseWriter, r *http.Request, sub *submission.Submission) {
 	if sub.Key.Domain != s.options.Domain {
 		s.write(w, s.options.Service.SubmitForeign(ctx, sub.Key))
@@ -176,8 +184,8 @@
 	writeJSON(w, http.StatusAccepted, api.Status{Key: sub.KeyText, State: "accepted", Runner: s.options.VM, Tasks: len(sub.Tasks)})
 }
 
-// read reads and checks a submission. Requests that it refuses as a whole can't be
-// started by any VM, so that "not run" holds for them without a claim.
+// read reads and checks a submission. No VM can start a request that it refuses as
+// malformed, so "not run" is true for it without a claim.
 func (s *Server) read(w http.ResponseWriter, r *http.Request) (*submission.Submission, *api.Failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes))
 	if err != nil {
@@ -207,7 +215,7 @@
 			Run:     api.NotRun,
 		}
 	}
-	// The key was not read, so that an earlier attempt with it may have been run.
+	// The key was not read, and an earlier attempt with it may have run.
 	return &api.Failure{
 		Kind:    api.KindUnavailable,
 		Message: "the body broke off (" + err.Error() + "): this attempt started nothing; send it whole with the same key",
@@ -245,7 +253,7 @@
 	return nil
 }
 
-// ask serves questions about a key.
+// ask returns the handler of one kind of question about a key.
 func (s *Server) ask(ask submission.Ask) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Inc(1)
@@ -267,9 +275,9 @@
 	}
 }
 
-// write sends an outcome; nil means that the caller has gone. It may have closed its
-// side alone and still read, so that the connection is cut: returning would send an
-// empty answer with status 200.
+// write sends an outcome. A nil outcome means that the caller has gone. The caller may
+// have closed only its sending side and still read, so the connection is closed:
+// returning would send an empty answer with status 200.
 func (s *Server) write(w http.ResponseWriter, o *submission.Outcome) {
 	if o == nil {
 		panic(http.ErrAbortHandler)
@@ -289,13 +297,13 @@
 	}
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions.
+// wholeSeconds rounds up to seconds, because Retry-After has no fractions.
 func wholeSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// boundWriting gives the caller writeTimeout to read what is written from now on. The
-// error says that the writer has no deadlines, as those of tests.
+// boundWriting sets the deadline for writing to writeTimeout from now. The ignored error
+// means that the writer has no deadlines, such as those of tests.
 func boundWriting(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
@@ -311,8 +319,8 @@
 	return &api.Failure{Kind: api.KindMalformed, Message: message, Run: api.NotRun}
 }
 
-// tooManyInFlight refuses before the key is read, so that an earlier attempt
-// with the same key may have been run.
+// tooManyInFlight returns the refusal of a request whose key was not read. An earlier
+// attempt with the same key may have run.
 func tooManyInFlight() *api.Failure {
 	return &api.Failure{
 		Kind:         api.KindOverloaded,
--- a/frontend/frontend_test.go
+++ b/frontend/frontend_test.go
@@ -20,13 +20,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeService answers every submission, and keeps the last one.
+// fakeService answers every submission with reply, and keeps the last one.
 type fakeService struct {
 	last    *submission.Submission
 	started bool
 	ask     submission.Ask
 	reply   submission.Reply
-	// wait, when set, holds submissions back; entered says that one is held.
+	// wait, if set, blocks Submit until it is closed. entered is closed when Submit is
+	// called.
 	wait, entered chan struct{}
 }
 
@@ -70,7 +71,8 @@
 	return New(o)
 }
 
-// answered is a large answer, which the server would else send in chunks.
+// answered is an answer so large that the server would send it in chunks if it had no
+// Content-Length.
 var answered = submission.Answered("a.e.k", []json.RawMessage{[]byte(`"` + strings.Repeat("x", 9000) + `"`)})
 
 func do(h http.Handler, method, path, body string) *http.Response {
@@ -79,7 +81,7 @@
 	return w.Result()
 }
 
-// failureOf reads a response, which must hold all that failures hold.
+// failureOf returns the failure in a response, which must have all parts of a failure.
 func failureOf(t *testing.T, r *http.Response) *api.Failure {
 	t.Helper()
 	var body api.FailureBody
@@ -127,16 +129,16 @@
 	}
 }
 
-// TestBrokenBody sends half a body. An earlier attempt may have come whole, so that
-// "not run" would be a guess.
+// A caller sends a part of the body. An earlier attempt may have arrived completely, so
+// "not run" may be wrong.
 func TestBrokenBody(t *testing.T) {
 	e := failureOf(t, sendAndClose(t, len(good)+1))
 	must.Eq(t, api.KindUnavailable, e.Kind)
 	must.Eq(t, api.OutcomeUnknown, e.Run)
 }
 
-// sendAndClose sends a body that is said to have length bytes, ends its own side of
-// the connection and reads the response; nil is none.
+// sendAndClose sends a valid body under a Content-Length of length, closes the sending
+// side of the connection and returns the response, or nil if there is none.
 func sendAndClose(t *testing.T, length int) *http.Response {
 	t.Helper()
 	server := httptest.NewServer(newServer(&fakeService{}, nil).Handler())
@@ -151,8 +153,8 @@
 	return r
 }
 
-// TestNoOutcomeIsNoAnswer ends a submission without outcome, as for a caller that
-// has closed its side of the connection but still reads.
+// A submission ends without outcome: its caller has closed its sending side but still
+// reads.
 func TestNoOutcomeIsNoAnswer(t *testing.T) {
 	must.Nil(t, sendAndClose(t, len(good)))
 }
@@ -167,7 +169,7 @@
 	must.NoError(t, err)
 	must.Eq(t, string(answered.Body), string(body))
 	must.Eq(t, 200, r.StatusCode)
-	// A cut answer has to be noticed.
+	// By Content-Length the caller detects a truncated answer.
 	must.Eq(t, strconv.Itoa(len(answered.Body)), r.Header.Get("Content-Length"))
 	must.Eq(t, "a.e.k", f.last.KeyText)
 	must.False(t, f.started)
@@ -261,8 +263,8 @@
 	must.Eq(t, "e", r.Header.Get(api.HeaderEpoch))
 }
 
-// FuzzRead sends any body: it is accepted with the parts that it holds, or gets a
-// failure in JSON.
+// FuzzRead sends any body. It is accepted and passed on unchanged, or gets a failure in
+// JSON.
 func FuzzRead(f *testing.F) {
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, body string) {
@@ -289,8 +291,8 @@
 	})
 }
 
-// A submission with a key of another failure domain burns the key there; a question
-// about one does not.
+// A submission with a key of another failure domain burns the key there. A question about
+// such a key does not.
 func TestOnlySubmissionsBurnForeignKeys(t *testing.T) {
 	h := newServer(&fakeService{}, nil).Handler()
 	for _, c := range []struct{ method, path, body, want string }{
--- a/frontend/slow_reader_test.go
+++ b/frontend/slow_reader_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pipeListener hands out the server's end of one pipe.
+// pipeListener accepts the server's end of one pipe.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -30,8 +30,8 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller that does not read its answer holds its place among the requests in
-// flight for a bounded time only.
+// A caller that does not read its answer counts among the requests in flight only until
+// writeTimeout.
 func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeService{reply: submission.Reply{Outcome: answered}}, nil)
