--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -13,7 +13,7 @@
 	"github.com/burdockward/burdockward/submission"
 )
 
-// adminHandler serves the operators' port.
+// adminHandler returns the handler of the operators' port.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", d.telemetry.MetricsHandler())
@@ -74,7 +74,7 @@
 	return status
 }
 
-// health puts the use of a target into the words of the admin port.
+// health converts the use of a target to the admin port's health.
 func health(e placement.Explanation) adminapi.TargetHealth {
 	switch {
 	case e.Use == placement.UseLeaving:
@@ -120,7 +120,7 @@
 	writeJSON(w, http.StatusOK, explanation)
 }
 
-// adminEvent puts an event into the form of the admin port.
+// adminEvent converts an event to the form of the admin port.
 func adminEvent(e submission.Event, first time.Time) adminapi.Event {
 	event := adminapi.Event{
 		AtMS:   float64(e.Time.Sub(first).Microseconds()) / 1000,
@@ -135,7 +135,7 @@
 	return event
 }
 
-// explainWork adds where a submission of this VM stands now.
+// explainWork adds the present state and progress of a submission of this VM.
 func (d *Daemon) explainWork(e *adminapi.Explanation) {
 	w := d.dispatch.Explain(e.Key)
 	e.State = d.service.State(e.Key)
@@ -153,7 +153,7 @@
 	e.Events = append(e.Events, adminapi.Event{What: text, Reason: reason, Time: time.Now().Format(time.RFC3339Nano), AtMS: sinceFirst(e.Events)})
 }
 
-// sinceFirst is the time since the first event in milliseconds.
+// sinceFirst returns the time since the first event in milliseconds.
 func sinceFirst(events []adminapi.Event) float64 {
 	if len(events) == 0 {
 		return 0
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -18,7 +18,7 @@
 	"github.com/burdockward/burdockward/telemetry"
 )
 
-// newDaemon makes the duties and joins them.
+// newDaemon creates the duties and connects them.
 func newDaemon(s *settings.Settings, tel *telemetry.Telemetry) (*Daemon, error) {
 	client, err := tableservice.New(tableservice.Options{
 		URL:         s.Platform.URL,
@@ -32,7 +32,7 @@
 		settings:  s,
 		telemetry: tel,
 		log:       tel.Log(),
-		// A start time in nanoseconds orders the processes of one VM.
+		// The start time in nanoseconds is higher for later processes of a VM.
 		incarnation: uint64(time.Now().UnixNano()),
 		started:     time.Now(),
 		platform:    client,
--- a/daemon/capacity.go
+++ b/daemon/capacity.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// digestTimeout bounds the wait for the configuration duty.
+	// digestTimeout bounds the handling of a digest by the configuration duty.
 	digestTimeout = time.Second
 	// digestRenewal is the time between two digests of the configuration.
 	digestRenewal = time.Second
@@ -62,8 +62,8 @@
 	d.peers.Send(to.Address, to.Incarnation, peerpb.Duty_DUTY_CAPACITY, body)
 }
 
-// capacityHandler brings members' capacity messages to the dispatch duty, which
-// owns the state.
+// capacityHandler passes members' capacity messages to the dispatch duty, which owns the
+// state.
 type capacityHandler struct{ d *Daemon }
 
 // HandlePeer implements peer.Handler.
@@ -92,8 +92,8 @@
 	return replies
 }
 
-// followViews gives each new view to the duties that need it. It has a goroutine
-// of its own, so that the claim duty never waits for another one.
+// followViews passes new views to the duties that use them. It runs in a goroutine of its
+// own, so that the claim duty never waits for another duty.
 func (d *Daemon) followViews(ctx context.Context) error {
 	for {
 		select {
@@ -105,7 +105,7 @@
 	}
 }
 
-// noteView wakes followViews; it must not block.
+// signalView wakes followViews. It must not block.
 func (d *Daemon) noteView(claim.View, bool) {
 	select {
 	case d.viewChanged <- struct{}{}:
@@ -113,6 +113,7 @@
 	}
 }
 
+// useView passes a view to the configuration and dispatch duties.
 func (d *Daemon) useView(v claim.View) {
 	d.setConfigurationMembers()
 	view := capacity.View{ID: viewName(v.ID), Parent: viewName(v.Parent), Members: capacityMembers(v.Members), Leavers: capacityMembers(v.Leavers)}
@@ -120,7 +121,7 @@
 	d.log.Info("view", "number", v.ID.Number, "members", memberIDs(v.Members), "opened", v.Opened, "fenced", v.Fenced)
 }
 
-// viewName identifies a view in text; the zero view has none.
+// viewName returns a text that identifies a view; it is empty for the zero view.
 func viewName(id membership.ViewID) string {
 	if id.IsZero() {
 		return ""
@@ -136,8 +137,8 @@
 	return ids
 }
 
-// onDigest gives members' digests to their duties. It runs in the claim duty and
-// must not block.
+// onDigest passes a member's digest to its duty. It runs in the claim duty and must not
+// block.
 func (d *Daemon) onDigest(m membership.Member, duty peerpb.Duty, body []byte) {
 	switch duty {
 	case peerpb.Duty_DUTY_CAPACITY:
@@ -149,8 +150,8 @@
 	}
 }
 
-// configurationDigest gives a member's digest to the configuration duty, and sends
-// what it answers.
+// configurationDigest passes a member's digest to the configuration duty, and sends the
+// replies.
 func (d *Daemon) configurationDigest(m membership.Member, body []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), digestTimeout)
 	defer cancel()
@@ -160,7 +161,7 @@
 	}
 }
 
-// spreadDigests renews the configuration's digest, which carries ages.
+// spreadDigests renews the configuration's digest periodically, because it contains ages.
 func (d *Daemon) spreadDigests(ctx context.Context) error {
 	ticker := time.NewTicker(digestRenewal)
 	defer ticker.Stop()
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -14,7 +14,7 @@
 	"github.com/burdockward/burdockward/submission"
 )
 
-// outcomesSize is the most outcomes that wait for the claim duty.
+// outcomesSize is the largest number of outcomes that wait for the claim duty.
 const outcomesSize = 8192
 
 func (d *Daemon) newClaims() *claim.Duty {
@@ -39,7 +39,7 @@
 	})
 }
 
-// self is this process as a member.
+// self returns this process as a member.
 func (d *Daemon) self() membership.Member {
 	return membership.Member{ID: d.settings.VMID, Incarnation: d.incarnation, Address: advertised(d.settings)}
 }
@@ -79,23 +79,24 @@
 	return c.convert(r), nil
 }
 
-// SetOutcome implements submission.Claims. It never waits; an outcome that is
-// dropped makes a later answer less precise, nothing else.
+// SetOutcome implements submission.Claims. It never waits. If an outcome is dropped, a
+// later answer about its key says that the outcome is unknown.
 func (c submissionClaims) SetOutcome(k key.Key, run api.RunState) {
 	if !c.d.outcomes.Offer(notedOutcome{key: k, outcome: claimOutcome(run)}) {
 		c.d.droppedOutcomes.Inc(1)
 	}
 }
 
-// notedOutcome is how a key that this VM runs ended.
+// endedKey says how a key that this VM ran ended.
 type notedOutcome struct {
 	key     key.Key
 	outcome claim.Outcome
-	// flushed, when set, is closed instead: all outcomes before are noted.
+	// flushed, if set, is closed when all earlier outcomes are recorded. There is no key
+	// then.
 	flushed chan struct{}
 }
 
-// flushOutcomes waits until the claim duty knows how all ended keys ended.
+// flushOutcomes waits until the claim duty has recorded the outcomes of all ended keys.
 func (d *Daemon) flushOutcomes(ctx context.Context) {
 	flushed := make(chan struct{})
 	if !d.outcomes.Offer(notedOutcome{flushed: flushed}) {
@@ -107,7 +108,7 @@
 	}
 }
 
-// noteOutcomes tells the claim duty how keys ended.
+// forwardOutcomes passes the outcomes of keys to the claim duty.
 func (d *Daemon) noteOutcomes(ctx context.Context) error {
 	for {
 		select {
@@ -137,7 +138,7 @@
 	return claim.OutcomeNone
 }
 
-// convert translates what the claim duty knows of a key.
+// convert converts the claim duty's result for a key.
 func (c submissionClaims) convert(r claim.Result) submission.Claim {
 	converted := submission.Claim{
 		Granted:           r.Granted,
@@ -153,7 +154,7 @@
 	case r.State == claim.Lost:
 		converted.State = submission.ClaimLost
 	case r.State == claim.Running || c.d.isMember(r.Runner):
-		// A runner that is still there has the answer itself.
+		// A runner that is still a member has the answer itself.
 		converted.State = submission.ClaimRunning
 	default:
 		converted.State = submission.ClaimEnded
@@ -161,7 +162,7 @@
 	return converted
 }
 
-// isMember says whether a process is in the view.
+// isMember reports whether a process is in the view.
 func (d *Daemon) isMember(m membership.Member) bool {
 	return slices.ContainsFunc(d.claims.View().Members, m.Same)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,7 @@
-// Package daemon joins the duties of an entry VM into one process.
+// Package daemon combines the duties of an entry VM into one process. It passes views, VM
+// lists, configurations, digests and outcomes between them, and serves the ports of
+// callers, peers and operators. A planned stop refuses new submissions, finishes those in
+// flight, hands records and units over to the other VMs, and then leaves the view.
 package daemon
 
 import (
@@ -33,13 +36,15 @@
 )
 
 const (
-	// claimTimeout bounds how long a claim may wait for a change of membership.
+	// claimTimeout bounds a claim, which may have to wait for a view change.
 	claimTimeout = 10 * time.Second
-	// drainRetryAfter is told to callers that meet a planned stop.
+	// drainRetryAfter is the time after which callers that a planned stop refuses may
+	// retry.
 	drainRetryAfter = time.Second
-	// drainPoll is the time between two looks at what a planned stop waits for.
+	// drainPoll is the time between two checks for unfinished submissions during a
+	// planned stop.
 	drainPoll = 20 * time.Millisecond
-	// viewChangeTime is room for a view change on a busy machine.
+	// viewChangeTime is the time allowed for a view change on a busy machine.
 	viewChangeTime = 600 * time.Millisecond
 	// closeTimeout bounds the end of the HTTP servers after the drain.
 	closeTimeout = 2 * time.Second
@@ -60,7 +65,7 @@
 	claims   *claim.Duty
 	shared   *dispatch.Shared
 	outcomes *ring.Ring[notedOutcome]
-	// droppedOutcomes counts outcomes that found no room.
+	// droppedOutcomes counts outcomes that the claim duty did not get.
 	droppedOutcomes tally.Counter
 	viewChanged     chan struct{}
 	// listed are the entry VMs of the failure domain on the newest list.
@@ -74,8 +79,8 @@
 	frontend      *frontend.Server
 }
 
-// Run runs the daemon until the context ends, then stops it as planned: what is
-// in flight is finished first.
+// Run runs the daemon until the context ends, then stops it as planned: submissions in
+// flight are finished first.
 func Run(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
 	d, err := newDaemon(s, tel)
 	if err != nil {
@@ -88,7 +93,7 @@
 	return d.run(ctx, listeners)
 }
 
-// listeners are the ports of the process.
+// listeners are the listeners of the process's ports.
 type listeners struct {
 	callers, peers, admin net.Listener
 }
@@ -121,8 +126,8 @@
 	return l, nil
 }
 
-// run drives the duties. They outlive the end of ctx, which begins the planned
-// stop.
+// run runs the duties and servers. They continue after the end of ctx, which begins the
+// planned stop.
 func (d *Daemon) run(ctx context.Context, l listeners) error {
 	duties, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopDuties()
@@ -164,8 +169,8 @@
 
 func (d *Daemon) servers(l listeners) servers {
 	limits := d.settings.Limits
-	// No write timeout: an answer may take as long as the submission's deadline. The
-	// callers' interface bounds the writing itself.
+	// There is no write timeout, because an answer may take as long as the submission's
+	// deadline. The callers' interface bounds the writing itself.
 	server := func(l net.Listener, h http.Handler) *gracefulServer {
 		return newGracefulServer(l, &http.Server{
 			Handler:           h,
@@ -182,7 +187,7 @@
 	}
 }
 
-// traced makes a span of each request of a peer, below the peer's own.
+// traced adds a span for each request of a peer, as a child of the peer's span.
 func (d *Daemon) traced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := d.telemetry.ExtractHTTP(r.Context(), r.Header)
@@ -202,8 +207,8 @@
 	}
 }
 
-// stop is the planned stop: refuse what is new, finish what is in flight, hand
-// over what this VM knows, then leave the view.
+// stop does the planned stop: it refuses new submissions, finishes those in flight, hands
+// records and units over, and leaves the view.
 func (d *Daemon) stop(s servers) {
 	d.log.Info("planned stop begins", "unfinished", d.service.Unfinished())
 	d.draining.Store(true)
@@ -214,13 +219,12 @@
 	d.awaitUnfinished(ctx)
 	d.endUnfinished()
 	d.handOver()
-	// Callers that still wait for a refusal or an answer get it before the port
-	// closes.
+	// Callers that still wait for a refusal or an answer get it before the port closes.
 	_ = s.callers.shutdown(ctx, unusedGrace)
 	d.log.Info("planned stop ends", "unfinished", d.service.Unfinished())
 }
 
-// endUnfinished gives a final answer to what the drain did not finish.
+// endUnfinished ends the submissions that were not finished within the drain timeout.
 func (d *Daemon) endUnfinished() {
 	if d.service.Unfinished() == 0 {
 		return
@@ -230,15 +234,15 @@
 	d.service.Abandon()
 }
 
-// handOverTimeout bounds the handing over at a planned stop: the loss of the VM that
-// leads the change and of another one may have to be noticed first, one after the
-// other.
+// handOverTimeout returns the limit for handing over at a planned stop. Before it can end,
+// the loss of the proposer of the view change and of one more VM may have to be detected,
+// one after the other.
 func handOverTimeout(m settings.Membership) time.Duration {
-	lossNoticed := time.Duration(1+m.ProbeAttempts) * m.ProbeTimeout
-	return 2*lossNoticed + viewChangeTime
+	lossDetection := time.Duration(1+m.ProbeAttempts) * m.ProbeTimeout
+	return 2*lossDetection + viewChangeTime
 }
 
-// handOver gives units and records to the other VMs, then leaves the view.
+// handOver hands units and records over to the other VMs and leaves the view.
 func (d *Daemon) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout(d.settings.Membership))
 	defer cancel()
@@ -247,7 +251,8 @@
 	if err := d.claims.Leave(ctx); err != nil {
 		d.log.Warn("left without handing over", "error", err)
 	}
-	// The others' view without this VM tells it which ledgers go where.
+	// By the others' view, which is without this VM, the dispatch duty sees which ledgers
+	// go to which VM.
 	d.useView(d.claims.View())
 	d.dispatch.DoWait(func(time.Duration) {})
 	d.peers.Flush(ctx)
@@ -265,7 +270,7 @@
 	}
 }
 
-// ready says whether the balancer should send work here.
+// ready reports whether the balancer should send work here.
 func (d *Daemon) ready() bool {
 	return !d.draining.Load() && d.claims.Ready() && d.configuration.Ready()
 }
--- a/daemon/domains.go
+++ b/daemon/domains.go
@@ -6,8 +6,8 @@
 	"github.com/burdockward/burdockward/domains"
 )
 
-// newDomains makes the duty that knows entry VMs of the other failure domains. The
-// configuration duty asks them while the store is down.
+// newDomains returns the duty that keeps entry VMs of the other failure domains. The
+// configuration duty asks those VMs while the store is down.
 func (d *Daemon) newDomains() *domains.Duty {
 	seeds := map[string][]string{}
 	for domain, addresses := range d.settings.Peers.DomainSeeds {
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -8,7 +8,7 @@
 	"github.com/burdockward/burdockward/adminapi"
 )
 
-// events answers with the newest changes of state on this VM.
+// events writes the newest changes of state on this VM.
 func (d *Daemon) events(w http.ResponseWriter, _ *http.Request) {
 	lines, dropped := d.telemetry.Journal().Lines()
 	events := adminapi.Events{
@@ -25,7 +25,7 @@
 	writeJSON(w, http.StatusOK, events)
 }
 
-// stateChange reads a line that slog's JSON handler wrote.
+// stateChange decodes a line that slog's JSON handler wrote.
 func stateChange(line []byte) (adminapi.StateChange, bool) {
 	var change adminapi.StateChange
 	if json.Unmarshal(line, &change.Fields) != nil {
--- a/daemon/events_test.go
+++ b/daemon/events_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// What a duty logs is what operators read at the admin port.
+// Operators read the lines that the duties log at the admin port.
 func TestEventsAreTheLinesOfTheLog(t *testing.T) {
 	d := &Daemon{settings: &settings.Settings{VMID: "vm-a", FailureDomain: "hall-a"}, telemetry: telemetry.Discard()}
 	log := d.telemetry.Log()
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -8,10 +8,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// gaugeInterval is the time between two updates of the gauges of state.
+// gaugeInterval is the time between two updates of the gauges.
 const gaugeInterval = time.Second
 
-// reportGauges shows the state of the duties to the metrics page.
+// reportGauges updates the gauges of the duties' state periodically.
 func (d *Daemon) reportGauges(ctx context.Context) error {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
--- a/daemon/graceful.go
+++ b/daemon/graceful.go
@@ -10,25 +10,24 @@
 )
 
 const (
-	// unusedGrace is how long a caller's connection on which nothing has come yet may
-	// hold up a planned stop. Callers send their request right after they have
-	// connected, so that this leaves room for a lost packet; balancers keep unused
-	// connections in reserve for much longer.
+	// unusedGrace is how long a planned stop waits for a caller's connection on which no
+	// byte has arrived. Callers send their request as soon as they have connected, so it
+	// covers a lost packet. Balancers keep unused connections in reserve for much longer.
 	unusedGrace = 500 * time.Millisecond
-	// unusedPoll is the time between two looks at such connections.
+	// unusedPoll is the time between two checks for such connections.
 	unusedPoll = 10 * time.Millisecond
 )
 
-// gracefulServer is an HTTP server whose end waits for the requests in flight, but not
-// for connections that were never used. http.Server.Shutdown alone waits five seconds
-// for those, and then drops a request that comes on one of them.
+// gracefulServer is an HTTP server whose shutdown waits for the requests in flight, but
+// only briefly for connections that were never used. http.Server.Shutdown alone waits
+// five seconds for those, and then drops a request that arrives on one of them.
 type gracefulServer struct {
 	*http.Server
 	listener net.Listener
 	mu       sync.Mutex
-	// unused are the connections on which nothing has come.
+	// unused holds the connections on which no byte has arrived.
 	unused map[net.Conn]bool
-	// closing says that unused connections are closed at once.
+	// closing says that new connections are closed at once.
 	closing bool
 }
 
@@ -38,7 +37,7 @@
 	return g
 }
 
-// serve works until shutdown.
+// serve serves requests until shutdown.
 func (g *gracefulServer) serve() error {
 	err := g.Serve(g.listener)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -47,6 +46,7 @@
 	return err
 }
 
+// trackState keeps unused up to date.
 func (g *gracefulServer) noteState(c net.Conn, state http.ConnState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,8 +76,8 @@
 	}
 }
 
-// shutdown takes no new connections, gives unused ones the grace, and waits until all
-// requests are answered or ctx ends.
+// shutdown accepts no new connections, waits up to grace for unused ones, and then until
+// all requests are answered or ctx ends.
 func (g *gracefulServer) shutdown(ctx context.Context, grace time.Duration) error {
 	_ = g.listener.Close()
 	for end := time.Now().Add(grace); g.hasUnused() && time.Now().Before(end) && ctx.Err() == nil; {
--- a/daemon/graceful_test.go
+++ b/daemon/graceful_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pipeListener hands out one end of each pipe that is dialled.
+// pipeListener accepts the server's end of each pipe that dial opens.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -62,7 +62,7 @@
 	return g, l
 }
 
-// shutdownTime is how long the end of the server takes, in the bubble's time.
+// shutdownTime returns how long the shutdown takes, in the bubble's time.
 func shutdownTime(t *testing.T, g *gracefulServer, grace time.Duration) time.Duration {
 	ctx, cancel := context.WithTimeout(t.Context(), testDeadline)
 	defer cancel()
@@ -77,7 +77,7 @@
 			g, l := startServer()
 			defer l.dial().Close()
 			synctest.Wait()
-			// Shutdown looks every half second at the latest.
+			// http.Server.Shutdown polls at least every half second.
 			must.LessEq(t, grace+600*time.Millisecond, shutdownTime(t, g, grace))
 		})
 	}
@@ -101,8 +101,8 @@
 	})
 }
 
-// TestRequestWithinTheGraceIsAnswered sends on a connection that was unused when the
-// stop began.
+// A request arrives within the grace on a connection that was unused when the shutdown
+// began.
 func TestRequestWithinTheGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, l := startServer()
--- a/daemon/lists.go
+++ b/daemon/lists.go
@@ -11,7 +11,7 @@
 	"github.com/burdockward/burdockward/vmlist"
 )
 
-// onList gives a newer VM list to the duties that use it.
+// onList passes a newer VM list to the duties that use it.
 func (d *Daemon) onList(list tableservice.List) {
 	var targets []dispatch.Target
 	var live []membership.ListedVM
@@ -33,7 +33,7 @@
 	d.log.Info("VM list", "version", list.Version, "targets", len(targets), "entry_vms", len(live), "leaving", len(leaving))
 }
 
-// vmListPeers are the other members of the view.
+// vmListPeers returns the other members of the view.
 func (d *Daemon) vmListPeers() []vmlist.Peer {
 	var peers []vmlist.Peer
 	for _, m := range d.claims.View().Members {
@@ -54,7 +54,7 @@
 	}
 }
 
-// onConfiguration puts a newer configuration in force.
+// onConfiguration passes a newer configuration to the duties that use it.
 func (d *Daemon) onConfiguration(s *configuration.Snapshot) {
 	d.dispatch.SetProfiles(s.Profiles(), s.Teams())
 	d.quota.SetTeams(d.quotaTeams(s))
@@ -62,10 +62,10 @@
 	d.log.Info("configuration in force", "version", s.Version(), "profiles", len(s.Profiles()), "teams", len(s.Teams()))
 }
 
-// setConfigurationMembers tells the configuration duty whom to ask: the members of
-// the view, and VMs that are listed and not members yet. A VM that starts alone
-// then waits for those a moment before it serves, lest it serve an older version
-// than its predecessor.
+// setConfigurationMembers sets the VMs that the configuration duty asks: the members of
+// the view, and listed VMs that are not members yet. A VM that starts alone waits for
+// those for a moment before it serves. Else it could serve an older version than its
+// predecessor did.
 func (d *Daemon) setConfigurationMembers() {
 	view := d.claims.View()
 	members := configurationMembers(view.Members)
--- a/daemon/quota.go
+++ b/daemon/quota.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/targetclient"
 )
 
-// takeoverMargin is added to the view lease before a new home takes over a row.
+// takeoverMargin is added to the view lease: a new home takes over a row after the sum.
 const takeoverMargin = time.Second
 
 func (d *Daemon) newQuota() *quota.Duty {
@@ -27,7 +27,7 @@
 	})
 }
 
-// quotaTeams are the teams whose shares may move.
+// quotaTeams returns the teams whose shares may move between failure domains.
 func (d *Daemon) quotaTeams(s *configuration.Snapshot) []quota.Team {
 	var teams []quota.Team
 	for _, t := range s.Teams() {
@@ -46,7 +46,8 @@
 	return base
 }
 
-// quotaPools reaches the pools of teams, which the dispatch duty owns.
+// quotaPools gives the quota duty access to the pools of teams, which the dispatch duty
+// owns.
 type quotaPools struct{ d *Daemon }
 
 // Look implements quota.Pools.
