--- a/peer/http.go
+++ b/peer/http.go
@@ -7,10 +7,11 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// host stands for the receiver in requests: a peers' port serves one process.
+// host is the Host header of requests. A peers' port serves one process, so the name has
+// no meaning.
 const host = "vm"
 
-// Handler serves the peers' port.
+// Handler returns the handler of the peers' port.
 func (t *Transport) Handler() http.Handler {
 	peers := peerpb.NewPeerServer(&server{t})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -18,8 +19,8 @@
 	})
 }
 
-// briefWriter leaves out header fields that no peer reads: with the others they are
-// more than half of an exchange of heartbeats.
+// briefWriter leaves out header fields that no peer reads. With those of briefTransport
+// they are more than half of the bytes of an exchange of heartbeats.
 type briefWriter struct{ http.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -38,7 +39,7 @@
 			MaxIdleConnsPerHost: o.Parallel + 2,
 			IdleConnTimeout:     o.IdleLink,
 			DisableCompression:  true,
-			// Peers are reached by IP number, never through a proxy.
+			// Peers are reached by IP address, never through a proxy.
 			Proxy: nil,
 		},
 	}}
@@ -58,7 +59,7 @@
 	r.Host = host
 	r.Header.Del("Accept")
 	r.Header.Del("Twirp-Version")
-	// An empty value keeps net/http from adding its own.
+	// With an empty value, net/http does not add its own User-Agent.
 	r.Header.Set("User-Agent", "")
 	if b.header != nil {
 		b.header(r.Context(), r.Header)
@@ -66,5 +67,5 @@
 	return b.next.RoundTrip(r)
 }
 
-// CloseIdleConnections lets http.Client close what is not in use.
+// CloseIdleConnections is called by http.Client to close unused connections.
 func (b *briefTransport) CloseIdleConnections() { b.next.CloseIdleConnections() }
--- a/peer/http_test.go
+++ b/peer/http_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// header is what both sides of one exchange saw.
+// header holds the Host and the names of the header fields of one exchange.
 type header struct {
 	host              string
 	request, response []string
@@ -24,7 +24,7 @@
 	a, _, _ := newVM(t, "a", 1, false)
 	b := New(Options{Self: Sender{ID: "b", Incarnation: 2}})
 	b.RegisterWaiter(knownWaiter{})
-	// The test's server stands between, where twirp's part is done.
+	// This server sees the request before the handler, and so before twirp.
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.host = r.Host
 		h.request = slices.Sorted(maps.Keys(r.Header))
@@ -36,7 +36,7 @@
 	return h, err
 }
 
-// responseHeaders notes the header fields of responses.
+// responseHeaders records the header fields of responses.
 type responseHeaders struct {
 	http.RoundTripper
 	names *[]string
@@ -64,7 +64,7 @@
 	must.Eq(t, []string{"Content-Length", "Content-Type"}, h.response)
 }
 
-// knownWaiter knows every submission.
+// knownWaiter reports every submission as known.
 type knownWaiter struct{}
 
 func (knownWaiter) ServeWait(context.Context, *peerpb.WaitRequest) *peerpb.WaitResponse {
--- a/peer/link.go
+++ b/peer/link.go
@@ -8,7 +8,7 @@
 	"github.com/burdockward/burdockward/ring"
 )
 
-// message is one message that waits for a VM.
+// message is a message that waits to be sent.
 type message struct {
 	incarnation uint64
 	envelope    *peerpb.Envelope
@@ -20,7 +20,7 @@
 	address string
 	ring    *ring.Ring[message]
 	client  peerpb.Peer
-	// slots bounds the exchanges that are under way.
+	// slots bounds the number of concurrent exchanges.
 	slots chan struct{}
 }
 
@@ -39,6 +39,7 @@
 	return l
 }
 
+// run sends messages until the transport closes or the link is unused for IdleLink.
 func (l *link) run() {
 	defer l.t.wg.Done()
 	idle := time.NewTimer(l.t.options.IdleLink)
@@ -59,7 +60,7 @@
 	}
 }
 
-// retire removes an unused link and reports whether it did.
+// removeIfUnused removes the link if no message waits, and reports whether it did.
 func (l *link) retire() bool {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
@@ -70,7 +71,8 @@
 	return true
 }
 
-// sendFrom waits for a free exchange, then sends all that waits by then.
+// sendFrom waits for a free slot, then sends the first message with all others that wait
+// by then.
 func (l *link) sendFrom(first message) {
 	select {
 	case l.slots <- struct{}{}:
@@ -89,8 +91,8 @@
 	}()
 }
 
-// collect makes batches of the waiting messages, one for each run of messages
-// that address the same process.
+// collect returns the waiting messages in batches. Consecutive messages to the same
+// process share a batch.
 func (l *link) collect(first message) []*peerpb.Batch {
 	batches := []*peerpb.Batch{l.newBatch(first)}
 	size := len(first.envelope.GetBody())
@@ -120,9 +122,9 @@
 	}
 }
 
-// exchange sends one batch and hands the answers to the duties; what those answer
-// in turn is sent as new messages. A failed exchange
-// is only counted: every duty repeats what must arrive.
+// exchange sends one batch and passes the replies to the duties. What the duties reply to
+// those is sent as new messages. A failed exchange is only counted, because every duty
+// repeats messages that must arrive.
 func (l *link) exchange(batch *peerpb.Batch) {
 	ctx, cancel := context.WithTimeout(l.t.ctx, l.t.options.Timeout)
 	defer cancel()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,9 +1,11 @@
-// Package peer carries messages between the entry VMs of a failure domain.
+// Package peer transports messages between the entry VMs of a failure domain, and
+// requests between entry VMs of different ones.
 //
-// Duties hand over messages with Send; a link per VM sends what waits as one
-// batch, so that messages are few under load and prompt without it. The response
-// to a batch carries those answers that the receiving duties have at once. The
-// package knows nothing of the messages' content.
+// Duties queue messages with Send. A link per VM sends all waiting messages as one batch,
+// so that there are few requests under load and no delay without load. The response to a
+// batch contains the immediate replies of the receiving duties. Messages may be lost:
+// queues are bounded and failed exchanges are not repeated. The package does not read the
+// messages' content.
 package peer
 
 import (
@@ -23,11 +25,11 @@
 type Sender struct {
 	// ID is the VM's id from its settings.
 	ID string
-	// Incarnation tells a restarted process from its predecessor.
+	// Incarnation distinguishes a restarted process from its predecessor.
 	Incarnation uint64
 }
 
-// Handler takes the messages of one duty and returns the answers it has at once.
+// Handler handles the messages of one duty and returns its immediate replies.
 type Handler interface {
 	HandlePeer(ctx context.Context, from Sender, bodies [][]byte) [][]byte
 }
@@ -37,7 +39,7 @@
 	ServeWait(ctx context.Context, request *peerpb.WaitRequest) *peerpb.WaitResponse
 }
 
-// Burner refuses keys of this failure domain that reached another one.
+// Burner refuses keys of this failure domain that were submitted in another one.
 type Burner interface {
 	ServeBurn(ctx context.Context, request *peerpb.BurnRequest) *peerpb.BurnResponse
 }
@@ -48,9 +50,9 @@
 	Self Sender
 	// Timeout bounds one exchange of messages.
 	Timeout time.Duration
-	// RingSize is the most messages that wait for one VM; more are dropped.
+	// RingSize is the largest number of messages that wait for one VM; more are dropped.
 	RingSize int
-	// Parallel is the most exchanges with one VM at the same time.
+	// Parallel is the largest number of concurrent exchanges with one VM.
 	Parallel int
 	// IdleLink is the time after which an unused link is closed.
 	IdleLink time.Duration
@@ -66,11 +68,11 @@
 	DefaultRingSize = 4096
 	DefaultParallel = 4
 	DefaultIdleLink = time.Minute
-	// flushPoll is the time between two looks of Flush.
+	// flushPoll is the time between two checks of Flush.
 	flushPoll = 5 * time.Millisecond
-	// maxBatch is the most messages of one exchange.
+	// maxBatch is the largest number of messages that are collected at once.
 	maxBatch = 512
-	// maxBatchBytes is about the most bytes of one exchange.
+	// maxBatchBytes is the number of bytes from which on no further message is collected.
 	maxBatchBytes = 1 << 20
 )
 
@@ -89,15 +91,15 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// waiting counts messages that were taken and not yet exchanged.
+	// waiting counts messages that were accepted and not yet exchanged.
 	waiting atomic.Int64
 
 	sent, received, dropped, failed tally.Counter
-	// envelopes counts sent messages by duty; several share an exchange.
+	// envelopes counts sent messages by duty; an exchange may carry several.
 	envelopes map[peerpb.Duty]tally.Counter
 }
 
-// New makes a transport. Close ends it.
+// New returns a transport. Close ends it.
 func New(options Options) *Transport {
 	options = withDefaults(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -163,15 +165,15 @@
 // RegisterBurner sets the server of Burn requests.
 func (t *Transport) RegisterBurner(b Burner) { t.burner = b }
 
-// Close ends all links. Messages that wait are dropped.
+// Close ends all links. Waiting messages are dropped.
 func (t *Transport) Close() {
 	t.cancel()
 	t.wg.Wait()
 	t.client.CloseIdleConnections()
 }
 
-// Send queues a message for the VM at address and reports whether there was
-// room. An incarnation of 0 addresses any process there.
+// Send queues a message for the VM at address and reports whether it was accepted. An
+// incarnation of 0 addresses any process there.
 func (t *Transport) Send(address string, incarnation uint64, duty peerpb.Duty, body []byte) bool {
 	m := message{incarnation: incarnation, envelope: &peerpb.Envelope{Duty: duty, Body: body}}
 	t.mu.Lock()
@@ -192,7 +194,7 @@
 	return true
 }
 
-// Flush waits until every message that was taken has been exchanged, or ctx ends.
+// Flush waits until every accepted message has been exchanged, or ctx ends.
 func (t *Transport) Flush(ctx context.Context) {
 	ticker := time.NewTicker(flushPoll)
 	defer ticker.Stop()
@@ -212,14 +214,14 @@
 	return peerpb.NewPeerProtobufClient("http://"+address, t.client).Wait(ctx, request)
 }
 
-// Burn asks a VM of another failure domain to refuse a key of that one for good.
+// Burn asks a VM of another failure domain to refuse a key of that domain permanently.
 // The context bounds the call.
 func (t *Transport) Burn(ctx context.Context, address string, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error) {
 	t.sent.Inc(1)
 	return peerpb.NewPeerProtobufClient("http://"+address, t.client).Burn(ctx, request)
 }
 
-// handle gives the messages of one batch to their duties and collects answers.
+// handle passes the messages of one batch to their duties and returns the replies.
 func (t *Transport) handle(ctx context.Context, from Sender, envelopes []*peerpb.Envelope) []*peerpb.Envelope {
 	t.received.Inc(int64(len(envelopes)))
 	var replies []*peerpb.Envelope
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// recorder is a handler that keeps what it gets and echoes it when asked to.
+// recorder is a handler that records messages, and replies to them if echo is set.
 type recorder struct {
 	got  chan string
 	echo bool
@@ -45,7 +45,7 @@
 	must.Eq(t, "b re:x", <-ra.got)
 }
 
-// counter answers each number with the next one, up to a last one.
+// counter replies to each number with the next one, up to last.
 type counter struct {
 	last byte
 	got  chan byte
@@ -81,7 +81,7 @@
 	must.Eq(t, 0, len(rb.got))
 }
 
-// burner answers each request for a burn with its key.
+// burner reports every key as burned.
 type burner struct{}
 
 func (burner) ServeBurn(_ context.Context, r *peerpb.BurnRequest) *peerpb.BurnResponse {
--- a/sendonce/gate.go
+++ b/sendonce/gate.go
@@ -10,9 +10,9 @@
 
 var errSealed = errors.New("connection closed for writing after a failed request")
 
-// gatedConn counts the bytes that leave through it and can be closed for
-// writing, so that "nothing was written" also means "nothing will be written".
-// It hides the io.ReaderFrom of TCP connections, so that every byte passes Write.
+// gatedConn counts the bytes that are written to it and can be closed for writing, so
+// that "nothing was written" also means "nothing will be written". It hides the
+// io.ReaderFrom of TCP connections, so that every byte passes Write.
 type gatedConn struct {
 	net.Conn
 
@@ -21,6 +21,7 @@
 	sealed  bool
 }
 
+// dialGated makes dial return gated connections.
 func dialGated(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -31,8 +32,8 @@
 	}
 }
 
-// Write counts all bytes before it hands them over and takes back those that the
-// connection did not accept, so that a write under way counts as written.
+// Write counts all bytes before it writes them, and subtracts those that the connection
+// did not accept. So a write in progress counts as written.
 func (c *gatedConn) Write(p []byte) (int, error) {
 	if !c.reserve(len(p)) {
 		return 0, errSealed
@@ -64,7 +65,7 @@
 	return c.written
 }
 
-// seal stops all later writes and returns the count so far.
+// seal makes all later writes fail and returns the count so far.
 func (c *gatedConn) seal() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,15 +73,16 @@
 	return c.written
 }
 
-// writeWatch follows one request over the connections that it is given. net/http
-// calls it from the goroutine that sends the request, before the first write.
+// writeWatch records the connections that net/http uses for one request. net/http calls
+// gotConn from the goroutine that sends the request, before the first write.
 type writeWatch struct {
 	ctx  context.Context
 	uses []connUse
-	// opaque is set when a connection is not a gatedConn: its writes are unseen.
+	// opaque is set when a connection is not a gatedConn: its writes are not counted.
 	opaque bool
 }
 
+// connUse is a connection with its count when the request got it.
 type connUse struct {
 	conn   *gatedConn
 	before uint64
@@ -97,15 +99,15 @@
 		return
 	}
 	w.uses = append(w.uses, connUse{conn: conn, before: conn.count()})
-	// net/http may take a free connection although the context has just ended.
+	// net/http may use a free connection although the context has just ended.
 	if w.ctx.Err() != nil {
 		conn.seal()
 	}
 }
 
-// seal ends all writing for a failed request and reports whether any byte of it
-// was written. A failed HTTP/1.1 request closes its connection, so that no other
-// request suffers.
+// seal seals the connections of a failed request and reports whether any byte of it was
+// written. net/http closes the connection of a failed HTTP/1.1 request, so no other
+// request is affected.
 func (w *writeWatch) seal() bool {
 	written := w.opaque
 	for _, use := range w.uses {
--- a/sendonce/gate_test.go
+++ b/sendonce/gate_test.go
@@ -16,7 +16,7 @@
 
 var errBroken = errors.New("broken pipe")
 
-// brokenConn accepts so many bytes of each write once it is broken.
+// brokenConn accepts only the first accepts bytes of each write once broken is set.
 type brokenConn struct {
 	net.Conn
 	broken  *atomic.Bool
@@ -31,8 +31,7 @@
 	return n, errors.Join(errBroken, err)
 }
 
-// dialBroken opens connections that accept so many bytes of a write after broken
-// is set, and counts them.
+// dialBroken returns a dial function for broken connections, and the count of its calls.
 func dialBroken(accepts int) (dial DialFunc, broken *atomic.Bool, dials *atomic.Int32) {
 	broken, dials = new(atomic.Bool), new(atomic.Int32)
 	dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -51,9 +50,8 @@
 	return server.URL
 }
 
-// TestReusedConnectionThatAcceptsNothing shows that net/http opens another
-// connection for the naive form when nothing was written, and that Post reports
-// it instead.
+// When nothing was written, net/http repeats a usual post on another connection. Post
+// fails instead.
 func TestReusedConnectionThatAcceptsNothing(t *testing.T) {
 	url := okServer(t)
 	dial, broken, dials := dialBroken(0)
@@ -63,7 +61,7 @@
 	broken.Store(true)
 	_, err = postNaively(naive, url)
 	must.Error(t, err)
-	must.Eq(t, 2, dials.Load(), must.Sprint("the naive form tries again"))
+	must.Eq(t, 2, dials.Load(), must.Sprint("net/http did not repeat the usual post"))
 
 	dial, broken, dials = dialBroken(0)
 	client := New(Options{Dial: dial, Header: idempotencyKey})
@@ -123,11 +121,11 @@
 	n, err := conn.Write(body)
 	must.ErrorIs(t, err, errSealed)
 	must.Eq(t, 0, n)
-	must.False(t, watch.seal(), must.Sprint("a write after the seal is not counted"))
+	must.False(t, watch.seal(), must.Sprint("a write after the seal was counted"))
 }
 
-// TestFreeConnectionAfterEndOfContext covers a choice that net/http makes at
-// random: it may take a free connection although the context has ended.
+// net/http chooses at random whether it uses a free connection although the context has
+// ended. The test covers the case that it does.
 func TestFreeConnectionAfterEndOfContext(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -161,5 +159,5 @@
 
 func TestConnectionHidesReadFrom(t *testing.T) {
 	_, ok := any(&gatedConn{}).(io.ReaderFrom)
-	must.False(t, ok, must.Sprint("bytes would leave uncounted"))
+	must.False(t, ok, must.Sprint("bytes can be written without being counted"))
 }
--- a/sendonce/idle_test.go
+++ b/sendonce/idle_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// meetingServer answers requests once n of them have come.
+// meetingServer holds requests until there are n of them, and then answers them.
 func meetingServer(t *testing.T, n int) (url string) {
 	var mu sync.Mutex
 	waiting := 0
@@ -39,16 +39,16 @@
 	}
 }
 
-// TestIdleConnectionsOfAHostAreBounded sends twice as many posts at once as
-// connections are kept, then again.
+// The test sends twice as many concurrent posts as idle connections are kept, and then as
+// many again.
 func TestIdleConnectionsOfAHostAreBounded(t *testing.T) {
-	const together = 2 * DefaultMaxIdleOfHost
-	url := meetingServer(t, together)
+	const concurrent = 2 * DefaultMaxIdleOfHost
+	url := meetingServer(t, concurrent)
 	var dials atomic.Int32
 	client := New(Options{Dial: countDials(&dials)})
 	for range 2 {
 		var all errgroup.Group
-		for range together {
+		for range concurrent {
 			all.Go(func() error {
 				_, err := client.Post(t.Context(), url, body)
 				return err
@@ -56,10 +56,10 @@
 		}
 		must.NoError(t, all.Wait())
 	}
-	must.Eq(t, together+together-DefaultMaxIdleOfHost, dials.Load())
+	must.Eq(t, concurrent+concurrent-DefaultMaxIdleOfHost, dials.Load())
 }
 
-// TestIdleConnectionsOfAllHostsAreBounded keeps one connection for two hosts.
+// The client keeps one idle connection for two hosts.
 func TestIdleConnectionsOfAllHostsAreBounded(t *testing.T) {
 	first, second := okServer(t), okServer(t)
 	var dials atomic.Int32
--- a/sendonce/sendonce.go
+++ b/sendonce/sendonce.go
@@ -1,13 +1,12 @@
-// Package sendonce posts an HTTP request at most once and, when it fails, tells
-// whether any byte of the request can have left this process.
+// Package sendonce posts an HTTP request at most once. When a request fails, the error
+// says whether any byte of it can have left this process.
 //
-// net/http sends some requests a second time by itself when a reused connection
-// breaks: those without body, those whose body can be rewound (Request.GetBody)
-// and which are a GET, HEAD, OPTIONS or TRACE or carry an Idempotency-Key
-// header, and those of which nothing was written. It also repeats the body
-// after a redirect with status 307 or 308. Post gives net/http a body that can't
-// be rewound, speaks HTTP/1.1 only, uses no proxy and follows no redirect, so
-// that none of these apply.
+// net/http itself sends some requests a second time when a reused connection breaks:
+// requests without body; GET, HEAD, OPTIONS, TRACE or requests with an Idempotency-Key
+// header, if their body can be rewound (Request.GetBody); and requests of which nothing
+// was written. It also repeats the body after a redirect with status 307 or 308. Post
+// prevents all of these: it gives net/http a body that can't be rewound, uses HTTP/1.1
+// only and no proxy, and follows no redirect.
 package sendonce
 
 import (
@@ -32,28 +31,27 @@
 	DefaultMaxAnswerBytes = 8 << 20
 )
 
-// bufferBytes is the size of the two buffers of a connection. Most requests and
-// answers fit, and larger ones pass by the buffers.
+// bufferBytes is the size of each of the two buffers of a connection. Most requests and
+// answers fit, and larger ones bypass the buffers.
 const bufferBytes = 1 << 10
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options are the settings of a Client; zero values take the defaults.
+// Options are the settings of a Client; zero values stand for the defaults.
 type Options struct {
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that were unused for so long.
+	// IdleTimeout is the time after which an unused connection is closed.
 	IdleTimeout time.Duration
-	// MaxConnsOfHost bounds the connections to one host; requests beyond it wait
-	// unsent.
+	// MaxConnsOfHost bounds the connections to one host. Further requests wait unsent.
 	MaxConnsOfHost int
-	// MaxIdleOfHost bounds the kept connections to one host, MaxIdle those to all:
-	// each one takes some 20 KB of memory.
+	// MaxIdleOfHost bounds the idle connections that are kept to one host, MaxIdle those
+	// to all hosts. Each one takes about 20 KB of memory.
 	MaxIdleOfHost, MaxIdle int
 	// MaxAnswerBytes bounds the body of an answer.
 	MaxAnswerBytes int64
-	// Dial replaces the opening of TCP connections; nil takes net.Dialer.
+	// Dial opens connections; nil uses net.Dialer.
 	Dial DialFunc
 	// Header adds header fields to a request, such as those of a trace; may be nil.
 	Header func(ctx context.Context, header http.Header)
@@ -79,14 +77,15 @@
 	}
 }
 
-// Client sends requests over kept connections. It is safe for concurrent use.
+// Client sends requests and keeps idle connections for reuse. It is safe for concurrent
+// use.
 type Client struct {
 	options   Options
 	transport *http.Transport
 	http      *http.Client
 }
 
-// New makes a client.
+// New returns a client.
 func New(options Options) *Client {
 	c := &Client{options: options.withDefaults()}
 	c.transport = newTransport(c.options)
@@ -116,36 +115,35 @@
 // Close closes the connections that are not in use.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Answer is a whole HTTP answer.
+// Answer is a complete HTTP response.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// UnsentError says that no byte of the request was written and none will be.
+// UnsentError means that no byte of the request was written and none will be.
 type UnsentError struct{ Err error }
 
 // Error implements error.
 func (e *UnsentError) Error() string { return "request not sent: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Err }
 
-// SentError says that some of the request may have been sent and that no whole
-// answer came back, so that its effect is unknown.
+// SentError means that a part of the request may have been sent and no complete answer
+// was received, so the effect of the request is unknown.
 type SentError struct{ Err error }
 
 // Error implements error.
 func (e *SentError) Error() string { return "request sent, no whole answer: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SentError) Unwrap() error { return e.Err }
 
 var errEmptyBody = errors.New("a request that is sent once needs a body, since net/http may repeat one without")
 
-// Post sends body as JSON at most once. An error is an *UnsentError or a
-// *SentError. The end of ctx before the first byte means that the request will
-// never be sent.
+// Post sends body as JSON at most once. An error is an *UnsentError or a *SentError. If
+// ctx ends before the first byte is written, the request is never sent.
 func (c *Client) Post(ctx context.Context, url string, body []byte) (*Answer, error) {
 	watch := writeWatch{ctx: ctx}
 	request, err := c.newPost(httptrace.WithClientTrace(ctx, watch.trace()), url, body)
@@ -186,14 +184,14 @@
 	return &UnsentError{err}
 }
 
-// onceBody hides its reader from net/http, which would otherwise set GetBody and
-// take it as leave to send the request again.
+// onceBody hides the type of its reader from net/http, which would otherwise set GetBody
+// and could send the request again.
 type onceBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (onceBody) Close() error { return nil }
 
-// Get reads a URL. net/http may send it again on a broken connection, which is
+// Get reads a URL. net/http may send the request again on a broken connection, which is
 // harmless for a read.
 func (c *Client) Get(ctx context.Context, url string) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/sendonce/sendonce_test.go
+++ b/sendonce/sendonce_test.go
@@ -17,11 +17,11 @@
 
 var body = []byte(`{"task":1}`)
 
-// idempotencyKey makes net/http take a POST for repeatable; the client must hold
-// out against it.
+// idempotencyKey makes net/http treat a POST as repeatable. The client must not repeat it
+// nevertheless.
 func idempotencyKey(_ context.Context, header http.Header) { header.Set("Idempotency-Key", "1") }
 
-// postNaively sends a request the usual way.
+// postNaively sends a request with net/http alone.
 func postNaively(client *http.Client, url string) (*http.Response, error) {
 	request, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -36,8 +36,8 @@
 	return response, response.Body.Close()
 }
 
-// breakingServer answers its first request and, for each later one, reads the
-// request and breaks the connection.
+// breakingServer answers its first request. It reads each later request and closes the
+// connection without an answer.
 func breakingServer(t *testing.T) (url string, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -57,7 +57,7 @@
 	must.NoError(t, err)
 	_, err = postNaively(client, url)
 	must.Error(t, err)
-	must.Eq(t, 3, requests.Load(), must.Sprint("two posts, three requests"))
+	must.Eq(t, 3, requests.Load(), must.Sprint("net/http did not repeat the second post"))
 }
 
 func TestPostIsSentOnceOnBrokenReusedConnection(t *testing.T) {
@@ -70,7 +70,7 @@
 	must.Eq(t, 2, requests.Load())
 }
 
-// redirectingServer sends /from on to /to and counts the requests at /to.
+// redirectingServer redirects /from to /to and counts the requests at /to.
 func redirectingServer(t *testing.T, status int) (url string, repeated *atomic.Int32) {
 	repeated = new(atomic.Int32)
 	mux := http.NewServeMux()
@@ -86,12 +86,12 @@
 		url, repeated := redirectingServer(t, status)
 		_, err := postNaively(&http.Client{Transport: &http.Transport{}}, url)
 		must.NoError(t, err)
-		must.Eq(t, 1, repeated.Load(), must.Sprint("the naive form follows a redirect"))
+		must.Eq(t, 1, repeated.Load(), must.Sprint("net/http did not follow the redirect"))
 
 		answer, err := New(Options{}).Post(t.Context(), url, body)
 		must.NoError(t, err)
 		must.Eq(t, status, answer.Status)
-		must.Eq(t, 1, repeated.Load(), must.Sprint("Post follows none"))
+		must.Eq(t, 1, repeated.Load(), must.Sprint("Post followed the redirect"))
 	}
 }
 
@@ -113,8 +113,8 @@
 	must.Eq(t, 0, requests.Load())
 }
 
-// TestCancelledPostIsNeverSentLater cancels a post while its connection is being
-// opened, lets the connection come up and sends another post over it.
+// A post is cancelled while its connection is being opened. The connection is then opened
+// and used by another post.
 func TestCancelledPostIsNeverSentLater(t *testing.T) {
 	var bodies atomic.Pointer[[]string]
 	bodies.Store(&[]string{})
@@ -146,11 +146,10 @@
 	_, err = client.Post(t.Context(), server.URL, []byte(`"kept"`))
 	must.NoError(t, err)
 	must.Eq(t, []string{`"kept"`}, *bodies.Load())
-	must.Eq(t, 1, dials.Load(), must.Sprint("the late connection is the one used"))
+	must.Eq(t, 1, dials.Load(), must.Sprint("the late connection was not used"))
 }
 
-// TestCancelledWhileWaitingForConnection cancels a post that waits for the only
-// connection to its host.
+// A post is cancelled while it waits for the only connection to its host.
 func TestCancelledWhileWaitingForConnection(t *testing.T) {
 	var requests atomic.Int32
 	entered := make(chan struct{})
