--- a/tableservice/messages.go
+++ b/tableservice/messages.go
@@ -19,14 +19,14 @@
 
 // Changes are rows written after a commit, oldest first.
 type Changes struct {
-	// Version is the newest commit that the answer knows of. It is lower than the
-	// commit asked for when the service answers from an old state; such an answer
-	// tells nothing new.
+	// Version is the newest commit that the answer covers. It is lower than the commit
+	// asked for when the service answers from an old state. Such an answer contains no
+	// news.
 	Version uint64 `json:"version"`
 	Rows    []Row  `json:"rows"`
 }
 
-// normalise makes the JSON null of deleted rows a nil value.
+// normalise replaces the JSON null of deleted rows by a nil value.
 func (c *Changes) normalise() {
 	for i := range c.Rows {
 		if string(c.Rows[i].Value) == "null" {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Expectation is the version that a row must have for a commit to apply; version
-// 0 means that the row must not exist.
+// Expectation is the version that a row must have for a commit to apply. Version 0 means
+// that the row must not exist.
 type Expectation struct {
 	Table   string `json:"table"`
 	Key     string `json:"key"`
@@ -62,8 +62,7 @@
 	Refused  string       `json:"refused"`
 }
 
-// ConflictError says that a row's version was not the expected one: nothing was
-// applied.
+// ConflictError means that a row did not have the expected version. Nothing was applied.
 type ConflictError struct {
 	// Expectation names the row and its present version.
 	Expectation
@@ -74,7 +73,7 @@
 	return fmt.Sprintf("row %s/%s is at version %d, not the expected one: read it and decide again", e.Table, e.Key, e.Version)
 }
 
-// Kind tells entry VMs from targets.
+// Kind distinguishes entry VMs from targets.
 type Kind string
 
 // The kinds of VM.
@@ -102,14 +101,14 @@
 	Address string `json:"address"`
 	// PeerAddress is "IP:port" for other entry VMs; empty for targets.
 	PeerAddress string `json:"peer_address,omitempty"`
-	// Slots is the most tasks that a target runs at once; 0 for entry VMs.
+	// Slots is the largest number of tasks that a target runs at once; 0 for entry VMs.
 	Slots int   `json:"slots,omitempty"`
 	State State `json:"state"`
 }
 
 // List is the VM list of a failure domain.
 type List struct {
-	// Version grows with each change of the list. An older one may be served
+	// Version grows with each change of the list. The service may return an older list
 	// after a newer one.
 	Version uint64 `json:"version"`
 	VMs     []VM   `json:"vms"`
--- a/tableservice/tableservice.go
+++ b/tableservice/tableservice.go
@@ -26,14 +26,14 @@
 
 // Errors to compare with errors.Is. A commit may also fail with *ConflictError.
 const (
-	// ErrUnavailable means that the service was not reached or refused: nothing
-	// was applied, and the call may be made again later.
+	// ErrUnavailable means that the service was not reached or refused the call. Nothing
+	// was applied, and the call may be repeated later.
 	ErrUnavailable = errs.Tag("platform unavailable, try again later")
-	// ErrUnknownOutcome means that a commit was sent and its answer lost: it may
-	// have taken effect, now or later. Read the rows before writing them again.
+	// ErrUnknownOutcome means that a commit was sent and its answer lost. The commit may
+	// have taken effect or may do so later. Read the rows before writing them again.
 	ErrUnknownOutcome = errs.Tag("commit may have taken effect, read its rows first")
-	// ErrInvalid means that the service refused the request as malformed: nothing
-	// was applied, and the same request will fail again.
+	// ErrInvalid means that the service refused the request as malformed. Nothing was
+	// applied, and the same request will fail again.
 	ErrInvalid = errs.Tag("platform refused the request as malformed, check versions")
 )
 
@@ -48,14 +48,14 @@
 	Commit(ctx context.Context, commit Commit) (version uint64, err error)
 }
 
-// VMList is the list of VMs. It lags behind the VMs.
+// VMList is the list of VMs. It lags behind the state of the VMs.
 type VMList interface {
-	// VMs returns the VMs of a failure domain. A list whose version is not above
-	// since comes without VMs, since the caller has it.
+	// VMs returns the VMs of a failure domain. A list whose version is not above since
+	// contains no VMs, because the caller has it already.
 	VMs(ctx context.Context, domain string, since uint64) (List, error)
 }
 
-// Options are the settings of a Client; zero values take the defaults.
+// Options are the settings of a Client; zero values stand for the defaults.
 type Options struct {
 	// URL is the base of all calls, such as "http://192.0.2.1:7000".
 	URL string
@@ -77,7 +77,7 @@
 	_ VMList = (*Client)(nil)
 )
 
-// New makes a client.
+// New returns a client.
 func New(options Options) (*Client, error) {
 	base, err := url.Parse(options.URL)
 	if err != nil || base.Scheme != "http" || base.Host == "" {
@@ -113,8 +113,8 @@
 	return c.vms(ctx, url.Values{"domain": {domain}, "since": {strconv.FormatUint(since, 10)}})
 }
 
-// EntryVMs returns the entry VMs of a failure domain, as VMs does. The platform may
-// leave targets out; they are not looked at.
+// EntryVMs returns the list of a failure domain as VMs does. The platform may leave out
+// targets; the caller must ignore those that it does not leave out.
 func (c *Client) EntryVMs(ctx context.Context, domain string, since uint64) (List, error) {
 	query := url.Values{"domain": {domain}, "since": {strconv.FormatUint(since, 10)}, "kind": {string(KindEntry)}}
 	return c.vms(ctx, query)
@@ -171,8 +171,8 @@
 	return ErrUnknownOutcome.Wrap(err)
 }
 
-// readCommit takes a refusal only when the service itself says so in the body:
-// a bare status may come from a machine between, after the commit was applied.
+// readCommit returns the result of a commit. It accepts a refusal only if the body
+// contains it: a status alone may come from a proxy after the commit was applied.
 func readCommit(answer *sendonce.Answer) (uint64, error) {
 	var body commitAnswer
 	if err := json.Unmarshal(answer.Body, &body); err != nil {
--- a/tableservice/tableservice_test.go
+++ b/tableservice/tableservice_test.go
@@ -29,7 +29,7 @@
 	return client
 }
 
-// answering gives every call one fixed answer.
+// answering returns the client of a service that gives every call the same answer.
 func answering(t *testing.T, status int, body string) *Client {
 	return newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -82,7 +82,7 @@
 	must.Eq(t, Expectation{Table: "profiles", Key: "a", Version: 9}, conflict.Expectation)
 }
 
-// TestCommitIsNeverRepeated breaks a reused connection after the commit was read.
+// A reused connection breaks after the service has read the commit.
 func TestCommitIsNeverRepeated(t *testing.T) {
 	var commits atomic.Int32
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
--- a/targetclient/messages.go
+++ b/targetclient/messages.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Load is what every answer of a target tells of its state.
+// Load is the state of a target; every answer of a target contains it.
 type Load struct {
-	// Running and Slots count tasks: those that run and the most that may.
+	// Running is the number of tasks that run, Slots the largest number that may.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 	// Leaving says that the target takes no new tasks.
@@ -23,21 +23,21 @@
 	Reason Reason `json:"reason"`
 }
 
-// Holder names a process of an entry VM as a holder of leases.
+// Holder returns the name of an entry VM's process as a holder of leases.
 func Holder(vmID string, incarnation uint64) string {
 	return fmt.Sprintf("%s/%d", vmID, incarnation)
 }
 
-// Lease lets its holder start tasks at a target. Each start renews it.
+// Lease permits its holder to start tasks at a target. Each start renews it.
 type Lease struct {
-	// ID goes into each start.
+	// ID is sent with each start.
 	ID string `json:"lease"`
 	// TTLMS is the time to live in milliseconds.
 	TTLMS int64 `json:"ttl_ms"`
 	Load
 }
 
-// TTL is the time to live of the lease.
+// TTL returns the time to live of the lease.
 func (l Lease) TTL() time.Duration { return time.Duration(l.TTLMS) * time.Millisecond }
 
 // StartRequest asks a target to run one task.
@@ -47,16 +47,17 @@
 	Task       int    `json:"task"`
 	// Lease is the id of the holder's lease at this target.
 	Lease string `json:"lease"`
-	// RunLimitMS is when the target stops the task, in milliseconds; 0 is never.
+	// RunLimitMS is the run time after which the target stops the task, in milliseconds;
+	// 0 means never.
 	RunLimitMS int64 `json:"run_limit_ms"`
-	// Limits name the limits and quotas of which the task holds a unit; the target
-	// only repeats them, in answers to Revoke. Never nil.
+	// Limits names the limits and quotas of which the task holds a unit. The target only
+	// repeats them in answers to Revoke. It is never nil.
 	Limits []string `json:"limits"`
-	// Payload is the caller's, unchanged.
+	// Payload is the caller's payload, unchanged.
 	Payload json.RawMessage `json:"payload"`
 }
 
-// Outcome is how a started task ended.
+// Outcome says how a started task ended.
 type Outcome string
 
 // The outcomes of a started task.
@@ -68,7 +69,7 @@
 	outcomeNotStarted Outcome = "not_started"
 )
 
-// StartResponse is the end of a started task.
+// StartResponse reports the end of a started task.
 type StartResponse struct {
 	Outcome Outcome
 	// Result is set when the outcome is OutcomeDone.
@@ -103,26 +104,26 @@
 	Stopped int `json:"stopped"`
 }
 
-// Reason says why a task was not started or a lease was not given.
+// Reason says why a task was not started or a lease was refused.
 type Reason string
 
-// The reasons. The first three are the target's own, the others this client's.
+// The reasons. A target gives the first three, this client the others.
 const (
 	ReasonLeaseLapsed Reason = "lease_lapsed"
 	ReasonLeaving     Reason = "leaving"
 	ReasonFull        Reason = "full"
-	// ReasonUnreachable means that no connection could be had or written to.
+	// ReasonUnreachable means that no connection could be opened or written to.
 	ReasonUnreachable Reason = "unreachable"
 	// ReasonCancelled means that the caller's context ended before the first byte.
 	ReasonCancelled Reason = "cancelled"
 )
 
-// NotStartedError says that the task has not begun and will not: it may be
-// started elsewhere.
+// NotStartedError means that the task has not begun and will not begin. It may be started
+// at another target.
 type NotStartedError struct {
 	Address string
 	Reason  Reason
-	// Load is the target's state when the refusal is its own, else nil.
+	// Load is the target's state when the target refused the task, else nil.
 	Load *Load
 	// Err is the cause when the request was not sent, else nil.
 	Err error
@@ -137,11 +138,10 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotStartedError) Unwrap() error { return e.Err }
 
-// UnknownOutcomeError says that the task may have begun: it must not be started
-// again.
+// UnknownOutcomeError means that the task may have begun. It must not be started again.
 type UnknownOutcomeError struct {
 	Address string
 	Err     error
@@ -152,10 +152,10 @@
 	return fmt.Sprintf("target %s may have run the task, do not start it again: %v", e.Address, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// LeaseRefusedError says that a target gave no lease.
+// LeaseRefusedError means that a target refused a lease.
 type LeaseRefusedError struct {
 	Address string
 	Reason  Reason
--- a/targetclient/revoke.go
+++ b/targetclient/revoke.go
@@ -10,7 +10,7 @@
 // PathRevoke is the path of Revoke.
 const PathRevoke = "/v1/leases/revoke"
 
-// RevokeRequest asks a target to revoke the leases of all but some holders.
+// RevokeRequest asks a target to revoke the leases of all holders but the named ones.
 type RevokeRequest struct {
 	// Holders keep their leases.
 	Holders []string `json:"holders"`
@@ -25,13 +25,13 @@
 // RunningTask is a task that a target runs.
 type RunningTask struct {
 	TaskID
-	// Limits are those that came with its start.
+	// Limits are the limits that were sent with its start.
 	Limits []string `json:"limits"`
 }
 
-// Revoke revokes the leases of all holders at a target but the given ones, and
-// returns the tasks of the others that still run there. It may be repeated. Any
-// error leaves open what runs.
+// Revoke revokes the leases of all holders at a target but the given ones. It returns the
+// tasks that were started under leases of other holders and still run there. It may be
+// repeated. After an error it is unknown which tasks run.
 func (c *Client) Revoke(ctx context.Context, address string, holders []string) ([]RunningTask, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
--- a/targetclient/targetclient.go
+++ b/targetclient/targetclient.go
@@ -1,9 +1,9 @@
 // Package targetclient is the client of targets, the back ends that run tasks under
 // leases. docs/PLATFORM.md describes the messages.
 //
-// A start is sent at most once. Its error tells whether the task can have begun:
-// *NotStartedError (it has not and will not) or *UnknownOutcomeError (it may
-// have, and must not be started again).
+// A start is sent at most once. Its error says whether the task can have begun:
+// *NotStartedError (it has not and will not) or *UnknownOutcomeError (it may have, and must
+// not be started again).
 package targetclient
 
 import (
@@ -30,24 +30,24 @@
 	PathStop   = "/v1/tasks/stop"
 )
 
-// Options are the settings of a Client; zero values take the defaults.
+// Options are the settings of a Client; zero values stand for the defaults.
 type Options struct {
-	// CallTimeout bounds a lease or stop call.
+	// CallTimeout bounds a lease, stop or revoke call.
 	CallTimeout time.Duration
-	// AnswerGrace is how long past the run limit of a task its answer is awaited.
+	// AnswerGrace is how long after the run limit of a task its answer is awaited.
 	AnswerGrace time.Duration
 	// HTTP are the settings of the connections.
 	HTTP sendonce.Options
 }
 
-// Client talks to any number of targets. It is safe for concurrent use.
+// Client sends requests to any number of targets. It is safe for concurrent use.
 type Client struct {
 	once        *sendonce.Client
 	callTimeout time.Duration
 	answerGrace time.Duration
 }
 
-// New makes a client.
+// New returns a client.
 func New(options Options) *Client {
 	if options.CallTimeout == 0 {
 		options.CallTimeout = DefaultCallTimeout
@@ -65,9 +65,9 @@
 // Close closes the connections that are not in use.
 func (c *Client) Close() { c.once.Close() }
 
-// Lease takes or renews the lease of a holder ("<vm id>/<incarnation>") at the
-// target with an address "IP:port". The time to live counts from before the call.
-// A refusal is a *LeaseRefusedError.
+// Lease acquires or renews the lease of a holder ("<vm id>/<incarnation>") at the target
+// with the address "IP:port". The caller counts the time to live from before the call. A
+// refusal is a *LeaseRefusedError.
 func (c *Client) Lease(ctx context.Context, address, holder string) (Lease, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
@@ -99,9 +99,9 @@
 	return Lease{}, fmt.Errorf("lease at target %s: status %d, check that the address is a target", address, answer.Status)
 }
 
-// Start starts a task and waits until it ends. The error is a *NotStartedError or
-// an *UnknownOutcomeError. A start whose ctx ends before its first byte was
-// written is never sent.
+// Start starts a task and waits until it ends. The error is a *NotStartedError or an
+// *UnknownOutcomeError. If ctx ends before the first byte is written, the start is never
+// sent.
 func (c *Client) Start(ctx context.Context, address string, request StartRequest) (StartResponse, error) {
 	if request.RunLimitMS > 0 {
 		limit := time.Duration(request.RunLimitMS)*time.Millisecond + c.answerGrace
@@ -128,8 +128,8 @@
 	return &NotStartedError{Address: address, Reason: reason, Err: unsent.Err}
 }
 
-// readStart takes only answers that the protocol names and that repeat the task:
-// anything else leaves unknown whether the task ran.
+// readStart accepts only answers that follow the protocol and repeat the task. After any
+// other answer it is unknown whether the task ran.
 func readStart(address string, request StartRequest, answer *sendonce.Answer) (StartResponse, error) {
 	unknown := func(format string, args ...any) (StartResponse, error) {
 		return StartResponse{}, &UnknownOutcomeError{Address: address, Err: fmt.Errorf(format, args...)}
@@ -157,9 +157,8 @@
 	return unknown("outcome %q, check the target's version", body.Outcome)
 }
 
-// Stop stops running tasks, after a checkpoint when asked, and returns how many
-// it found running. It may be repeated. The start of a stopped task answers
-// OutcomeStopped.
+// Stop stops running tasks, after a checkpoint if requested, and returns how many of them
+// were running. It may be repeated. The start of a stopped task returns OutcomeStopped.
 func (c *Client) Stop(ctx context.Context, address string, tasks []TaskID, checkpoint bool) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
--- a/targetclient/targetclient_test.go
+++ b/targetclient/targetclient_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestStartTaskZeroNeedsEcho keeps a missing task from passing for task 0.
+// An answer without a task must not count as one for task 0.
 func TestStartTaskZeroNeedsEcho(t *testing.T) {
 	zero := request
 	zero.Task = 0
@@ -118,13 +118,13 @@
 func TestStartIsBoundedByRunLimitAndGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var limit time.Duration
-		see := func(ctx context.Context, _ http.Header) {
+		recordLimit := func(ctx context.Context, _ http.Header) {
 			deadline, ok := ctx.Deadline()
 			must.True(t, ok)
 			limit = time.Until(deadline)
 		}
 		refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-		client := New(Options{AnswerGrace: 4 * time.Second, HTTP: sendonce.Options{Dial: refuse, Header: see}})
+		client := New(Options{AnswerGrace: 4 * time.Second, HTTP: sendonce.Options{Dial: refuse, Header: recordLimit}})
 		limited := request
 		limited.RunLimitMS = 1500
 		_, err := client.Start(t.Context(), "127.0.0.1:1", limited)
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,8 +1,11 @@
-// Package vmlist keeps the platform's list of the failure domain's VMs. The list
-// lags and may be out of reach; the newest one seen stays in force. The member with
-// the highest id reads it and sends what is new to the others, which read for
-// themselves when that member can't, and now and then in any case. The one with the
-// lowest id reads the configuration, so that no member has to do both.
+// Package vmlist keeps the newest list of the failure domain's VMs and passes it to the
+// other duties.
+//
+// The platform's list lags and may be unreachable; the newest one seen stays in force,
+// and an older one never replaces it. The member with the highest id reads the list and
+// sends a new one to the others. The others read the list themselves while that member
+// can't, and every followedReads intervals in any case. The member with the lowest id
+// reads the configuration, so that no member has to do both.
 package vmlist
 
 import (
@@ -26,14 +29,14 @@
 	Source tableservice.VMList
 	// Self is the id of this VM.
 	Self string
-	// Peers are the other members of the view; nil is none.
+	// Peers returns the other members of the view; nil stands for none.
 	Peers func() []Peer
-	// Interval is the time between two reads of the platform's list by the member
-	// that reads for all.
+	// Interval is the time between two reads of the platform's list by the member that
+	// reads for all.
 	Interval time.Duration
 	// OnList is called with each newer list.
 	OnList func(tableservice.List)
-	// SetDigest spreads the version of the list on heartbeats.
+	// SetDigest sets the digest that heartbeats carry to the peers.
 	SetDigest func(body []byte)
 	// Send sends a message to a peer.
 	Send  func(address string, incarnation uint64, duty peerpb.Duty, body []byte) bool
@@ -49,14 +52,15 @@
 	Address string
 }
 
-// followedReads is the number of intervals between two reads of a VM for which
-// another one reads.
+// followedReads is the number of intervals between two reads by a VM for which another
+// one reads.
 const followedReads = 10
 
-// maxReaders is the most VMs outside the view that are known to read for all.
+// maxReaders is the number of known readers from which on those outside the view are
+// dropped.
 const maxReaders = 64
 
-// Duty polls the list and serves it to peers.
+// Duty reads the list, passes newer ones on and serves it to peers.
 type Duty struct {
 	options Options
 	reads   tally.Counter
@@ -66,23 +70,23 @@
 	list tableservice.List
 	// readsForAll says that this VM reads for the others.
 	readsForAll bool
-	// readers are the processes of other VMs that say so of themselves.
+	// readers holds the incarnations of other VMs that report that they read for all.
 	readers map[string]uint64
-	// handed is what was handed over last; handingOver says that a goroutine hands
-	// over what is new, and what is newer after it.
+	// published is the state that was published last. publishing says that a goroutine
+	// publishes the state; it also publishes every change until it is done.
 	handed      news
 	handingOver bool
-	// down says that the last poll failed, so that only changes are logged.
+	// readFails says that the last read failed, so that only changes are logged.
 	down bool
 }
 
-// news is what a VM spreads on its heartbeats.
+// digestState is the state in a VM's digest.
 type news struct {
 	version     uint64
 	readsForAll bool
 }
 
-// New makes a duty.
+// New returns a duty.
 func New(o Options) *Duty {
 	if o.Peers == nil {
 		o.Peers = func() []Peer { return nil }
@@ -98,7 +102,7 @@
 	}
 }
 
-// Run polls until the context ends.
+// Run reads the list when that is due, until the context ends.
 func (d *Duty) Run(ctx context.Context) error {
 	ticker := time.NewTicker(d.options.Interval)
 	defer ticker.Stop()
@@ -117,12 +121,14 @@
 	}
 }
 
-// due says whether to read now, some intervals after the last read.
+// isDue reports whether to read the list when some intervals have passed since the last
+// read.
 func (d *Duty) due(passed int) bool {
 	return passed >= followedReads || !d.follows()
 }
 
-// follows reports whether the member that should read for all says that it does.
+// follows reports whether this VM has a list and the member with the highest id, another
+// one, reports that it reads for all.
 func (d *Duty) follows() bool {
 	peers := d.options.Peers()
 	d.mu.Lock()
@@ -135,12 +141,13 @@
 	return ok && incarnation == reader.Incarnation
 }
 
-// isReader reports whether this VM has the highest id. Two readers, or none, only
-// change the number of reads.
+// isReader reports whether this VM has the highest id. While members disagree there may
+// be two readers or none, which only changes the number of reads.
 func (d *Duty) isReader(peers []Peer) bool {
 	return !slices.ContainsFunc(peers, func(p Peer) bool { return p.ID > d.options.Self })
 }
 
+// poll reads the list and publishes it if it is newer.
 func (d *Duty) poll(ctx context.Context) {
 	d.reads.Inc(1)
 	list, err := d.options.Source.VMs(ctx, d.options.Domain, d.Version())
@@ -159,7 +166,7 @@
 	d.setReadsForAll(reads)
 }
 
-// push sends a new list to all members, since their next heartbeat may be far.
+// push sends a new list to all members at once instead of with the next heartbeat.
 func (d *Duty) push(list tableservice.List, peers []Peer) {
 	body, err := json.Marshal(message{Version: list.Version, List: &list})
 	if err != nil {
@@ -170,7 +177,7 @@
 	}
 }
 
-// note logs when the platform's list gets out of reach or back.
+// logChange logs when reading the platform's list begins to fail and when it works again.
 func (d *Duty) note(down bool, err error) {
 	d.mu.Lock()
 	changed := d.down != down
@@ -186,8 +193,8 @@
 	d.options.Log.Info("the VM list can be read again")
 }
 
-// offer takes a list if it is newer, and reports whether it is: an old answer must
-// not bring back a VM that has left.
+// updateList puts a list in force if it is newer, and reports whether it is. A delayed
+// answer must not bring back a VM that has left.
 func (d *Duty) offer(list tableservice.List) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,9 +213,10 @@
 	d.handOver()
 }
 
-// handOver gives what is new to the other duties; the caller holds mu. Lists come
-// from the platform and from peers at once; one goroutine at a time hands them over,
-// so that an older one is not handed over after a newer one.
+// publish sets the digest and passes a newer list to the other duties. The caller holds
+// mu, which is released meanwhile. Lists may come from the platform and from peers
+// concurrently. Only one goroutine at a time publishes, so that an older list is not
+// passed on after a newer one.
 func (d *Duty) handOver() {
 	if d.handingOver {
 		return
@@ -230,14 +238,14 @@
 
 func (d *Duty) news() news { return news{version: d.list.Version, readsForAll: d.readsForAll} }
 
-// Version is the version of the list in force; 0 is none.
+// Version returns the version of the list in force, or 0 if there is none.
 func (d *Duty) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Version
 }
 
-// message is what peers tell each other about lists.
+// message is a message or a digest of a peer.
 type message struct {
 	// Version is that of the sender's list.
 	Version uint64 `json:"version"`
@@ -252,13 +260,13 @@
 func digest(n news) []byte {
 	body, err := json.Marshal(message{Version: n.version, Reads: n.readsForAll})
 	if err != nil {
-		// The message holds numbers alone.
+		// The message holds only numbers and booleans, so it can always be encoded.
 		panic(err)
 	}
 	return body
 }
 
-// OnDigest takes a peer's digest and asks for a newer list.
+// OnDigest handles a peer's digest: it asks for the peer's list if that is newer.
 func (d *Duty) OnDigest(from Peer, body []byte) {
 	var m message
 	if json.Unmarshal(body, &m) != nil {
@@ -275,6 +283,7 @@
 	d.options.Send(from.Address, from.Incarnation, peerpb.Duty_DUTY_VM_LIST, ask)
 }
 
+// recordReader records whether a peer reads for all.
 func (d *Duty) noteReader(from Peer, reads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -288,8 +297,8 @@
 	d.readers[from.ID] = from.Incarnation
 }
 
-// forgetReaders forgets what is known of VMs outside the view. Those that are about
-// to join stay known until there is no room: they say it only once.
+// dropOutsideReaders drops the readers outside the view. It runs only when there are
+// maxReaders, because a VM that is about to join reports only once that it reads.
 func (d *Duty) forgetReaders() {
 	peers := d.options.Peers()
 	for id := range d.readers {
--- a/vmlist/vmlist_test.go
+++ b/vmlist/vmlist_test.go
@@ -23,28 +23,28 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain fixes the seed, so that every run gives the same result. A flag of the command
+// line overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// world is what surrounds one duty.
+// fixture is one duty with its platform, its peers and a record of its calls.
 type world struct {
 	duty *Duty
 	mu   sync.Mutex
-	// list and err are what the platform answers; since is what it was asked for.
+	// list and err are the platform's answer; since holds the versions of the requests.
 	list  tableservice.List
 	err   error
 	since []uint64
-	// taken are the versions that OnList saw, after onList.
+	// published holds the versions that OnList got, each added after onList.
 	taken  []uint64
 	onList func(tableservice.List)
 	digest []byte
 	sent   [][]byte
-	// pushed counts the lists sent to others without being asked.
+	// pushed counts the messages to other VMs of newDomain.
 	pushed int
 	log    bytes.Buffer
 }
@@ -93,8 +93,8 @@
 	return w.duty.HandlePeer(context.Background(), peer.Sender{}, bodies)
 }
 
-// TestNewestListStays draws lists from the platform and peers; what is in force
-// never gets older, and peers with an older one are served it.
+// Lists come from the platform and from peers in random order. The list in force never
+// gets older, and peers with an older one get it.
 func TestNewestListStays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w, newest := newWorld(), uint64(0)
@@ -141,8 +141,7 @@
 	})
 }
 
-// TestListsAreHandedOverInOrder brings a newer list while an older one is being
-// handed over.
+// A newer list arrives while an older one is being published.
 func TestListsAreHandedOverInOrder(t *testing.T) {
 	w := newWorld()
 	w.onList = func(l tableservice.List) {
@@ -179,8 +178,8 @@
 	})
 }
 
-// TestOneVMReadsForAll runs three VMs whose digests reach the others at once, while
-// the platform is in reach of all, of all but the reader, and of the reader again.
+// Three VMs get each other's digests at once. First all can read the platform's list,
+// then all but the reader, then the reader again.
 func TestOneVMReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -204,11 +203,11 @@
 		reads(2)
 		vms[0].pushed = 0
 		must.Eq(t, []int{20, 2, 2}, reads(20))
-		must.Eq(t, 0, vms[0].pushed, must.Sprint("a list is sent once"))
+		must.Eq(t, 0, vms[0].pushed, must.Sprint("a list was sent again"))
 		vms[0].answer(listOf(4), nil)
 		reads(1)
 		for _, w := range vms {
-			must.Eq(t, 4, w.duty.Version(), must.Sprint("the reader sends a new list to all"))
+			must.Eq(t, 4, w.duty.Version(), must.Sprint("a VM did not get the reader's new list"))
 		}
 		vms[0].answer(listOf(4), errors.New("down"))
 		reads(2)
@@ -221,7 +220,7 @@
 	})
 }
 
-// newDomain makes VMs of one view.
+// newDomain returns VMs of one view.
 func newDomain(ids ...string) []*world {
 	vms := make([]*world, len(ids))
 	for i := range vms {
@@ -269,8 +268,7 @@
 	w.list, w.err = list, err
 }
 
-// TestWhoIsFollowed decides after the digests of others whether a VM that has a list
-// reads for itself.
+// The digests of others decide whether a VM reads the list itself.
 func TestWhoIsFollowed(t *testing.T) {
 	peers := []Peer{{ID: "a", Incarnation: 1}, {ID: "c", Incarnation: 2}}
 	reads, silent := encode(t, message{Version: 1, Reads: true}), encode(t, message{Version: 1})
@@ -283,10 +281,10 @@
 		want    bool
 	}{
 		{"the highest reads", "b", 1, []Peer{peers[1]}, [][]byte{reads}, true},
-		{"the highest says nothing", "b", 1, nil, nil, false},
+		{"the highest has sent no digest", "b", 1, nil, nil, false},
 		{"the highest has stopped", "b", 1, []Peer{peers[1], peers[1]}, [][]byte{reads, silent}, false},
 		{"another one reads", "b", 1, []Peer{peers[0]}, [][]byte{reads}, false},
-		{"a former process read", "b", 1, []Peer{{ID: "c", Incarnation: 1}}, [][]byte{reads}, false},
+		{"a predecessor of the highest read", "b", 1, []Peer{{ID: "c", Incarnation: 1}}, [][]byte{reads}, false},
 		{"no list yet", "b", 0, []Peer{peers[1]}, [][]byte{reads}, false},
 		{"this VM is the highest", "d", 1, []Peer{peers[1]}, [][]byte{reads}, false},
 	} {
