--- a/claim/burn_fuzz_test.go
+++ b/claim/burn_fuzz_test.go
@@ -174,7 +174,7 @@
 	return f.pick(what, n), true
 }
 
-// drop loses one message.
+// loseMessage loses one message.
 func drop[T any](f *fuzz, messages *[]T) {
 	if n := len(*messages); n > 0 {
 		i := f.pick("lost", n)
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -13,12 +13,12 @@
 	"github.com/burdockward/burdockward/membership"
 )
 
-// KeyState says what is known of a key.
+// KeyState is the state of a key as the failure domain knows it.
 type KeyState uint8
 
 // The states of a key.
 const (
-	// Unknown means that nobody has claimed the key.
+	// Unknown means that the key has not been claimed.
 	Unknown KeyState = iota
 	// Running means that the runner is a member of the view: it works on the key or
 	// holds its answer.
--- a/claim/duty.go
+++ b/claim/duty.go
@@ -221,6 +221,7 @@
 	return Result{}, failure
 }
 
+// cancel removes a call whose caller has stopped waiting.
 func (d *Duty) cancel(c *call) {
 	delete(d.calls, c.number)
 	d.state.Cancel(c.number, c.hash)
@@ -322,6 +323,8 @@
 	d.publishView(m)
 }
 
+// publishView updates the snapshot of the view. It runs the callbacks if more than the
+// epoch has changed.
 func (d *Duty) publishView(m *membership.State) {
 	old := d.view.Load()
 	same := old.ID == m.View().ID && old.Active == m.Active() && old.Opened == d.state.Opened() && old.Settled == m.Settled()
--- a/claim/duty_peer.go
+++ b/claim/duty_peer.go
@@ -73,7 +73,7 @@
 	return replies
 }
 
-// split separates the messages to the VM replyTo from the others.
+// splitReplies separates the messages to the VM replyTo from the others.
 func split(replyTo string, out []membership.Outgoing) (replies [][]byte, others []membership.Outgoing) {
 	for _, o := range out {
 		if o.To.ID == replyTo {
--- a/claim/request.go
+++ b/claim/request.go
@@ -53,8 +53,8 @@
 	s.start(now, waiter{number: number, wish: wishClaim}, token, h)
 }
 
-// Burn starts a call that permanently refuses a key that nobody has claimed: the key
-// is claimed with the outcome OutcomeNotRun.
+// Burn starts a call that permanently refuses a key that was not claimed before: it claims
+// the key with the outcome OutcomeNotRun.
 func (s *State) Burn(now time.Duration, number uint64, token string, h Hash) {
 	s.start(now, waiter{number: number, wish: wishBurn}, token, h)
 }
@@ -194,15 +194,15 @@
 	case known && (lookup || !s.records.runner(rec).Same(runner)):
 		return claimpb.Verdict_VERDICT_TAKEN, rec
 	case known && !epoch.Open:
-		// The grant may be void: only the records of an open epoch are complete.
+		// The grant may be void: the records of a closed epoch are not reliable.
 		return claimpb.Verdict_VERDICT_TAKEN, rec
 	case known:
 		return claimpb.Verdict_VERDICT_GRANTED, rec
 	case !epoch.Open || s.homeIsGone(home):
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
 	case s.barred[token] && home != noHome:
-		// This process is the home, and may have forgotten the key while it was in
-		// another view.
+		// This process is the home, and may have dropped the record of the key while it
+		// was in another view.
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
 	case lookup:
 		return claimpb.Verdict_VERDICT_UNKNOWN, record{}
@@ -218,6 +218,7 @@
 // may grant the key.
 func (s *State) homeIsGone(home string) bool { return home != noHome && !s.ranking.hasHome(home) }
 
+// handleRequest answers a member's request of the current view.
 func (s *State) handleRequest(from membership.Member, r *claimpb.Request) {
 	runner, isMember := s.m.View().Member(from.ID)
 	if !s.isCurrent(r.GetViewNumber(), r.GetViewNonce()) || !isMember || !runner.Same(from) || len(r.GetKey()) != hashBytes {
@@ -243,6 +244,8 @@
 	}}})
 }
 
+// handleAnswer resolves the calls for a key, if the answer belongs to the last request for
+// it. It ignores any other answer.
 func (s *State) handleAnswer(now time.Duration, from membership.Member, a *claimpb.Answer) {
 	if !s.isCurrent(a.GetViewNumber(), a.GetViewNonce()) || len(a.GetKey()) != hashBytes {
 		return
--- a/claim/state.go
+++ b/claim/state.go
@@ -64,7 +64,7 @@
 	purged        uint64
 	settledPurged bool
 	opened        bool
-	// blocked are the open epochs of which this process may have forgotten keys.
+	// blocked are the open epochs of which this process may have dropped records.
 	barred map[string]bool
 	// listed holds the tokens of the epoch list listSeen, which Sync saw last.
 	listed   map[string]bool
--- a/claim/state_test.go
+++ b/claim/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// startWorld boots VMs that know each other and lets them form a view.
+// startCluster boots VMs with each other as seeds and lets them form a view.
 func startWorld(t *testing.T, ids ...string) *world {
 	w := newWorld()
 	for _, id := range ids {
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -82,7 +82,7 @@
 		s.forgetUnaccepted(token)
 		blocked[token] = s.barred[token] || !s.listed[token]
 	}
-	// The newest epoch was created for this view, so no keys of it are forgotten.
+	// The newest epoch was created for this view, so no records of it have been dropped.
 	delete(blocked, epochs[len(epochs)-1].Token())
 	s.barred = blocked
 }
@@ -177,6 +177,7 @@
 	}
 }
 
+// sendChunk sends the next chunk of a transfer, which may be empty.
 func (s *State) sendChunk(now time.Duration, o *outgoing) {
 	o.sent = true
 	o.sentAt = now
@@ -333,8 +334,8 @@
 }
 
 // finishHandOver lets a leaver stop when every member that is not lost has its records.
-// A member that went to another view without them counts as missing, so that the
-// hand-over visibly fails instead of losing the records.
+// The leaver also waits for a member that went to another view without them, so that the
+// hand-over fails visibly.
 func (s *State) checkHandedOver() {
 	for _, o := range s.outgoing {
 		if !o.allDone && !s.m.IsLost(o.to) {
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -66,7 +66,7 @@
 	switch t.Placement.Use {
 	case placement.UseNormal:
 	case placement.UseLeaving:
-		status.Reason = "the list, or the target itself, says so"
+		status.Reason = "the VM list or the target itself reports it as leaving"
 	default:
 		status.Reason = t.Placement.Cause
 		status.HealthAgeMS = (now - t.Placement.Since).Milliseconds()
@@ -74,7 +74,7 @@
 	return status
 }
 
-// health converts the use of a target to the admin port's health.
+// targetHealth converts the use of a target to the admin port's health.
 func health(e placement.Explanation) adminapi.TargetHealth {
 	switch {
 	case e.Use == placement.UseLeaving:
@@ -103,17 +103,17 @@
 
 func (d *Daemon) explain(w http.ResponseWriter, r *http.Request) {
 	keyText := r.PathValue("key")
-	noted := d.service.Explain(keyText)
-	if len(noted.Events) == 0 {
-		writeJSON(w, http.StatusNotFound, adminapi.Error{Message: "this VM knows nothing of the key: ask the other VMs of its failure domain"})
+	recorded := d.service.Explain(keyText)
+	if len(recorded.Events) == 0 {
+		writeJSON(w, http.StatusNotFound, adminapi.Error{Message: "this VM has no events of the key: ask the other VMs of its failure domain"})
 		return
 	}
-	explanation := adminapi.Explanation{VM: d.settings.VMID, Key: keyText, Profile: noted.Profile, EventsDropped: noted.Dropped}
-	if noted.Profile != "" {
+	explanation := adminapi.Explanation{VM: d.settings.VMID, Key: keyText, Profile: recorded.Profile, EventsDropped: recorded.Dropped}
+	if recorded.Profile != "" {
 		explanation.Runner = d.settings.VMID
 	}
-	first := noted.Events[0].Time
-	for _, e := range noted.Events {
+	first := recorded.Events[0].Time
+	for _, e := range recorded.Events {
 		explanation.Events = append(explanation.Events, adminEvent(e, first))
 	}
 	d.explainWork(&explanation)
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -44,6 +44,7 @@
 	return membership.Member{ID: d.settings.VMID, Incarnation: d.incarnation, Address: advertised(d.settings)}
 }
 
+// advertised returns the address at which peers reach this VM.
 func advertised(s *settings.Settings) string { return s.Advertise.Peers.String() }
 
 // now is the time since the process started.
--- a/domains/burn.go
+++ b/domains/burn.go
@@ -15,7 +15,7 @@
 
 // Burn asks the home failure domain of a key to burn it and returns the state of the key
 // there. It takes ExchangeTimeout at most. The state is unclear when the home can't be
-// reached or can't decide, or when maxExchanges are under way.
+// reached or can't decide, or when maxExchanges are in progress.
 func (d *Duty) Burn(ctx context.Context, k key.Key) *peerpb.BurnResponse {
 	x := NewExchange(d.options.Now(), k, d.candidates(k.Domain))
 	select {
@@ -61,6 +61,7 @@
 	}
 }
 
+// ask asks one VM to burn a key.
 func (d *Duty) ask(ctx context.Context, address string, wait time.Duration, k key.Key) (*peerpb.BurnResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/domains/directory.go
+++ b/domains/directory.go
@@ -110,6 +110,7 @@
 	return domain, since, due
 }
 
+// isDue reports whether the domain's list must be read.
 func (s *site) isDue(now time.Duration, times Times) bool {
 	age := now - s.readAt
 	return !s.read || age >= times.Refresh || s.stale && age >= times.Early
@@ -158,6 +159,7 @@
 	return addresses[:min(len(addresses), MaxVMs)]
 }
 
+// withSeeds appends the addresses from the settings.
 func (s *site) withSeeds(addresses []string) []string {
 	for _, seed := range s.seeds {
 		if !slices.Contains(addresses, seed) {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -143,6 +143,7 @@
 	})
 }
 
+// submit serves a submission, unless MaxInFlight requests are in progress.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	s.requests.Inc(1)
@@ -218,11 +219,12 @@
 	// The key was not read, and an earlier attempt with it may have run.
 	return &api.Failure{
 		Kind:    api.KindUnavailable,
-		Message: "the body broke off (" + err.Error() + "): this attempt started nothing; send it whole with the same key",
+		Message: "the body is incomplete (" + err.Error() + "): this attempt started nothing; send it whole with the same key",
 		Run:     api.OutcomeUnknown,
 	}
 }
 
+// check returns the failure of a request that is not valid, or nil.
 func (s *Server) check(request *api.Submission) *api.Failure {
 	switch {
 	case request.Profile == "":
@@ -324,7 +326,7 @@
 func tooManyInFlight() *api.Failure {
 	return &api.Failure{
 		Kind:         api.KindOverloaded,
-		Message:      "this VM serves as many callers as it can: this attempt started nothing; come back with the same key",
+		Message:      "this VM serves as many callers as it can: this attempt started nothing; retry with the same key",
 		Run:          api.OutcomeUnknown,
 		RetryAfterMS: time.Second.Milliseconds(),
 	}
--- a/membership/change.go
+++ b/membership/change.go
@@ -221,6 +221,8 @@
 	}
 }
 
+// handlePropose promises the proposed view if this process can, and gives up its own
+// proposal. Else it answers with its status.
 func (s *State) handlePropose(now time.Duration, p *peer, m *pb.Propose) {
 	if proposer := member(m.GetProposer()); proposer.Same(p.member) {
 		p.member = proposer
@@ -254,6 +256,7 @@
 	return !rival
 }
 
+// handlePromise records a participant's promise of the proposed view.
 func (s *State) handlePromise(now time.Duration, p *peer, m *pb.Promise) {
 	c := s.proposal
 	if c == nil || viewID(m.GetView()) != c.view.ID || !contains(c.participants(), p.member) {
--- a/membership/epoch.go
+++ b/membership/epoch.go
@@ -160,6 +160,7 @@
 	}}})
 }
 
+// handleEpochs uses a newer list of the coordinator and confirms it.
 func (s *State) handleEpochs(now time.Duration, p *peer, m *pb.Epochs) {
 	list := epochList(m.GetEpochs())
 	if viewID(m.GetView()) != s.view.ID || !p.member.Same(s.view.Coordinator()) {
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -61,6 +61,7 @@
 	return p
 }
 
+// newPeer adds or replaces the peer of a VM. The view may supply its address.
 func (s *State) newPeer(m Member) *peer {
 	if m.Address == "" {
 		if known, ok := find(s.view.sources(), m.ID); ok && known.Same(m) {
@@ -98,6 +99,9 @@
 	}
 }
 
+// tickPeer sends a heartbeat that is due, or repeats an unanswered message as a probe. A
+// process is suspected after Probes unanswered probes, or after one if the platform lists
+// it as leaving or gone.
 func (s *State) tickPeer(now time.Duration, m Member, p *peer) {
 	switch {
 	case p.waiting && now-p.askedAt < s.cfg.ProbeInterval:
@@ -188,6 +192,7 @@
 	return st
 }
 
+// status returns the parts of the status that are the same for all receivers.
 func (s *State) status(now time.Duration) *pb.Status {
 	return &pb.Status{
 		View:              s.view.ID.proto(),
@@ -225,6 +230,7 @@
 	return duties
 }
 
+// handleStatus records a peer's status, acts on its view and answers it if asked.
 func (s *State) handleStatus(now time.Duration, p *peer, st *pb.Status) {
 	s.noteSender(p, st)
 	s.noteStatus(p, st)
@@ -236,6 +242,8 @@
 	}
 }
 
+// recordSender records the peer's address, and the address of another view's coordinator
+// as a contact.
 func (s *State) noteSender(p *peer, st *pb.Status) {
 	if sender := member(st.GetSender()); sender.Same(p.member) {
 		p.member = sender
@@ -245,6 +253,7 @@
 	}
 }
 
+// recordStatus records the contents of a status, unless it is older than the last one.
 func (s *State) noteStatus(p *peer, st *pb.Status) {
 	id := viewID(st.GetView())
 	if id.Number < p.view.Number {
@@ -267,6 +276,7 @@
 	p.hasStatus = true
 }
 
+// recordDigests records which digests the peer has, and takes its newer digests.
 func (s *State) noteDigests(p *peer, st *pb.Status) {
 	p.digestSeen = max(p.digestSeen, min(st.GetDigestSeen(), s.digestVersion))
 	if st.GetDigestVersion() <= p.digestHave {
--- a/membership/join.go
+++ b/membership/join.go
@@ -86,6 +86,7 @@
 	return ok && !l.live
 }
 
+// addContact adds an address, unless it is known already.
 func (s *State) addContact(address string, expiresAt time.Duration) {
 	if address == "" || address == s.cfg.Self.Address {
 		return
@@ -152,6 +153,7 @@
 	s.formAlone(now)
 }
 
+// formAlone installs a view of this process alone with a first epoch.
 func (s *State) formAlone(now time.Duration) {
 	view := View{
 		ID:      ViewID{Number: 1, Nonce: s.cfg.Nonce()},
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -130,6 +130,7 @@
 	return Epoch{}, false
 }
 
+// newest returns the highest epoch number, or 0.
 func (l *EpochList) newest() uint64 {
 	if len(l.Epochs) == 0 {
 		return 0
@@ -137,6 +138,7 @@
 	return l.Epochs[len(l.Epochs)-1].Number
 }
 
+// newestTimed returns the number of the newest timed epoch, or 0.
 func (l *EpochList) newestTimed() uint64 {
 	for _, e := range slices.Backward(l.Epochs) {
 		if e.Timed {
--- a/membership/state.go
+++ b/membership/state.go
@@ -253,6 +253,7 @@
 // others returns the members of the view without this process.
 func (s *State) others() []Member { return s.without(s.view.Members) }
 
+// withoutSelf returns the members without this process.
 func (s *State) without(members []Member) []Member {
 	var out []Member
 	for _, m := range members {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -120,6 +120,7 @@
 	}
 }
 
+// envelopeCounters returns a counter of sent messages for each duty.
 func envelopeCounters(scope tally.Scope) map[peerpb.Duty]tally.Counter {
 	counters := map[peerpb.Duty]tally.Counter{}
 	for number, name := range peerpb.Duty_name {
--- a/submission/answers_test.go
+++ b/submission/answers_test.go
@@ -19,7 +19,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// keep puts n answers into a table whose submissions ran here.
+// keepAnswers puts n answers into a table whose submissions ran here.
 func keep(t *testing.T, table *table, n, bytes int) {
 	for i := range n {
 		e, first := table.reserve(keyOf(strconv.Itoa(bytes)+"-"+strconv.Itoa(i)).String(), uint64(i))
--- a/submission/explain.go
+++ b/submission/explain.go
@@ -47,13 +47,14 @@
 	byKey map[string]*list.Element
 }
 
+// explanation is the Explanation of a key.
 type explanation struct {
 	keyText string
 	Explanation
 }
 
-func newExplanations(most int) *explanations {
-	return &explanations{most: most, order: list.New(), byKey: map[string]*list.Element{}}
+func newExplanations(limit int) *explanations {
+	return &explanations{most: limit, order: list.New(), byKey: map[string]*list.Element{}}
 }
 
 // setProfile records which profile a submission named.
--- a/submission/service.go
+++ b/submission/service.go
@@ -14,7 +14,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// ClaimState says what is known of a claimed key.
+// ClaimState is the state of a claimed key.
 type ClaimState int
 
 // The claim states.
@@ -215,7 +215,7 @@
 	if o.Kind != "" {
 		s.explain.add(e.keyText, "ended: "+string(o.Kind)+", "+string(o.Run))
 	} else {
-		s.explain.add(e.keyText, "answered whole")
+		s.explain.add(e.keyText, "answered: every task completed")
 	}
 	s.table.finish(e, o)
 }
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -206,6 +206,7 @@
 	return true
 }
 
+// setReadsForAll records whether this VM reads for the others, and publishes a change.
 func (d *Duty) setReadsForAll(reads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -257,6 +258,7 @@
 	List *tableservice.List `json:"list,omitempty"`
 }
 
+// digest encodes the state for heartbeats.
 func digest(n news) []byte {
 	body, err := json.Marshal(message{Version: n.version, Reads: n.readsForAll})
 	if err != nil {
