--- a/claim/burn_fuzz_test.go
+++ b/claim/burn_fuzz_test.go
@@ -218,7 +218,7 @@
 // A key that is reported to another failure domain as not run is never started, before
 // or after the report, whatever happens to messages and VMs.
 func TestFuzzBurnedForOtherDomain(t *testing.T) {
-	told := 0
+	notRunAnswers := 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newBurnFuzz(t)
 		for range burnSteps {
@@ -232,8 +232,8 @@
 		f.settle(time.Second)
 		f.claimAgain(f.all)
 		f.settle(time.Second)
-		told += f.told
+		notRunAnswers += f.told
 	})
 	// Without such answers the test checks nothing.
-	must.Positive(t, told)
+	must.Positive(t, notRunAnswers)
 }
--- a/frontend/frontend_test.go
+++ b/frontend/frontend_test.go
@@ -113,7 +113,7 @@
 		"no tasks":           {with(`"tasks":[]`), api.KindMalformed, "no tasks"},
 		"no payload":         {with(`"tasks":[{"payload":1},{}]`), api.KindMalformed, "task 1 has no payload"},
 		"negative deadline":  {with(`"deadline_ms":-1,"tasks":[{"payload":1}]`), api.KindMalformed, "deadline_ms"},
-		"negative guess":     {with(`"tasks":[{"payload":1,"expected_ms":-1}]`), api.KindMalformed, "expected_ms"},
+		"negative estimate":  {with(`"tasks":[{"payload":1,"expected_ms":-1}]`), api.KindMalformed, "expected_ms"},
 		"fraction of a time": {with(`"deadline_ms":1.5,"tasks":[{"payload":1}]`), api.KindMalformed, "not a JSON"},
 	} {
 		t.Run(name, func(t *testing.T) {
