--- a/domains/burn.go
+++ b/domains/burn.go
@@ -35,7 +35,7 @@
 // run asks one VM after the other until the exchange ends. The failure domain counts as
 // unreachable for a while when none of them answers.
 func (d *Duty) run(ctx context.Context, x *Exchange) {
-	asked, heard := false, false
+	asked, answered := false, false
 	for {
 		address, wait, ok := x.Next(d.options.Now())
 		if !ok {
@@ -51,10 +51,10 @@
 			d.silent(x.key.Domain, address)
 			continue
 		}
-		heard = true
+		answered = true
 		x.Take(response)
 	}
-	if asked && !heard {
+	if asked && !answered {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.directory.Unreachable(d.options.Now(), x.key.Domain)
--- a/key/key.go
+++ b/key/key.go
@@ -35,18 +35,18 @@
 	k := Key{Domain: parts[0], Epoch: parts[1], Unique: parts[2]}
 	for _, p := range []struct {
 		name, value string
-		most        int
+		maxLength   int
 	}{{"failure domain", k.Domain, MaxDomain}, {"epoch", k.Epoch, MaxEpoch}, {"unique part", k.Unique, MaxUnique}} {
-		if err := checkPart(p.name, p.value, p.most); err != nil {
+		if err := checkPart(p.name, p.value, p.maxLength); err != nil {
 			return Key{}, err
 		}
 	}
 	return k, nil
 }
 
-func checkPart(name, value string, most int) error {
-	if value == "" || len(value) > most {
-		return fmt.Errorf("the %s of the key must have 1 to %d characters", name, most)
+func checkPart(name, value string, maxLength int) error {
+	if value == "" || len(value) > maxLength {
+		return fmt.Errorf("the %s of the key must have 1 to %d characters", name, maxLength)
 	}
 	for _, c := range []byte(value) {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -224,15 +224,15 @@
 	}
 	d.handingOver = true
 	for d.handed != d.news() {
-		newest, spread := d.list, d.news()
-		isNewer := spread.version > d.handed.version
+		newest, state := d.list, d.news()
+		isNewer := state.version > d.handed.version
 		d.mu.Unlock()
-		d.options.SetDigest(digest(spread))
+		d.options.SetDigest(digest(state))
 		if isNewer {
 			d.options.OnList(newest)
 		}
 		d.mu.Lock()
-		d.handed = spread
+		d.handed = state
 	}
 	d.handingOver = false
 }
