--- a/claim/failure.go
+++ b/claim/failure.go
@@ -2,13 +2,14 @@
 
 import "github.com/burdockward/burdockward/api"
 
-// Times after which a caller may come back, in milliseconds.
+// Times after which a caller may retry, in milliseconds.
 const (
 	retrySoonMS  = 200
 	retryLaterMS = 1000
 )
 
-// refuse makes the failure of a key whose earlier fate isn't known.
+// newFailure returns the failure of a call for a key. Whether the key ran earlier is
+// not known.
 func refuse(kind api.Kind, retryAfterMS int64, message string) *api.Failure {
 	return &api.Failure{Kind: kind, Run: api.OutcomeUnknown, RetryAfterMS: retryAfterMS, Message: message}
 }
@@ -22,7 +23,7 @@
 }
 
 func failClosed() *api.Failure {
-	return refuse(api.KindKeyExpired, 0, "VMs that may have known the key were lost: look the work up in your own records, and submit new work under a key with the epoch of this response")
+	return refuse(api.KindKeyExpired, 0, "VMs that may have had a record of the key were lost: look the work up in your own records, and submit new work under a key with the epoch of this response")
 }
 
 func failVoid() *api.Failure {
@@ -34,7 +35,7 @@
 }
 
 func failFull() *api.Failure {
-	return refuse(api.KindUnavailable, retryLaterMS, "the failure domain keeps as many keys as it can: submit the same key again later")
+	return refuse(api.KindUnavailable, retryLaterMS, "the failure domain has reached its limit of keys: submit the same key again later")
 }
 
 func failWait() *api.Failure {
