--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -35,7 +35,7 @@
 	b.s.TargetSeen(b.now, t)
 }
 
-// addUsableTarget adds a target and answers its first poll.
+// usable adds a target and answers its first poll.
 func (b *bench) usable(id string, cpu int64) {
 	b.target(id, cpu)
 	b.do()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -204,13 +204,13 @@
 	// inheritedStates is what previous owners' runs of durable jobs had saved, by task.
 	left    map[string]leftover
 	resumed bool
-	// droppedAt is when jobs were last left to another owner. The leases of their runs are renewed
+	// dropped is when jobs were last left to another owner. The leases of their runs are renewed
 	// for droppedRenewTime from then on.
 	dropped, prolonging time.Duration
 	// wallOffset is the Unix time at the State's time zero.
 	wall time.Duration
-	// adviserRequests holds the steps with an unanswered request to the adviser, by name;
-	// openAdviserRequests is their number.
+	// adviserRequests holds the steps with an unanswered request to the adviser, by name; asking is
+	// their number.
 	asked map[string]*step
 	// recentOutcomes holds the outcomes of other VMs' jobs that ended lately.
 	unclaimed map[jobRef]unclaimed
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -91,7 +91,7 @@
 	// firstPollWait is the wait of its first copy.
 	lookTime time.Duration
 	looking  bool
-	// answeredPollSent is when the newest answered poll was sent.
+	// answered is when the newest answered poll was sent.
 	answered time.Duration
 	// lastAnswer is when the newest poll was answered; the runs that it listed were running then.
 	heard time.Duration
@@ -104,9 +104,9 @@
 
 // stopOrder tracks the attempts to stop a run.
 type orderTry struct {
-	// lastSent is when the last attempt was sent, firstSent when the first was.
+	// last is when the last attempt was sent, first when the first was.
 	sent, asked time.Duration
-	// ackedAt is when the target confirmed the stop; 0 before.
+	// acked is when the target confirmed the stop; 0 before.
 	acked time.Duration
 	tries int
 }
@@ -356,7 +356,7 @@
 	s.wait(r.task.job)
 }
 
-// stopRun orders a run to stop.
+// stop orders a run to stop.
 func (s *State) stop(now time.Duration, r *run) {
 	if r.stop == nil {
 		r.stop = &orderTry{asked: now, sent: now}
@@ -370,7 +370,7 @@
 const (
 	// stopRetryInterval is the pause between two attempts of a stop whose first few had no answer.
 	stopRetry = 100 * time.Millisecond
-	// stopAnswerTimeout is how long a target's lease is still renewed while a stop there has no
+	// stopTimeout is how long a target's lease is still renewed while a stop there has no
 	// answer.
 	stopPatience = 150 * time.Millisecond
 	// stopMargin is added to the platform's bound of a stop.
@@ -435,8 +435,8 @@
 	s.unlisted(now, t)
 }
 
-// wouldBeListed reports whether the completion of a run that finished before its stop arrived would
-// be known by now. Without a durable job it does not matter, as the run may be repeated.
+// wouldList reports whether the completion of a run that finished before its stop arrived would
+// be known by now. For jobs that are not durable it does not matter: their runs may be repeated.
 func (t *target) wouldList(r *run) bool { return !r.task.job.kept() || t.answered > r.stop.acked }
 
 func (s *State) tickRun(now time.Duration, t *target, r *run) {
