--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -141,15 +141,15 @@
 		free += int64(elsewhere.Places[priorityOf(j.sub.Queue)]) * need.each
 	}
 	// Capacity that is free now does not fit the waiting jobs, so that this job can use it.
-	rest := need.total - free
+	shortfall := need.total - free
 	arriving := j.pool.arriving(need.each)
-	if rest <= 0 || arriving+free == 0 && flow == 0 && s.unsure(j.pool) {
+	if shortfall <= 0 || arriving+free == 0 && flow == 0 && s.unsure(j.pool) {
 		return 0, true
 	}
 	// Tasks that start at once free their processor again when they end.
 	flow += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
 	flow *= j.pool.left(now, priorityOf(j.sub.Queue))
-	wait := waitFor(s.ahead(j)+rest-arriving, flow)
+	wait := waitFor(s.ahead(j)+shortfall-arriving, flow)
 	slack := j.latest - now - time.Duration(marginShare*float64(j.objective-j.arrived))
 	return wait, wait <= slack
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -165,21 +165,21 @@
 
 // checkRuns handles the runs of a target that should have ended.
 func (s *State) judge(now time.Duration, t *target) {
-	seen := s.listedUntil(now, t)
+	runningUntil := s.listedUntil(now, t)
 	for _, r := range t.sortedRuns() {
 		if r.state != running || r.stop != nil || r.task.job.dropped || !r.overdue(now) {
 			continue
 		}
-		if !r.overdue(seen) {
+		if !r.overdue(runningUntil) {
 			continue
 		}
 		s.strike(now, t, r.task.job)
-		if r.hopeless(seen) && !t.health.suspected && s.maySuspect(t.pool) {
+		if r.hopeless(runningUntil) && !t.health.suspected && s.maySuspect(t.pool) {
 			s.emit(Note{What: "target suspected", Target: t.ID, Task: r.Task, Detail: "a run does not end", Age: now - r.ordered})
 			t.health.suspend(now)
 			s.touch(t)
 		}
-		if r.stuck(seen) {
+		if r.stuck(runningUntil) {
 			s.emit(Note{What: "run takes too long", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 			r.task.restarts++
 			s.stop(now, r)
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, r := range t.sortedRuns() {
-		if r.state == running && r.stop == nil && s.worthMoving(now, seen, t, r) {
+		if r.state == running && r.stop == nil && s.worthMoving(now, runningUntil, t, r) {
 			s.emit(Note{What: "run moved", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 			s.stop(now, r)
 		}
@@ -250,7 +250,7 @@
 
 // shouldMove reports whether a run on a suspected target would end earlier elsewhere, while its
 // answer is still of use.
-func (s *State) worthMoving(now, seen time.Duration, t *target, r *run) bool {
+func (s *State) worthMoving(now, runningUntil time.Duration, t *target, r *run) bool {
 	if r.task.step.Lasting || r.task.step.Gang || r.task.step.Fills || r.task.job.dropped {
 		return false
 	}
@@ -260,9 +260,9 @@
 	}
 	if r.ordered > t.health.since {
 		// This run probes whether the target has recovered.
-		return r.overdue(seen)
+		return r.overdue(runningUntil)
 	}
-	speed := max(t.health.speed, float64(seen-r.ordered)/float64(r.expected))
+	speed := max(t.health.speed, float64(runningUntil-r.ordered)/float64(r.expected))
 	here := r.ordered + time.Duration(speed*float64(r.expected))
-	return r.overdue(seen) || speed > slowSpeed && here > elsewhere+r.expected/2
+	return r.overdue(runningUntil) || speed > slowSpeed && here > elsewhere+r.expected/2
 }
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -322,7 +322,7 @@
 // A target whose entry lapsed is used while it answers. After a timeout it is removed, once its
 // runs have ended or its lease has lapsed without an answer.
 func TestUnlistedTargetsAreForgotten(t *testing.T) {
-	for name, silent := range map[string]bool{"target answers": false, "target is silent": true} {
+	for name, silent := range map[string]bool{"target answers": false, "target stays silent": true} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.usable("a", 4)
