--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -102,7 +102,7 @@
 	health  health
 }
 
-// stopOrder tracks the attempts to stop a run.
+// stopTry tracks the attempts to stop a run.
 type orderTry struct {
 	// last is when the last attempt was sent, first when the first was.
 	sent, asked time.Duration
