--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -158,7 +158,7 @@
 // A run whose start has no answer may have completed before it was stopped. Only a poll sent after
 // the stop shows that.
 func TestAStoppedRunMayHaveBeenDone(t *testing.T) {
-	for name, done := range map[string]bool{"completed": true, "never started": false} {
+	for name, done := range map[string]bool{"run completed": true, "run never started": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
 			b.s.Resumed(b.now)
