--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -37,8 +37,8 @@
 	return t.trial == nil || t.trial == tk || tk.step.Gang && t.trial.step == tk.step
 }
 
-// isolate marks the target of a starting run as isolated if the run's task is a suspect and nothing
-// else runs there.
+// isolateSuspect marks the target of a starting run as isolated if the run's task is a suspect and
+// nothing else runs there.
 func (s *State) tryAlone(r *run) {
 	t := r.target
 	s.letRoom(r.task)
