--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -145,26 +145,26 @@
 // restoreProgress sets what is known of a job's tasks from the store.
 func (s *State) recall(now time.Duration, j *job, progress Progress) {
 	j.traced = len(progress.Done)+len(progress.Fails)+len(progress.Saved) > 0
-	known := func(place int) bool { return place >= 0 && place < len(j.tasks) }
-	for _, place := range progress.Done {
-		if known(place) {
-			j.complete(j.tasks[place])
+	known := func(index int) bool { return index >= 0 && index < len(j.tasks) }
+	for _, index := range progress.Done {
+		if known(index) {
+			j.complete(j.tasks[index])
 		}
 	}
-	for place, n := range progress.Fails {
-		if known(place) {
-			j.tasks[place].fails = n
-			j.tasks[place].lastFailed = progress.LastFailed[place]
+	for index, n := range progress.Fails {
+		if known(index) {
+			j.tasks[index].fails = n
+			j.tasks[index].lastFailed = progress.LastFailed[index]
 		}
 	}
-	for place, targets := range progress.Crashed {
-		if known(place) {
-			s.recallCrashed(now, j.tasks[place], targets)
+	for index, targets := range progress.Crashed {
+		if known(index) {
+			s.recallCrashed(now, j.tasks[index], targets)
 		}
 	}
-	for place, saved := range progress.Saved {
-		if known(place) {
-			*j.tasks[place].savedState() = savedState{value: saved}
+	for index, saved := range progress.Saved {
+		if known(index) {
+			*j.tasks[index].savedState() = savedState{value: saved}
 		}
 	}
 }
