--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -87,22 +87,22 @@
 }
 
 // View returns the newest view.
-func (b *Board) View() View {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.view
+func (l *Board) View() View {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.view
 }
 
 // Update replaces the view by one with a higher version and ignores any other.
-func (b *Board) Offer(view View, from string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if view.Version <= b.view.Version {
+func (l *Board) Offer(view View, from string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if view.Version <= l.view.Version {
 		return
 	}
-	before := b.view
-	b.view = view
+	before := l.view
+	l.view = view
 	if !before.Known() || !slices.Equal(before.Domains, view.Domains) {
-		b.Changed(from, before, view)
+		l.Changed(from, before, view)
 	}
 }
--- a/owner/delegate.go
+++ b/owner/delegate.go
@@ -9,8 +9,8 @@
 
 // UpdateCapacityOf sets the free capacity that another owner reports for a service. The report
 // is dropped while the submission queue is full, because the next one follows soon.
-func (o *Owner) RoomAt(owner, service string, room scheduler.Room) {
-	o.submissions.Offer(func(now time.Duration) { o.state.RoomAt(now, owner, service, room) })
+func (o *Owner) RoomAt(owner, service string, capacity scheduler.Room) {
+	o.submissions.Offer(func(now time.Duration) { o.state.RoomAt(now, owner, service, capacity) })
 }
 
 // delegate has another owner run a part of a job and passes the outcome to the State.
--- a/owner/keepalives.go
+++ b/owner/keepalives.go
@@ -25,24 +25,24 @@
 // RecordKeepalive records that the callers of an entry VM still wait, until the given time, for
 // all its jobs except those that it has given up.
 func (o *Owner) Vouched(entry string, until time.Duration, givenUp []string) {
-	v := &o.vouches
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.until == nil {
-		v.until, v.givenUp = map[string]time.Duration{}, map[string][]string{}
+	k := &o.vouches
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.until == nil {
+		k.until, k.givenUp = map[string]time.Duration{}, map[string][]string{}
 	}
-	v.until[entry] = max(v.until[entry], until)
-	if len(givenUp) > 0 && len(v.givenUp[entry]) < maxGivenUp {
-		v.givenUp[entry] = append(v.givenUp[entry], givenUp...)
+	k.until[entry] = max(k.until[entry], until)
+	if len(givenUp) > 0 && len(k.givenUp[entry]) < maxGivenUp {
+		k.givenUp[entry] = append(k.givenUp[entry], givenUp...)
 	}
 }
 
 // deliver gives the State what was collected since the last call.
-func (v *vouches) pass(now time.Duration, state *scheduler.State) {
-	v.mu.Lock()
-	until, givenUp := v.until, v.givenUp
-	v.until, v.givenUp = nil, nil
-	v.mu.Unlock()
+func (k *vouches) pass(now time.Duration, state *scheduler.State) {
+	k.mu.Lock()
+	until, givenUp := k.until, k.givenUp
+	k.until, k.givenUp = nil, nil
+	k.mu.Unlock()
 	for entry, end := range until {
 		state.EntrySeen(entry, end)
 	}
--- a/owner/lag.go
+++ b/owner/lag.go
@@ -74,7 +74,7 @@
 }
 
 // shouldShed reports whether new jobs have to be refused, and after what time to try again.
-func (o *Owner) tooFarBehind() (retry time.Duration, is bool) {
+func (o *Owner) tooFarBehind() (retryAfter time.Duration, shed bool) {
 	behind := o.lag.behind(bootclock.Now())
 	return behind, behind > lagLimit
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -310,7 +310,8 @@
 const loadsInterval = 2 * time.Millisecond
 
 // publish updates what the other goroutines of the process read: the number of jobs, whether
-// durable jobs can be taken over, the number of targets, and the loads.
+// durable jobs can be taken over, the number of targets, and the loads. It also reports when this
+// owner needs the capacity of others.
 func (o *Owner) publish() {
 	o.jobs.Store(int64(o.state.Jobs() + o.state.Unnoted()))
 	o.kept.adopted.Store(o.mayOpen())
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -16,9 +16,9 @@
 // Submit runs a job and returns its outcome. The end of the context gives the job up. A durable
 // job has its outcome as soon as it is stored.
 func (o *Owner) Submit(ctx context.Context, sub scheduler.Submission) work.Outcome {
-	if retry, is := o.tooFarBehind(); is {
+	if retryAfter, shed := o.tooFarBehind(); shed {
 		o.options.Count("jobs", "shed")
-		return work.Outcome{Result: work.Refused, Reason: "the owner is short of processor", RetryAfter: retry}
+		return work.Outcome{Result: work.Refused, Reason: "the owner is short of processor", RetryAfter: retryAfter}
 	}
 	outcome := make(chan work.Outcome, 1)
 	var ref scheduler.Ref
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -27,16 +27,16 @@
 }
 
 // IsNewerThan reports whether the claim replaces another claim of the same group.
-func (h Held) Newer(than Held) bool {
-	if h.Version != than.Version {
-		return h.Version > than.Version
+func (c Held) Newer(other Held) bool {
+	if c.Version != other.Version {
+		return c.Version > other.Version
 	}
-	return h.Claim.GetPassed() > than.Claim.GetPassed()
+	return c.Claim.GetPassed() > other.Claim.GetPassed()
 }
 
 // ToWire returns the claim as a message.
-func (h Held) Wire() *linkpb.Owned {
-	return &linkpb.Owned{Group: h.Group, Claim: h.Claim, Version: h.Version}
+func (c Held) Wire() *linkpb.Owned {
+	return &linkpb.Owned{Group: c.Group, Claim: c.Claim, Version: c.Version}
 }
 
 // FromWire returns the claim in a message.
@@ -64,20 +64,20 @@
 }
 
 // ShouldClaim reports whether this VM should write a claim of the group now.
-func Take(b Belief) bool {
+func Take(o Belief) bool {
 	switch {
-	case b.Held == nil:
-		return b.Waited >= b.Patience
-	case b.Held.Claim.GetLife() == b.Life:
+	case o.Held == nil:
+		return o.Waited >= o.Patience
+	case o.Held.Claim.GetLife() == o.Life:
 		// A claim that was handed over directly isn't in the store yet.
-		return b.Held.Claim.GetPassed() > 0
-	case b.Held.Claim.GetVm() == b.VM:
+		return o.Held.Claim.GetPassed() > 0
+	case o.Held.Claim.GetVm() == o.VM:
 		// The owner is an earlier incarnation of this VM, which has ended.
 		return true
-	case b.Dead:
-		return b.Waited >= b.Patience
+	case o.Dead:
+		return o.Waited >= o.Patience
 	default:
-		return min(b.Silent, b.Waited) >= heartbeat.Silence+b.Patience
+		return min(o.Silent, o.Waited) >= heartbeat.Silence+o.Patience
 	}
 }
 
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -110,8 +110,8 @@
 	k.leaving = true
 }
 
-// OwnerDied records that an incarnation of a VM has certainly ended, so that a claim of its group
-// needn't wait until it has been silent.
+// OwnerDied records that an incarnation of a VM has certainly ended, so that its group can be
+// claimed without waiting for its silence.
 func (k *Keeper) Died(incarnation uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/work/orders.go
+++ b/work/orders.go
@@ -111,7 +111,7 @@
 type Held struct {
 	// ClockMS is the target's monotonic clock.
 	Clock int64
-	// Incarnation is that of Target; 0 if the target doesn't report it.
+	// Incarnation is the incarnation that answers, as in Target; 0 if it isn't reported.
 	Life int64
 	// Capacity is the target's present total capacity; nil if the target doesn't report it.
 	Capacity *Resources
--- a/work/work.go
+++ b/work/work.go
@@ -17,9 +17,9 @@
 	GPU int64
 }
 
-// FitsIn reports whether room has at least the resources r.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.MemoryMB <= room.MemoryMB && r.GPU <= room.GPU
+// FitsIn reports whether the free resources include the resources r.
+func (r Resources) Fits(free Resources) bool {
+	return r.CPU <= free.CPU && r.MemoryMB <= free.MemoryMB && r.GPU <= free.GPU
 }
 
 // Add returns the sum of two amounts.
@@ -142,8 +142,8 @@
 }
 
 // Objective returns the time within which a job with this critical path should be answered.
-func (q Queue) Objective(chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.Allowance
+func (q Queue) Objective(criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + q.Allowance
 }
 
 // Target is one incarnation of a process that runs tasks.
