--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -1,8 +1,8 @@
 // Package cordon holds which failure domains the operator has cordoned: nothing is started on
 // their targets until the cordon is removed, and what runs there runs to its end.
 //
-// Its input are the rows of the operator's table and the views of other VMs, which are needed
-// while the store refuses this VM. Its output is the newest View and a call for each change. A
+// Its inputs are the rows of the operator's table and the views of other VMs, which are needed
+// while the store refuses this VM. Its outputs are the newest View and a call for each change. A
 // View is the set of cordons at one version of the store. The View with the higher version always
 // wins, wherever it came from, so an outdated one neither removes a cordon nor restores one.
 package cordon
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,9 +1,9 @@
 // Package mirror follows tables of the platform's store through the store's outages.
 //
-// Its input are a full read of a table and then the feed of its changes. Its output is an Update
-// for each non-empty answer. After an outage the feed continues from the last version seen. When
-// the store no longer has the history since that version, the table is read in full again, and
-// that Update is marked as a snapshot.
+// Its inputs are a full read of a table and then the feed of its changes. Its outputs are an
+// Update for the full read, marked as a snapshot, and one for each later answer with changes.
+// After an outage the feed continues from the last version seen. When the store no longer has the
+// history since that version, the table is read in full again.
 package mirror
 
 import (
@@ -48,9 +48,9 @@
 	Whole bool
 }
 
-// Follow reads a table and calls take with its rows and later changes until the context ends.
-func Follow(ctx context.Context, source Source, o Options, take func(Update)) error {
-	f := follower{source: source, options: o, take: take}
+// Follow reads a table and calls apply with its rows and later changes until the context ends.
+func Follow(ctx context.Context, source Source, o Options, apply func(Update)) error {
+	f := follower{source: source, options: o, take: apply}
 	for ctx.Err() == nil {
 		if !f.step(ctx) {
 			sleep(ctx, retryPause)
@@ -71,7 +71,7 @@
 
 // readOnce makes one call and reports whether the next one may follow without retryInterval.
 func (f *follower) step(ctx context.Context) bool {
-	began := bootclock.Now()
+	started := bootclock.Now()
 	rows, err := f.read(ctx)
 	switch {
 	case errors.Is(err, platform.ErrHistoryLost):
@@ -86,13 +86,13 @@
 	if f.options.Heard != nil {
 		f.options.Heard(bootclock.Now())
 	}
-	whole := f.after == 0
+	snapshot := f.after == 0
 	f.after = rows.Version
-	if whole || len(rows.Rows) > 0 {
-		f.take(Update{Rows: rows, Whole: whole})
+	if snapshot || len(rows.Rows) > 0 {
+		f.take(Update{Rows: rows, Whole: snapshot})
 	}
 	if !rows.More {
-		sleep(ctx, f.options.Pace-(bootclock.Now()-began))
+		sleep(ctx, f.options.Pace-(bootclock.Now()-started))
 	}
 	return true
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,7 +1,7 @@
 // Package owner runs the scheduler of one group of targets under the fencing token of a claim.
 //
-// Its input are submissions, the answers of targets, the registry of targets, cordons, and the
-// keepalives of entry VMs. Its output are orders to targets, outcomes of submissions, and
+// Its inputs are submissions, the answers of targets, the registry of targets, cordons, and the
+// keepalives of entry VMs. Its outputs are orders to targets, outcomes of submissions, and
 // records of durable jobs in the store. The package scheduler makes the decisions.
 //
 // One goroutine, the loop, handles messages and carries out the effects that the scheduler's
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -1,7 +1,7 @@
 // Package ownership decides which VM owns a group of targets.
 //
-// Its input are the claims in the platform's store, the heartbeats of owners and the processor
-// share of this VM. Its output are the claims that it writes for this VM or, when this VM leaves,
+// Its inputs are the claims in the platform's store, the heartbeats of owners and the processor
+// share of this VM. Its outputs are the claims that it writes for this VM or, when this VM leaves,
 // for a successor.
 //
 // A claim is a row that is written only if it hasn't changed since it was read. The version of
--- a/processor/processor.go
+++ b/processor/processor.go
@@ -1,7 +1,7 @@
 // Package processor measures what share of a core a VM really has, since other VMs on its host
 // and quotas slow it down.
 //
-// Its input are the share that the settings declare and the time that a fixed piece of work takes
+// Its inputs are the share that the settings declare and the time that a fixed piece of work takes
 // at regular intervals. Its output is the declared share times the present speed, as a fraction
 // of the best speed seen. VMs use it to decide which of them owns targets. Until enough samples
 // were taken, and within the usual variation of speed, the VM counts as running at full speed.
--- a/work/state.go
+++ b/work/state.go
@@ -5,7 +5,7 @@
 
 // The states of durable jobs. The last three are final.
 const (
-	// StateAbsent means that no such job is stored.
+	// StateAbsent means that there is no such job.
 	StateAbsent State = iota
 	// StateQueued means that no task of the job has started.
 	StateQueued
