--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -1,8 +1,8 @@
 // Package cordon holds which failure domains the operator has cordoned: nothing is started on
 // their targets until the cordon is removed, and what runs there runs to its end.
 //
-// Its input are the rows of the operator's table and the views of other VMs, which are needed
-// while the store refuses this VM. Its output is the newest View and a call for each change. A
+// Its inputs are the rows of the operator's table and the views of other VMs, which are needed
+// while the store refuses this VM. Its outputs are the newest View and a call for each change. A
 // View is the set of cordons at one version of the store. The View with the higher version always
 // wins, wherever it came from, so an outdated one neither removes a cordon nor restores one.
 package cordon
@@ -87,22 +87,22 @@
 }
 
 // View returns the newest view.
-func (b *Board) View() View {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.view
+func (l *Board) View() View {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.view
 }
 
 // Update replaces the view by one with a higher version and ignores any other.
-func (b *Board) Offer(view View, from string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if view.Version <= b.view.Version {
+func (l *Board) Offer(view View, from string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if view.Version <= l.view.Version {
 		return
 	}
-	before := b.view
-	b.view = view
+	before := l.view
+	l.view = view
 	if !before.Known() || !slices.Equal(before.Domains, view.Domains) {
-		b.Changed(from, before, view)
+		l.Changed(from, before, view)
 	}
 }
