--- a/node/rejoin_test.go
+++ b/node/rejoin_test.go
@@ -247,8 +247,8 @@
 // present owner existed. Its outcome is unknown: it is neither started again nor refused.
 func TestWhatAFormerOwnerWasGivenIsUnknown(t *testing.T) {
 	f := newFleet(t, time.Hour)
-	for _, given := range []link.Given{{Life: 6, Ago: time.Millisecond}, {Life: 7, Ago: time.Hour}} {
-		order := link.Order{Entry: entryVM, Job: work.Job{ID: "2"}, Given: given}
+	for _, previous := range []link.Given{{Life: 6, Ago: time.Millisecond}, {Life: 7, Ago: time.Hour}} {
+		order := link.Order{Entry: entryVM, Job: work.Job{ID: "2"}, Given: previous}
 		must.Eq(t, work.Unknown, f.node.runFor(t.Context(), order).Result)
 	}
 	starts, _ := f.target.counts()
