--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -17,10 +17,10 @@
 const testJob = "5c0e7a21d94b36f8"
 
 // openWriter opens a writer for a group under a token and returns the unfinished jobs that it read.
-func open(t *testing.T, store Store, group string, life uint64, token int64) (*Keeper, []Kept) {
+func open(t *testing.T, store Store, group string, incarnation uint64, token int64) (*Keeper, []Kept) {
 	t.Helper()
 	w := New(Options{
-		Group: group, Life: life, Retention: time.Minute, Log: slog.New(slog.DiscardHandler),
+		Group: group, Life: incarnation, Retention: time.Minute, Log: slog.New(slog.DiscardHandler),
 		Count: func(string, string) {},
 		Clock: func() time.Duration { return time.Hour },
 	}, store)
@@ -30,9 +30,9 @@
 }
 
 // startWriter opens a writer that runs until the test ends.
-func running(t *testing.T, store Store, group string, life uint64, token int64) *Keeper {
+func running(t *testing.T, store Store, group string, incarnation uint64, token int64) *Keeper {
 	t.Helper()
-	w, _ := open(t, store, group, life, token)
+	w, _ := open(t, store, group, incarnation, token)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -225,7 +225,7 @@
 
 // pickOwner draws an owner, now and then a previous one.
 func (w *world) owner(name string) *fakeOwner {
-	if len(w.former) > 0 && rapid.IntRange(0, 4).Draw(w.t, name+" former") == 0 {
+	if len(w.former) > 0 && rapid.IntRange(0, 4).Draw(w.t, name+" previous") == 0 {
 		return rapid.SampledFrom(w.former).Draw(w.t, name)
 	}
 	return w.owners[rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, name)]
@@ -373,7 +373,7 @@
 	}
 }
 
-// isTrackedByNobody reports whether no owner has a result for a job still to give.
+// isUntracked reports whether no owner tracks a job, so that no result of it is outstanding.
 func (w *world) refusedByAll(id string) bool {
 	for _, o := range w.all() {
 		if o.shard(id).entries[id] != nil {
@@ -390,16 +390,16 @@
 		w := newWorld(rt)
 		for range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			id := fmt.Sprintf("job%d", rapid.IntRange(0, 9).Draw(rt, "job"))
-			switch rapid.SampledFrom([]string{"accept", "accept", "note", "note", "write", "write", "write", "write", "late", "succeed"}).Draw(rt, "action") {
+			switch rapid.SampledFrom([]string{"accept", "accept", "record", "record", "write", "write", "write", "write", "apply delayed", "take over"}).Draw(rt, "action") {
 			case "accept":
 				w.accept(id)
-			case "note":
+			case "record":
 				w.note()
 			case "write":
 				w.write()
-			case "late":
+			case "apply delayed":
 				w.store.catchUp()
-			case "succeed":
+			case "take over":
 				w.takeOver(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "group"))
 			}
 			w.check()
--- a/settings/check.go
+++ b/settings/check.go
@@ -25,7 +25,8 @@
 	// leaseHeartbeats is the number of heartbeat intervals that a view lease has to outlast: an
 	// acknowledgement arrives one heartbeat after the message that it acknowledges.
 	leaseHeartbeats = 2
-	minHeaderBytes  = 1 << 10
+	// minHeaderBytes is the least bound on the bytes of headers and bodies.
+	minHeaderBytes = 1 << 10
 	// maxDomainSeeds is the most seed addresses of one other failure domain.
 	maxDomainSeeds = 3
 	// baseMemoryBytes is the memory of a daemon without answers and records, with the requests in
