--- a/quota/state.go
+++ b/quota/state.go
@@ -239,7 +239,7 @@
 	return min(wanted-unclaimed, spare/2, most)
 }
 
-// ApplyRead applies the rows of a read that began at the given time. A read of an older
+// Read applies the rows of a read that began at the given time. A read of an older
 // version than one before is ignored.
 func (s *State) Read(now, begunAt time.Duration, changes tableservice.Changes) {
 	if changes.Version < s.version {
