--- a/placement/health.go
+++ b/placement/health.go
@@ -8,7 +8,7 @@
 // Evidence against a target is a sequential likelihood ratio, in nats: a failure
 // adds log(pBad / pClass), a success adds log((1-pBad) / (1-pClass)), and the sum
 // never falls below zero. pBad is the failure rate of a bad target, and pClass the
-// failure rate of the class of work elsewhere, at least minFailureRate. A failure in a
+// failure rate of the class of work elsewhere, at least leastRate. A failure in a
 // class that fails as often elsewhere as at a bad target adds nothing.
 const (
 	badTargetRate = 0.5
