--- a/claim/state_fuzz_test.go
+++ b/claim/state_fuzz_test.go
@@ -277,7 +277,7 @@
 		token = f.tokens[f.pick("token", len(f.tokens))]
 	}
 	k := f.pickKey(f.withHome(v, token))
-	kind := []wish{wishClaim, wishClaim, wishClaim, wishBurn, wishLookup}[f.pick("kind", 5)]
+	kind := []wish{wishClaim, wishClaim, wishClaim, wishBurn, wishLookup}[f.pick("call kind", 5)]
 	f.call(v, kind, k.token, k.unique)
 	if f.pick("prompt", 2) == 0 {
 		f.deliverMany(40)
