--- a/claim/failure.go
+++ b/claim/failure.go
@@ -23,7 +23,7 @@
 }
 
 func failClosed() *api.Failure {
-	return refuse(api.KindKeyExpired, 0, "VMs that may have had a record of the key were lost: look the work up in your own records, and submit new work under a key with the epoch of this response")
+	return refuse(api.KindKeyExpired, 0, "VMs that may have known the key were lost: look the work up in your own records, and submit new work under a key with the epoch of this response")
 }
 
 func failVoid() *api.Failure {
@@ -35,7 +35,7 @@
 }
 
 func failFull() *api.Failure {
-	return refuse(api.KindUnavailable, retryLaterMS, "the failure domain has reached its limit of keys: submit the same key again later")
+	return refuse(api.KindUnavailable, retryLaterMS, "the failure domain keeps as many keys as it can: submit the same key again later")
 }
 
 func failWait() *api.Failure {
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -66,7 +66,7 @@
 	switch t.Placement.Use {
 	case placement.UseNormal:
 	case placement.UseLeaving:
-		status.Reason = "the VM list or the target itself reports it as leaving"
+		status.Reason = "the list, or the target itself, says so"
 	default:
 		status.Reason = t.Placement.Cause
 		status.HealthAgeMS = (now - t.Placement.Since).Milliseconds()
@@ -105,7 +105,7 @@
 	keyText := r.PathValue("key")
 	recorded := d.service.Explain(keyText)
 	if len(recorded.Events) == 0 {
-		writeJSON(w, http.StatusNotFound, adminapi.Error{Message: "this VM has no events of the key: ask the other VMs of its failure domain"})
+		writeJSON(w, http.StatusNotFound, adminapi.Error{Message: "this VM knows nothing of the key: ask the other VMs of its failure domain"})
 		return
 	}
 	explanation := adminapi.Explanation{VM: d.settings.VMID, Key: keyText, Profile: recorded.Profile, EventsDropped: recorded.Dropped}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -381,7 +381,7 @@
 	}
 	done(submission.Refused(&api.Failure{
 		Kind:         api.KindOverloaded,
-		Message:      "this VM receives submissions faster than it can queue them: submit again under a new key",
+		Message:      "this VM takes in submissions faster than it can queue them: submit again under a new key",
 		Run:          api.NotRun,
 		RetryAfterMS: time.Second.Milliseconds(),
 		Key:          s.KeyText,
--- a/entry/durable.go
+++ b/entry/durable.go
@@ -14,7 +14,7 @@
 
 // ErrOwnerUnavailable says that a durable job's owner can't be asked at the moment; the caller may
 // try again later.
-const ErrHomeAway = errs.Tag("job owner unavailable")
+const ErrHomeAway = errs.Tag("the job's owner is away")
 
 // State returns the state of a durable job, from the owner that knows it or else from the store.
 func (e *Entry) State(ctx context.Context, id string) (work.State, error) {
@@ -51,7 +51,7 @@
 	}
 	state, err := e.options.Find(ctx, id)
 	if err == nil && state != work.StateAbsent && !state.Final() {
-		return state, ErrHomeAway.Errorf("job %s is %s and cannot be cancelled now", id, state)
+		return state, ErrHomeAway.Errorf("job %s is %s and can't be cancelled now", id, state)
 	}
 	return state, err
 }
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -219,7 +219,7 @@
 	// The key was not read, and an earlier attempt with it may have run.
 	return &api.Failure{
 		Kind:    api.KindUnavailable,
-		Message: "the body is incomplete (" + err.Error() + "): this attempt started nothing; send it whole with the same key",
+		Message: "the body broke off (" + err.Error() + "): this attempt started nothing; send it whole with the same key",
 		Run:     api.OutcomeUnknown,
 	}
 }
@@ -326,7 +326,7 @@
 func tooManyInFlight() *api.Failure {
 	return &api.Failure{
 		Kind:         api.KindOverloaded,
-		Message:      "this VM serves as many callers as it can: this attempt started nothing; retry with the same key",
+		Message:      "this VM serves as many callers as it can: this attempt started nothing; come back with the same key",
 		Run:          api.OutcomeUnknown,
 		RetryAfterMS: time.Second.Milliseconds(),
 	}
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -387,7 +387,7 @@
 	case j.kept():
 		s.delay(now, j)
 	case !s.vouched(now, j):
-		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: keepalive expired %v ago",
+		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: vouched until %v ago",
 			(now-s.entries[j.sub.Entry]).Round(time.Millisecond))))
 	case j.deadline > 0 && now >= j.deadline:
 		s.finish(now, j, j.giveUp("the caller's deadline has passed"))
--- a/submission/ask.go
+++ b/submission/ask.go
@@ -112,7 +112,7 @@
 func notFound(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindNotFound,
-		Message: "the key is not known in this failure domain: submit it, or check the key",
+		Message: "nobody in this failure domain knows the key: submit it, or check the key",
 		Run:     api.OutcomeUnknown,
 		Key:     keyText,
 	}
--- a/submission/bounds_test.go
+++ b/submission/bounds_test.go
@@ -177,12 +177,12 @@
 	for task := range 2 * maxEvents {
 		x.addEvent("k", Event{Text: "started", Task: task, Target: "t1"})
 	}
-	x.add("k", "answered: every task completed")
+	x.add("k", "answered whole")
 	e := x.get("k")
 	must.Eq(t, "p", e.Profile)
 	must.Len(t, maxEvents, e.Events)
 	must.Eq(t, maxEvents-2, e.Events[maxEvents-2].Task)
-	must.Eq(t, "answered: every task completed", e.Events[maxEvents-1].Text)
+	must.Eq(t, "answered whole", e.Events[maxEvents-1].Text)
 	must.Eq(t, maxEvents+1, e.Dropped)
 }
 
--- a/submission/foreign.go
+++ b/submission/foreign.go
@@ -28,7 +28,7 @@
 	there := "ask there for the answer of this key, at " + r.GetCallersAddress()
 	switch r.GetState() {
 	case peerpb.KeyState_KEY_STATE_NOT_RUN:
-		return s.foreign(k, api.NotRun, "it was refused there permanently and nothing was started: submit under a new key, "+takeNewKey)
+		return s.foreign(k, api.NotRun, "it was refused there for good and nothing was started: submit under a new key, "+takeNewKey)
 	case peerpb.KeyState_KEY_STATE_RUNNING:
 		return s.foreign(k, api.OutcomeUnknown, "it runs there, at "+r.GetRunner()+": "+there)
 	case peerpb.KeyState_KEY_STATE_COMPLETED:
--- a/submission/join.go
+++ b/submission/join.go
@@ -219,7 +219,7 @@
 func lost(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindRunnerLost,
-		Message: "the VM that ran the submission is lost and what it started is unknown: check the work's effect before you submit it under a new key, or submit at once if it is idempotent",
+		Message: "the VM that ran the submission is lost and nobody can know what it started: check the work's effect before you submit it under a new key, or submit at once if it is idempotent",
 		Run:     api.OutcomeUnknown,
 		Key:     keyText,
 	}
--- a/submission/service.go
+++ b/submission/service.go
@@ -215,7 +215,7 @@
 	if o.Kind != "" {
 		s.explain.add(e.keyText, "ended: "+string(o.Kind)+", "+string(o.Run))
 	} else {
-		s.explain.add(e.keyText, "answered: every task completed")
+		s.explain.add(e.keyText, "answered whole")
 	}
 	s.table.finish(e, o)
 }
