--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -39,7 +39,7 @@
 type advice struct {
 	tickets map[string]ticket
 	// excludedAt is when the adviser last left out each target that it was asked about.
-	asked  map[string]time.Duration
+	asked map[string]time.Duration
 	// asking is set while a request has no answer.
 	asking bool
 	// nextRequest is when the adviser may be asked again.
