--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -135,7 +135,7 @@
 // forecastStart estimates how long a job waits for targets, and reports whether to accept it.
 func (s *State) forecast(now time.Duration, j *job) (time.Duration, bool) {
 	need := j.firstNeed()
-	free, flow := j.pool.supply(now, need.each)
+	free, rate := j.pool.supply(now, need.each)
 	if j.lendable() {
 		_, elsewhere := s.roomiest(now, j.sub.Queue)
 		free += int64(elsewhere.Places[priorityOf(j.sub.Queue)]) * need.each
@@ -143,27 +143,27 @@
 	// Capacity that is free now does not fit the waiting jobs, so that this job can use it.
 	shortfall := need.total - free
 	arriving := j.pool.arriving(need.each)
-	if shortfall <= 0 || arriving+free == 0 && flow == 0 && s.unsure(j.pool) {
+	if shortfall <= 0 || arriving+free == 0 && rate == 0 && s.unsure(j.pool) {
 		return 0, true
 	}
 	// Tasks that start at once free their processor again when they end.
-	flow += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
-	flow *= j.pool.left(now, priorityOf(j.sub.Queue))
-	wait := waitFor(s.ahead(j)+shortfall-arriving, flow)
+	rate += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
+	rate *= j.pool.left(now, priorityOf(j.sub.Queue))
+	wait := waitFor(s.ahead(j)+shortfall-arriving, rate)
 	slack := j.latest - now - time.Duration(marginShare*float64(j.objective-j.arrived))
 	return wait, wait <= slack
 }
 
 // drainTime returns how long it takes until an amount of processor is freed at a rate per
 // millisecond.
-func waitFor(amount int64, flow float64) time.Duration {
+func waitFor(amount int64, rate float64) time.Duration {
 	switch {
 	case amount <= 0:
 		return 0
-	case flow <= 0:
+	case rate <= 0:
 		return maxForecast
 	}
-	return min(time.Duration(float64(amount)/flow*float64(time.Millisecond)), maxForecast)
+	return min(time.Duration(float64(amount)/rate*float64(time.Millisecond)), maxForecast)
 }
 
 // isCapacityUnknown reports whether it is not known yet what the targets can take.
@@ -178,12 +178,12 @@
 		return
 	}
 	need := j.firstNeed()
-	free, flow := j.pool.supply(now, need.each)
-	if flow == 0 && s.unsure(j.pool) {
+	free, rate := j.pool.supply(now, need.each)
+	if rate == 0 && s.unsure(j.pool) {
 		return
 	}
 	// The job itself is among the waiting ones that cpuAhead counts.
-	wait := waitFor(s.ahead(j)-free-j.pool.arriving(need.each), flow*j.pool.left(now, Priorities))
+	wait := waitFor(s.ahead(j)-free-j.pool.arriving(need.each), rate*j.pool.left(now, Priorities))
 	if wait <= j.useful-j.chain()-now {
 		return
 	}
@@ -289,7 +289,7 @@
 	load.CPU = p.cpu
 	load.FreeCPU = p.free(0)
 	load.Room.Places = s.places(now, p)
-	_, flow := p.supply(now, 0)
+	_, rate := p.supply(now, 0)
 	ahead := int64(0)
 	var waits [Priorities]int64
 	for _, j := range s.waiting {
@@ -306,8 +306,8 @@
 			continue
 		}
 		before += waits[priority]
-		if short := before - load.FreeCPU; short > 0 && flow > 0 {
-			load.Wait[priority] = time.Duration(float64(short) / flow * float64(time.Millisecond))
+		if short := before - load.FreeCPU; short > 0 && rate > 0 {
+			load.Wait[priority] = time.Duration(float64(short) / rate * float64(time.Millisecond))
 		}
 	}
 	return load
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -26,7 +26,8 @@
 	// maxOpenRequests bounds the unanswered requests. The adviser handles one at a time from each
 	// VM and rejects further ones when 32 wait.
 	maxAsking = 8
-	// ticketMargin is kept of a ticket's validity for the start order's way to its target.
+	// ticketMargin is the part of a ticket's validity left for the start order to reach its
+	// target.
 	ticketMargin = 60 * time.Millisecond
 	// adviserRetryInterval is the pause after a request without an answer.
 	askPause = 200 * time.Millisecond
--- a/scheduler/cordon.go
+++ b/scheduler/cordon.go
@@ -11,7 +11,7 @@
 // nothing started go back to their entry VMs, which turn to other owners at once; the remaining
 // tasks of started jobs are delegated.
 
-// cordon is the last known state that the operator set.
+// cordon is what is known of the operator's setting for the failure domain.
 type cordon struct {
 	// known is set while it is known whether the failure domain is cordoned.
 	known, closed bool
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -212,8 +212,8 @@
 // its owner may find it another one.
 const partPatience = 25 * time.Millisecond
 
-// capacityLookahead is how far ahead the processor counts that runs will free: about two message
-// delays between failure domains, which a part needs in any case.
+// capacityLookahead is how far ahead processor counts as free that runs will free: about two
+// message delays between failure domains, which a part needs in any case.
 const soon = 10 * time.Millisecond
 
 // acceptableTasks returns how many typical tasks of each priority other owners may delegate here.
@@ -222,10 +222,10 @@
 	if s.leaving || p.usualCPU == 0 {
 		return tasks
 	}
-	free, flow := int64(0), 0.0
+	free, rate := int64(0), 0.0
 	each := int64(p.usualCPU)
-	free, flow = p.supply(now, each)
-	available := float64(free) + flow*float64(soon/time.Millisecond)
+	free, rate = p.supply(now, each)
+	available := float64(free) + rate*float64(soon/time.Millisecond)
 	var waiting [Priorities]int64
 	for _, j := range s.waiting {
 		if j.pool == p && !j.ended {
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -125,8 +125,8 @@
 	s.useProven(now)
 }
 
-// ListedAtStart records that a target was listed when this owner started. It has seen the token of
-// a previous owner, and so will see that of any successor, however late this owner lists it.
+// ListedAtStart records that a target was listed when this owner started. It obeys a previous
+// owner's token, and any successor reaches it too, however late this owner learns of it.
 func (s *State) ListedEarly(id string) { s.early[id] = true }
 
 // recordFirstSeen records when an incarnation was first seen, and whether its use needs a later
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -216,7 +216,7 @@
 
 // supply returns the processor that tasks of a given size can have now, and the processor that runs
 // free per millisecond.
-func (p *pool) supply(now time.Duration, each int64) (free int64, flow float64) {
+func (p *pool) supply(now time.Duration, each int64) (free int64, rate float64) {
 	free = p.free(each)
 	for _, t := range p.suspects {
 		if t.takes() && t.health.probed(now, t) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -165,7 +165,7 @@
 	settling map[string]int
 	// waiting holds jobs with tasks to place, sorted by compareJobs.
 	waiting []*job
-	// keepalives holds until when each entry VM's callers are taken to wait; estimates holds the
+	// keepalives holds until when each entry VM's callers are presumed to wait; estimates holds the
 	// run time estimate of each queue.
 	entries map[string]time.Duration
 	kinds   map[string]*kind
@@ -310,7 +310,7 @@
 	s.entries[entry] = max(s.entries[entry], until)
 }
 
-// hasKeepalive reports whether a job's caller is taken to wait still. Durable jobs and those of
+// hasKeepalive reports whether a job's caller is presumed to wait still. Durable jobs and those of
 // this VM need no keepalive.
 func (s *State) vouched(now time.Duration, j *job) bool {
 	return j.kept() || j.sub.Entry == "" || now < s.entries[j.sub.Entry]
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -383,8 +383,8 @@
 	if o.acked != 0 || now-o.sent < s.resend.pause() {
 		return false
 	}
-	soon := o.tries < maxCopies && s.resend.spare() && s.resend.affords()
-	if !soon && now-o.sent < stopRetry {
+	early := o.tries < maxCopies && s.resend.spare() && s.resend.affords()
+	if !early && now-o.sent < stopRetry {
 		return false
 	}
 	o.sent = now
