--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -57,7 +57,7 @@
 	// one.
 	tickets    map[string]time.Duration
 	unticketed int
-	// cordons applies to the owners' failure domain; nil if the test has none.
+	// cordons is the operator's setting for the owners' failure domain; nil if the test has none.
 	cordons *fakeCordons
 	// lasting is set once a lasting job was submitted.
 	lasting bool
