--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -26,7 +26,8 @@
 	// maxOpenRequests bounds the unanswered requests. The adviser handles one at a time from each
 	// VM and rejects further ones when 32 wait.
 	maxAsking = 8
-	// ticketMargin is kept of a ticket's validity for the start order's way to its target.
+	// ticketMargin is the part of a ticket's validity left for the start order to reach its
+	// target.
 	ticketMargin = 60 * time.Millisecond
 	// adviserRetryInterval is the pause after a request without an answer.
 	askPause = 200 * time.Millisecond
@@ -39,7 +40,7 @@
 type advice struct {
 	tickets map[string]ticket
 	// excludedAt is when the adviser last left out each target that it was asked about.
-	asked  map[string]time.Duration
+	asked map[string]time.Duration
 	// asking is set while a request has no answer.
 	asking bool
 	// nextRequest is when the adviser may be asked again.
