--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -25,14 +25,14 @@
 }
 
 // IsKnown reports whether the view was read from the store, by this VM or another one.
-func (v View) Known() bool { return v.Version > 0 }
+func (v View) IsKnown() bool { return v.Version > 0 }
 
 // IsCordoned reports whether a failure domain is cordoned.
-func (v View) Has(domain string) bool { return slices.Contains(v.Domains, domain) }
+func (v View) IsCordoned(domain string) bool { return slices.Contains(v.Domains, domain) }
 
 // ToWire returns the view as a message between VMs; nil while nothing is known.
-func (v View) Wire() *linkpb.Cordons {
-	if !v.Known() {
+func (v View) ToWire() *linkpb.Cordons {
+	if !v.IsKnown() {
 		return nil
 	}
 	return &linkpb.Cordons{Version: v.Version, Domains: v.Domains}
@@ -46,30 +46,30 @@
 // Reader makes views from the updates of the operator's table.
 type Reader struct {
 	// cordoned holds the cordoned failure domains as of the newest update.
-	domains map[string]bool
+	cordoned map[string]bool
 	// RowIgnored is called for each cordon row that names no failure domain.
-	Ignored func(row platform.Row, err error)
+	RowIgnored func(row platform.Row, err error)
 }
 
 // Apply applies an update and returns the view after it.
-func (r *Reader) Take(update mirror.Update) View {
-	if update.Whole || r.domains == nil {
-		r.domains = map[string]bool{}
+func (r *Reader) Apply(update mirror.Update) View {
+	if update.Snapshot || r.cordoned == nil {
+		r.cordoned = map[string]bool{}
 	}
 	for _, row := range update.Rows.Rows {
 		domain, is, err := platform.DecodeCordon(row)
 		switch {
 		case !is:
 		case err != nil:
-			r.Ignored(row, err)
+			r.RowIgnored(row, err)
 		case row.Deleted:
-			delete(r.domains, domain)
+			delete(r.cordoned, domain)
 		default:
-			r.domains[domain] = true
+			r.cordoned[domain] = true
 		}
 	}
 	view := View{Version: update.Version}
-	for domain := range r.domains {
+	for domain := range r.cordoned {
 		view.Domains = append(view.Domains, domain)
 	}
 	slices.Sort(view.Domains)
@@ -77,7 +77,7 @@
 }
 
 // LatestView holds the newest view that this process has seen. It is safe for concurrent use.
-type Board struct {
+type LatestView struct {
 	// Changed is called, one call at a time, for the first known view and for each view that
 	// differs from the one before; from says where the view came from.
 	Changed func(from string, before, after View)
@@ -87,14 +87,14 @@
 }
 
 // View returns the newest view.
-func (l *Board) View() View {
+func (l *LatestView) View() View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view
 }
 
 // Update replaces the view by one with a higher version and ignores any other.
-func (l *Board) Offer(view View, from string) {
+func (l *LatestView) Update(view View, from string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if view.Version <= l.view.Version {
@@ -102,7 +102,7 @@
 	}
 	before := l.view
 	l.view = view
-	if !before.Known() || !slices.Equal(before.Domains, view.Domains) {
+	if !before.IsKnown() || !slices.Equal(before.Domains, view.Domains) {
 		l.Changed(from, before, view)
 	}
 }
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -17,66 +17,66 @@
 	return platform.Row{Key: wire.CordonPrefix + domain, Version: version, Deleted: deleted, Value: []byte("{}")}
 }
 
-func news(version int64, snapshot bool, rows ...platform.Row) mirror.Update {
-	return mirror.Update{Whole: snapshot, Rows: platform.Rows{Version: version, Rows: rows}}
+func updateOf(version int64, snapshot bool, rows ...platform.Row) mirror.Update {
+	return mirror.Update{Snapshot: snapshot, Rows: platform.Rows{Version: version, Rows: rows}}
 }
 
-func TestReaderFollowsTheTable(t *testing.T) {
+func TestReaderAppliesUpdates(t *testing.T) {
 	r := Reader{}
-	must.Eq(t, View{Version: 3}, r.Take(news(3, true, platform.Row{Key: platform.ConfigurationKey, Version: 2})))
-	must.Eq(t, View{Version: 5, Domains: []string{"a", "b"}}, r.Take(news(5, false, row("b", 4, false), row("a", 5, false))))
-	must.Eq(t, View{Version: 7, Domains: []string{"b"}}, r.Take(news(7, false, row("a", 7, true))))
+	must.Eq(t, View{Version: 3}, r.Apply(updateOf(3, true, platform.Row{Key: platform.ConfigurationKey, Version: 2})))
+	must.Eq(t, View{Version: 5, Domains: []string{"a", "b"}}, r.Apply(updateOf(5, false, row("b", 4, false), row("a", 5, false))))
+	must.Eq(t, View{Version: 7, Domains: []string{"b"}}, r.Apply(updateOf(7, false, row("a", 7, true))))
 	// After a lost history a snapshot comes: cordons that it lacks were removed.
-	must.Eq(t, View{Version: 9, Domains: []string{"c"}}, r.Take(news(9, true, row("c", 8, false))))
+	must.Eq(t, View{Version: 9, Domains: []string{"c"}}, r.Apply(updateOf(9, true, row("c", 8, false))))
 }
 
 // A cordon row that names no failure domain is reported and otherwise ignored.
-func TestARowWithoutADomainClosesNothing(t *testing.T) {
+func TestRowWithoutDomainIsIgnored(t *testing.T) {
 	ignored := 0
-	r := Reader{Ignored: func(_ platform.Row, err error) {
+	r := Reader{RowIgnored: func(_ platform.Row, err error) {
 		must.ErrorIs(t, err, platform.ErrNoCordon)
 		ignored++
 	}}
-	view := r.Take(news(4, true, row("", 2, false), platform.Row{Key: "evacuation/a", Version: 3}, row("a", 4, false)))
+	view := r.Apply(updateOf(4, true, row("", 2, false), platform.Row{Key: "evacuation/a", Version: 3}, row("a", 4, false)))
 	must.Eq(t, []string{"a"}, view.Domains)
 	must.Eq(t, 1, ignored)
 }
 
 // The value of a cordon row doesn't matter: the cordon applies until the row is deleted.
-func TestACordonWithAnyValueHolds(t *testing.T) {
+func TestCordonAppliesWithAnyValue(t *testing.T) {
 	r := Reader{}
 	for i, value := range [][]byte{nil, []byte("\xff"), []byte(`["x"]`)} {
 		domain := fmt.Sprint("d", i)
 		cordoned := row(domain, int64(i+1), false)
 		cordoned.Value = value
-		must.True(t, r.Take(news(int64(i+1), false, cordoned)).Has(domain))
+		must.True(t, r.Apply(updateOf(int64(i+1), false, cordoned)).IsCordoned(domain))
 	}
 }
 
-func TestBoardTellsOfChangesOnly(t *testing.T) {
+func TestLatestViewReportsOnlyChanges(t *testing.T) {
 	var changes []string
-	b := Board{Changed: func(from string, _, after View) { changes = append(changes, fmt.Sprint(from, after.Domains)) }}
-	must.False(t, b.View().Known())
-	must.Nil(t, b.View().Wire())
-	b.Offer(View{}, "nobody")
-	b.Offer(View{Version: 3}, "store")
-	b.Offer(View{Version: 4}, "store")
-	b.Offer(View{Version: 6, Domains: []string{"a"}}, "peer")
-	b.Offer(View{Version: 5}, "late peer")
-	b.Offer(FromWire(View{Version: 8, Domains: []string{"a"}}.Wire()), "store")
-	b.Offer(View{Version: 9}, "store")
+	b := LatestView{Changed: func(from string, _, after View) { changes = append(changes, fmt.Sprint(from, after.Domains)) }}
+	must.False(t, b.View().IsKnown())
+	must.Nil(t, b.View().ToWire())
+	b.Update(View{}, "nobody")
+	b.Update(View{Version: 3}, "store")
+	b.Update(View{Version: 4}, "store")
+	b.Update(View{Version: 6, Domains: []string{"a"}}, "peer")
+	b.Update(View{Version: 5}, "late peer")
+	b.Update(FromWire(View{Version: 8, Domains: []string{"a"}}.ToWire()), "store")
+	b.Update(View{Version: 9}, "store")
 	must.Eq(t, []string{"store[]", "peer[a]", "store[]"}, changes)
 }
 
 // Several VMs follow the table through lost history and stale reads, and send each other their
 // views, which arrive late, twice and in any order. No VM's view ever goes back to a lower
 // version, and each view equals the table at its version.
-func TestFuzzBoards(t *testing.T) {
+func TestFuzzLatestViews(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := map[int64][]string{1: nil}
 		version := int64(1)
 		var views []View
-		latest := []*Board{{}, {}, {}}
+		latest := []*LatestView{{}, {}, {}}
 		for _, b := range latest {
 			held := int64(0)
 			b.Changed = func(_ string, _, after View) {
@@ -108,27 +108,27 @@
 				}
 				var rows []platform.Row
 				for v := at[i] + 1; v <= version; v++ {
-					rows = append(rows, changed(table, v))
+					rows = append(rows, changedRow(table, v))
 				}
-				views = append(views, readers[i].Take(news(version, false, rows...)))
+				views = append(views, readers[i].Apply(updateOf(version, false, rows...)))
 				at[i] = version
-				latest[i].Offer(views[len(views)-1], "store")
+				latest[i].Update(views[len(views)-1], "store")
 			case "snapshot", "stale":
 				v := max(version-int64(rapid.IntRange(0, 3).Draw(rt, "behind")), 1)
 				var rows []platform.Row
 				for _, domain := range table[v] {
 					rows = append(rows, row(domain, v, false))
 				}
-				views = append(views, readers[i].Take(news(v, true, rows...)))
+				views = append(views, readers[i].Apply(updateOf(v, true, rows...)))
 				at[i] = v
-				latest[i].Offer(views[len(views)-1], "store")
+				latest[i].Update(views[len(views)-1], "store")
 			case "gossip":
 				if len(views) > 0 {
-					latest[i].Offer(rapid.SampledFrom(views).Draw(rt, "view"), "peer")
+					latest[i].Update(rapid.SampledFrom(views).Draw(rt, "view"), "peer")
 				}
 			}
 			for _, b := range latest {
-				if view := b.View(); view.Known() && !slices.Equal(view.Domains, table[view.Version]) {
+				if view := b.View(); view.IsKnown() && !slices.Equal(view.Domains, table[view.Version]) {
 					rt.Fatalf("version %d has %v, held is %v", view.Version, table[view.Version], view.Domains)
 				}
 			}
@@ -137,7 +137,7 @@
 }
 
 // changedRow returns the row that a version of the table wrote or deleted.
-func changed(table map[int64][]string, version int64) platform.Row {
+func changedRow(table map[int64][]string, version int64) platform.Row {
 	for _, domain := range table[version] {
 		if !slices.Contains(table[version-1], domain) {
 			return row(domain, version, false)
--- a/entry/durable.go
+++ b/entry/durable.go
@@ -17,8 +17,8 @@
 const ErrHomeAway = errs.Tag("the job's owner is away")
 
 // State returns the state of a durable job, from the owner that knows it or else from the store.
-func (e *Entry) State(ctx context.Context, id string) (work.State, error) {
-	state := e.ask(ctx, func(ctx context.Context, held ownership.Held) work.State {
+func (e *Entry) State(ctx context.Context, id string) (work.JobState, error) {
+	state := e.ask(ctx, func(ctx context.Context, held ownership.GroupClaim) work.JobState {
 		if local, ok := e.local(held); ok {
 			state, _ := local.JobState(ctx, id)
 			return state
@@ -35,8 +35,8 @@
 
 // Cancel cancels a durable job for good and returns its state after that. The error is
 // ErrOwnerUnavailable if no owner knows the job and the store has it as unfinished.
-func (e *Entry) Cancel(ctx context.Context, id string) (work.State, error) {
-	state := e.ask(ctx, func(ctx context.Context, held ownership.Held) work.State {
+func (e *Entry) Cancel(ctx context.Context, id string) (work.JobState, error) {
+	state := e.ask(ctx, func(ctx context.Context, held ownership.GroupClaim) work.JobState {
 		if local, ok := e.local(held); ok {
 			state, _ := local.CancelJob(ctx, id)
 			return state
@@ -46,11 +46,11 @@
 		return state
 	})
 	e.options.Count("cancels", state.String())
-	if state.Final() {
+	if state.IsFinal() {
 		return state, nil
 	}
 	state, err := e.options.Find(ctx, id)
-	if err == nil && state != work.StateAbsent && !state.Final() {
+	if err == nil && state != work.StateAbsent && !state.IsFinal() {
 		return state, ErrHomeAway.Errorf("job %s is %s and can't be cancelled now", id, state)
 	}
 	return state, err
@@ -71,22 +71,22 @@
 }
 
 // askAll asks all owners at once and returns the state from the one that knows the job.
-func (e *Entry) ask(ctx context.Context, query func(context.Context, ownership.Held) work.State) work.State {
+func (e *Entry) ask(ctx context.Context, query func(context.Context, ownership.GroupClaim) work.JobState) work.JobState {
 	var found atomic.Int64
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.each(func(held ownership.Held) {
+	e.each(func(held ownership.GroupClaim) {
 		if state := query(ctx, held); state != work.StateAbsent {
 			found.Store(int64(state))
 			// Only one owner knows a job: the other calls are not needed any more.
 			cancel()
 		}
 	})
-	return work.State(found.Load())
+	return work.JobState(found.Load())
 }
 
 // forEachLiveOwner calls a function concurrently for each owner that is alive, and waits for all.
-func (e *Entry) each(call func(ownership.Held)) {
+func (e *Entry) each(call func(ownership.GroupClaim)) {
 	var calls sync.WaitGroup
 	for _, held := range e.options.Claims() {
 		if _, ok := e.local(held); !ok && !e.alive(held) {
@@ -98,7 +98,7 @@
 }
 
 // localOwner returns the owner under a claim if it runs in this process.
-func (e *Entry) local(held ownership.Held) (Local, bool) {
+func (e *Entry) local(held ownership.GroupClaim) (Local, bool) {
 	if held.Claim.GetLife() != e.options.Life {
 		return nil, false
 	}
@@ -106,13 +106,13 @@
 }
 
 // isAlive reports whether the owner under a claim has answered heartbeats and is not lost.
-func (e *Entry) alive(held ownership.Held) bool {
+func (e *Entry) alive(held ownership.GroupClaim) bool {
 	view, ok := e.peers.View(held.Claim.GetLife())
 	return ok && view.Stamp > 0 && view.Alive.Err() == nil
 }
 
 // logUnanswered logs the error of an owner that did not answer, unless the context has ended.
-func (e *Entry) unanswered(ctx context.Context, held ownership.Held, id string, err error) {
+func (e *Entry) unanswered(ctx context.Context, held ownership.GroupClaim, id string, err error) {
 	if err != nil && ctx.Err() == nil {
 		e.options.Log.LogAttrs(ctx, slog.LevelWarn, "owner not asked",
 			slog.String("group", held.Group), slog.String("owner", held.Claim.GetVm()), slog.String("job", id), slog.Any("error", err))
--- a/entry/durable_test.go
+++ b/entry/durable_test.go
@@ -10,17 +10,17 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-func (f *fakePeers) State(_ context.Context, address, _ string) (work.State, error) {
+func (f *fakePeers) State(_ context.Context, address, _ string) (work.JobState, error) {
 	return f.states[address], f.fault
 }
 
-func (f *fakePeers) Cancel(_ context.Context, address, _ string) (work.State, error) {
+func (f *fakePeers) Cancel(_ context.Context, address, _ string) (work.JobState, error) {
 	return f.states[address], f.fault
 }
 
 func TestTheOwnerTellsHowAJobStands(t *testing.T) {
 	f := peers(nil, nil)
-	f.states = map[string]work.State{"far": work.StateRunning}
+	f.states = map[string]work.JobState{"far": work.StateRunning}
 	state, err := newEntry(f).State(t.Context(), "j")
 	must.NoError(t, err)
 	must.Eq(t, work.StateRunning, state)
@@ -29,7 +29,7 @@
 // If no owner knows a job, its state is read from the store, which may have none.
 func TestTheStoreTellsWhatNoOwnerKnows(t *testing.T) {
 	f := peers(nil, nil)
-	for _, want := range []work.State{work.StateCompleted, work.StateAbsent} {
+	for _, want := range []work.JobState{work.StateCompleted, work.StateAbsent} {
 		f.inStore = want
 		state, err := newEntry(f).State(t.Context(), "j")
 		must.NoError(t, err)
@@ -42,8 +42,8 @@
 
 func TestCancel(t *testing.T) {
 	for name, test := range map[string]struct {
-		owner, store work.State
-		want         work.State
+		owner, store work.JobState
+		want         work.JobState
 		fails        bool
 	}{
 		"at its owner":        {work.StateCancelled, work.StateAbsent, work.StateCancelled, false},
@@ -53,7 +53,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := peers(nil, nil)
-			f.states = map[string]work.State{"near": test.owner}
+			f.states = map[string]work.JobState{"near": test.owner}
 			f.inStore = test.store
 			state, err := newEntry(f).Cancel(t.Context(), "j")
 			must.Eq(t, test.want, state)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -36,8 +36,8 @@
 	// considered lost (alive).
 	RunUntil(ctx, alive context.Context, to heartbeat.Owner, order link.Order) work.Outcome
 	// State and Cancel ask an owner about a durable job.
-	State(ctx context.Context, address, id string) (work.State, error)
-	Cancel(ctx context.Context, address, id string) (work.State, error)
+	State(ctx context.Context, address, id string) (work.JobState, error)
+	Cancel(ctx context.Context, address, id string) (work.JobState, error)
 }
 
 // Local is the owner in this process.
@@ -45,8 +45,8 @@
 	Submit(ctx context.Context, sub scheduler.Submission) work.Outcome
 	Loads() map[string]scheduler.Load
 	// JobState and CancelJob report false when the owner doesn't know the job.
-	JobState(ctx context.Context, id string) (work.State, bool)
-	CancelJob(ctx context.Context, id string) (work.State, bool)
+	JobState(ctx context.Context, id string) (work.JobState, bool)
+	CancelJob(ctx context.Context, id string) (work.JobState, bool)
 	PendingJobs() map[string]int32
 }
 
@@ -58,7 +58,7 @@
 	Log           *slog.Logger
 	Count         func(what, label string)
 	// Claims lists the claims of all groups, which name their owners.
-	Claims func() []ownership.Held
+	Claims func() []ownership.GroupClaim
 	// LocalOwner returns the owner of a group if it runs in this process.
 	Local func(group string) (Local, bool)
 	// DomainOf returns the failure domain of a group.
@@ -69,7 +69,7 @@
 	// OwnerLost is called with each owner whose connection broke; it must not block.
 	Lost func(owner heartbeat.Owner)
 	// FindJob reads the state of a durable job from the store.
-	Find func(ctx context.Context, id string) (work.State, error)
+	Find func(ctx context.Context, id string) (work.JobState, error)
 }
 
 // Entry receives jobs and dispatches them to owners. It is safe for concurrent use.
@@ -130,7 +130,7 @@
 	arrived := bootclock.Now()
 	r := &request{
 		job: job, queue: queue, arrived: arrived, wait: wait, full: map[string]bool{},
-		latest: arrived + queue.Objective(job.Chain()) - job.Chain(),
+		latest: arrived + queue.Objective(job.CriticalPath()) - job.CriticalPath(),
 	}
 	outcome := e.dispatch(ctx, r)
 	e.options.Count("requests", outcome.Result.String())
@@ -233,7 +233,7 @@
 }
 
 // fillCandidate sets what is known of an owner, and reports whether the owner can be asked.
-func (e *Entry) fill(c *Candidate, held ownership.Held, r *request) bool {
+func (e *Entry) fill(c *Candidate, held ownership.GroupClaim, r *request) bool {
 	if c.Self {
 		local, ok := e.options.Local(c.Group)
 		if !ok {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -55,8 +55,8 @@
 	givenUp []string
 	// states and fault are the owners' answers about durable jobs, inStore and storeFault those
 	// of the store.
-	states            map[string]work.State
-	inStore           work.State
+	states            map[string]work.JobState
+	inStore           work.JobState
 	fault, storeFault error
 }
 
@@ -79,18 +79,18 @@
 
 // newEntry creates an Entry at a VM of the failure domain near, without an owner of its own.
 func newEntry(f *fakePeers) *Entry {
-	claims := []ownership.Held{
+	claims := []ownership.GroupClaim{
 		{Group: "near", Version: 1, Claim: &linkpb.Claim{Life: 1, Control: "near"}},
 		{Group: "far", Version: 2, Claim: &linkpb.Claim{Life: 2, Control: "far"}},
 	}
 	return New(Options{
 		VM: "v", Life: 9, FailureDomain: "near", Log: slog.New(slog.DiscardHandler),
 		Count:    func(string, string) {},
-		Claims:   func() []ownership.Held { return claims },
+		Claims:   func() []ownership.GroupClaim { return claims },
 		Local:    func(string) (Local, bool) { return nil, false },
 		DomainOf: func(group string) string { return group },
 		Lost:     func(heartbeat.Owner) {},
-		Find:     func(context.Context, string) (work.State, error) { return f.inStore, f.storeFault },
+		Find:     func(context.Context, string) (work.JobState, error) { return f.inStore, f.storeFault },
 	}, f, f)
 }
 
@@ -109,7 +109,7 @@
 }
 
 var (
-	job   = work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Estimate: 50 * ms}}}
+	job   = work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, DeclaredRunTime: 50 * ms}}}
 	queue = work.Queue{Service: "s", Stretch: 2, Allowance: 100 * ms}
 )
 
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -60,7 +60,7 @@
 	// Group is the group of targets that runs the job.
 	Home string `json:"home"`
 	// State is work.StateQueued until the job ends, then its final state.
-	State work.State `json:"state"`
+	State work.JobState `json:"state"`
 	// Done lists the finished tasks by their index in the job.
 	Done []int `json:"done,omitempty"`
 	// Failures counts the failed runs of each task. LastFailedRun has the number of the last one.
@@ -96,13 +96,13 @@
 		if step.Tasks < 1 {
 			return fmt.Errorf("step %d has %d tasks, not at least 1: submit the job again", i, step.Tasks)
 		}
-		for _, before := range step.After {
+		for _, before := range step.DependsOn {
 			if before < 0 || before >= i {
 				return fmt.Errorf("step %d comes after step %d, which is no earlier step: submit the job again", i, before)
 			}
 		}
 	}
-	if tasks := a.Job.Tasks() * a.Job.Occurrences(); tasks > maxStoredTasks {
+	if tasks := a.Job.TaskCount() * a.Job.Occurrences(); tasks > maxStoredTasks {
 		return fmt.Errorf("the job has %d tasks, more than any job may have: submit a smaller job", tasks)
 	}
 	return nil
--- a/jobstore/keeper.go
+++ b/jobstore/keeper.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		expires := time.Duration(0)
-		if p.State.Final() {
+		if p.State.IsFinal() {
 			expires = now + max(p.Ended+w.retention()-w.options.Clock(), 0)
 		}
 		s.load(row.Key, 0, row.Version, p, expires)
@@ -200,7 +200,7 @@
 			e = s.entries[row.Key]
 		}
 		e.jobVersion = row.Version
-		if e.progress.State.Final() {
+		if e.progress.State.IsFinal() {
 			// An ended job must not run again, whoever left its jobs row.
 			w.options.Log.Error("job of an ended one removed", "job", row.Key, "state", e.progress.State.String())
 			s.enqueue(e)
@@ -314,7 +314,7 @@
 }
 
 // RecordEnd records the final state of a job; done is called once that is stored.
-func (w *Keeper) End(id string, state work.State, done func()) {
+func (w *Keeper) End(id string, state work.JobState, done func()) {
 	ended := w.options.Clock()
 	w.change(id, func(s *shard) {
 		s.note(id, func(p *Progress) {
@@ -327,7 +327,7 @@
 }
 
 // State returns the state of a stored job of this owner; false for any other.
-func (w *Keeper) State(id string) (work.State, bool) {
+func (w *Keeper) State(id string) (work.JobState, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s, _ := w.shardOf(id)
@@ -460,7 +460,7 @@
 
 // ReadState reads a job's state from the store, for callers that no owner can answer at the
 // moment. A job with progress that has not ended is reported as running.
-func Find(ctx context.Context, store Store, id string) (work.State, error) {
+func Find(ctx context.Context, store Store, id string) (work.JobState, error) {
 	// The jobs row is read first: if the job ends in between, its progress row shows that.
 	job, err := store.Get(ctx, jobsTable, PartOf(id), id)
 	if err != nil {
@@ -477,7 +477,7 @@
 		if err != nil && len(job.Rows) == 0 {
 			return work.StateAbsent, err
 		}
-		if err != nil || !p.State.Final() {
+		if err != nil || !p.State.IsFinal() {
 			return work.StateRunning, nil
 		}
 		return p.State, nil
--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -46,7 +46,7 @@
 // acceptJob stores a job and returns the first result.
 func accept(w *Keeper, id string) Result {
 	result := make(chan Result, 4)
-	w.Accept(work.Job{ID: id, Kept: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r Result) { result <- r })
+	w.Accept(work.Job{ID: id, Durable: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r Result) { result <- r })
 	return <-result
 }
 
@@ -67,7 +67,7 @@
 	_, unfinished := open(t, store, "a", 2, 2)
 	must.SliceLen(t, 1, unfinished)
 	must.Eq(t, testJob, unfinished[0].Job.ID)
-	must.Eq(t, 2, unfinished[0].Job.Tasks())
+	must.Eq(t, 2, unfinished[0].Job.TaskCount())
 	must.Eq(t, time.Hour-time.Second, unfinished[0].Arrived)
 	must.Eq(t, []int{1}, unfinished[0].Progress.Done)
 	must.Eq(t, map[int]int{0: 1}, unfinished[0].Progress.Fails)
@@ -161,7 +161,7 @@
 // ReadState finds each state of a job without an owner.
 func TestFind(t *testing.T) {
 	store := newFakeStore()
-	find := func() work.State {
+	find := func() work.JobState {
 		state, err := Find(t.Context(), store, testJob)
 		must.NoError(t, err)
 		return state
--- a/jobstore/shard.go
+++ b/jobstore/shard.go
@@ -168,12 +168,12 @@
 
 // state returns the state of a stored job of this owner; false for any other. A final state is
 // returned only once it is stored, so that a later owner finds the same.
-func (s *shard) state(id string) (work.State, bool) {
+func (s *shard) state(id string) (work.JobState, bool) {
 	e := s.entries[id]
 	if e == nil || !e.created {
 		return work.StateAbsent, false
 	}
-	if e.progress.State.Final() && e.written < e.changes {
+	if e.progress.State.IsFinal() && e.written < e.changes {
 		return work.StateRunning, true
 	}
 	return e.progress.State, true
@@ -231,10 +231,10 @@
 		panic("encode the progress of a job: " + err.Error())
 	}
 	changes := []platform.Change{{Action: platform.ActionPut, Table: progressTable, Key: e.id, Value: value, Expected: e.progressVersion}}
-	if e.progress.State.Final() && e.jobVersion > 0 {
+	if e.progress.State.IsFinal() && e.jobVersion > 0 {
 		changes = append(changes, platform.Change{Action: platform.ActionRemove, Table: jobsTable, Key: e.id, Expected: e.jobVersion})
 	}
-	e.sending, e.ending = e.changes, e.progress.State.Final()
+	e.sending, e.ending = e.changes, e.progress.State.IsFinal()
 	return changes
 }
 
--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -186,13 +186,13 @@
 	results map[string][]Result
 	// done and ended have the finished tasks and the ends whose writing was confirmed.
 	done  map[string]map[int]bool
-	ended map[string]work.State
+	ended map[string]work.JobState
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
 		t: t, store: newFakeStore(), now: time.Second, owners: map[string]*fakeOwner{},
-		results: map[string][]Result{}, done: map[string]map[int]bool{}, ended: map[string]work.State{},
+		results: map[string][]Result{}, done: map[string]map[int]bool{}, ended: map[string]work.JobState{},
 	}
 	for _, group := range []string{"a", "b"} {
 		w.takeOver(group)
@@ -276,7 +276,7 @@
 		for _, s := range o.shards {
 			for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 				w.shown(s, id)
-				if e := s.entries[id]; e.created && !e.progress.State.Final() {
+				if e := s.entries[id]; e.created && !e.progress.State.IsFinal() {
 					shards, ids = append(shards, s), append(ids, id)
 				}
 			}
@@ -287,7 +287,7 @@
 
 // checkShownEnd checks that a final state is stored once callers see it: a later owner finds it.
 func (w *world) shown(s *shard, id string) {
-	if state, known := s.state(id); known && state.Final() && !s.lost {
+	if state, known := s.state(id); known && state.IsFinal() && !s.lost {
 		p, ok := w.store.progress(id)
 		must.True(w.t, ok && p.State == state, must.Sprintf("the end of %s is shown but not stored", id))
 	}
@@ -313,7 +313,7 @@
 	task := rapid.IntRange(0, 3).Draw(w.t, "task")
 	s.note(id, func(p *Progress) { p.Done = append(p.Done, task) }, func() {
 		p, ok := w.store.progress(id)
-		must.True(w.t, ok && (p.State.Final() || slices.Contains(p.Done, task)))
+		must.True(w.t, ok && (p.State.IsFinal() || slices.Contains(p.Done, task)))
 		if w.done[id] == nil {
 			w.done[id] = map[int]bool{}
 		}
--- a/lab/replay/baseline.go
+++ b/lab/replay/baseline.go
@@ -31,7 +31,7 @@
 // queuedTask is a task that a baseline queues or runs.
 type lineTask struct {
 	arrival *arrival
-	run     work.Run
+	run     work.RunID
 	need    work.Resources
 	// started is its run; nil while it waits.
 	began *runSim
@@ -49,7 +49,7 @@
 	lines map[*targetSim][]*lineTask
 	// outstanding counts the tasks that run on a target or wait for it.
 	outstanding map[*targetSim]int
-	tasks       map[work.Run]*lineTask
+	tasks       map[work.RunID]*lineTask
 	// openTasks counts the tasks of a job that are not done. Jobs that are answered or given up
 	// have no entry.
 	open map[*arrival]int
@@ -58,7 +58,7 @@
 func newBaseline(w *world) *baseline {
 	b := &baseline{
 		world: w, policy: w.options.Policy, lines: map[*targetSim][]*lineTask{}, outstanding: map[*targetSim]int{},
-		tasks: map[work.Run]*lineTask{}, open: map[*arrival]int{},
+		tasks: map[work.RunID]*lineTask{}, open: map[*arrival]int{},
 	}
 	for _, id := range w.targetOrder {
 		b.targets = append(b.targets, w.targets[id])
@@ -71,7 +71,7 @@
 	b.open[a] = len(a.runs)
 	var tasks []*lineTask
 	for i := range a.runs {
-		task := &lineTask{arrival: a, run: work.Run{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].Each}
+		task := &lineTask{arrival: a, run: work.RunID{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].PerTask}
 		b.tasks[task.run] = task
 		tasks = append(tasks, task)
 		queue := b.lineFor(task)
@@ -111,7 +111,7 @@
 		b.startFirst(nil, t)
 	}
 	for _, t := range b.targets {
-		for len(b.lines[t]) > 0 && b.lines[t][0].need.Fits(t.free) {
+		for len(b.lines[t]) > 0 && b.lines[t][0].need.FitsIn(t.free) {
 			b.startFirst(t, t)
 		}
 	}
@@ -120,7 +120,7 @@
 // firstFit returns the first target with free capacity for a task, or nil.
 func (b *baseline) firstFit(task *lineTask) *targetSim {
 	for _, t := range b.targets {
-		if task.need.Fits(t.free) {
+		if task.need.FitsIn(t.free) {
 			return t
 		}
 	}
@@ -138,7 +138,7 @@
 
 // handleRunEnd records the end of a run, and its job's completion if it was the last one, and
 // starts waiting tasks.
-func (b *baseline) ended(run work.Run) {
+func (b *baseline) ended(run work.RunID) {
 	task := b.tasks[run]
 	delete(b.tasks, run)
 	b.outstanding[task.at]--
@@ -164,7 +164,7 @@
 		switch {
 		case task.done:
 		case task.began != nil:
-			task.at.end(task.run, task.began, work.EndStopped)
+			task.at.end(task.run, task.began, work.CompletionStopped)
 		default:
 			b.unqueue(task)
 		}
--- a/lab/replay/cordons_losses.go
+++ b/lab/replay/cordons_losses.go
@@ -89,13 +89,13 @@
 
 // endAllRuns ends all runs of the target, in the order of their tasks' names.
 func (t *targetSim) lapse() {
-	var runs []work.Run
+	var runs []work.RunID
 	for run := range t.running {
 		runs = append(runs, run)
 	}
-	slices.SortFunc(runs, func(a, b work.Run) int { return strings.Compare(a.Task, b.Task) })
+	slices.SortFunc(runs, func(a, b work.RunID) int { return strings.Compare(a.Task, b.Task) })
 	for _, run := range runs {
-		t.end(run, t.running[run], work.EndStopped)
+		t.end(run, t.running[run], work.CompletionStopped)
 	}
 }
 
--- a/lab/replay/site.go
+++ b/lab/replay/site.go
@@ -257,9 +257,9 @@
 	a.job = work.Job{
 		ID: fmt.Sprintf("%016x", r.Uint64()),
 		Steps: []work.Step{{
-			Tasks:    len(a.runs),
-			Each:     work.Resources{CPU: int64(min(around(r, k.CPU, cpuSpread), 1.45*k.CPU)), MemoryMB: 64},
-			Estimate: time.Duration(run * (1 + estimateOff*(2*r.Float64()-1))),
+			Tasks:           len(a.runs),
+			PerTask:         work.Resources{CPU: int64(min(around(r, k.CPU, cpuSpread), 1.45*k.CPU)), MemoryMB: 64},
+			DeclaredRunTime: time.Duration(run * (1 + estimateOff*(2*r.Float64()-1))),
 		}},
 	}
 	return a
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -18,10 +18,10 @@
 	work.Target
 	domain  int
 	free    work.Resources
-	running map[work.Run]*runSim
+	running map[work.RunID]*runSim
 	// completions are those that no poll has acknowledged yet, lastCompletion is the number of
 	// the newest one.
-	ended  []work.End
+	ended  []work.Completion
 	number int64
 	// polls are the polls that wait for a completion.
 	polls []*poll
@@ -56,7 +56,7 @@
 			ID: fmt.Sprintf("t-%d-%02d", domain, index), Service: "service",
 			Capacity: work.Resources{CPU: capacity, MemoryMB: 65536},
 		},
-		running: map[work.Run]*runSim{},
+		running: map[work.RunID]*runSim{},
 	}
 	t.free = t.Capacity
 	w.targets[t.ID] = t
@@ -110,13 +110,13 @@
 // handleStart starts a run if the target has free capacity for it, and answers the order. A
 // resent order for a run that is already running is answered as done.
 func (t *targetSim) start(o *ownerSim, e scheduler.StartRun, sent time.Duration) {
-	answer := work.OrderAnswer{Clock: t.clock(), Verdict: work.VerdictDone}
+	answer := work.OrderAnswer{ClockMS: t.clock(), Verdict: work.VerdictDone}
 	a := t.world.jobs[strings.SplitN(e.Run.Task, ".", 2)[0]]
-	need := a.job.Steps[0].Each
+	need := a.job.Steps[0].PerTask
 	if t.running[e.Run] != nil {
 		// A copy of an order that was carried out already.
-	} else if !need.Fits(t.free) {
-		answer.Verdict = work.VerdictRoom
+	} else if !need.FitsIn(t.free) {
+		answer.Verdict = work.VerdictNoCapacity
 	} else {
 		t.begin(e.Run, a, need)
 	}
@@ -128,10 +128,10 @@
 
 // beginRun takes the capacity of a run and schedules its end at the true run time, or later
 // under a fault. A hung target never ends the run.
-func (t *targetSim) begin(run work.Run, a *arrival, need work.Resources) {
+func (t *targetSim) begin(run work.RunID, a *arrival, need work.Resources) {
 	r := &runSim{need: need, began: t.world.now}
 	t.running[run] = r
-	t.free = t.free.Minus(need)
+	t.free = t.free.Sub(need)
 	took := a.runs[taskIndex(run.Task)]
 	if t.fault != nil {
 		if t.fault.Hang {
@@ -141,7 +141,7 @@
 			took = time.Duration(float64(took) * t.fault.Slower)
 		}
 	}
-	t.world.after(took, func() { t.end(run, r, work.EndDone) })
+	t.world.after(took, func() { t.end(run, r, work.CompletionDone) })
 }
 
 // taskIndex is the last part of a task's name: its place among the tasks of its job.
@@ -152,16 +152,16 @@
 
 // endRun ends a run, counts its processor time, and answers the waiting polls or notifies the
 // baseline.
-func (t *targetSim) end(run work.Run, r *runSim, kind work.EndKind) {
+func (t *targetSim) end(run work.RunID, r *runSim, kind work.CompletionKind) {
 	if r.over {
 		return
 	}
 	r.over = true
 	delete(t.running, run)
-	t.free = t.free.Plus(r.need)
+	t.free = t.free.Add(r.need)
 	spent := (t.world.now - r.began) * time.Duration(r.need.CPU)
 	t.world.used += spent
-	if kind != work.EndDone {
+	if kind != work.CompletionDone {
 		t.world.wasted += spent
 	}
 	if t.world.baseline != nil {
@@ -169,7 +169,7 @@
 		return
 	}
 	t.number++
-	t.ended = append(t.ended, work.End{Number: t.number, Run: run, Kind: kind})
+	t.ended = append(t.ended, work.Completion{Number: t.number, Run: run, Kind: kind})
 	for _, p := range t.polls {
 		p.answer()
 	}
@@ -182,9 +182,9 @@
 // handleStop ends a run after stopDelay and answers the order at once.
 func (t *targetSim) stop(o *ownerSim, e scheduler.StopRun, sent time.Duration) {
 	if r := t.running[e.Run]; r != nil {
-		t.world.after(stopDelay, func() { t.end(e.Run, r, work.EndStopped) })
+		t.world.after(stopDelay, func() { t.end(e.Run, r, work.CompletionStopped) })
 	}
-	answer := work.OrderAnswer{Clock: t.clock(), Verdict: work.VerdictDone}
+	answer := work.OrderAnswer{ClockMS: t.clock(), Verdict: work.VerdictDone}
 	t.reply(o, func(now time.Duration) {
 		o.state.Answered(now - sent)
 		o.state.Stopped(now, t.ID, e.Run, answer)
@@ -195,18 +195,18 @@
 // tasks and the other completions: at once if there are any or the poll does not wait, otherwise
 // at the next completion or when its wait is over.
 func (t *targetSim) look(o *ownerSim, e scheduler.Look, sent time.Duration) {
-	t.ended = slices.DeleteFunc(t.ended, func(end work.End) bool { return end.Number <= e.Seen })
+	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool { return end.Number <= e.Seen })
 	p := &poll{}
 	p.answer = func() {
 		if p.over {
 			return
 		}
 		p.over = true
-		held := work.Held{Clock: t.clock(), Ended: slices.Clone(t.ended)}
+		held := work.PollAnswer{ClockMS: t.clock(), Completions: slices.Clone(t.ended)}
 		for run := range t.running {
-			held.Running = append(held.Running, work.Running{Run: run})
+			held.Running = append(held.Running, work.RunningRun{Run: run})
 		}
-		slices.SortFunc(held.Running, func(a, b work.Running) int { return strings.Compare(a.Run.Task, b.Run.Task) })
+		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
 		t.reply(o, func(now time.Duration) {
 			if e.Wait == 0 {
 				o.state.Answered(now - sent)
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -272,7 +272,7 @@
 		for _, run := range a.runs {
 			longest = max(longest, run)
 		}
-		a.job.Steps[0].Estimate = longest
+		a.job.Steps[0].DeclaredRunTime = longest
 	}
 	w.count(a, func(c *Counts) { c.Jobs++ })
 	w.owed += a.worth
@@ -327,7 +327,7 @@
 	k := w.options.Site.Kinds[kind]
 	return work.Queue{
 		Name: k.Name, Service: "service", Priority: k.Priority, MaxAttempts: k.Attempts,
-		Stretch: stretch, Allowance: allowance, Timeout: timeout,
+		Stretch: stretch, Allowance: allowance, RequestTimeout: timeout,
 	}
 }
 
@@ -381,7 +381,7 @@
 		case scheduler.Look:
 			sent := w.now
 			w.call(o, e.To.ID, func(t *targetSim) { t.look(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, e.Wait+orderTime, func() { o.state.Looked(w.now, t.ID, e.At, work.Held{}, work.VerdictUnknown) })
+				t.unanswered(o, e.Wait+orderTime, func() { o.state.Looked(w.now, t.ID, e.At, work.PollAnswer{}, work.VerdictUnknown) })
 			})
 		}
 	}
--- a/link/convert.go
+++ b/link/convert.go
@@ -14,8 +14,8 @@
 
 func jobToWire(job work.Job) *linkpb.Job {
 	wire := &linkpb.Job{
-		Id: job.ID, Payload: job.Payload, Kept: job.Kept,
-		Repeats: int32(job.Repeats.Count), FirstUs: micros(job.Repeats.First), IntervalUs: micros(job.Repeats.Interval),
+		Id: job.ID, Payload: job.Payload, Kept: job.Durable,
+		Repeats: int32(job.Recurrence.Count), FirstUs: micros(job.Recurrence.FirstDue), IntervalUs: micros(job.Recurrence.Interval),
 	}
 	for _, step := range job.Steps {
 		wire.Steps = append(wire.Steps, stepToWire(step))
@@ -34,43 +34,43 @@
 func targetToWire(t work.Target) *linkpb.Target {
 	return &linkpb.Target{
 		Id: t.ID, Service: t.Service, Address: t.Address, FailureDomain: t.FailureDomain,
-		Capacity: resourcesToWire(t.Capacity), Labels: t.Labels, Rack: t.Rack, Draining: t.Draining, WarmInUs: micros(t.WarmIn),
-		Life: t.Life,
+		Capacity: resourcesToWire(t.Capacity), Labels: t.Labels, Rack: t.Rack, Draining: t.Draining, WarmInUs: micros(t.WarmUpLeft),
+		Life: t.Incarnation,
 	}
 }
 
 func targetFromWire(wire *linkpb.Target) work.Target {
 	return work.Target{
 		ID: wire.GetId(), Service: wire.GetService(), Address: wire.GetAddress(), FailureDomain: wire.GetFailureDomain(),
-		Capacity: resourcesFromWire(wire.GetCapacity()), Labels: wire.GetLabels(), Rack: wire.GetRack(), Draining: wire.GetDraining(), WarmIn: duration(wire.GetWarmInUs()),
-		Life: wire.GetLife(),
+		Capacity: resourcesFromWire(wire.GetCapacity()), Labels: wire.GetLabels(), Rack: wire.GetRack(), Draining: wire.GetDraining(), WarmUpLeft: duration(wire.GetWarmInUs()),
+		Incarnation: wire.GetLife(),
 	}
 }
 
 func stepToWire(step work.Step) *linkpb.Step {
 	wire := &linkpb.Step{
 		Tasks:      int32(step.Tasks),
-		Each:       resourcesToWire(step.Each),
-		EstimateUs: micros(step.Estimate),
-		Label:      step.Label,
-		Rack:       step.Rack,
-		Spread:     int32(step.Spread),
+		Each:       resourcesToWire(step.PerTask),
+		EstimateUs: micros(step.DeclaredRunTime),
+		Label:      step.RequiredLabel,
+		Rack:       step.PreferredRack,
+		Spread:     int32(step.MaxPerTarget),
 		Gang:       step.Gang,
-		OneRack:    step.OneRack,
+		OneRack:    step.PreferOneRack,
 		Lasting:    step.Lasting,
-		Fills:      step.Fills,
-		Serves:     step.Serves,
+		Fills:      step.Background,
+		Serves:     step.LatencySensitive,
 	}
-	for _, before := range step.After {
+	for _, before := range step.DependsOn {
 		wire.After = append(wire.After, int32(before))
 	}
 	return wire
 }
 
 func jobFromWire(wire *linkpb.Job) work.Job {
-	job := work.Job{ID: wire.GetId(), Payload: wire.GetPayload(), Kept: wire.GetKept()}
-	job.Repeats = work.Repeats{
-		Count: int(wire.GetRepeats()), First: duration(wire.GetFirstUs()), Interval: duration(wire.GetIntervalUs()),
+	job := work.Job{ID: wire.GetId(), Payload: wire.GetPayload(), Durable: wire.GetKept()}
+	job.Recurrence = work.Recurrence{
+		Count: int(wire.GetRepeats()), FirstDue: duration(wire.GetFirstUs()), Interval: duration(wire.GetIntervalUs()),
 	}
 	for _, step := range wire.GetSteps() {
 		job.Steps = append(job.Steps, stepFromWire(step))
@@ -80,20 +80,20 @@
 
 func stepFromWire(wire *linkpb.Step) work.Step {
 	step := work.Step{
-		Tasks:    int(wire.GetTasks()),
-		Each:     resourcesFromWire(wire.GetEach()),
-		Estimate: duration(wire.GetEstimateUs()),
-		Label:    wire.GetLabel(),
-		Rack:     wire.GetRack(),
-		Spread:   int(wire.GetSpread()),
-		Gang:     wire.GetGang(),
-		OneRack:  wire.GetOneRack(),
-		Lasting:  wire.GetLasting(),
-		Fills:    wire.GetFills(),
-		Serves:   wire.GetServes(),
+		Tasks:            int(wire.GetTasks()),
+		PerTask:          resourcesFromWire(wire.GetEach()),
+		DeclaredRunTime:  duration(wire.GetEstimateUs()),
+		RequiredLabel:    wire.GetLabel(),
+		PreferredRack:    wire.GetRack(),
+		MaxPerTarget:     int(wire.GetSpread()),
+		Gang:             wire.GetGang(),
+		PreferOneRack:    wire.GetOneRack(),
+		Lasting:          wire.GetLasting(),
+		Background:       wire.GetFills(),
+		LatencySensitive: wire.GetServes(),
 	}
 	for _, before := range wire.GetAfter() {
-		step.After = append(step.After, int(before))
+		step.DependsOn = append(step.DependsOn, int(before))
 	}
 	return step
 }
@@ -106,21 +106,21 @@
 		MaxAttempts: int32(q.MaxAttempts),
 		Stretch:     q.Stretch,
 		AllowanceUs: micros(q.Allowance),
-		TimeoutUs:   micros(q.Timeout),
-		Advised:     q.Advised,
+		TimeoutUs:   micros(q.RequestTimeout),
+		Advised:     q.RequiresAdvice,
 	}
 }
 
 func queueFromWire(wire *linkpb.Queue) work.Queue {
 	return work.Queue{
-		Name:        wire.GetName(),
-		Service:     wire.GetService(),
-		Priority:    int(wire.GetPriority()),
-		MaxAttempts: int(wire.GetMaxAttempts()),
-		Stretch:     wire.GetStretch(),
-		Allowance:   duration(wire.GetAllowanceUs()),
-		Timeout:     duration(wire.GetTimeoutUs()),
-		Advised:     wire.GetAdvised(),
+		Name:           wire.GetName(),
+		Service:        wire.GetService(),
+		Priority:       int(wire.GetPriority()),
+		MaxAttempts:    int(wire.GetMaxAttempts()),
+		Stretch:        wire.GetStretch(),
+		Allowance:      duration(wire.GetAllowanceUs()),
+		RequestTimeout: duration(wire.GetTimeoutUs()),
+		RequiresAdvice: wire.GetAdvised(),
 	}
 }
 
--- a/link/link.go
+++ b/link/link.go
@@ -54,7 +54,7 @@
 type Tables struct {
 	// Configuration is encoded as in the store; empty before the first.
 	Configuration []byte
-	Claims        []ownership.Held
+	Claims        []ownership.GroupClaim
 	// StoreClock is the VM's estimate of the store's clock; 0 while it has none.
 	StoreClock time.Duration
 	Cordons    cordon.View
@@ -67,11 +67,11 @@
 	Release(ctx context.Context, group string) owner.Released
 	// State returns the state of a durable job, Cancel cancels it and returns its state; absent
 	// if no owner in this VM knows the job.
-	State(ctx context.Context, id string) work.State
-	Cancel(ctx context.Context, id string) work.State
+	State(ctx context.Context, id string) work.JobState
+	Cancel(ctx context.Context, id string) work.JobState
 	Tables() Tables
 	// Pass makes this VM the owner of a group, by a claim that the present owner hands over.
-	Pass(held ownership.Held)
+	Pass(held ownership.GroupClaim)
 }
 
 // NewServer returns the HTTP handler that serves calls from a Handler.
@@ -100,7 +100,7 @@
 func (s server) Release(ctx context.Context, r *linkpb.ReleaseRequest) (*linkpb.ReleaseReply, error) {
 	released := s.handler.Release(ctx, r.GetGroup())
 	reply := &linkpb.ReleaseReply{Targets: released.Targets, All: released.All}
-	for _, target := range released.Listed {
+	for _, target := range released.Registry {
 		reply.Listed = append(reply.Listed, targetToWire(target))
 	}
 	return reply, nil
@@ -119,9 +119,9 @@
 // Tables implements linkpb.Fleet.
 func (s server) Tables(context.Context, *linkpb.TablesRequest) (*linkpb.TablesReply, error) {
 	tables := s.handler.Tables()
-	reply := &linkpb.TablesReply{Configuration: tables.Configuration, StoreClockUs: micros(tables.StoreClock), Cordons: tables.Cordons.Wire()}
+	reply := &linkpb.TablesReply{Configuration: tables.Configuration, StoreClockUs: micros(tables.StoreClock), Cordons: tables.Cordons.ToWire()}
 	for _, held := range tables.Claims {
-		reply.Owners = append(reply.Owners, held.Wire())
+		reply.Owners = append(reply.Owners, held.ToWire())
 	}
 	return reply, nil
 }
@@ -206,7 +206,7 @@
 		return work.Outcome{Result: work.Moved, Reason: "no connection to the owner"}
 	}
 	age := order.Age
-	for try := 0; try < maxRejoins && ctx.Err() == nil && !order.Job.Kept; try++ {
+	for try := 0; try < maxRejoins && ctx.Err() == nil && !order.Job.Durable; try++ {
 		ago := time.Since(began)
 		order.Age, order.Given = age+ago, Given{Life: to.Life, Ago: ago}
 		if reply, err = c.run(ctx, to.Control, order); err == nil {
@@ -226,25 +226,25 @@
 	}
 	released := owner.Released{Targets: reply.GetTargets(), All: reply.GetAll()}
 	for _, target := range reply.GetListed() {
-		released.Listed = append(released.Listed, targetFromWire(target))
+		released.Registry = append(released.Registry, targetFromWire(target))
 	}
 	return released, nil
 }
 
 // State asks an owner for the state of a durable job.
-func (c *Client) State(ctx context.Context, address, id string) (work.State, error) {
+func (c *Client) State(ctx context.Context, address, id string) (work.JobState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.fleet(address).State(ctx, &linkpb.JobRequest{Id: id})
-	return work.State(reply.GetState()), err
+	return work.JobState(reply.GetState()), err
 }
 
 // Cancel has an owner cancel a durable job and returns its state.
-func (c *Client) Cancel(ctx context.Context, address, id string) (work.State, error) {
+func (c *Client) Cancel(ctx context.Context, address, id string) (work.JobState, error) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	reply, err := c.fleet(address).Cancel(ctx, &linkpb.JobRequest{Id: id})
-	return work.State(reply.GetState()), err
+	return work.JobState(reply.GetState()), err
 }
 
 // Tables fetches what another VM last read from the store.
@@ -274,11 +274,11 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Pass hands a claim over to another VM, which becomes the owner of a group that this VM owns.
-func (c *Client) Pass(ctx context.Context, address string, held ownership.Held) error {
+// HandOverClaim hands a claim over to another VM, which becomes the owner of a group that this VM owns.
+func (c *Client) HandOverClaim(ctx context.Context, address string, held ownership.GroupClaim) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := c.fleet(address).Pass(ctx, &linkpb.PassRequest{Owned: held.Wire()})
+	_, err := c.fleet(address).Pass(ctx, &linkpb.PassRequest{Owned: held.ToWire()})
 	return err
 }
 
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -27,33 +27,33 @@
 	Table platform.Table
 	// FeedWait is how long the store holds a feed request back while there is no change. It
 	// also bounds how long a dead connection goes unnoticed.
-	Wait time.Duration
+	FeedWait time.Duration
 	// MinInterval is the minimum time between two feed requests, so that rows which change all
 	// the time come in batches. A feed that is behind continues without a pause. Otherwise it
 	// would never catch up where more rows change in MinInterval than one answer holds.
-	Pace time.Duration
-	Log  *slog.Logger
+	MinInterval time.Duration
+	Log         *slog.Logger
 	// StoreAnswered is called when the store has answered; it must not block, and may be nil.
-	Heard func(now time.Duration)
+	StoreAnswered func(now time.Duration)
 }
 
 // retryInterval is the pause after a failed call. It allows ten attempts within the time in which
 // a configuration has to be in force.
-const retryPause = 200 * time.Millisecond
+const retryInterval = 200 * time.Millisecond
 
 // Update is a batch of rows of a table.
 type Update struct {
 	platform.Rows
 	// Snapshot means that the table has no other rows than these.
-	Whole bool
+	Snapshot bool
 }
 
 // Follow reads a table and calls apply with its rows and later changes until the context ends.
 func Follow(ctx context.Context, source Source, o Options, apply func(Update)) error {
-	f := follower{source: source, options: o, take: apply}
+	f := follower{source: source, options: o, apply: apply}
 	for ctx.Err() == nil {
-		if !f.step(ctx) {
-			sleep(ctx, retryPause)
+		if !f.readOnce(ctx) {
+			sleep(ctx, retryInterval)
 		}
 	}
 	return nil
@@ -62,62 +62,62 @@
 type follower struct {
 	source  Source
 	options Options
-	take    func(Update)
+	apply   func(Update)
 	// version is the version to resume from; 0 before a full read.
-	after int64
+	version int64
 	// lostAt is when the store stopped answering; 0 while it answers.
-	lost time.Duration
+	lostAt time.Duration
 }
 
 // readOnce makes one call and reports whether the next one may follow without retryInterval.
-func (f *follower) step(ctx context.Context) bool {
+func (f *follower) readOnce(ctx context.Context) bool {
 	started := bootclock.Now()
-	rows, err := f.read(ctx)
+	rows, err := f.fetch(ctx)
 	switch {
 	case errors.Is(err, platform.ErrHistoryLost):
-		f.options.Log.Warn("history lost, reading the table again", "table", f.options.Table, "version", f.after)
-		f.after = 0
+		f.options.Log.Warn("history lost, reading the table again", "table", f.options.Table, "version", f.version)
+		f.version = 0
 		return true
 	case err != nil:
-		f.away(ctx, err)
+		f.storeLost(ctx, err)
 		return false
 	}
-	f.back()
-	if f.options.Heard != nil {
-		f.options.Heard(bootclock.Now())
+	f.storeRegained()
+	if f.options.StoreAnswered != nil {
+		f.options.StoreAnswered(bootclock.Now())
 	}
-	snapshot := f.after == 0
-	f.after = rows.Version
+	snapshot := f.version == 0
+	f.version = rows.Version
 	if snapshot || len(rows.Rows) > 0 {
-		f.take(Update{Rows: rows, Whole: snapshot})
+		f.apply(Update{Rows: rows, Snapshot: snapshot})
 	}
 	if !rows.More {
-		sleep(ctx, f.options.Pace-(bootclock.Now()-started))
+		sleep(ctx, f.options.MinInterval-(bootclock.Now()-started))
 	}
 	return true
 }
 
 // fetch returns the whole table, or its changes if it was read before.
-func (f *follower) read(ctx context.Context) (platform.Rows, error) {
-	if f.after == 0 {
+func (f *follower) fetch(ctx context.Context) (platform.Rows, error) {
+	if f.version == 0 {
 		return f.source.Read(ctx, f.options.Table)
 	}
-	return f.source.Feed(ctx, f.options.Table, f.after, f.options.Wait)
+	return f.source.Feed(ctx, f.options.Table, f.version, f.options.FeedWait)
 }
 
 // storeLost logs the first failed call after an answer.
-func (f *follower) away(ctx context.Context, err error) {
-	if f.lost == 0 && ctx.Err() == nil {
-		f.lost = bootclock.Now()
-		f.options.Log.Warn("store lost", "table", f.options.Table, "version", f.after, "error", err)
+func (f *follower) storeLost(ctx context.Context, err error) {
+	if f.lostAt == 0 && ctx.Err() == nil {
+		f.lostAt = bootclock.Now()
+		f.options.Log.Warn("store lost", "table", f.options.Table, "version", f.version, "error", err)
 	}
 }
 
 // storeRegained logs the first answer after a failed call.
-func (f *follower) back() {
-	if f.lost != 0 {
-		f.options.Log.Info("store regained", "table", f.options.Table, "away", bootclock.Now()-f.lost)
-		f.lost = 0
+func (f *follower) storeRegained() {
+	if f.lostAt != 0 {
+		f.options.Log.Info("store regained", "table", f.options.Table, "away", bootclock.Now()-f.lostAt)
+		f.lostAt = 0
 	}
 }
 
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -13,27 +13,27 @@
 )
 
 // reply is the fake store's answer to one call.
-type step struct {
+type reply struct {
 	rows platform.Rows
 	err  error
 }
 
 // fakeSource returns its replies in turn and blocks after the last one.
 type fakeSource struct {
-	steps []step
-	calls []string
-	after []int64
+	replies []reply
+	calls   []string
+	after   []int64
 }
 
 func (f *fakeSource) next(ctx context.Context, call string, after int64) (platform.Rows, error) {
 	f.calls = append(f.calls, call)
 	f.after = append(f.after, after)
-	if len(f.steps) == 0 {
+	if len(f.replies) == 0 {
 		<-ctx.Done()
 		return platform.Rows{}, ctx.Err()
 	}
-	answer := f.steps[0]
-	f.steps = f.steps[1:]
+	answer := f.replies[0]
+	f.replies = f.replies[1:]
 	return answer.rows, answer.err
 }
 
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		err := Follow(ctx, source, Options{Table: "t", Wait: time.Second, Log: slog.New(slog.DiscardHandler)},
+		err := Follow(ctx, source, Options{Table: "t", FeedWait: time.Second, Log: slog.New(slog.DiscardHandler)},
 			func(u Update) { updates = append(updates, u) })
 		must.NoError(t, err)
 	})
@@ -64,34 +64,34 @@
 	return all
 }
 
-func TestFollowsFromTheFirstRead(t *testing.T) {
-	source := &fakeSource{steps: []step{{rows: rows(5, "a", "b")}, {rows: rows(7, "c")}, {rows: rows(7)}}}
+func TestFollowContinuesFromTheFirstRead(t *testing.T) {
+	source := &fakeSource{replies: []reply{{rows: rows(5, "a", "b")}, {rows: rows(7, "c")}, {rows: rows(7)}}}
 	updates := follow(t, source)
 	must.Eq(t, []string{"read", "feed", "feed", "feed"}, source.calls)
 	must.Eq(t, []int64{0, 5, 7, 7}, source.after)
 	must.SliceLen(t, 2, updates)
-	must.True(t, updates[0].Whole)
-	must.False(t, updates[1].Whole)
+	must.True(t, updates[0].Snapshot)
+	must.False(t, updates[1].Snapshot)
 }
 
 // After an outage the feed continues from the last version.
-func TestResumesAfterAnOutage(t *testing.T) {
-	away := step{err: platform.ErrStoreAway.Errorf("away")}
-	source := &fakeSource{steps: []step{{rows: rows(5, "a")}, away, away, {rows: rows(9, "b")}}}
+func TestFollowResumesAfterAnOutage(t *testing.T) {
+	away := reply{err: platform.ErrStoreAway.Errorf("away")}
+	source := &fakeSource{replies: []reply{{rows: rows(5, "a")}, away, away, {rows: rows(9, "b")}}}
 	updates := follow(t, source)
 	must.Eq(t, []int64{0, 5, 5, 5, 9}, source.after)
 	must.SliceLen(t, 2, updates)
 }
 
 // After a lost history the whole table is read again.
-func TestReadsAgainAfterALostHistory(t *testing.T) {
-	source := &fakeSource{steps: []step{
+func TestFollowReadsAgainAfterLostHistory(t *testing.T) {
+	source := &fakeSource{replies: []reply{
 		{rows: rows(5, "a")}, {err: platform.ErrHistoryLost.Errorf("410")}, {rows: rows(30)},
 	}}
 	updates := follow(t, source)
 	must.Eq(t, []string{"read", "feed", "read", "feed"}, source.calls)
 	must.SliceLen(t, 2, updates)
-	must.True(t, updates[1].Whole)
+	must.True(t, updates[1].Snapshot)
 	must.SliceEmpty(t, updates[1].Rows.Rows)
 }
 
@@ -130,14 +130,14 @@
 // Follow keeps up with a table that changes faster than one answer in each MinInterval can hold.
 // With 3,000 rows that change every 1.5 seconds, the changes are never older than MinInterval and
 // 100 ms.
-func TestFollowsATableThatIsBusierThanItsPace(t *testing.T) {
+func TestFollowKeepsUpWithABusyTable(t *testing.T) {
 	const minInterval = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		source := busySource{rows: 3000, interval: 1500 * time.Millisecond, began: time.Now()}
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 		defer cancel()
 		maxBehind, newest := int64(0), int64(0)
-		err := Follow(ctx, source, Options{Table: "t", Wait: time.Second, Pace: minInterval, Log: slog.New(slog.DiscardHandler)},
+		err := Follow(ctx, source, Options{Table: "t", FeedWait: time.Second, MinInterval: minInterval, Log: slog.New(slog.DiscardHandler)},
 			func(u Update) {
 				maxBehind = max(maxBehind, source.version()-newest)
 				newest = u.Version
--- a/node/calls.go
+++ b/node/calls.go
@@ -23,7 +23,7 @@
 	if o == nil || bootclock.Now() >= until {
 		return work.Outcome{Result: work.Moved, Reason: "not the owner, or the order is stale"}
 	}
-	o.Vouched(order.Entry, until, nil)
+	o.RecordKeepalive(order.Entry, until, nil)
 	return o.Submit(ctx, submissionOf(order))
 }
 
@@ -51,7 +51,7 @@
 	}
 	if o := n.owned(); o != nil && presence != scheduler.Present && order.Given.Life == n.self.Life {
 		until := vouchedUntil(order)
-		o.Vouched(order.Entry, until, nil)
+		o.RecordKeepalive(order.Entry, until, nil)
 		outcome, presence = o.Rejoin(ctx, submissionOf(order), order.Given.Ago, bootclock.Now() < until)
 	}
 	n.options.Count("rejoins", presence.String())
@@ -71,7 +71,7 @@
 }
 
 // askOwners returns the state of a durable job from the first owner in this process that knows it.
-func (n *Node) askOwners(query func(*owner.Owner) (work.State, bool)) work.State {
+func (n *Node) askOwners(query func(*owner.Owner) (work.JobState, bool)) work.JobState {
 	for _, o := range n.owners() {
 		if state, known := query(o); known {
 			return state
@@ -110,16 +110,16 @@
 }
 
 // Pass implements link.Handler.
-func (p peerCalls) Pass(held ownership.Held) { p.node.keeper.Merge([]ownership.Held{held}) }
+func (p peerCalls) Pass(held ownership.GroupClaim) { p.node.keeper.Merge([]ownership.GroupClaim{held}) }
 
 // State implements link.Handler.
-func (p peerCalls) State(ctx context.Context, id string) work.State {
-	return p.node.askOwners(func(o *owner.Owner) (work.State, bool) { return o.JobState(ctx, id) })
+func (p peerCalls) State(ctx context.Context, id string) work.JobState {
+	return p.node.askOwners(func(o *owner.Owner) (work.JobState, bool) { return o.JobState(ctx, id) })
 }
 
 // Cancel implements link.Handler.
-func (p peerCalls) Cancel(ctx context.Context, id string) work.State {
-	return p.node.askOwners(func(o *owner.Owner) (work.State, bool) { return o.CancelJob(ctx, id) })
+func (p peerCalls) Cancel(ctx context.Context, id string) work.JobState {
+	return p.node.askOwners(func(o *owner.Owner) (work.JobState, bool) { return o.CancelJob(ctx, id) })
 }
 
 // Tables implements link.Handler.
--- a/node/configuration_test.go
+++ b/node/configuration_test.go
@@ -56,7 +56,7 @@
 	held := to.held.Load()
 	must.SliceLen(t, len(sent.Routes), held.Routes)
 	for _, want := range sent.Routes {
-		route, found := held.Find(want.Host, want.PathPrefix+"5c0e7a21d94b36f8")
+		route, found := held.FindRoute(want.Host, want.PathPrefix+"5c0e7a21d94b36f8")
 		must.True(t, found)
 		must.Eq(t, want.Name, route.Queue.Name)
 	}
--- a/node/cordons.go
+++ b/node/cordons.go
@@ -14,16 +14,16 @@
 // store's rows; the board holds the newest view.
 type cordons struct {
 	reader cordon.Reader
-	board  cordon.Board
+	board  cordon.LatestView
 }
 
 func (c *cordons) init(n *Node) {
-	c.reader.Ignored = n.cordonIgnored
+	c.reader.RowIgnored = n.cordonIgnored
 	c.board.Changed = n.cordonsChanged
 }
 
 // applyUpdate applies an update of the operator's table.
-func (c *cordons) take(update mirror.Update) { c.board.Offer(c.reader.Take(update), "store") }
+func (c *cordons) take(update mirror.Update) { c.board.Update(c.reader.Apply(update), "store") }
 
 // reportUnreadableCordon counts and logs a row of the operator's table that is no valid cordon.
 func (n *Node) cordonIgnored(row platform.Row, err error) {
@@ -34,18 +34,18 @@
 // cordonsChanged logs a new view of the cordons and passes it to the owners in this process.
 func (n *Node) cordonsChanged(from string, before, after cordon.View) {
 	for _, domain := range after.Domains {
-		if known := slices.Contains(n.options.Settings.FailureDomains, domain); !before.Has(domain) {
+		if known := slices.Contains(n.options.Settings.FailureDomains, domain); !before.IsCordoned(domain) {
 			n.log.Info("failure domain cordoned", "domain", domain, "known", known, "version", after.Version, "from", from)
 		}
 	}
 	for _, domain := range before.Domains {
-		if !after.Has(domain) {
+		if !after.IsCordoned(domain) {
 			n.log.Info("failure domain usable again", "domain", domain, "version", after.Version, "from", from)
 		}
 	}
 	n.options.Gauge("cordoned_failure_domains", float64(len(after.Domains)))
 	for _, o := range n.owners() {
-		go o.TakeCordons(n.ctx, after)
+		go o.UpdateCordons(n.ctx, after)
 	}
 }
 
@@ -55,16 +55,16 @@
 	if err != nil {
 		return cordon.View{}, err
 	}
-	reader := cordon.Reader{Ignored: n.cordonIgnored}
-	view := reader.Take(mirror.Update{Rows: rows, Whole: true})
-	n.cordons.board.Offer(view, "store, read again")
+	reader := cordon.Reader{RowIgnored: n.cordonIgnored}
+	view := reader.Apply(mirror.Update{Rows: rows, Snapshot: true})
+	n.cordons.board.Update(view, "store, read again")
 	return view, nil
 }
 
 // Cordons implements heartbeat.Listener.
-func (n *Node) Cordons() *linkpb.Cordons { return n.cordons.board.View().Wire() }
+func (n *Node) Cordons() *linkpb.Cordons { return n.cordons.board.View().ToWire() }
 
 // ReceiveCordons implements heartbeat.Listener.
 func (n *Node) Cordoned(from string, cordons *linkpb.Cordons) {
-	n.cordons.board.Offer(cordon.FromWire(cordons), from)
+	n.cordons.board.Update(cordon.FromWire(cordons), from)
 }
--- a/node/delegate.go
+++ b/node/delegate.go
@@ -28,7 +28,7 @@
 				room.Places[i] = int(places)
 			}
 		}
-		o.RoomAt(ownerName(incarnation), load.GetService(), room)
+		o.UpdateCapacityOf(ownerName(incarnation), load.GetService(), room)
 	}
 }
 
--- a/node/leave.go
+++ b/node/leave.go
@@ -70,7 +70,7 @@
 		return true
 	}
 	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
-		if o != nil && o.Jobs() > 0 {
+		if o != nil && o.OpenJobs() > 0 {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 		}
 		now, pingers := bootclock.Now(), n.beats.Pingers()
 		if n.Leaving() || n.owned() == nil || now-lastAttempt < yieldPause ||
-			!ownership.Stronger(n.self.FailureDomain, n.processor.PerMille(), pingers, now) {
+			!ownership.ShouldHandOver(n.self.FailureDomain, n.processor.PerMille(), pingers, now) {
 			continue
 		}
 		lastAttempt = now
--- a/node/node.go
+++ b/node/node.go
@@ -97,7 +97,7 @@
 // ownedGroup is an owner in this process with the claim that it runs under.
 type ownedGroup struct {
 	*owner.Owner
-	held ownership.Held
+	held ownership.GroupClaim
 	end  context.CancelFunc
 }
 
@@ -137,15 +137,15 @@
 	}
 	n.beats = heartbeats
 	n.keeper = ownership.New(ownership.Options{
-		Self: n.self, Group: n.group, Patience: n.patience, Log: o.Log, Changed: n.claimed,
-		Heard: n.ages.heard(&n.ages.claims), Count: o.Count,
+		Self: n.self, Group: n.group, ClaimDelay: n.patience, Log: o.Log, ClaimsChanged: n.claimed,
+		StoreAnswered: n.ages.heard(&n.ages.claims), Count: o.Count,
 	}, n.store, heartbeats)
 	n.entry = entry.New(entry.Options{
 		VM: s.VM, Life: n.self.Life, FailureDomain: s.FailureDomain, Log: o.Log, Count: o.Count,
 		Claims: n.keeper.Claims, Local: n.local, DomainOf: func(group string) string { return group },
-		Cordoned: func(domain string) bool { return n.cordons.board.View().Has(domain) },
+		Cordoned: func(domain string) bool { return n.cordons.board.View().IsCordoned(domain) },
 		Lost:     n.suspectOwner,
-		Find:     func(ctx context.Context, id string) (work.State, error) { return jobstore.Find(ctx, n.store, id) },
+		Find:     func(ctx context.Context, id string) (work.JobState, error) { return jobstore.Find(ctx, n.store, id) },
 	}, heartbeats, n.calls)
 	n.servers, err = listen(s, n)
 	return n, err
@@ -180,7 +180,7 @@
 	g.Go(func() error { return n.keeper.Run(runCtx) })
 	g.Go(func() error {
 		return mirror.Follow(runCtx, n.store, mirror.Options{
-			Table: platform.OperatorTable, Wait: configurationWait, Log: n.log, Heard: n.ages.heard(&n.ages.configuration),
+			Table: platform.OperatorTable, FeedWait: configurationWait, Log: n.log, StoreAnswered: n.ages.heard(&n.ages.configuration),
 		}, n.tookOperatorRows)
 	})
 	g.Go(func() error { n.askPeers(runCtx); return nil })
@@ -212,7 +212,7 @@
 
 // claimsChanged takes all claims after a change: it sets the owners to ping and starts or ends the
 // owner in this process.
-func (n *Node) claimed(claims []ownership.Held) {
+func (n *Node) claimed(claims []ownership.GroupClaim) {
 	owners := make([]heartbeat.Owner, 0, len(claims))
 	for _, held := range claims {
 		owners = append(owners, heartbeat.Owner{
@@ -227,7 +227,7 @@
 }
 
 // applyClaim starts, updates or ends the owner in this process according to its group's claim.
-func (n *Node) settle(held ownership.Held) {
+func (n *Node) settle(held ownership.GroupClaim) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	mine := held.Claim.GetLife() == n.self.Life
@@ -236,15 +236,15 @@
 		n.own = n.startOwner(held)
 	case mine:
 		n.own.held = held
-		n.own.Raise(held.Version)
-	case n.own != nil && held.Newer(n.own.held):
+		n.own.RaiseToken(held.Version)
+	case n.own != nil && held.IsNewerThan(n.own.held):
 		n.lose(held)
 	}
 }
 
 // endOwner ends the owner in this process: at once, or, if the new claim names it as the
 // predecessor, after the successor has taken over all targets.
-func (n *Node) lose(held ownership.Held) {
+func (n *Node) lose(held ownership.GroupClaim) {
 	if held.Claim.GetFormer().GetLife() != n.self.Life {
 		n.own.end()
 		n.own = nil
@@ -258,16 +258,16 @@
 }
 
 // startOwner starts an owner with its router under a claim of this process.
-func (n *Node) startOwner(held ownership.Held) *ownedGroup {
+func (n *Node) startOwner(held ownership.GroupClaim) *ownedGroup {
 	ctx, cancel := context.WithCancel(n.ctx)
 	options := owner.Options{
 		Group: held.Group, FailureDomain: n.self.FailureDomain, Token: held.Version,
 		Schedule: scheduler.Options{
 			StopTime: n.options.Settings.StopTime,
 		},
-		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, Heard: n.ages.heard(&n.ages.registry),
-		Lend: n.lend, Hungry: n.beats.Hurry, StoreClock: n.clock.told,
-		Cordons: n.cordons.board.View, ConfirmCordons: n.confirmCordons, ConfirmClaim: n.keeper.Confirm,
+		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, StoreAnswered: n.ages.heard(&n.ages.registry),
+		Delegate: n.lend, NeedsCapacity: n.beats.Hurry, StoreClock: n.clock.told,
+		Cordons: n.cordons.board.View, ConfirmCordons: n.confirmCordons, ConfirmClaim: n.keeper.ConfirmOwnership,
 		Jobs: jobstore.New(jobstore.Options{
 			Group: held.Group, Life: n.self.Life, Retention: n.options.Settings.JobRetention, Log: n.log, Count: n.options.Count, Clock: n.clock.now,
 		}, n.store),
@@ -279,12 +279,12 @@
 		}
 	}
 	if predecessor := held.Claim.GetFormer(); predecessor != nil {
-		options.Former = func(ctx context.Context) (owner.Released, error) {
+		options.AskPredecessor = func(ctx context.Context) (owner.Released, error) {
 			return n.calls.Release(ctx, predecessor.GetControl(), held.Group, held.Version)
 		}
 	}
 	router := n.newRouter()
-	options.Sized = router.Targets
+	options.SetTargetCount = router.Targets
 	o := owner.New(options, router, n.store)
 	n.duties.Go(func() error { router.Run(ctx); return nil })
 	n.duties.Go(func() error { return o.Run(ctx) })
@@ -300,7 +300,7 @@
 	go func() {
 		defer n.asking.Store(false)
 		if n.calls.Refuses(n.ctx, suspect.Control) {
-			n.keeper.Died(suspect.Life)
+			n.keeper.OwnerDied(suspect.Life)
 		}
 	}()
 }
@@ -339,7 +339,7 @@
 func (n *Node) Vouched(entry string, until time.Duration, givenUp []string) {
 	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
 		if o != nil {
-			o.Vouched(entry, until, givenUp)
+			o.RecordKeepalive(entry, until, givenUp)
 		}
 	}
 }
@@ -381,7 +381,7 @@
 // Claim implements heartbeat.Listener.
 func (n *Node) Owned() *linkpb.Owned {
 	if held, ok := n.keeper.Claim(); ok {
-		return held.Wire()
+		return held.ToWire()
 	}
 	return nil
 }
@@ -389,11 +389,11 @@
 // ReceiveClaim implements heartbeat.Listener.
 func (n *Node) Learned(owned *linkpb.Owned) {
 	for _, known := range n.keeper.Claims() {
-		if known.Group == owned.GetGroup() && !ownership.FromWire(owned).Newer(known) {
+		if known.Group == owned.GetGroup() && !ownership.FromWire(owned).IsNewerThan(known) {
 			return
 		}
 	}
-	n.keeper.Merge([]ownership.Held{ownership.FromWire(owned)})
+	n.keeper.Merge([]ownership.GroupClaim{ownership.FromWire(owned)})
 }
 
 // ConfigurationVersion implements heartbeat.Listener.
@@ -408,7 +408,7 @@
 // claimDelay is how much longer than usual this VM waits before it claims the group; it depends
 // on the VM's share of a core.
 func (n *Node) patience() time.Duration {
-	return ownership.PatienceOf(n.self.VM, n.processor.Share())
+	return ownership.ClaimDelay(n.self.VM, n.processor.Share())
 }
 
 // Configuration implements platform.Dispatcher.
@@ -421,12 +421,12 @@
 }
 
 // State implements platform.Dispatcher.
-func (n *Node) State(ctx context.Context, id string) (work.State, error) {
+func (n *Node) State(ctx context.Context, id string) (work.JobState, error) {
 	return n.entry.State(ctx, id)
 }
 
 // Cancel implements platform.Dispatcher.
-func (n *Node) Cancel(ctx context.Context, id string) (work.State, error) {
+func (n *Node) Cancel(ctx context.Context, id string) (work.JobState, error) {
 	return n.entry.Cancel(ctx, id)
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -37,7 +37,7 @@
 		return
 	}
 	n.clock.offer(tables.StoreClock)
-	n.cordons.board.Offer(tables.Cordons, address)
+	n.cordons.board.Update(tables.Cordons, address)
 	if len(tables.Configuration) > 0 {
 		n.config.offer(tables.Configuration, address)
 	}
--- a/node/rejoin_test.go
+++ b/node/rejoin_test.go
@@ -79,21 +79,21 @@
 	mu     sync.Mutex
 	starts int
 	stops  int
-	ended  []work.End
-	runs   map[work.Run]bool
+	ended  []work.Completion
+	runs   map[work.RunID]bool
 	// began receives each run that starts.
-	began chan work.Run
+	began chan work.RunID
 	// changed is closed at each completion, which wakes polls.
 	changed chan struct{}
 }
 
 func newJobTarget() *jobTarget {
-	return &jobTarget{runs: map[work.Run]bool{}, began: make(chan work.Run, 16), changed: make(chan struct{})}
+	return &jobTarget{runs: map[work.RunID]bool{}, began: make(chan work.RunID, 16), changed: make(chan struct{})}
 }
 
 func (j *jobTarget) clock() int64 { return 1_000_000 + bootclock.Now().Milliseconds() }
 
-func (j *jobTarget) Start(_ context.Context, _ work.Address, order work.Order, _ int64) work.OrderAnswer {
+func (j *jobTarget) Start(_ context.Context, _ work.TargetAddress, order work.StartOrder, _ int64) work.OrderAnswer {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.runs[order.Run] {
@@ -101,25 +101,25 @@
 		j.runs[order.Run] = true
 		j.began <- order.Run
 	}
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: j.clock()}
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: j.clock()}
 }
 
-func (j *jobTarget) Stop(_ context.Context, _ work.Address, run work.Run, _ int64) work.OrderAnswer {
+func (j *jobTarget) Stop(_ context.Context, _ work.TargetAddress, run work.RunID, _ int64) work.OrderAnswer {
 	j.end(run, "stopped")
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stops++
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: j.clock()}
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: j.clock()}
 }
 
-func (j *jobTarget) end(run work.Run, kind work.EndKind) {
+func (j *jobTarget) end(run work.RunID, kind work.CompletionKind) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.runs[run] {
 		return
 	}
 	delete(j.runs, run)
-	j.ended = append(j.ended, work.End{Number: int64(len(j.ended) + 1), Run: run, Kind: kind})
+	j.ended = append(j.ended, work.Completion{Number: int64(len(j.ended) + 1), Run: run, Kind: kind})
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
@@ -130,7 +130,7 @@
 	return j.starts, j.stops
 }
 
-func (j *jobTarget) Look(ctx context.Context, _ work.Address, _, _, seen int64, wait time.Duration) (work.Held, work.Verdict) {
+func (j *jobTarget) Poll(ctx context.Context, _ work.TargetAddress, _, _, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
 	j.mu.Lock()
 	changed, hasNews := j.changed, len(j.ended) > int(seen)
 	j.mu.Unlock()
@@ -145,9 +145,9 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	held := work.Held{Clock: j.clock(), Ended: append([]work.End{}, j.ended[min(int(seen), len(j.ended)):]...)}
+	held := work.PollAnswer{ClockMS: j.clock(), Completions: append([]work.Completion{}, j.ended[min(int(seen), len(j.ended)):]...)}
 	for run := range j.runs {
-		held.Running = append(held.Running, work.Running{Run: run})
+		held.Running = append(held.Running, work.RunningRun{Run: run})
 	}
 	return held, work.VerdictDone
 }
@@ -180,8 +180,8 @@
 	f := &fleet{t: t, target: newJobTarget(), client: link.NewClient()}
 	ignore := func(string, string) {}
 	o := owner.New(owner.Options{
-		Group: "d", FailureDomain: "d", Token: 5, RejoinTime: rejoinTime, Log: slog.New(slog.DiscardHandler), Count: ignore,
-		Observe: func(string, time.Duration) {}, Gauge: func(string, float64) {}, Hungry: func() {},
+		Group: "d", FailureDomain: "d", Token: 5, RejoinTimeout: rejoinTime, Log: slog.New(slog.DiscardHandler), Count: ignore,
+		Observe: func(string, time.Duration) {}, Gauge: func(string, float64) {}, NeedsCapacity: func() {},
 		StoreClock: func() (time.Duration, bool) { return 0, false },
 	}, f.target, targetRow{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -209,7 +209,7 @@
 func (f *fleet) order(id string) link.Order {
 	return link.Order{
 		Group: "d", Entry: entryVM, Stamp: int64(bootclock.Now() + time.Hour),
-		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: 50 * time.Millisecond}}},
+		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 50 * time.Millisecond}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 1, Stretch: 2, Allowance: time.Minute},
 	}
 }
@@ -222,7 +222,7 @@
 	run := <-f.target.began
 	f.proxy.reset()
 	must.True(t, eventually(func() bool { return f.proxy.connections() == 2 }))
-	f.target.end(run, work.EndDone)
+	f.target.end(run, work.CompletionDone)
 	must.Eq(t, work.Completed, (<-outcome).Result)
 	starts, stops := f.target.counts()
 	must.Eq(t, 1, starts)
@@ -235,7 +235,7 @@
 	f := newFleet(t, time.Hour)
 	outcome := f.run(t.Context(), "1")
 	run := <-f.target.began
-	f.target.end(run, work.EndDone)
+	f.target.end(run, work.CompletionDone)
 	must.Eq(t, work.Completed, (<-outcome).Result)
 	order := link.Order{Entry: entryVM, Job: work.Job{ID: "1"}, Given: link.Given{Life: 7, Ago: time.Millisecond}}
 	must.Eq(t, work.Completed, f.node.runFor(t.Context(), order).Result)
@@ -287,7 +287,7 @@
 	order.Given = link.Given{Life: 7, Ago: time.Nanosecond}
 	outcome := make(chan work.Outcome, 1)
 	go func() { outcome <- f.node.runFor(t.Context(), order) }()
-	f.target.end(<-f.target.began, work.EndDone)
+	f.target.end(<-f.target.began, work.CompletionDone)
 	must.Eq(t, work.Completed, (<-outcome).Result)
 	starts, _ := f.target.counts()
 	must.Eq(t, 1, starts)
--- a/owner/cordon.go
+++ b/owner/cordon.go
@@ -9,16 +9,16 @@
 
 // UpdateCordons applies a view of the cordoned failure domains, unless it is unknown or older
 // than the last one.
-func (o *Owner) TakeCordons(ctx context.Context, view cordon.View) {
-	if !view.Known() {
+func (o *Owner) UpdateCordons(ctx context.Context, view cordon.View) {
+	if !view.IsKnown() {
 		return
 	}
-	o.postNews(ctx, func(now time.Duration) {
-		if view.Version < o.cordoned {
+	o.postUrgent(ctx, func(now time.Duration) {
+		if view.Version < o.cordonsVersion {
 			return
 		}
-		o.cordoned = view.Version
-		o.state.Cordoned(now, view.Has(o.options.FailureDomain))
+		o.cordonsVersion = view.Version
+		o.state.Cordoned(now, view.IsCordoned(o.options.FailureDomain))
 	})
 }
 
@@ -29,5 +29,5 @@
 		o.options.Log.Warn("cordons not confirmed", "error", err)
 		return
 	}
-	o.TakeCordons(ctx, view)
+	o.UpdateCordons(ctx, view)
 }
--- a/owner/cordon_test.go
+++ b/owner/cordon_test.go
@@ -11,46 +11,46 @@
 )
 
 // runCordonedOwner runs an owner that knows a view of the cordons when it starts.
-func runCordoned(t *testing.T, target *fencingTarget, view cordon.View) *Owner {
+func runCordonedOwner(t *testing.T, target *fencingTarget, view cordon.View) *Owner {
 	t.Helper()
 	options := testOptions()
 	options.Cordons = func() cordon.View { return view }
 	options.ConfirmCordons = func(context.Context) (cordon.View, error) { return view, nil }
-	return runWith(t, options, target)
+	return runOwnerWith(t, options, target)
 }
 
-var closed = cordon.View{Version: 5, Domains: []string{"domain"}}
+var cordonedView = cordon.View{Version: 5, Domains: []string{"domain"}}
 
 // An owner that starts in a cordoned failure domain starts no runs. Older views, and newer ones
 // that change only other failure domains, don't change that; a newer view without the cordon does
 // at once.
-func TestAnOwnerGoesByTheNewestWord(t *testing.T) {
+func TestNewestCordonViewApplies(t *testing.T) {
 	target := newFencingTarget()
-	o := runCordoned(t, target, closed)
+	o := runCordonedOwner(t, target, cordonedView)
 	must.True(t, eventually(func() bool { return o.Loads()["service"].Cordoned }))
 	must.Eq(t, work.Refused, (<-submit(t, o, "1")).Result)
-	o.TakeCordons(t.Context(), cordon.View{Version: 4})
-	o.TakeCordons(t.Context(), cordon.View{Version: 6, Domains: []string{"domain", "other"}})
+	o.UpdateCordons(t.Context(), cordon.View{Version: 4})
+	o.UpdateCordons(t.Context(), cordon.View{Version: 6, Domains: []string{"domain", "other"}})
 	must.Eq(t, work.Refused, (<-submit(t, o, "2")).Result)
-	o.TakeCordons(t.Context(), cordon.View{Version: 7, Domains: []string{"other"}})
+	o.UpdateCordons(t.Context(), cordon.View{Version: 7, Domains: []string{"other"}})
 	must.Eq(t, work.Completed, (<-submit(t, o, "3")).Result)
-	o.TakeCordons(t.Context(), closed)
+	o.UpdateCordons(t.Context(), cordonedView)
 	must.Eq(t, work.Completed, (<-submit(t, o, "4")).Result)
 }
 
 // An owner that knows no view of the cordons yet holds jobs back until it gets one.
-func TestAnOwnerWaitsForTheFirstWord(t *testing.T) {
+func TestOwnerStartsNothingBeforeCordonsAreKnown(t *testing.T) {
 	target := newFencingTarget()
-	o := runCordoned(t, target, cordon.View{})
+	o := runCordonedOwner(t, target, cordon.View{})
 	waiting := submit(t, o, "1")
-	must.True(t, eventually(func() bool { return o.Jobs() == 1 }))
-	must.SliceEmpty(t, target.begun())
-	o.TakeCordons(t.Context(), cordon.View{Version: 3})
+	must.True(t, eventually(func() bool { return o.OpenJobs() == 1 }))
+	must.SliceEmpty(t, target.startedRuns())
+	o.UpdateCordons(t.Context(), cordon.View{Version: 3})
 	must.Eq(t, work.Completed, (<-waiting).Result)
-	must.SliceLen(t, 1, target.begun())
+	must.SliceLen(t, 1, target.startedRuns())
 }
 
-func (f *fencingTarget) begun() []work.Run {
+func (f *fencingTarget) startedRuns() []work.RunID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
--- a/owner/delegate.go
+++ b/owner/delegate.go
@@ -9,27 +9,27 @@
 
 // UpdateCapacityOf sets the free capacity that another owner reports for a service. The report
 // is dropped while the submission queue is full, because the next one follows soon.
-func (o *Owner) RoomAt(owner, service string, capacity scheduler.Room) {
+func (o *Owner) UpdateCapacityOf(owner, service string, capacity scheduler.Room) {
 	o.submissions.Offer(func(now time.Duration) { o.state.RoomAt(now, owner, service, capacity) })
 }
 
 // delegate has another owner run a part of a job and passes the outcome to the State.
-func (o *Owner) lend(ctx context.Context, e scheduler.Lend) {
+func (o *Owner) delegate(ctx context.Context, e scheduler.Lend) {
 	ctx, cancel := context.WithCancel(ctx)
-	o.lent[e.Part] = cancel
+	o.delegated[e.Part] = cancel
 	go func() {
 		defer cancel()
-		outcome := o.options.Lend(ctx, e.Owner, e.Submission)
+		outcome := o.options.Delegate(ctx, e.Owner, e.Submission)
 		o.post(context.WithoutCancel(ctx), func(now time.Duration) {
-			delete(o.lent, e.Part)
+			delete(o.delegated, e.Part)
 			o.state.Returned(now, e.Part, outcome)
 		})
 	}()
 }
 
 // giveUpPart cancels the request to the owner that runs a part.
-func (o *Owner) withdraw(e scheduler.Withdraw) {
-	if cancel := o.lent[e.Part]; cancel != nil {
+func (o *Owner) giveUpPart(e scheduler.Withdraw) {
+	if cancel := o.delegated[e.Part]; cancel != nil {
 		cancel()
 	}
 }
--- a/owner/durable.go
+++ b/owner/durable.go
@@ -14,54 +14,54 @@
 )
 
 // durableJobs is an owner's state about durable jobs, which outlast their requests.
-type keptJobs struct {
+type durableJobs struct {
 	// accepting is set once the jobs in the store were read, so that new ones may be accepted.
-	open bool
+	accepting bool
 	// ending holds the jobs whose end is being recorded in the store.
 	ending map[string]bool
 	// endWaiters holds, for each job, the channels to close when its end is recorded.
-	watched map[string][]chan struct{}
+	endWaiters map[string][]chan struct{}
 	// canTakeOver is the published result of canTakeOverJobs.
-	adopted atomic.Bool
+	canTakeOver atomic.Bool
 	// registryReadAt is when the registry was read and the handover of targets had ended.
-	readAt time.Duration
+	registryReadAt time.Duration
 	// pending counts by queue the jobs of which nothing has started, as of pendingCountedAt.
-	pending   atomic.Pointer[map[string]int32]
-	countedAt time.Duration
+	pending          atomic.Pointer[map[string]int32]
+	pendingCountedAt time.Duration
 }
 
 // Times of durable jobs.
 const (
 	// takeOverTimeout is how long targets that don't answer delay taking over the jobs: a
 	// lease plus the time until the registry drops a target that is gone.
-	adoptPatience = 2500 * time.Millisecond
+	takeOverTimeout = 2500 * time.Millisecond
 	// takeOverRetryInterval is the time between two attempts to take over the jobs.
-	openPause = 50 * time.Millisecond
+	takeOverRetryInterval = 50 * time.Millisecond
 	// jobEndTimeout is how long JobState waits for the end of a running job: twice the usual
 	// time in which a completion is polled and recorded. Callers ask as soon as a job should
 	// have ended, and ask again only after a short objective.
-	endWait = 80 * time.Millisecond
+	jobEndTimeout = 80 * time.Millisecond
 	// unstoredRetryAfter is told to callers while jobs can't be stored.
-	unstoredRetry = time.Second
+	unstoredRetryAfter = time.Second
 )
 
 // canTakeOverJobs reports whether previous owners can no longer acknowledge completions: those
 // that aren't in the store are then still at their targets. Targets that don't answer delay this
 // by at most takeOverTimeout.
-func (o *Owner) mayOpen() bool {
-	if !o.registry.read || o.registry.handover {
+func (o *Owner) canTakeOverJobs() bool {
+	if !o.registry.snapshotRead || o.registry.handoverPending {
 		return false
 	}
 	now := bootclock.Now()
-	if o.kept.readAt == 0 {
-		o.kept.readAt = now
+	if o.durable.registryReadAt == 0 {
+		o.durable.registryReadAt = now
 	}
-	return o.state.Adopted() || now-o.kept.readAt > adoptPatience
+	return o.state.Adopted() || now-o.durable.registryReadAt > takeOverTimeout
 }
 
 // takeOverJobs reads the durable jobs of the group from the store once canTakeOverJobs holds.
-func (o *Owner) openJobs(ctx context.Context) {
-	ticker := time.NewTicker(openPause)
+func (o *Owner) takeOverJobs(ctx context.Context) {
+	ticker := time.NewTicker(takeOverRetryInterval)
 	defer ticker.Stop()
 	logged := false
 	for {
@@ -70,12 +70,12 @@
 			return
 		case <-ticker.C:
 		}
-		if !o.kept.adopted.Load() {
+		if !o.durable.canTakeOver.Load() {
 			continue
 		}
 		jobs, err := o.options.Jobs.Open(ctx, o.token.Load())
 		if err == nil {
-			o.post(ctx, func(now time.Duration) { o.resume(now, jobs) })
+			o.post(ctx, func(now time.Duration) { o.resumeJobs(now, jobs) })
 			return
 		}
 		if !logged {
@@ -89,8 +89,8 @@
 }
 
 // resumeJobs continues the durable jobs of previous owners and starts accepting new ones.
-func (o *Owner) resume(now time.Duration, jobs []jobstore.Kept) {
-	o.kept.open = true
+func (o *Owner) resumeJobs(now time.Duration, jobs []jobstore.Kept) {
+	o.durable.accepting = true
 	o.options.Log.Info("kept jobs taken over", "group", o.options.Group, "jobs", len(jobs))
 	clock, _ := o.options.StoreClock()
 	for _, job := range jobs {
@@ -99,14 +99,14 @@
 			Ref: o.lastRef, Job: job.Job, Queue: job.Queue, Age: max(clock-job.Arrived, 0),
 		}, scheduler.Progress{
 			Done: job.Progress.Done, Fails: job.Progress.Fails, LastFailed: job.Progress.LastFailed, Saved: job.Progress.Saved,
-			Crashed: crashesOf(job.Progress.Crashed),
+			Crashed: schedulerCrashes(job.Progress.Crashed),
 		})
 	}
 	o.state.Resumed(now)
 }
 
 // schedulerCrashes converts the stored target losses, by task, to the scheduler's type.
-func crashesOf(stored map[int][]jobstore.Crash) map[int][]scheduler.Crash {
+func schedulerCrashes(stored map[int][]jobstore.Crash) map[int][]scheduler.Crash {
 	crashes := map[int][]scheduler.Crash{}
 	for task, list := range stored {
 		for _, crash := range list {
@@ -118,114 +118,114 @@
 
 // admitDurable reports whether a durable job is new and can be stored. Otherwise it answers
 // the caller.
-func (o *Owner) mayAccept(sub scheduler.Submission) bool {
+func (o *Owner) admitDurable(sub scheduler.Submission) bool {
 	outcome := work.Outcome{Result: work.Accepted}
-	if !o.kept.open {
-		outcome = work.Outcome{Result: work.Refused, Reason: "jobs can't be stored yet", RetryAfter: unstoredRetry}
+	if !o.durable.accepting {
+		outcome = work.Outcome{Result: work.Refused, Reason: "jobs can't be stored yet", RetryAfter: unstoredRetryAfter}
 	} else if _, known := o.options.Jobs.State(sub.Job.ID); !known {
 		return true
 	}
-	o.answer(scheduler.Answer{Ref: sub.Ref, Outcome: outcome})
+	o.answerCaller(scheduler.Answer{Ref: sub.Ref, Outcome: outcome})
 	return false
 }
 
 // record writes an effect of a durable job to the store.
-func (o *Owner) keep(ctx context.Context, effect scheduler.Effect) {
+func (o *Owner) record(ctx context.Context, effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Keep:
 		job := e.Submission.Job
 		o.options.Jobs.Accept(job, e.Submission.Queue, e.Submission.Age, func(r jobstore.Result) {
-			o.post(ctx, func(now time.Duration) { o.accepted(now, job.ID, r) })
+			o.post(ctx, func(now time.Duration) { o.jobStored(now, job.ID, r) })
 		})
 	case scheduler.TaskDone:
-		o.options.Jobs.TaskDone(e.Job, e.Task, func() { o.noted(ctx, e.End) })
+		o.options.Jobs.TaskDone(e.Job, e.Task, func() { o.completionRecorded(ctx, e.End) })
 	case scheduler.TaskFailed:
-		o.options.Jobs.TaskFailed(e.Job, e.Task, e.Run, func() { o.noted(ctx, e.End) })
+		o.options.Jobs.TaskFailed(e.Job, e.Task, e.Run, func() { o.completionRecorded(ctx, e.End) })
 	case scheduler.TaskCrashed:
 		o.options.Jobs.TaskCrashed(e.Job, e.Task, jobstore.Crash(e.Crash))
 	case scheduler.TaskSaved:
 		o.options.Jobs.TaskSaved(e.Job, e.Task, e.Saved)
 	case scheduler.JobEnded:
-		o.kept.ending[e.Job] = true
+		o.durable.ending[e.Job] = true
 		o.options.Count("kept_jobs", e.State.String())
-		o.observe(e.Times)
+		o.observeTimes(e.Times)
 		o.options.Jobs.End(e.Job, e.State, func() {
-			o.post(ctx, func(time.Duration) { o.endNoted(e.Job) })
+			o.post(ctx, func(time.Duration) { o.jobEndRecorded(e.Job) })
 		})
 	}
 }
 
 // jobStored gives the State the result of storing a job, or that the result is not known yet.
-func (o *Owner) accepted(now time.Duration, id string, r jobstore.Result) {
+func (o *Owner) jobStored(now time.Duration, id string, r jobstore.Result) {
 	o.options.Count("acceptances", r.String())
 	if r == jobstore.Doubtful {
 		o.state.Doubted(id)
 		return
 	}
-	o.state.Stored(now, id, acceptance(r), r == jobstore.Stored)
+	o.state.Stored(now, id, storeOutcome(r), r == jobstore.Stored)
 }
 
 // completionRecorded tells the State that a completion is in the store and may be acknowledged.
-func (o *Owner) noted(ctx context.Context, end scheduler.EndRef) {
+func (o *Owner) completionRecorded(ctx context.Context, end scheduler.EndRef) {
 	o.post(ctx, func(time.Duration) { o.state.Noted(end) })
 }
 
 // storeOutcome returns the outcome that the caller gets for the result of storing its job.
-func acceptance(r jobstore.Result) work.Outcome {
+func storeOutcome(r jobstore.Result) work.Outcome {
 	switch r {
 	case jobstore.Stored, jobstore.Known:
 		return work.Outcome{Result: work.Accepted}
 	case jobstore.NotStored:
-		return work.Outcome{Result: work.Refused, Reason: "the store takes no jobs", RetryAfter: unstoredRetry}
+		return work.Outcome{Result: work.Refused, Reason: "the store takes no jobs", RetryAfter: unstoredRetryAfter}
 	default:
 		return work.Outcome{Result: work.Unknown, Reason: "another VM has taken over while the job was stored"}
 	}
 }
 
 // jobEndRecorded wakes those who wait until the end of a job is in the store.
-func (o *Owner) endNoted(id string) {
+func (o *Owner) jobEndRecorded(id string) {
 	o.state.EndNoted(id)
-	delete(o.kept.ending, id)
-	for _, recorded := range o.kept.watched[id] {
+	delete(o.durable.ending, id)
+	for _, recorded := range o.durable.endWaiters[id] {
 		close(recorded)
 	}
-	delete(o.kept.watched, id)
+	delete(o.durable.endWaiters, id)
 }
 
 // addEndWaiter has a channel closed when the end of a job is recorded.
-func (o *Owner) watch(id string, recorded chan struct{}) {
-	o.kept.watched[id] = append(o.kept.watched[id], recorded)
+func (o *Owner) addEndWaiter(id string, recorded chan struct{}) {
+	o.durable.endWaiters[id] = append(o.durable.endWaiters[id], recorded)
 }
 
 // removeEndWaiter undoes addEndWaiter.
-func (o *Owner) unwatch(id string, recorded chan struct{}) {
-	rest := slices.DeleteFunc(o.kept.watched[id], func(other chan struct{}) bool { return other == recorded })
+func (o *Owner) removeEndWaiter(id string, recorded chan struct{}) {
+	rest := slices.DeleteFunc(o.durable.endWaiters[id], func(other chan struct{}) bool { return other == recorded })
 	if len(rest) == 0 {
-		delete(o.kept.watched, id)
+		delete(o.durable.endWaiters, id)
 		return
 	}
-	o.kept.watched[id] = rest
+	o.durable.endWaiters[id] = rest
 }
 
 // JobState returns the state of a durable job, or false if this owner doesn't know the job.
 // For a running job it waits up to jobEndTimeout for the end: callers ask when they expect the
 // end, and ask again only much later.
-func (o *Owner) JobState(ctx context.Context, id string) (work.State, bool) {
+func (o *Owner) JobState(ctx context.Context, id string) (work.JobState, bool) {
 	if o.options.Jobs == nil {
 		return work.StateAbsent, false
 	}
 	state, known := o.options.Jobs.State(id)
-	if !known || state.Final() {
+	if !known || state.IsFinal() {
 		return state, known
 	}
-	ctx, cancel := context.WithTimeout(ctx, endWait)
+	ctx, cancel := context.WithTimeout(ctx, jobEndTimeout)
 	defer cancel()
 	recorded := make(chan struct{})
 	started := make(chan bool, 1)
 	o.post(ctx, func(time.Duration) {
-		running := o.kept.ending[id] || o.state.Begun(id)
+		running := o.durable.ending[id] || o.state.Begun(id)
 		if running {
-			o.watch(id, recorded)
+			o.addEndWaiter(id, recorded)
 		}
 		started <- running
 	})
@@ -244,21 +244,21 @@
 		return o.options.Jobs.State(id)
 	case <-o.done:
 	case <-ctx.Done():
-		o.post(context.WithoutCancel(ctx), func(time.Duration) { o.unwatch(id, recorded) })
+		o.post(context.WithoutCancel(ctx), func(time.Duration) { o.removeEndWaiter(id, recorded) })
 	}
 	return work.StateRunning, true
 }
 
 // CancelJob cancels a durable job and returns its state once the end is recorded, or false if
 // this owner doesn't know the job.
-func (o *Owner) CancelJob(ctx context.Context, id string) (work.State, bool) {
+func (o *Owner) CancelJob(ctx context.Context, id string) (work.JobState, bool) {
 	if o.options.Jobs == nil {
 		return work.StateAbsent, false
 	}
 	recorded := make(chan struct{})
 	o.post(ctx, func(now time.Duration) {
-		if o.state.CancelKept(now, id) || o.kept.ending[id] {
-			o.watch(id, recorded)
+		if o.state.CancelKept(now, id) || o.durable.ending[id] {
+			o.addEndWaiter(id, recorded)
 			return
 		}
 		close(recorded)
@@ -279,17 +279,17 @@
 
 // countPending publishes the number of pending jobs.
 func (o *Owner) countPending(now time.Duration) {
-	if now-o.kept.countedAt < pendingInterval {
+	if now-o.durable.pendingCountedAt < pendingInterval {
 		return
 	}
-	o.kept.countedAt = now
+	o.durable.pendingCountedAt = now
 	pending := o.state.Pending()
-	o.kept.pending.Store(&pending)
+	o.durable.pending.Store(&pending)
 }
 
 // PendingJobs returns the number of durable jobs of which nothing has started, by queue.
 func (o *Owner) PendingJobs() map[string]int32 {
-	if pending := o.kept.pending.Load(); pending != nil {
+	if pending := o.durable.pending.Load(); pending != nil {
 		return *pending
 	}
 	return nil
--- a/owner/keepalives_test.go
+++ b/owner/keepalives_test.go
@@ -12,24 +12,24 @@
 
 // The keepalives of an entry VM and the jobs that it has given up reach the State before its jobs
 // are placed, and are delivered once. Of several keepalives the one that expires last counts.
-func TestVouchesArePassedOn(t *testing.T) {
+func TestKeepalivesAreDeliveredOnce(t *testing.T) {
 	o := &Owner{state: scheduler.New(scheduler.Options{})}
 	o.state.Listed()
 	o.state.TargetSeen(0, work.Target{ID: "a", Service: "s", Capacity: work.Resources{CPU: 4}})
 	o.state.Effects(0)
-	o.state.Looked(0, "a", 0, work.Held{Clock: 5000}, work.VerdictDone)
-	o.Vouched("e", time.Second, nil)
-	o.Vouched("e", 500*time.Millisecond, nil)
-	o.Vouched("e", time.Second, []string{"j"})
+	o.state.Looked(0, "a", 0, work.PollAnswer{ClockMS: 5000}, work.VerdictDone)
+	o.RecordKeepalive("e", time.Second, nil)
+	o.RecordKeepalive("e", 500*time.Millisecond, nil)
+	o.RecordKeepalive("e", time.Second, []string{"j"})
 	submit := func(id string) {
 		o.state.Submit(0, scheduler.Submission{
 			Ref: scheduler.Ref(len(id)), Entry: "e", Queue: work.Queue{Service: "s", Stretch: 2, Allowance: time.Second, MaxAttempts: 1},
-			Job: work.Job{ID: id, Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: time.Millisecond}}},
+			Job: work.Job{ID: id, Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: time.Millisecond}}},
 		})
 	}
 	submit("j")
 	submit("kk")
-	o.vouches.pass(0, o.state)
+	o.keepalives.deliver(0, o.state)
 	starts := 0
 	for _, effect := range o.state.Effects(900 * time.Millisecond) {
 		switch e := effect.(type) {
@@ -41,6 +41,6 @@
 		}
 	}
 	must.Eq(t, 1, starts)
-	o.vouches.pass(0, o.state)
-	must.MapEmpty(t, o.vouches.until)
+	o.keepalives.deliver(0, o.state)
+	must.MapEmpty(t, o.keepalives.until)
 }
--- a/owner/lag.go
+++ b/owner/lag.go
@@ -17,40 +17,40 @@
 // Limits of the delay.
 const (
 	// lagTolerance is the longest pause that a processor quota causes by itself.
-	lagSlack = 100 * time.Millisecond
+	lagTolerance = 100 * time.Millisecond
 	// shedThreshold is the delay above which new jobs are refused. It is well below the
 	// silence after which others give an owner up.
-	lagLimit = 150 * time.Millisecond
+	shedThreshold = 150 * time.Millisecond
 	// lagDecay, applied at each tick, leaves a tenth of the last wait after ten ticks without a
 	// new submission.
-	lagFading = 0.8
+	lagDecay = 0.8
 )
 
 // lag measures the delay of the loop. It is safe for concurrent use.
 type lag struct {
 	// lastTick is when the loop last ticked, on the boot clock; 0 before the first tick.
-	ticked atomic.Int64
+	lastTick atomic.Int64
 	// lastWait is how long the last submission waited for the loop, in nanoseconds.
-	waited atomic.Int64
+	lastWait atomic.Int64
 }
 
 // recordTick records a tick of the loop and lets the last wait decay.
-func (l *lag) tick(now time.Duration) {
-	l.ticked.Store(int64(now))
-	l.waited.Store(int64(lagFading * float64(l.waited.Load())))
+func (l *lag) recordTick(now time.Duration) {
+	l.lastTick.Store(int64(now))
+	l.lastWait.Store(int64(lagDecay * float64(l.lastWait.Load())))
 }
 
 // recordWait records how long a submission waited for the loop.
-func (l *lag) read(waited time.Duration) { l.waited.Store(int64(waited)) }
+func (l *lag) recordWait(waited time.Duration) { l.lastWait.Store(int64(waited)) }
 
 // delay returns how long a message that arrives now will wait for the loop, or 0 if that is
 // within lagTolerance.
-func (l *lag) behind(now time.Duration) time.Duration {
-	behind := time.Duration(l.waited.Load())
-	if ticked := time.Duration(l.ticked.Load()); ticked > 0 {
+func (l *lag) delay(now time.Duration) time.Duration {
+	behind := time.Duration(l.lastWait.Load())
+	if ticked := time.Duration(l.lastTick.Load()); ticked > 0 {
 		behind = max(behind, now-ticked)
 	}
-	if behind <= lagSlack {
+	if behind <= lagTolerance {
 		return 0
 	}
 	return behind
@@ -58,7 +58,7 @@
 
 // withDelay adds the delay of the loop to all waits in the loads. An owner that is behind
 // offers no capacity for other owners' tasks.
-func delayed(loads map[string]scheduler.Load, behind time.Duration) map[string]scheduler.Load {
+func withDelay(loads map[string]scheduler.Load, behind time.Duration) map[string]scheduler.Load {
 	if behind == 0 {
 		return loads
 	}
@@ -74,7 +74,7 @@
 }
 
 // shouldShed reports whether new jobs have to be refused, and after what time to try again.
-func (o *Owner) tooFarBehind() (retryAfter time.Duration, shed bool) {
-	behind := o.lag.behind(bootclock.Now())
-	return behind, behind > lagLimit
+func (o *Owner) shouldShed() (retryAfter time.Duration, shed bool) {
+	behind := o.lag.delay(bootclock.Now())
+	return behind, behind > shedThreshold
 }
--- a/owner/lag_test.go
+++ b/owner/lag_test.go
@@ -12,43 +12,43 @@
 
 const ms = time.Millisecond
 
-func TestLag(t *testing.T) {
+func TestDelay(t *testing.T) {
 	for name, test := range map[string]struct {
 		ticked, waited time.Duration
 		want           time.Duration
 	}{
 		"before the first tick":   {0, 0, 0},
 		"on time":                 {time.Second, 5 * ms, 0},
-		"paused by its quota":     {time.Second - lagSlack, 0, 0},
+		"paused by its quota":     {time.Second - lagTolerance, 0, 0},
 		"paused process":          {time.Second - 300*ms, 0, 300 * ms},
 		"submissions wait":        {time.Second, 200 * ms, 200 * ms},
 		"both, the longer counts": {time.Second - 300*ms, 200 * ms, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l lag
-			l.ticked.Store(int64(test.ticked))
-			l.read(test.waited)
-			must.Eq(t, test.want, l.behind(time.Second))
+			l.lastTick.Store(int64(test.ticked))
+			l.recordWait(test.waited)
+			must.Eq(t, test.want, l.delay(time.Second))
 		})
 	}
 }
 
 // The recorded wait decays with the ticks when no submissions come any more.
-func TestLagFades(t *testing.T) {
+func TestDelayDecaysWithoutSubmissions(t *testing.T) {
 	var l lag
-	l.read(time.Second)
+	l.recordWait(time.Second)
 	for i := range 12 {
-		l.tick(time.Duration(i) * scheduler.TickInterval)
+		l.recordTick(time.Duration(i) * scheduler.TickInterval)
 	}
-	must.Zero(t, l.behind(12*scheduler.TickInterval))
+	must.Zero(t, l.delay(12*scheduler.TickInterval))
 }
 
 // An owner whose loop is far behind refuses new jobs at once with a time to retry after. Its loads
 // show longer waits and no capacity, so that entry VMs and other owners avoid it.
-func TestAnOwnerThatIsBehindShedsJobs(t *testing.T) {
-	o, _ := idle(t)
+func TestDelayedOwnerShedsJobs(t *testing.T) {
+	o, _ := newIdleOwner(t)
 	o.loads.Store(&map[string]scheduler.Load{"service": {FreeCPU: 10, Room: scheduler.Room{Places: [scheduler.Priorities]int{1, 1, 1}}}})
-	o.lag.read(time.Hour)
+	o.lag.recordWait(time.Hour)
 	outcome := <-submit(t, o, "1")
 	must.Eq(t, work.Refused, outcome.Result)
 	must.GreaterEq(t, time.Hour, outcome.RetryAfter)
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -35,33 +35,33 @@
 // Sizes and times of an owner.
 const (
 	// submissionQueueSize holds the jobs that one owner gets in a second at fully grown sites.
-	submissionsRoom = 512
+	submissionQueueSize = 512
 	// answerQueueSize holds one answer of each target of a failure domain.
-	answersRoom = 4096
+	answerQueueSize = 4096
 	// urgentQueueSize holds the changes of a few reads of the registry.
-	newsRoom = 16
+	urgentQueueSize = 16
 	// maxStartAge is how long the start of a run may wait in this process before it is sent.
 	// A later one is decided again: by then its target may be leaving, or its failure domain
 	// may be cordoned.
-	staleOrder = 250 * time.Millisecond
+	maxStartAge = 250 * time.Millisecond
 	// maxBatch bounds the messages handled between two rounds of placing.
-	batch = 64
+	maxBatch = 64
 	// registryFeedWait is how long a request for changes of the registry may wait. It bounds
 	// how long a dead connection to the store goes unnoticed, and is below the time within
 	// which a draining target has to be noticed.
-	registryWait = 1200 * time.Millisecond
+	registryFeedWait = 1200 * time.Millisecond
 	// registryInterval is the minimum time between two such requests, so that the heartbeats
 	// of targets come in a few reads a second.
-	registryPace = 500 * time.Millisecond
+	registryInterval = 500 * time.Millisecond
 )
 
 // Targets sends orders to targets. Poll acknowledges the completions up to the number seen,
 // extends the leases of all runs until a time on the target's clock (0 leaves them), and waits for
 // the next completion, at most for wait.
 type Targets interface {
-	Start(ctx context.Context, to work.Address, order work.Order, token int64) work.OrderAnswer
-	Stop(ctx context.Context, to work.Address, run work.Run, token int64) work.OrderAnswer
-	Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict)
+	Start(ctx context.Context, to work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer
+	Stop(ctx context.Context, to work.TargetAddress, run work.RunID, token int64) work.OrderAnswer
+	Poll(ctx context.Context, to work.TargetAddress, token, until, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict)
 }
 
 // Options of an Owner.
@@ -73,8 +73,8 @@
 	Schedule scheduler.Options
 	// RejoinTimeout is how long a job continues after its connection broke; 0 means
 	// DefaultRejoinTimeout.
-	RejoinTime time.Duration
-	Log        *slog.Logger
+	RejoinTimeout time.Duration
+	Log           *slog.Logger
 	// Count counts events and the results of submissions; it must not block.
 	Count func(what, label string)
 	// Observe records durations and Gauge values; they must not block.
@@ -82,13 +82,13 @@
 	Gauge   func(what string, value float64)
 	// AskPredecessor asks the previous owner, which hands over its targets, which of them it
 	// has released; nil if there is no handover.
-	Former func(ctx context.Context) (Released, error)
+	AskPredecessor func(ctx context.Context) (Released, error)
 	// Delegate has another owner run a part of a job and returns the outcome of the part.
-	Lend func(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome
+	Delegate func(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome
 	// Jobs stores the durable jobs; nil if none are accepted.
 	Jobs *jobstore.Keeper
 	// StoreAnswered is called when the store has answered about the registry; it may be nil.
-	Heard func(now time.Duration)
+	StoreAnswered func(now time.Duration)
 	// StoreClock returns the store's clock, if it is known.
 	StoreClock func() (clock time.Duration, known bool)
 	// Cordons returns the cordoned failure domains as far as this VM knows them.
@@ -101,10 +101,10 @@
 	// Advise asks the adviser which targets may run a step; nil if there is no adviser.
 	Advise func(ctx context.Context, step string, targets []string) (tickets map[string]string, valid time.Duration, err error)
 	// SetTargetCount is called with the number of targets; it must not block, and may be nil.
-	Sized func(targets int)
+	SetTargetCount func(targets int)
 	// NeedsCapacity is called while tasks that other owners could run wait for a place, so
 	// that the free capacity of those owners is learned soon; it must not block.
-	Hungry func()
+	NeedsCapacity func()
 }
 
 // Owner schedules jobs onto the targets of a group.
@@ -115,33 +115,33 @@
 
 	// submissions holds the messages of Submit, which refuses jobs while it is full.
 	submissions *ring.Ring[message]
-	vouches     vouches
+	keepalives  keepalives
 	// answers holds the messages of post, most of which are answers to orders.
 	answers chan message
 	// urgent holds changes of cordons and of the registry, which never wait behind answers.
-	news  chan message
-	state *scheduler.State
+	urgent chan message
+	state  *scheduler.State
 	// waiters holds where the outcome of each submission goes.
-	waiting map[scheduler.Ref]chan work.Outcome
+	waiters map[scheduler.Ref]chan work.Outcome
 	// createdAt is when New returned this owner, on the boot clock.
-	made    time.Duration
-	lastRef scheduler.Ref
+	createdAt time.Duration
+	lastRef   scheduler.Ref
 	// delegated holds, for each part that another owner runs, the function that gives it up.
-	lent map[scheduler.Part]context.CancelFunc
+	delegated map[scheduler.Part]context.CancelFunc
 	// loads holds the published load of each service.
 	loads    atomic.Pointer[map[string]scheduler.Load]
 	services map[string]bool
 	registry registry
-	reader   reader
+	reader   registryReader
 	// deposed is set once a target has seen the higher token of another owner.
 	deposed bool
 	token   atomic.Int64
 	// openJobs is the published number of jobs that have still to end or to be recorded.
-	jobs atomic.Int64
-	kept keptJobs
-	lag  lag
+	openJobs atomic.Int64
+	durable  durableJobs
+	lag      lag
 	// cordonsVersion is the version of the newest view of cordons.
-	cordoned int64
+	cordonsVersion int64
 	// loadsAt is when the loads were last published.
 	loadsAt time.Duration
 	// statusAt is when the status was last logged.
@@ -155,24 +155,24 @@
 
 // New returns an owner that sends no order before Run.
 func New(o Options, targets Targets, store mirror.Source) *Owner {
-	if o.RejoinTime == 0 {
-		o.RejoinTime = DefaultRejoinTime
+	if o.RejoinTimeout == 0 {
+		o.RejoinTimeout = DefaultRejoinTimeout
 	}
 	o.Schedule.AwaitCordon = o.Cordons != nil
 	o.Schedule.ConfirmClaims = o.ConfirmClaim != nil
 	owner := &Owner{
 		options: o, targets: targets, store: store,
-		submissions: ring.New[message](submissionsRoom),
-		answers:     make(chan message, answersRoom),
-		news:        make(chan message, newsRoom),
+		submissions: ring.New[message](submissionQueueSize),
+		answers:     make(chan message, answerQueueSize),
+		urgent:      make(chan message, urgentQueueSize),
 		state:       scheduler.New(o.Schedule),
-		waiting:     map[scheduler.Ref]chan work.Outcome{},
-		made:        bootclock.Now(),
-		lent:        map[scheduler.Part]context.CancelFunc{},
+		waiters:     map[scheduler.Ref]chan work.Outcome{},
+		createdAt:   bootclock.Now(),
+		delegated:   map[scheduler.Part]context.CancelFunc{},
 		services:    map[string]bool{},
-		registry:    newRegistry(o.Former != nil),
-		reader:      reader{domain: o.FailureDomain, log: o.Log, count: o.Count},
-		kept:        keptJobs{ending: map[string]bool{}, watched: map[string][]chan struct{}{}},
+		registry:    newRegistry(o.AskPredecessor != nil),
+		reader:      registryReader{domain: o.FailureDomain, log: o.Log, count: o.Count},
+		durable:     durableJobs{ending: map[string]bool{}, endWaiters: map[string][]chan struct{}{}},
 		done:        make(chan struct{}),
 	}
 	owner.token.Store(o.Token)
@@ -183,7 +183,7 @@
 }
 
 // RaiseToken sets a higher fencing token for the same claim.
-func (o *Owner) Raise(token int64) {
+func (o *Owner) RaiseToken(token int64) {
 	if old := o.token.Load(); token > old && o.token.CompareAndSwap(old, token) {
 		o.options.Log.Info("token raised", "group", o.options.Group, "token", token)
 	}
@@ -201,18 +201,18 @@
 	})
 	g.Go(func() error {
 		return mirror.Follow(ctx, o.store, mirror.Options{
-			Table: platform.TargetsTable, Wait: registryWait, Pace: registryPace, Log: o.options.Log, Heard: o.options.Heard,
-		}, func(u mirror.Update) { o.tookRegistry(ctx, u) })
+			Table: platform.TargetsTable, FeedWait: registryFeedWait, MinInterval: registryInterval, Log: o.options.Log, StoreAnswered: o.options.StoreAnswered,
+		}, func(u mirror.Update) { o.registryUpdated(ctx, u) })
 	})
 	if o.options.Jobs != nil {
 		g.Go(func() error { return o.options.Jobs.Run(ctx) })
-		g.Go(func() error { o.openJobs(ctx); return nil })
+		g.Go(func() error { o.takeOverJobs(ctx); return nil })
 	}
 	if o.options.Cordons != nil {
-		o.TakeCordons(ctx, o.options.Cordons())
+		o.UpdateCordons(ctx, o.options.Cordons())
 	}
-	if o.options.Former != nil {
-		g.Go(func() error { o.takeOver(ctx); return nil })
+	if o.options.AskPredecessor != nil {
+		g.Go(func() error { o.takeOverTargets(ctx); return nil })
 	}
 	err := g.Wait()
 	o.options.Log.Info("no longer owning targets", "group", o.options.Group, "token", o.token.Load())
@@ -230,19 +230,19 @@
 
 // postUrgent queues a message that the loop handles before all answers and submissions. A
 // leaving target or a cordon has to be known in time also when the loop is behind.
-func (o *Owner) postNews(ctx context.Context, m message) {
+func (o *Owner) postUrgent(ctx context.Context, m message) {
 	select {
-	case o.news <- m:
+	case o.urgent <- m:
 	case <-ctx.Done():
 	case <-o.done:
 	}
 }
 
 // handleUrgent handles all urgent messages that are queued.
-func (o *Owner) takeNews() {
+func (o *Owner) handleUrgent() {
 	for {
 		select {
-		case m := <-o.news:
+		case m := <-o.urgent:
 			m(bootclock.Now())
 		default:
 			return
@@ -258,29 +258,29 @@
 		var m message
 		select {
 		case <-ctx.Done():
-			o.end()
+			o.abandonAll()
 			return
 		case <-ticker.C:
 			m = o.tick
-		case m = <-o.news:
+		case m = <-o.urgent:
 		case m = <-o.answers:
 		case m = <-o.submissions.Items():
 		}
-		o.takeNews()
-		o.vouches.pass(bootclock.Now(), o.state)
+		o.handleUrgent()
+		o.keepalives.deliver(bootclock.Now(), o.state)
 		m(bootclock.Now())
-		o.drain()
-		o.carryOut(ctx, o.state.Effects(bootclock.Now()))
+		o.handleBatch()
+		o.applyEffects(ctx, o.state.Effects(bootclock.Now()))
 		o.publish()
 	}
 }
 
 // tick handles what changes by time alone.
 func (o *Owner) tick(now time.Duration) {
-	o.lag.tick(now)
+	o.lag.recordTick(now)
 	o.readClocks(now)
 	o.state.Tick(now)
-	o.status()
+	o.logStatus()
 }
 
 // readClocks gives the State the time of day and the store's clock.
@@ -293,8 +293,8 @@
 
 // handleBatch handles the messages that are queued already, so that one round of placing
 // serves them all.
-func (o *Owner) drain() {
-	for range batch {
+func (o *Owner) handleBatch() {
+	for range maxBatch {
 		select {
 		case m := <-o.answers:
 			m(bootclock.Now())
@@ -313,13 +313,13 @@
 // durable jobs can be taken over, the number of targets, and the loads. It also reports when this
 // owner needs the capacity of others.
 func (o *Owner) publish() {
-	o.jobs.Store(int64(o.state.Jobs() + o.state.Unnoted()))
-	o.kept.adopted.Store(o.mayOpen())
+	o.openJobs.Store(int64(o.state.Jobs() + o.state.Unnoted()))
+	o.durable.canTakeOver.Store(o.canTakeOverJobs())
 	if o.state.Hungry() {
-		o.options.Hungry()
+		o.options.NeedsCapacity()
 	}
-	if o.options.Sized != nil {
-		o.options.Sized(o.state.Targets())
+	if o.options.SetTargetCount != nil {
+		o.options.SetTargetCount(o.state.Targets())
 	}
 	now := bootclock.Now()
 	if now-o.loadsAt < loadsInterval {
@@ -335,11 +335,11 @@
 }
 
 // abandonAll ends all jobs and answers their callers.
-func (o *Owner) end() {
+func (o *Owner) abandonAll() {
 	o.state.Abandon(bootclock.Now())
 	for _, effect := range o.state.Effects(bootclock.Now()) {
 		if answer, ok := effect.(scheduler.Answer); ok {
-			o.answer(answer)
+			o.answerCaller(answer)
 		}
 	}
 }
@@ -347,42 +347,42 @@
 // Loads returns the load of the targets by service, with the delay of the loop added.
 func (o *Owner) Loads() map[string]scheduler.Load {
 	if loads := o.loads.Load(); loads != nil {
-		return delayed(*loads, o.lag.behind(bootclock.Now()))
+		return withDelay(*loads, o.lag.delay(bootclock.Now()))
 	}
 	return nil
 }
 
 // OpenJobs returns the number of jobs that have still to end or to be recorded in the store.
-func (o *Owner) Jobs() int { return int(o.jobs.Load()) }
+func (o *Owner) OpenJobs() int { return int(o.openJobs.Load()) }
 
 // applyEffects carries out what the State wants done. What waits for an answer gets a
 // goroutine.
-func (o *Owner) carryOut(ctx context.Context, effects []scheduler.Effect) {
+func (o *Owner) applyEffects(ctx context.Context, effects []scheduler.Effect) {
 	decided := bootclock.Now()
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case scheduler.StartRun:
-			go o.start(ctx, e, decided)
+			go o.sendStart(ctx, e, decided)
 		case scheduler.StopRun:
-			go o.stop(ctx, e, decided)
+			go o.sendStop(ctx, e, decided)
 		case scheduler.Look:
-			go o.look(ctx, e, decided)
+			go o.poll(ctx, e, decided)
 		case scheduler.Ask:
-			go o.advise(ctx, e)
+			go o.askAdviser(ctx, e)
 		case scheduler.Lend:
-			o.lend(ctx, e)
+			o.delegate(ctx, e)
 		case scheduler.Withdraw:
-			o.withdraw(e)
+			o.giveUpPart(e)
 		case scheduler.Answer:
-			o.answer(e)
+			o.answerCaller(e)
 		case scheduler.Keep, scheduler.TaskDone, scheduler.TaskFailed, scheduler.TaskCrashed, scheduler.TaskSaved, scheduler.JobEnded:
-			o.keep(ctx, e)
+			o.record(ctx, e)
 		case scheduler.Note:
-			o.note(e)
+			o.logEvent(e)
 		case scheduler.Trail:
-			o.tell(e)
+			o.logHistory(e)
 		case scheduler.Deposed:
-			o.fenced(e)
+			o.stepDown(e)
 		case scheduler.ConfirmCordon:
 			go o.confirmCordon(ctx)
 		case scheduler.ConfirmClaim:
@@ -392,43 +392,43 @@
 }
 
 // sendStart starts a run on a target, unless the decision to do so is older than maxStartAge.
-func (o *Owner) start(ctx context.Context, e scheduler.StartRun, decided time.Duration) {
+func (o *Owner) sendStart(ctx context.Context, e scheduler.StartRun, decided time.Duration) {
 	token, began := o.token.Load(), bootclock.Now()
-	answer := work.OrderAnswer{Verdict: work.VerdictOvertaken}
-	if began-decided <= staleOrder {
-		answer = o.targets.Start(ctx, e.To, e.Order, token)
+	answer := work.OrderAnswer{Verdict: work.VerdictStaleToken}
+	if began-decided <= maxStartAge {
+		answer = o.targets.Start(ctx, e.To, e.StartOrder, token)
 	}
 	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
 	o.options.Count("starts", answer.Verdict.String())
 	o.options.Observe("start_answer", bootclock.Now()-began)
 	o.post(ctx, func(now time.Duration) {
-		o.answered(answer.Verdict, now-decided)
+		o.recordAnswerTime(answer.Verdict, now-decided)
 		o.state.Started(now, e.To.ID, e.Run, answer)
 	})
 }
 
 // sendStop stops a run on a target.
-func (o *Owner) stop(ctx context.Context, e scheduler.StopRun, decided time.Duration) {
+func (o *Owner) sendStop(ctx context.Context, e scheduler.StopRun, decided time.Duration) {
 	token := o.token.Load()
 	answer := o.targets.Stop(ctx, e.To, e.Run, token)
 	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
 	o.options.Count("stops", answer.Verdict.String())
 	o.post(ctx, func(now time.Duration) {
-		o.answered(answer.Verdict, now-decided)
+		o.recordAnswerTime(answer.Verdict, now-decided)
 		o.state.Stopped(now, e.To.ID, e.Run, answer)
 	})
 }
 
 // poll asks a target for its runs and completions.
-func (o *Owner) look(ctx context.Context, e scheduler.Look, decided time.Duration) {
+func (o *Owner) poll(ctx context.Context, e scheduler.Look, decided time.Duration) {
 	token := o.token.Load()
-	answer, verdict := o.targets.Look(ctx, e.To, token, e.Until, e.Seen, e.Wait)
+	answer, verdict := o.targets.Poll(ctx, e.To, token, e.Until, e.Seen, e.Wait)
 	verdict = scheduler.Settle(verdict, token, o.token.Load())
 	o.options.Count("looks", verdict.String())
 	o.post(ctx, func(now time.Duration) {
 		// A long poll waits at the target, so its time says nothing about this process.
 		if e.Wait == 0 {
-			o.answered(verdict, now-decided)
+			o.recordAnswerTime(verdict, now-decided)
 		}
 		o.state.Looked(now, e.To.ID, e.At, answer, verdict)
 	})
@@ -436,16 +436,16 @@
 
 // recordAnswerTime tells the State how long an answer took, from the decision to send the
 // order until the loop handles the answer. That includes the delays within this process.
-func (o *Owner) answered(verdict work.Verdict, took time.Duration) {
+func (o *Owner) recordAnswerTime(verdict work.Verdict, took time.Duration) {
 	switch verdict {
-	case work.VerdictUnknown, work.VerdictBroken, work.VerdictUnsent:
+	case work.VerdictUnknown, work.VerdictConnectionLost, work.VerdictUnsent:
 	default:
 		o.state.Answered(took)
 	}
 }
 
 // askAdviser asks the adviser which targets may run a step.
-func (o *Owner) advise(ctx context.Context, e scheduler.Ask) {
+func (o *Owner) askAdviser(ctx context.Context, e scheduler.Ask) {
 	var tickets map[string]string
 	var valid time.Duration
 	err := error(errNoAdviser)
@@ -467,7 +467,7 @@
 var errNoAdviser = errs.Tag("no adviser").Errorf("no adviser is configured: set \"advice\" to its address")
 
 // stepDown gives up all jobs, once, because another owner has the targets now.
-func (o *Owner) fenced(e scheduler.Deposed) {
+func (o *Owner) stepDown(e scheduler.Deposed) {
 	if o.deposed {
 		return
 	}
@@ -477,7 +477,7 @@
 }
 
 // logEvent logs and counts an event of the scheduler.
-func (o *Owner) note(n scheduler.Note) {
+func (o *Owner) logEvent(n scheduler.Note) {
 	o.options.Count("notes", n.What)
 	level := slog.LevelInfo
 	if n.Failure {
@@ -490,7 +490,7 @@
 
 // logHistory logs what happened to a job, in a single log line so that the log's limit drops
 // all of it or nothing.
-func (o *Owner) tell(e scheduler.Trail) {
+func (o *Owner) logHistory(e scheduler.Trail) {
 	level := slog.LevelWarn
 	if e.Result == work.Completed && e.Took <= e.Objective {
 		level = slog.LevelInfo
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	targetID    = "target-1"
-	targetStart = int64(1_000_000)
+	targetID         = "target-1"
+	targetClockStart = int64(1_000_000)
 )
 
 // oneTarget is a store whose registry lists one target of a service.
@@ -42,37 +42,39 @@
 // each run at its start. A start or a poll can be held on its way: it is checked against the
 // highest token only after its release.
 type fencingTarget struct {
-	mu      sync.Mutex
-	fence   int64
-	number  int64
-	ended   []work.End
-	running map[work.Run]bool
-	began   time.Time
-	starts  []work.Run
+	mu             sync.Mutex
+	highestToken   int64
+	lastCompletion int64
+	completions    []work.Completion
+	running        map[work.RunID]bool
+	createdAt      time.Time
+	starts         []work.RunID
 	// heldStart and heldPoll, when set, hold the next start or poll until they are closed.
-	heldStart, heldLook chan struct{}
+	heldStart, heldPoll chan struct{}
 	// heldOrders gets the kind of each order that is held.
-	waits chan string
+	heldOrders chan string
 }
 
 func newFencingTarget() *fencingTarget {
-	return &fencingTarget{running: map[work.Run]bool{}, began: time.Now(), waits: make(chan string, 8)}
+	return &fencingTarget{running: map[work.RunID]bool{}, createdAt: time.Now(), heldOrders: make(chan string, 8)}
 }
 
-func (f *fencingTarget) clock() int64 { return targetStart + time.Since(f.began).Milliseconds() }
+func (f *fencingTarget) clock() int64 {
+	return targetClockStart + time.Since(f.createdAt).Milliseconds()
+}
 
 // isFenced reports whether a token is too low, and otherwise records it. The caller holds the
 // lock.
-func (f *fencingTarget) fenced(token int64) bool {
-	if token < f.fence {
+func (f *fencingTarget) isFenced(token int64) bool {
+	if token < f.highestToken {
 		return true
 	}
-	f.fence = token
+	f.highestToken = token
 	return false
 }
 
 // waitIfHeld blocks an order of a kind for as long as it is held.
-func (f *fencingTarget) pass(ctx context.Context, kind string, held *chan struct{}) {
+func (f *fencingTarget) waitIfHeld(ctx context.Context, kind string, held *chan struct{}) {
 	f.mu.Lock()
 	gate := *held
 	*held = nil
@@ -80,47 +82,47 @@
 	if gate == nil {
 		return
 	}
-	f.waits <- kind
+	f.heldOrders <- kind
 	select {
 	case <-gate:
 	case <-ctx.Done():
 	}
 }
 
-func (f *fencingTarget) Start(ctx context.Context, _ work.Address, order work.Order, token int64) work.OrderAnswer {
+func (f *fencingTarget) Start(ctx context.Context, _ work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer {
 	run := order.Run
-	f.pass(ctx, "start", &f.heldStart)
+	f.waitIfHeld(ctx, "start", &f.heldStart)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fenced(token) {
-		return work.OrderAnswer{Verdict: work.VerdictFenced, Clock: f.clock()}
+	if f.isFenced(token) {
+		return work.OrderAnswer{Verdict: work.VerdictFenced, ClockMS: f.clock()}
 	}
 	f.starts = append(f.starts, run)
-	f.number++
-	f.ended = append(f.ended, work.End{Number: f.number, Run: run, Kind: work.EndDone})
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: f.clock()}
+	f.lastCompletion++
+	f.completions = append(f.completions, work.Completion{Number: f.lastCompletion, Run: run, Kind: work.CompletionDone})
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: f.clock()}
 }
 
-func (f *fencingTarget) Stop(_ context.Context, _ work.Address, _ work.Run, token int64) work.OrderAnswer {
+func (f *fencingTarget) Stop(_ context.Context, _ work.TargetAddress, _ work.RunID, token int64) work.OrderAnswer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fenced(token) {
-		return work.OrderAnswer{Verdict: work.VerdictFenced, Clock: f.clock()}
+	if f.isFenced(token) {
+		return work.OrderAnswer{Verdict: work.VerdictFenced, ClockMS: f.clock()}
 	}
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: f.clock()}
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: f.clock()}
 }
 
-func (f *fencingTarget) Look(ctx context.Context, _ work.Address, token, _, seen int64, _ time.Duration) (work.Held, work.Verdict) {
-	f.pass(ctx, "poll", &f.heldLook)
+func (f *fencingTarget) Poll(ctx context.Context, _ work.TargetAddress, token, _, seen int64, _ time.Duration) (work.PollAnswer, work.Verdict) {
+	f.waitIfHeld(ctx, "poll", &f.heldPoll)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fenced(token) {
-		return work.Held{Clock: f.clock()}, work.VerdictFenced
+	if f.isFenced(token) {
+		return work.PollAnswer{ClockMS: f.clock()}, work.VerdictFenced
 	}
-	answer := work.Held{Clock: f.clock()}
-	for _, completion := range f.ended {
+	answer := work.PollAnswer{ClockMS: f.clock()}
+	for _, completion := range f.completions {
 		if completion.Number > seen {
-			answer.Ended = append(answer.Ended, completion)
+			answer.Completions = append(answer.Completions, completion)
 		}
 	}
 	return answer, work.VerdictDone
@@ -138,18 +140,18 @@
 func testOptions() Options {
 	return Options{
 		Group: "domain", FailureDomain: "domain", Token: 5, Log: slog.New(slog.DiscardHandler),
-		Count: func(string, string) {}, Observe: func(string, time.Duration) {}, Gauge: func(string, float64) {}, Hungry: func() {},
+		Count: func(string, string) {}, Observe: func(string, time.Duration) {}, Gauge: func(string, float64) {}, NeedsCapacity: func() {},
 		StoreClock: func() (time.Duration, bool) { return 0, false },
 	}
 }
 
 // runOwner runs an owner of a target until the test ends.
-func run(t *testing.T, target *fencingTarget) *Owner {
+func runOwner(t *testing.T, target *fencingTarget) *Owner {
 	t.Helper()
-	return runWith(t, testOptions(), target)
+	return runOwnerWith(t, testOptions(), target)
 }
 
-func runWith(t *testing.T, options Options, target *fencingTarget) *Owner {
+func runOwnerWith(t *testing.T, options Options, target *fencingTarget) *Owner {
 	t.Helper()
 	o := New(options, target, oneTarget{})
 	ctx, end := context.WithCancel(t.Context())
@@ -168,7 +170,7 @@
 	outcome := make(chan work.Outcome, 1)
 	sub := scheduler.Submission{
 		Job: work.Job{ID: id, Steps: []work.Step{
-			{Tasks: 1, Each: work.Resources{CPU: 1000, MemoryMB: 100}, Estimate: 50 * time.Millisecond},
+			{Tasks: 1, PerTask: work.Resources{CPU: 1000, MemoryMB: 100}, DeclaredRunTime: 50 * time.Millisecond},
 		}},
 		Queue: work.Queue{Name: "queue", Service: "service", MaxAttempts: 2, Stretch: 2, Allowance: 5 * time.Second},
 	}
@@ -180,17 +182,17 @@
 // raises its token while orders are on their way. Orders that reach the target after the first
 // one with the new token are refused. The owner must not take that for another owner's token and
 // give up its jobs.
-func TestLooksThatTheOwnersNewTokenOvertakesCostNothing(t *testing.T) {
+func TestRaisedTokenOvertakingPollKeepsJobs(t *testing.T) {
 	target := newFencingTarget()
-	o := run(t, target)
+	o := runOwner(t, target)
 	must.Eq(t, work.Completed, (<-submit(t, o, "1")).Result)
 
-	release := target.hold(&target.heldLook)
+	release := target.hold(&target.heldPoll)
 	first := submit(t, o, "2")
-	must.Eq(t, "poll", <-target.waits)
-	o.Raise(6)
+	must.Eq(t, "poll", <-target.heldOrders)
+	o.RaiseToken(6)
 	second := submit(t, o, "3")
-	must.True(t, eventually(func() bool { return target.seen(6) }))
+	must.True(t, eventually(func() bool { return target.hasSeenToken(6) }))
 	release()
 	must.Eq(t, work.Completed, (<-first).Result)
 	must.Eq(t, work.Completed, (<-second).Result)
@@ -198,15 +200,15 @@
 }
 
 // A start that is refused for the owner's own newer token did nothing and is sent again.
-func TestStartsThatTheOwnersNewTokenOvertakesAreSentAgain(t *testing.T) {
+func TestRaisedTokenOvertakingStartResendsIt(t *testing.T) {
 	target := newFencingTarget()
-	o := run(t, target)
+	o := runOwner(t, target)
 	must.Eq(t, work.Completed, (<-submit(t, o, "1")).Result)
 
 	release := target.hold(&target.heldStart)
 	first := submit(t, o, "2")
-	must.Eq(t, "start", <-target.waits)
-	o.Raise(6)
+	must.Eq(t, "start", <-target.heldOrders)
+	o.RaiseToken(6)
 	must.Eq(t, work.Completed, (<-submit(t, o, "3")).Result)
 	release()
 	must.Eq(t, work.Completed, (<-first).Result)
@@ -214,21 +216,21 @@
 
 // Once a target has seen the higher token of another owner, this owner gives up its jobs and
 // answers new ones with Moved.
-func TestAnotherOwnersTokenDeposes(t *testing.T) {
+func TestHigherTokenOfAnotherOwnerDeposes(t *testing.T) {
 	target := newFencingTarget()
-	o := run(t, target)
+	o := runOwner(t, target)
 	must.Eq(t, work.Completed, (<-submit(t, o, "1")).Result)
 	target.mu.Lock()
-	target.fence = 9
+	target.highestToken = 9
 	target.mu.Unlock()
 	must.NotEq(t, work.Completed, (<-submit(t, o, "2")).Result)
 	must.Eq(t, work.Moved, (<-submit(t, o, "3")).Result)
 }
 
-func (f *fencingTarget) seen(token int64) bool {
+func (f *fencingTarget) hasSeenToken(token int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fence == token
+	return f.highestToken == token
 }
 
 // eventually waits up to some seconds for a condition and reports whether it came to hold.
@@ -244,13 +246,13 @@
 
 // A start that waited too long in the owner's process isn't sent, because its target may be
 // leaving by then. The scheduler decides again.
-func TestStaleStartsAreNotSent(t *testing.T) {
+func TestTooOldStartIsNotSent(t *testing.T) {
 	target := newFencingTarget()
-	o := run(t, target)
+	o := runOwner(t, target)
 	must.Eq(t, work.Completed, (<-submit(t, o, "1")).Result)
-	stale := scheduler.StartRun{To: work.Address{ID: targetID}, Order: work.Order{Run: work.Run{Task: "late", Number: 9}}}
-	o.start(t.Context(), stale, bootclock.Now()-staleOrder-time.Millisecond)
-	must.SliceLen(t, 1, target.begun())
-	o.start(t.Context(), stale, bootclock.Now())
-	must.SliceLen(t, 2, target.begun())
+	stale := scheduler.StartRun{To: work.TargetAddress{ID: targetID}, StartOrder: work.StartOrder{Run: work.RunID{Task: "late", Number: 9}}}
+	o.sendStart(t.Context(), stale, bootclock.Now()-maxStartAge-time.Millisecond)
+	must.SliceLen(t, 1, target.startedRuns())
+	o.sendStart(t.Context(), stale, bootclock.Now())
+	must.SliceLen(t, 2, target.startedRuns())
 }
--- a/owner/reader.go
+++ b/owner/reader.go
@@ -13,97 +13,97 @@
 // rewrites its entry at each heartbeat, mostly without a change. Those rows are dropped here:
 // the loop spends time on changes alone, and the message that a target leaves doesn't wait
 // behind the heartbeats of all others.
-type reader struct {
+type registryReader struct {
 	domain string
 	// known holds the entry of each target as of the last read.
-	last  map[string]work.Target
+	known map[string]work.Target
 	log   *slog.Logger
 	count func(what, label string)
 }
 
 // registryChanges is what has changed in the registry.
-type news struct {
+type registryChanges struct {
 	// changes are in the order in which the store returned them.
-	changes []change
+	changes []targetChange
 	// snapshot is set if all rows were read; present then holds all targets of the domain.
-	whole   bool
-	present map[string]bool
+	snapshot bool
+	present  map[string]bool
 }
 
 // targetChange is the change of one entry.
-type change struct {
+type targetChange struct {
 	id string
 	// target is nil if the entry no longer describes a target of the failure domain.
 	target *work.Target
 }
 
 // isEmpty reports whether there is nothing to apply.
-func (n news) empty() bool { return !n.whole && len(n.changes) == 0 }
+func (n registryChanges) isEmpty() bool { return !n.snapshot && len(n.changes) == 0 }
 
 // maxUnreadableRowLogs bounds the log lines on unreadable rows of one read. Hundreds of them
 // would use up the log's limit, so that other lines of that second would be dropped.
-const maxFaultyLines = 8
+const maxUnreadableRowLogs = 8
 
 // read returns the changes in an answer of the store.
-func (r *reader) read(update mirror.Update) news {
-	n := news{whole: update.Whole}
-	if n.whole {
-		r.last = map[string]work.Target{}
+func (r *registryReader) read(update mirror.Update) registryChanges {
+	n := registryChanges{snapshot: update.Snapshot}
+	if n.snapshot {
+		r.known = map[string]work.Target{}
 		n.present = map[string]bool{}
 	}
 	unreadable := 0
 	for _, row := range update.Rows.Rows {
 		if row.Deleted {
-			r.drop(&n, row.Key)
+			r.remove(&n, row.Key)
 			continue
 		}
 		target, err := platform.DecodeTarget(row.Key, row.Value)
 		switch {
 		case err != nil:
 			r.count("rows_unreadable", string(platform.TargetsTable))
-			if unreadable++; unreadable <= maxFaultyLines {
+			if unreadable++; unreadable <= maxUnreadableRowLogs {
 				r.log.Warn("row not understood", "table", platform.TargetsTable, "key", row.Key, "version", row.Version, "error", err)
 			}
-			r.drop(&n, row.Key)
+			r.remove(&n, row.Key)
 		case target.FailureDomain != r.domain:
-			r.drop(&n, row.Key)
+			r.remove(&n, row.Key)
 		default:
-			r.pass(&n, target)
+			r.addIfChanged(&n, target)
 		}
 	}
-	if unreadable > maxFaultyLines {
-		r.log.Warn("more rows not understood", "table", platform.TargetsTable, "rows", unreadable-maxFaultyLines)
+	if unreadable > maxUnreadableRowLogs {
+		r.log.Warn("more rows not understood", "table", platform.TargetsTable, "rows", unreadable-maxUnreadableRowLogs)
 	}
 	return n
 }
 
 // addIfChanged adds a target to the changes if it is new or has changed.
-func (r *reader) pass(n *news, target work.Target) {
-	if n.whole {
+func (r *registryReader) addIfChanged(n *registryChanges, target work.Target) {
+	if n.snapshot {
 		n.present[target.ID] = true
 	}
-	last, known := r.last[target.ID]
-	r.last[target.ID] = target
+	last, known := r.known[target.ID]
+	r.known[target.ID] = target
 	if known && sameTarget(last, target) {
 		return
 	}
-	n.changes = append(n.changes, change{id: target.ID, target: &target})
+	n.changes = append(n.changes, targetChange{id: target.ID, target: &target})
 }
 
 // sameTarget reports whether two entries of a target, the older one first, are equal. Progress
 // of the warm-up is no change.
 func sameTarget(a, b work.Target) bool {
-	if a.WarmIn > b.WarmIn {
-		a.WarmIn = b.WarmIn
+	if a.WarmUpLeft > b.WarmUpLeft {
+		a.WarmUpLeft = b.WarmUpLeft
 	}
 	return reflect.DeepEqual(a, b)
 }
 
 // remove adds to the changes that an entry no longer describes a target of the failure domain,
 // if it did before.
-func (r *reader) drop(n *news, id string) {
-	if _, known := r.last[id]; known {
-		delete(r.last, id)
-		n.changes = append(n.changes, change{id: id})
+func (r *registryReader) remove(n *registryChanges, id string) {
+	if _, known := r.known[id]; known {
+		delete(r.known, id)
+		n.changes = append(n.changes, targetChange{id: id})
 	}
 }
--- a/owner/reader_test.go
+++ b/owner/reader_test.go
@@ -15,16 +15,16 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-func newReader() *reader {
-	return &reader{domain: "domain", log: slog.New(slog.DiscardHandler), count: func(string, string) {}}
+func newReader() *registryReader {
+	return &registryReader{domain: "domain", log: slog.New(slog.DiscardHandler), count: func(string, string) {}}
 }
 
 // Of a thousand rewritten entries only the one that has changed, because its target leaves, is
 // returned. Entries of other failure domains never are.
-func TestHeartbeatsThatSayNothingNewAreLeftOut(t *testing.T) {
+func TestUnchangedEntriesAreDropped(t *testing.T) {
 	const rows = 1000
 	heartbeats := func(snapshot bool, draining int) mirror.Update {
-		u := mirror.Update{Whole: snapshot}
+		u := mirror.Update{Snapshot: snapshot}
 		for i := range rows {
 			domain, state := "domain", wire.Ready
 			if i%3 > 0 {
@@ -33,23 +33,23 @@
 			if i == draining {
 				state = wire.Draining
 			}
-			u.Rows.Rows = append(u.Rows.Rows, platform.Row{Key: fmt.Sprint("i-", i), Value: entryOf(t, domain, state)})
+			u.Rows.Rows = append(u.Rows.Rows, platform.Row{Key: fmt.Sprint("i-", i), Value: registryEntry(t, domain, state)})
 		}
 		return u
 	}
 	r := newReader()
 	must.SliceLen(t, (rows+2)/3, r.read(heartbeats(true, -1)).changes)
-	must.True(t, r.read(heartbeats(false, -1)).empty())
+	must.True(t, r.read(heartbeats(false, -1)).isEmpty())
 	changes := r.read(heartbeats(false, 600)).changes
 	must.SliceLen(t, 1, changes)
 	must.Eq(t, "i-600", changes[0].id)
 	must.True(t, changes[0].target.Draining)
-	must.True(t, r.read(heartbeats(false, 600)).empty())
+	must.True(t, r.read(heartbeats(false, 600)).isEmpty())
 }
 
 // Of several changes of one entry in one answer, the last one applies.
-func TestChangesKeepTheirOrder(t *testing.T) {
-	listed := platform.Row{Key: "i", Value: entryOf(t, "domain", wire.Ready)}
+func TestLastChangeOfAnEntryApplies(t *testing.T) {
+	listed := platform.Row{Key: "i", Value: registryEntry(t, "domain", wire.Ready)}
 	gone := platform.Row{Key: "i", Deleted: true}
 	for name, test := range map[string]struct {
 		rows []platform.Row
@@ -59,16 +59,16 @@
 		"deleted, listed":    {[]platform.Row{gone, listed}, true},
 		"six, listed at end": {[]platform.Row{listed, gone, listed, gone, gone, listed}, true},
 	} {
-		o, _ := idle(t)
-		o.listed(0, o.reader.read(mirror.Update{Whole: true}))
-		o.listed(0, o.reader.read(mirror.Update{Rows: platform.Rows{Rows: test.rows}}))
+		o, _ := newIdleOwner(t)
+		o.applyRegistryChanges(0, o.reader.read(mirror.Update{Snapshot: true}))
+		o.applyRegistryChanges(0, o.reader.read(mirror.Update{Rows: platform.Rows{Rows: test.rows}}))
 		_, is := o.registry.listed["i"]
 		must.Eq(t, test.want, is, must.Sprint(name))
 	}
 }
 
 // Progress of a target's warm-up is no change, but becoming cold again is one.
-func TestWarmingUpIsNoNews(t *testing.T) {
+func TestWarmUpProgressIsNoChange(t *testing.T) {
 	cold := func(ms float64) mirror.Update {
 		value, err := json.Marshal(wire.Target{
 			Service: "service", Address: "127.0.0.1:1", Zone: "domain", State: wire.Ready, Capacity: wire.Capacity{Resources: wire.Resources{CPU: 4000}}, ColdLeftMS: ms,
@@ -77,24 +77,24 @@
 		return mirror.Update{Rows: platform.Rows{Rows: []platform.Row{{Key: "i", Value: value}}}}
 	}
 	r := newReader()
-	r.read(mirror.Update{Whole: true})
+	r.read(mirror.Update{Snapshot: true})
 	changes := r.read(cold(4500)).changes
 	must.SliceLen(t, 1, changes)
-	must.Eq(t, 4500*time.Millisecond, changes[0].target.WarmIn)
-	must.True(t, r.read(cold(3000)).empty())
-	must.True(t, r.read(cold(0)).empty())
+	must.Eq(t, 4500*time.Millisecond, changes[0].target.WarmUpLeft)
+	must.True(t, r.read(cold(3000)).isEmpty())
+	must.True(t, r.read(cold(0)).isEmpty())
 	must.SliceLen(t, 1, r.read(cold(4000)).changes)
 }
 
 // Urgent messages are handled before those that are queued already: a leaving target has to be
 // known in time also when the loop is behind.
-func TestNewsGoesBeforeAnswers(t *testing.T) {
-	o, _ := idle(t)
+func TestUrgentMessagesGoFirst(t *testing.T) {
+	o, _ := newIdleOwner(t)
 	var order []string
 	for range 100 {
 		o.post(t.Context(), func(time.Duration) { order = append(order, "answer") })
 	}
-	o.postNews(t.Context(), func(time.Duration) { order = append(order, "urgent") })
+	o.postUrgent(t.Context(), func(time.Duration) { order = append(order, "urgent") })
 	ctx, end := context.WithCancel(t.Context())
 	o.post(t.Context(), func(time.Duration) { end() })
 	o.loop(ctx)
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -16,45 +16,45 @@
 type registry struct {
 	listed map[string]work.Target
 	// snapshotRead is set once the whole registry was read.
-	read bool
+	snapshotRead bool
 	// handoverPending is set while targets that aren't in handedOver belong to the previous
 	// owner.
-	handover bool
-	taken    map[string]bool
+	handoverPending bool
+	handedOver      map[string]bool
 	// released lists the targets that this owner gave to its successor.
 	released []string
 }
 
 func newRegistry(handover bool) registry {
-	return registry{listed: map[string]work.Target{}, handover: handover, taken: map[string]bool{}}
+	return registry{listed: map[string]work.Target{}, handoverPending: handover, handedOver: map[string]bool{}}
 }
 
 // registryUpdated extracts the changes from an update and posts them to the loop.
-func (o *Owner) tookRegistry(ctx context.Context, update mirror.Update) {
-	if n := o.reader.read(update); !n.empty() {
-		o.postNews(ctx, func(now time.Duration) { o.listed(now, n) })
+func (o *Owner) registryUpdated(ctx context.Context, update mirror.Update) {
+	if n := o.reader.read(update); !n.isEmpty() {
+		o.postUrgent(ctx, func(now time.Duration) { o.applyRegistryChanges(now, n) })
 	}
 }
 
 // applyRegistryChanges adds new and changed targets, and removes those that are gone.
-func (o *Owner) listed(now time.Duration, n news) {
+func (o *Owner) applyRegistryChanges(now time.Duration, n registryChanges) {
 	for _, c := range n.changes {
 		if c.target == nil {
 			o.unlist(now, c.id)
 			continue
 		}
-		if !o.registry.read {
+		if !o.registry.snapshotRead {
 			o.state.ListedEarly(c.id)
 		}
 		o.registry.listed[c.id] = *c.target
-		o.offer(now, *c.target)
+		o.addTarget(now, *c.target)
 	}
-	if n.whole {
-		o.registry.read = true
+	if n.snapshot {
+		o.registry.snapshotRead = true
 		o.state.Listed()
 	}
 	for id := range o.registry.listed {
-		if n.whole && !n.present[id] {
+		if n.snapshot && !n.present[id] {
 			o.unlist(now, id)
 		}
 	}
@@ -70,8 +70,8 @@
 
 // addTarget gives a target to the scheduler, unless it still belongs to the previous owner or
 // already to the successor.
-func (o *Owner) offer(now time.Duration, target work.Target) {
-	if o.registry.handover && !o.registry.taken[target.ID] || slices.Contains(o.registry.released, target.ID) {
+func (o *Owner) addTarget(now time.Duration, target work.Target) {
+	if o.registry.handoverPending && !o.registry.handedOver[target.ID] || slices.Contains(o.registry.released, target.ID) {
 		return
 	}
 	o.services[target.Service] = true
@@ -81,45 +81,45 @@
 // Times of a handover.
 const (
 	// handoverPollInterval is the time between two requests to the previous owner.
-	handoverPause = 40 * time.Millisecond
+	handoverPollInterval = 40 * time.Millisecond
 )
 
 // takeOverTargets asks the previous owner for its targets until it has released all of them or
 // has been silent for heartbeat.Silence.
-func (o *Owner) takeOver(ctx context.Context) {
+func (o *Owner) takeOverTargets(ctx context.Context) {
 	lastAnswer := bootclock.Now()
 	for ctx.Err() == nil {
-		released, err := o.options.Former(ctx)
+		released, err := o.options.AskPredecessor(ctx)
 		if err == nil {
 			lastAnswer = bootclock.Now()
 		}
 		silent := bootclock.Now()-lastAnswer > heartbeat.Silence
-		o.post(ctx, func(now time.Duration) { o.takeTargets(now, released, silent) })
+		o.post(ctx, func(now time.Duration) { o.applyReleased(now, released, silent) })
 		if released.All || silent {
 			o.options.Log.Info("handover ended", "group", o.options.Group, "silent", silent)
 			return
 		}
-		time.Sleep(handoverPause)
+		time.Sleep(handoverPollInterval)
 	}
 }
 
 // applyReleased gives the scheduler the targets that the previous owner has released, and the
 // remaining ones once that owner has released all or is silent. Until the registry can be read,
 // the previous owner's copy of it is used.
-func (o *Owner) takeTargets(now time.Duration, released Released, silent bool) {
+func (o *Owner) applyReleased(now time.Duration, released Released, silent bool) {
 	for _, id := range released.Targets {
-		o.registry.taken[id] = true
+		o.registry.handedOver[id] = true
 	}
-	for _, target := range released.Listed {
-		if !o.registry.read {
+	for _, target := range released.Registry {
+		if !o.registry.snapshotRead {
 			o.registry.listed[target.ID] = target
 			o.state.ListedEarly(target.ID)
 		}
 	}
 	if released.All || silent {
-		o.registry.handover = false
+		o.registry.handoverPending = false
 	}
 	for _, target := range o.registry.listed {
-		o.offer(now, target)
+		o.addTarget(now, target)
 	}
 }
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -16,7 +16,7 @@
 	"github.com/burdockward/burdockward/platform/wire"
 )
 
-func entryOf(t *testing.T, domain, state string) []byte {
+func registryEntry(t *testing.T, domain, state string) []byte {
 	t.Helper()
 	value, err := json.Marshal(wire.Target{
 		Service: "service", Address: "127.0.0.1:1", Zone: domain, State: state, Capacity: wire.Capacity{Resources: wire.Resources{CPU: 4000, MemoryMB: 4000}},
@@ -26,12 +26,12 @@
 }
 
 // updateOfOne is an update of one entry.
-func update(snapshot bool, id string, value []byte) mirror.Update {
-	return mirror.Update{Whole: snapshot, Rows: platform.Rows{Version: 2, Rows: []platform.Row{{Key: id, Value: value, Version: 2}}}}
+func updateOfOne(snapshot bool, id string, value []byte) mirror.Update {
+	return mirror.Update{Snapshot: snapshot, Rows: platform.Rows{Version: 2, Rows: []platform.Row{{Key: id, Value: value, Version: 2}}}}
 }
 
 // newIdleOwner returns an owner that doesn't run, and its count of unreadable rows.
-func idle(t *testing.T) (o *Owner, unreadable *int) {
+func newIdleOwner(t *testing.T) (o *Owner, unreadable *int) {
 	t.Helper()
 	unreadable = new(int)
 	options := testOptions()
@@ -45,20 +45,20 @@
 
 // A target whose entry becomes unreadable, or names another failure domain, is used no longer than
 // a target whose entry is deleted. The other entries stay listed.
-func TestEntriesThatTurnFaultyAreNotListed(t *testing.T) {
+func TestEntryThatBecomesUnreadableIsUnlisted(t *testing.T) {
 	for name, value := range map[string][]byte{
 		"not readable":           []byte("\xff"),
 		"empty":                  nil,
-		"a state without a name": entryOf(t, "domain", "resting"),
-		"another failure domain": entryOf(t, "elsewhere", wire.Ready),
+		"a state without a name": registryEntry(t, "domain", "resting"),
+		"another failure domain": registryEntry(t, "elsewhere", wire.Ready),
 	} {
 		for _, snapshot := range []bool{false, true} {
-			o, unreadable := idle(t)
+			o, unreadable := newIdleOwner(t)
 			now := time.Second
-			o.listed(now, o.reader.read(update(true, targetID, entryOf(t, "domain", wire.Ready))))
-			o.listed(now, o.reader.read(update(false, "other", entryOf(t, "domain", wire.Ready))))
+			o.applyRegistryChanges(now, o.reader.read(updateOfOne(true, targetID, registryEntry(t, "domain", wire.Ready))))
+			o.applyRegistryChanges(now, o.reader.read(updateOfOne(false, "other", registryEntry(t, "domain", wire.Ready))))
 			must.MapLen(t, 2, o.registry.listed)
-			o.listed(now, o.reader.read(update(snapshot, targetID, value)))
+			o.applyRegistryChanges(now, o.reader.read(updateOfOne(snapshot, targetID, value)))
 			must.MapNotContainsKey(t, o.registry.listed, targetID, must.Sprint(name))
 			if !snapshot {
 				must.MapContainsKey(t, o.registry.listed, "other")
@@ -71,39 +71,39 @@
 }
 
 // An entry that is unreadable from the start adds no target until it becomes readable.
-func TestFaultyEntriesAreNeverUsed(t *testing.T) {
-	o, unreadable := idle(t)
-	o.listed(time.Second, o.reader.read(update(true, targetID, []byte("{"))))
+func TestUnreadableEntryIsNotUsed(t *testing.T) {
+	o, unreadable := newIdleOwner(t)
+	o.applyRegistryChanges(time.Second, o.reader.read(updateOfOne(true, targetID, []byte("{"))))
 	must.Eq(t, 0, o.state.Summary().Targets)
 	must.Eq(t, 1, *unreadable)
-	o.listed(time.Second, o.reader.read(update(false, targetID, entryOf(t, "domain", wire.Draining))))
+	o.applyRegistryChanges(time.Second, o.reader.read(updateOfOne(false, targetID, registryEntry(t, "domain", wire.Draining))))
 	must.Eq(t, 1, o.state.Summary().Draining)
 }
 
 // When another writer has made a third of the rows unreadable, every other row is used. All
 // unreadable rows are counted, but only a few are logged.
-func TestAThirdOfTheRegistryIsFaulty(t *testing.T) {
+func TestUnreadableThirdOfRegistry(t *testing.T) {
 	const rows = 1100
 	lines := &bytes.Buffer{}
-	o, unreadable := idle(t)
+	o, unreadable := newIdleOwner(t)
 	o.reader.log = slog.New(slog.NewJSONHandler(lines, nil))
-	unreadableValues := [][]byte{[]byte("\xff\x00"), nil, []byte("null"), []byte("[]"), []byte(`{"address":7}`), entryOf(t, "domain", "resting")}
+	unreadableValues := [][]byte{[]byte("\xff\x00"), nil, []byte("null"), []byte("[]"), []byte(`{"address":7}`), registryEntry(t, "domain", "resting")}
 	var read platform.Rows
 	for i := range rows {
-		value := entryOf(t, "domain", wire.Ready)
+		value := registryEntry(t, "domain", wire.Ready)
 		if i%3 == 0 {
 			value = unreadableValues[i/3%len(unreadableValues)]
 		}
 		read.Rows = append(read.Rows, platform.Row{Key: fmt.Sprintf("i-%04d", i), Value: value, Version: int64(i + 1)})
 	}
-	o.listed(time.Second, o.reader.read(mirror.Update{Whole: true, Rows: read}))
+	o.applyRegistryChanges(time.Second, o.reader.read(mirror.Update{Snapshot: true, Rows: read}))
 	const readable = rows - (rows+2)/3
 	must.MapLen(t, readable, o.registry.listed)
 	must.Eq(t, readable, o.state.Summary().Targets)
 	must.Eq(t, rows-readable, *unreadable)
-	must.Eq(t, maxFaultyLines+1, strings.Count(lines.String(), "\n"))
-	must.StrContains(t, lines.String(), fmt.Sprintf(`"rows":%d`, rows-readable-maxFaultyLines))
+	must.Eq(t, maxUnreadableRowLogs+1, strings.Count(lines.String(), "\n"))
+	must.StrContains(t, lines.String(), fmt.Sprintf(`"rows":%d`, rows-readable-maxUnreadableRowLogs))
 	// A row that becomes readable is used again.
-	o.listed(2*time.Second, o.reader.read(update(false, "i-0000", entryOf(t, "domain", wire.Ready))))
+	o.applyRegistryChanges(2*time.Second, o.reader.read(updateOfOne(false, "i-0000", registryEntry(t, "domain", wire.Ready))))
 	must.Eq(t, readable+1, o.state.Summary().Targets)
 }
--- a/owner/rejoin.go
+++ b/owner/rejoin.go
@@ -14,12 +14,12 @@
 
 // DefaultRejoinTimeout is how long a job continues after its connection broke. It allows for a
 // few round trips between failure domains and for the next ping, which names the jobs given up.
-const DefaultRejoinTime = 80 * time.Millisecond
+const DefaultRejoinTimeout = 80 * time.Millisecond
 
 // awaitRejoin waits up to RejoinTimeout until another request has taken the place of one whose
 // connection broke, or until the job has ended. The outcome channel gets a value either way.
 func (o *Owner) awaitRejoin(outcome chan work.Outcome) {
-	timer := time.NewTimer(o.options.RejoinTime)
+	timer := time.NewTimer(o.options.RejoinTimeout)
 	defer timer.Stop()
 	select {
 	case <-outcome:
@@ -36,23 +36,23 @@
 	presence := make(chan scheduler.Presence, 1)
 	var ref scheduler.Ref
 	o.post(ctx, func(now time.Duration) {
-		ref = o.await(&sub, outcome)
+		ref = o.addWaiter(&sub, outcome)
 		// If this owner is newer than the request, an earlier owner in this process may have
 		// got the job.
-		mine := now-ago > o.made
+		mine := now-ago > o.createdAt
 		found := o.state.Rejoin(now, sub, ago, begin && mine)
 		if found == scheduler.Absent && !mine {
 			found = scheduler.Forgotten
 		}
-		if !answers(found, begin) {
-			delete(o.waiting, ref)
+		if !hasAnswer(found, begin) {
+			delete(o.waiters, ref)
 		}
 		presence <- found
 	})
 	var found scheduler.Presence
 	select {
 	case found = <-presence:
-		if !answers(found, begin) {
+		if !hasAnswer(found, begin) {
 			return work.Outcome{Result: work.Unknown, Reason: "the connection broke, and the owner knows the job no more"}, found
 		}
 	case <-o.done:
@@ -78,6 +78,6 @@
 }
 
 // hasAnswer reports whether this owner will have the outcome of a job that is requested again.
-func answers(found scheduler.Presence, begin bool) bool {
+func hasAnswer(found scheduler.Presence, begin bool) bool {
 	return found == scheduler.Present || found == scheduler.Absent && begin
 }
--- a/owner/status.go
+++ b/owner/status.go
@@ -10,7 +10,7 @@
 const statusInterval = time.Second
 
 // logStatus logs and exports how busy the owner is, once each statusInterval.
-func (o *Owner) status() {
+func (o *Owner) logStatus() {
 	now := bootclock.Now()
 	if now-o.statusAt < statusInterval {
 		return
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -11,12 +11,12 @@
 )
 
 // queueFullRetryAfter is told to callers when the submission queue is full.
-const fullRetry = time.Second
+const queueFullRetryAfter = time.Second
 
 // Submit runs a job and returns its outcome. The end of the context gives the job up. A durable
 // job has its outcome as soon as it is stored.
 func (o *Owner) Submit(ctx context.Context, sub scheduler.Submission) work.Outcome {
-	if retryAfter, shed := o.tooFarBehind(); shed {
+	if retryAfter, shed := o.shouldShed(); shed {
 		o.options.Count("jobs", "shed")
 		return work.Outcome{Result: work.Refused, Reason: "the owner is short of processor", RetryAfter: retryAfter}
 	}
@@ -26,26 +26,26 @@
 	arrived := time.Now()
 	queued := o.submissions.Offer(func(now time.Duration) {
 		defer close(handled)
-		ref = o.await(&sub, outcome)
+		ref = o.addWaiter(&sub, outcome)
 		waited := time.Since(arrived)
-		o.lag.read(waited)
+		o.lag.recordWait(waited)
 		sub.Age += waited
-		if sub.Job.Kept && !o.mayAccept(sub) {
+		if sub.Job.Durable && !o.admitDurable(sub) {
 			return
 		}
 		o.state.Submit(now, sub)
 	})
 	if !queued {
-		return work.Outcome{Result: work.Refused, Reason: "too many submissions at once", RetryAfter: fullRetry}
+		return work.Outcome{Result: work.Refused, Reason: "too many submissions at once", RetryAfter: queueFullRetryAfter}
 	}
 	select {
 	case result := <-outcome:
 		return result
 	case <-o.done:
-		return o.afterEnd(outcome)
+		return o.outcomeAfterEnd(outcome)
 	case <-ctx.Done():
 	}
-	if sub.Entry != "" && !sub.Job.Kept {
+	if sub.Entry != "" && !sub.Job.Durable {
 		o.awaitRejoin(outcome)
 	}
 	o.cancel(ctx, handled, &ref)
@@ -53,16 +53,16 @@
 }
 
 // addWaiter gives a submission its reference and has its outcome sent to a channel.
-func (o *Owner) await(sub *scheduler.Submission, outcome chan work.Outcome) scheduler.Ref {
+func (o *Owner) addWaiter(sub *scheduler.Submission, outcome chan work.Outcome) scheduler.Ref {
 	o.lastRef++
 	sub.Ref = o.lastRef
-	o.waiting[sub.Ref] = outcome
+	o.waiters[sub.Ref] = outcome
 	return sub.Ref
 }
 
 // outcomeAfterEnd returns the outcome that the loop sent before it ended. A submission that the
 // loop never handled was not run.
-func (o *Owner) afterEnd(outcome chan work.Outcome) work.Outcome {
+func (o *Owner) outcomeAfterEnd(outcome chan work.Outcome) work.Outcome {
 	select {
 	case result := <-outcome:
 		return result
@@ -94,17 +94,17 @@
 }
 
 // answerCaller sends the outcome of a submission to the goroutine that waits for it.
-func (o *Owner) answer(e scheduler.Answer) {
-	if waiter := o.waiting[e.Ref]; waiter != nil {
-		delete(o.waiting, e.Ref)
+func (o *Owner) answerCaller(e scheduler.Answer) {
+	if waiter := o.waiters[e.Ref]; waiter != nil {
+		delete(o.waiters, e.Ref)
 		o.options.Count("jobs", e.Outcome.Result.String())
-		o.observe(e.Times)
+		o.observeTimes(e.Times)
 		waiter <- e.Outcome
 	}
 }
 
 // observeTimes records how long a job waited and ran.
-func (o *Owner) observe(times scheduler.Times) {
+func (o *Owner) observeTimes(times scheduler.Times) {
 	if times != (scheduler.Times{}) {
 		o.options.Observe("job_wait", times.Wait)
 		o.options.Observe("job_run", times.Run)
@@ -124,7 +124,7 @@
 	All bool
 	// Registry is the registry as the answering owner knows it, because the successor may
 	// be cut off from the store.
-	Listed []work.Target
+	Registry []work.Target
 }
 
 // Release stops using the targets on which nothing runs, and returns all that were released for
@@ -135,9 +135,9 @@
 		o.registry.released = append(o.registry.released, o.state.Idle()...)
 		o.state.Release(o.registry.released)
 		answer <- Released{
-			Targets: slices.Clone(o.registry.released),
-			All:     o.state.AtRest(),
-			Listed:  slices.Collect(maps.Values(o.registry.listed)),
+			Targets:  slices.Clone(o.registry.released),
+			All:      o.state.AtRest(),
+			Registry: slices.Collect(maps.Values(o.registry.listed)),
 		}
 	})
 	select {
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -20,14 +20,14 @@
 
 // GroupClaim is the claim of a group. Its version is the version of the row in the store and the
 // fencing token, also after its owner handed it over while the store was away.
-type Held struct {
+type GroupClaim struct {
 	Group   string
 	Claim   *linkpb.Claim
 	Version int64
 }
 
 // IsNewerThan reports whether the claim replaces another claim of the same group.
-func (c Held) Newer(other Held) bool {
+func (c GroupClaim) IsNewerThan(other GroupClaim) bool {
 	if c.Version != other.Version {
 		return c.Version > other.Version
 	}
@@ -35,49 +35,49 @@
 }
 
 // ToWire returns the claim as a message.
-func (c Held) Wire() *linkpb.Owned {
+func (c GroupClaim) ToWire() *linkpb.Owned {
 	return &linkpb.Owned{Group: c.Group, Claim: c.Claim, Version: c.Version}
 }
 
 // FromWire returns the claim in a message.
-func FromWire(wire *linkpb.Owned) Held {
-	return Held{Group: wire.GetGroup(), Claim: wire.GetClaim(), Version: wire.GetVersion()}
+func FromWire(wire *linkpb.Owned) GroupClaim {
+	return GroupClaim{Group: wire.GetGroup(), Claim: wire.GetClaim(), Version: wire.GetVersion()}
 }
 
 // Observation is what a VM knows when it decides whether to claim a group.
-type Belief struct {
+type Observation struct {
 	// Current is the newest known claim; nil while nobody has claimed the group.
-	Held *Held
+	Current *GroupClaim
 	// VM and Incarnation are those of this VM.
-	VM   string
-	Life uint64
+	VM          string
+	Incarnation uint64
 	// OwnerSilent is the time since the owner's last heartbeat.
-	Silent time.Duration
+	OwnerSilent time.Duration
 	// OwnerDead means that the owner's process has certainly ended.
-	Dead bool
+	OwnerDead bool
 	// ClaimAge is how long this VM has known the claim in its present version or, without
 	// a claim, how long this VM has run.
-	Waited time.Duration
+	ClaimAge time.Duration
 	// ClaimDelay is how long this VM waits beyond the usual time, so that the strongest VM
 	// claims first and the others see its claim.
-	Patience time.Duration
+	ClaimDelay time.Duration
 }
 
 // ShouldClaim reports whether this VM should write a claim of the group now.
-func Take(o Belief) bool {
+func ShouldClaim(o Observation) bool {
 	switch {
-	case o.Held == nil:
-		return o.Waited >= o.Patience
-	case o.Held.Claim.GetLife() == o.Life:
+	case o.Current == nil:
+		return o.ClaimAge >= o.ClaimDelay
+	case o.Current.Claim.GetLife() == o.Incarnation:
 		// A claim that was handed over directly isn't in the store yet.
-		return o.Held.Claim.GetPassed() > 0
-	case o.Held.Claim.GetVm() == o.VM:
+		return o.Current.Claim.GetPassed() > 0
+	case o.Current.Claim.GetVm() == o.VM:
 		// The owner is an earlier incarnation of this VM, which has ended.
 		return true
-	case o.Dead:
-		return o.Waited >= o.Patience
+	case o.OwnerDead:
+		return o.ClaimAge >= o.ClaimDelay
 	default:
-		return min(o.Silent, o.Waited) >= heartbeat.Silence+o.Patience
+		return min(o.OwnerSilent, o.ClaimAge) >= heartbeat.Silence+o.ClaimDelay
 	}
 }
 
@@ -85,23 +85,23 @@
 const (
 	// weakCPUShare is the share of a core below which a VM is too weak to own a fully grown
 	// failure domain, whose owner uses up to a fifth of a core on average.
-	weakShare = 0.3
+	weakCPUShare = 0.3
 	// weakClaimDelay lets any stronger VM claim first.
-	weakPatience = 200 * time.Millisecond
+	weakClaimDelay = 200 * time.Millisecond
 	// claimDelaySteps and claimDelayStep separate the claims of equally strong VMs by more
 	// than a write to the store takes.
-	drawSteps = 8
-	drawStep  = 15 * time.Millisecond
+	claimDelaySteps = 8
+	claimDelayStep  = 15 * time.Millisecond
 )
 
 // ClaimDelay returns how long a VM delays its claims, derived from its share of a core and its
 // name.
-func PatienceOf(vm string, cpuShare float64) time.Duration {
+func ClaimDelay(vm string, cpuShare float64) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(vm))
-	delay := time.Duration(hash.Sum32()%drawSteps) * drawStep
-	if cpuShare < weakShare {
-		return weakPatience + delay
+	delay := time.Duration(hash.Sum32()%claimDelaySteps) * claimDelayStep
+	if cpuShare < weakCPUShare {
+		return weakClaimDelay + delay
 	}
 	return delay
 }
@@ -109,14 +109,14 @@
 // ChooseSuccessor returns the VM that takes over from a leaving owner: the strongest of the
 // failure domain. Among equals it is the one that started last, as the least likely one to leave
 // next.
-func Successor(domain string, pingers []heartbeat.Pinger) (heartbeat.Pinger, bool) {
+func ChooseSuccessor(domain string, pingers []heartbeat.Pinger) (heartbeat.Pinger, bool) {
 	var best heartbeat.Pinger
 	found := false
 	for _, p := range pingers {
 		if p.Leaving || p.FailureDomain != domain {
 			continue
 		}
-		if !found || better(p, best) {
+		if !found || isBetterSuccessor(p, best) {
 			best, found = p, true
 		}
 	}
@@ -125,21 +125,21 @@
 
 // handOverFactor is how many times an owner's share of a core another VM must have for the owner
 // to hand over to it without leaving itself.
-const muchStronger = 2
+const handOverFactor = 2
 
 // minSuccessorAge is how long the pings of a VM must have come before an owner that isn't leaving
 // hands over to it. By then a VM that has just started has read the claims and the configuration.
-const settledTime = 250 * time.Millisecond
+const minSuccessorAge = 250 * time.Millisecond
 
 // ShouldHandOver reports whether the best successor should own a group instead of its present
 // owner, whose share of a core is own.
-func Stronger(domain string, own int32, pingers []heartbeat.Pinger, now time.Duration) bool {
-	best, ok := Successor(domain, pingers)
-	return ok && best.CPUShare >= muchStronger*own && now-best.First >= settledTime
+func ShouldHandOver(domain string, own int32, pingers []heartbeat.Pinger, now time.Duration) bool {
+	best, ok := ChooseSuccessor(domain, pingers)
+	return ok && best.CPUShare >= handOverFactor*own && now-best.First >= minSuccessorAge
 }
 
 // isBetterSuccessor reports whether ChooseSuccessor prefers a to b.
-func better(a, b heartbeat.Pinger) bool {
+func isBetterSuccessor(a, b heartbeat.Pinger) bool {
 	if a.CPUShare != b.CPUShare {
 		return a.CPUShare > b.CPUShare
 	}
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -25,14 +25,14 @@
 // Times of the keeper.
 const (
 	// feedTimeout bounds how long a dead connection to the store goes unnoticed.
-	feedWait = 3 * time.Second
+	feedTimeout = 3 * time.Second
 	// decideInterval is the time between two decisions, a fraction of heartbeat.Silence.
 	decideInterval = 40 * time.Millisecond
 	// claimRetryInterval is the minimum time between two attempts to write a claim.
-	writePause = 250 * time.Millisecond
+	claimRetryInterval = 250 * time.Millisecond
 	// handOverWriteTimeout bounds the write of a handover, because a stopping process has
 	// little time.
-	handOverWrite = 400 * time.Millisecond
+	handOverWriteTimeout = 400 * time.Millisecond
 )
 
 // Store is the part of the platform's store that the keeper uses.
@@ -52,12 +52,12 @@
 	Self  heartbeat.Self
 	Group string
 	// ClaimDelay returns how long this VM delays its claims; nil means no delay.
-	Patience func() time.Duration
-	Log      *slog.Logger
+	ClaimDelay func() time.Duration
+	Log        *slog.Logger
 	// ClaimsChanged is called with all claims after each change; it must not block.
-	Changed func([]Held)
+	ClaimsChanged func([]GroupClaim)
 	// StoreAnswered is called when the store has answered; it must not block, and may be nil.
-	Heard func(now time.Duration)
+	StoreAnswered func(now time.Duration)
 	// Count counts changes of owners and unreadable rows; it must not block.
 	Count func(what, label string)
 }
@@ -70,26 +70,26 @@
 	peers   Peers
 
 	mu     sync.Mutex
-	claims map[string]Held
+	claims map[string]GroupClaim
 	// seenAt is when each claim was first seen in its present version.
-	known map[string]time.Duration
+	seenAt map[string]time.Duration
 	// claimsRead is set once the claims were read from the store.
-	read    bool
-	started time.Duration
-	leaving bool
-	lastTry time.Duration
+	claimsRead  bool
+	started     time.Duration
+	leaving     bool
+	lastAttempt time.Duration
 	// deadOwners holds the incarnations of owners whose processes have certainly ended.
-	dead map[uint64]bool
+	deadOwners map[uint64]bool
 }
 
 // New returns a keeper that claims nothing before it has read the claims.
 func New(o Options, store Store, peers Peers) *Keeper {
-	if o.Patience == nil {
-		o.Patience = func() time.Duration { return 0 }
+	if o.ClaimDelay == nil {
+		o.ClaimDelay = func() time.Duration { return 0 }
 	}
 	return &Keeper{
 		options: o, store: store, peers: peers,
-		claims: map[string]Held{}, known: map[string]time.Duration{}, dead: map[uint64]bool{}, started: bootclock.Now(),
+		claims: map[string]GroupClaim{}, seenAt: map[string]time.Duration{}, deadOwners: map[uint64]bool{}, started: bootclock.Now(),
 	}
 }
 
@@ -97,7 +97,7 @@
 func (k *Keeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		return mirror.Follow(ctx, k.store, mirror.Options{Table: claimsTable, Wait: feedWait, Log: k.options.Log, Heard: k.options.Heard}, k.take)
+		return mirror.Follow(ctx, k.store, mirror.Options{Table: claimsTable, FeedWait: feedTimeout, Log: k.options.Log, StoreAnswered: k.options.StoreAnswered}, k.applyUpdate)
 	})
 	g.Go(func() error { k.decide(ctx); return nil })
 	return g.Wait()
@@ -112,19 +112,19 @@
 
 // OwnerDied records that an incarnation of a VM has certainly ended, so that its group can be
 // claimed without waiting for its silence.
-func (k *Keeper) Died(incarnation uint64) {
+func (k *Keeper) OwnerDied(incarnation uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, claim := range k.claims {
-		if claim.Claim.GetLife() == incarnation && !k.dead[incarnation] {
+		if claim.Claim.GetLife() == incarnation && !k.deadOwners[incarnation] {
 			k.options.Log.Warn("owner died", "group", claim.Group, "owner", claim.Claim.GetVm())
-			k.dead[incarnation] = true
+			k.deadOwners[incarnation] = true
 		}
 	}
 }
 
 // Claim returns the claim of this VM's group, if it is known.
-func (k *Keeper) Claim() (Held, bool) {
+func (k *Keeper) Claim() (GroupClaim, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	claim, ok := k.claims[k.options.Group]
@@ -132,16 +132,16 @@
 }
 
 // Claims returns the claims of all groups, sorted by group.
-func (k *Keeper) Claims() []Held {
+func (k *Keeper) Claims() []GroupClaim {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.list()
+	return k.sortedClaims()
 }
 
 // sortedClaims is Claims for callers that hold the lock.
-func (k *Keeper) list() []Held {
+func (k *Keeper) sortedClaims() []GroupClaim {
 	list := slices.Collect(maps.Values(k.claims))
-	slices.SortFunc(list, func(a, b Held) int {
+	slices.SortFunc(list, func(a, b GroupClaim) int {
 		if a.Group < b.Group {
 			return -1
 		}
@@ -151,19 +151,19 @@
 }
 
 // Merge adds claims that another VM has read, wherever they are newer.
-func (k *Keeper) Merge(claims []Held) {
+func (k *Keeper) Merge(claims []GroupClaim) {
 	k.mu.Lock()
 	for _, claim := range claims {
-		k.adopt(claim)
+		k.keepNewer(claim)
 	}
 	k.mu.Unlock()
 	k.notify()
 }
 
 // applyUpdate adds the claims in rows of the store.
-func (k *Keeper) take(update mirror.Update) {
+func (k *Keeper) applyUpdate(update mirror.Update) {
 	k.mu.Lock()
-	k.read = true
+	k.claimsRead = true
 	for _, row := range update.Rows.Rows {
 		if row.Deleted {
 			continue
@@ -175,27 +175,27 @@
 			k.options.Log.Warn("row not understood", "table", claimsTable, "key", row.Key, "version", row.Version, "error", err)
 			claim = &linkpb.Claim{}
 		}
-		k.adopt(Held{Group: row.Key, Claim: claim, Version: row.Version})
+		k.keepNewer(GroupClaim{Group: row.Key, Claim: claim, Version: row.Version})
 	}
 	k.mu.Unlock()
 	k.notify()
 }
 
 // keepNewer keeps a claim if it is newer than the known one of its group.
-func (k *Keeper) adopt(claim Held) {
+func (k *Keeper) keepNewer(claim GroupClaim) {
 	old, known := k.claims[claim.Group]
-	if known && !claim.Newer(old) {
+	if known && !claim.IsNewerThan(old) {
 		return
 	}
 	if old.Claim.GetLife() != claim.Claim.GetLife() {
 		k.options.Count("owner_changes", claim.Group)
 	}
 	k.claims[claim.Group] = claim
-	k.known[claim.Group] = bootclock.Now()
+	k.seenAt[claim.Group] = bootclock.Now()
 	k.options.Log.Info("owner changed", "group", claim.Group, "owner", claim.Claim.GetVm(), "token", claim.Version)
 }
 
-func (k *Keeper) notify() { k.options.Changed(k.Claims()) }
+func (k *Keeper) notify() { k.options.ClaimsChanged(k.Claims()) }
 
 // decide calls claimIfDue at each decideInterval until the context ends.
 func (k *Keeper) decide(ctx context.Context) {
@@ -206,59 +206,59 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.consider(ctx)
+			k.claimIfDue(ctx)
 		}
 	}
 }
 
 // claimIfDue writes a claim for this VM if ShouldClaim says so, unless the claims aren't read yet,
 // this VM leaves, or the last attempt is too recent.
-func (k *Keeper) consider(ctx context.Context) {
+func (k *Keeper) claimIfDue(ctx context.Context) {
 	now := bootclock.Now()
 	k.mu.Lock()
-	observed := k.belief(now)
-	wanted := k.read && !k.leaving && now-k.lastTry >= writePause && Take(observed)
+	observed := k.observe(now)
+	wanted := k.claimsRead && !k.leaving && now-k.lastAttempt >= claimRetryInterval && ShouldClaim(observed)
 	if wanted {
-		k.lastTry = now
+		k.lastAttempt = now
 	}
 	k.mu.Unlock()
 	if !wanted {
 		return
 	}
-	k.options.Log.Info("claiming", "group", k.options.Group, "silent", observed.Silent, "waited", observed.Waited)
+	k.options.Log.Info("claiming", "group", k.options.Group, "silent", observed.OwnerSilent, "waited", observed.ClaimAge)
 	claim := &linkpb.Claim{
 		Vm: k.options.Self.VM, Life: k.options.Self.Life,
 		Control: k.options.Self.Control, Heartbeat: k.options.Self.Heartbeat,
 	}
 	expected := int64(0)
-	if observed.Held != nil {
-		expected = observed.Held.Version
+	if observed.Current != nil {
+		expected = observed.Current.Version
 	}
-	if err := k.write(ctx, claim, expected); err != nil {
+	if err := k.writeClaim(ctx, claim, expected); err != nil {
 		k.options.Log.Warn("claim not written", "group", k.options.Group, "error", err)
 	}
 }
 
 // observe returns what is known of the group now. The caller holds the lock. An owner that was
 // never heard counts as silent since its claim was first seen.
-func (k *Keeper) belief(now time.Duration) Belief {
-	o := Belief{VM: k.options.Self.VM, Life: k.options.Self.Life, Patience: k.options.Patience(), Waited: now - k.started}
+func (k *Keeper) observe(now time.Duration) Observation {
+	o := Observation{VM: k.options.Self.VM, Incarnation: k.options.Self.Life, ClaimDelay: k.options.ClaimDelay(), ClaimAge: now - k.started}
 	claim, ok := k.claims[k.options.Group]
 	if !ok {
 		return o
 	}
-	o.Held = &claim
-	o.Waited = now - k.known[claim.Group]
-	o.Silent = o.Waited
-	o.Dead = k.dead[claim.Claim.GetLife()]
+	o.Current = &claim
+	o.ClaimAge = now - k.seenAt[claim.Group]
+	o.OwnerSilent = o.ClaimAge
+	o.OwnerDead = k.deadOwners[claim.Claim.GetLife()]
 	if view, ok := k.peers.View(claim.Claim.GetLife()); ok && view.Heard > 0 {
-		o.Silent = now - view.Heard
+		o.OwnerSilent = now - view.Heard
 	}
 	return o
 }
 
 // writeClaim writes a claim to the store and merges it immediately, before the feed returns it.
-func (k *Keeper) write(ctx context.Context, claim *linkpb.Claim, expected int64) error {
+func (k *Keeper) writeClaim(ctx context.Context, claim *linkpb.Claim, expected int64) error {
 	value, err := proto.Marshal(claim)
 	if err != nil {
 		return err
@@ -268,7 +268,7 @@
 		// If the answer was lost, the row in the feed shows who owns the group.
 		return err
 	}
-	k.Merge([]Held{{Group: k.options.Group, Claim: claim, Version: version}})
+	k.Merge([]GroupClaim{{Group: k.options.Group, Claim: claim, Version: version}})
 	return nil
 }
 
@@ -276,7 +276,7 @@
 var ErrNoSuccessor = errors.New("no successor: no other VM of the failure domain sends heartbeats")
 
 // ConfirmOwnership asks the store whether this VM's claim is still the newest one of the group.
-func (k *Keeper) Confirm(ctx context.Context) (bool, error) {
+func (k *Keeper) ConfirmOwnership(ctx context.Context) (bool, error) {
 	rows, err := k.store.Get(ctx, claimsTable, "", k.options.Group)
 	if err != nil {
 		return false, err
@@ -289,15 +289,15 @@
 }
 
 // ClaimSender tells another VM directly that it owns a group now.
-type Passer interface {
-	Pass(ctx context.Context, address string, claim Held) error
+type ClaimSender interface {
+	HandOverClaim(ctx context.Context, address string, claim GroupClaim) error
 }
 
 // HandOver makes another VM the owner of the group, which this VM owns: through the store or,
 // while the store is away, by a direct message. Both are safe, because only this VM holds the
 // token that the targets accept, and so only this VM can give up the claim.
-func (k *Keeper) HandOver(ctx context.Context, pingers []heartbeat.Pinger, sender Passer) error {
-	to, ok := Successor(k.options.Self.FailureDomain, pingers)
+func (k *Keeper) HandOver(ctx context.Context, pingers []heartbeat.Pinger, sender ClaimSender) error {
+	to, ok := ChooseSuccessor(k.options.Self.FailureDomain, pingers)
 	if !ok {
 		return ErrNoSuccessor
 	}
@@ -308,17 +308,17 @@
 		Vm: to.VM, Life: to.Life, Control: to.Control, Heartbeat: to.Heartbeat,
 		Former: &linkpb.Former{Life: k.options.Self.Life, Control: k.options.Self.Control},
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverWrite)
+	ctx, cancel := context.WithTimeout(ctx, handOverWriteTimeout)
 	defer cancel()
-	err := k.write(ctx, claim, own.Version)
+	err := k.writeClaim(ctx, claim, own.Version)
 	if err == nil || errors.Is(err, platform.ErrConflict) {
 		return err
 	}
 	k.options.Log.Warn("passing the claim on without the store", "group", k.options.Group, "to", to.VM, "error", err)
 	claim.Passed = own.Claim.GetPassed() + 1
-	handedOver := Held{Group: k.options.Group, Claim: claim, Version: own.Version}
+	handedOver := GroupClaim{Group: k.options.Group, Claim: claim, Version: own.Version}
 	// The claim is merged also if no answer came, because the successor may own the group.
-	err = sender.Pass(context.WithoutCancel(ctx), to.Control, handedOver)
-	k.Merge([]Held{handedOver})
+	err = sender.HandOverClaim(context.WithoutCancel(ctx), to.Control, handedOver)
+	k.Merge([]GroupClaim{handedOver})
 	return err
 }
--- a/processor/bench_test.go
+++ b/processor/bench_test.go
@@ -6,6 +6,6 @@
 func BenchmarkSample(b *testing.B) {
 	data := make([]byte, sampleBytes)
 	for b.Loop() {
-		sample(data)
+		runSample(data)
 	}
 }
--- a/processor/processor.go
+++ b/processor/processor.go
@@ -18,29 +18,29 @@
 const (
 	// sampleInterval is the time between two samples. A slowdown shows within half a second,
 	// and sampling takes less than a thousandth of a core.
-	interval = 100 * time.Millisecond
+	sampleInterval = 100 * time.Millisecond
 	// recentSamples is how many samples give the present speed. The fastest of them counts,
 	// because interruptions can only make a sample slower.
-	recent = 5
+	recentSamples = 5
 	// samplePasses over sampleBytes take some 50 microseconds of a core. That is a thousand
 	// times the error of the clock, and uses little of the core's caches.
 	samplePasses = 32
 	sampleBytes  = 64 << 10
 	// undisturbedSpeed is the speed from which a processor counts as undisturbed, because its
 	// caches and its clock frequency cause variations of that size.
-	steady = 0.7
+	undisturbedSpeed = 0.7
 )
 
 // Speed estimates the present speed of a processor as a fraction of its best speed.
 // The zero value is ready to use.
 type Speed struct {
-	samples [recent]time.Duration
+	samples [recentSamples]time.Duration
 	count   int
 	// best is the shortest time within which two samples in a row were done. A single short
 	// sample may be an error of the clock, which would make all later samples look slow.
 	best time.Duration
 	// previous is the sample before.
-	last time.Duration
+	previous time.Duration
 }
 
 // Add adds the duration of a sample. It ignores samples during which the clock didn't advance.
@@ -48,25 +48,25 @@
 	if took <= 0 {
 		return
 	}
-	s.samples[s.count%recent] = took
+	s.samples[s.count%recentSamples] = took
 	s.count++
-	if pair := max(took, s.last); s.count > 1 && (s.best == 0 || pair < s.best) {
+	if pair := max(took, s.previous); s.count > 1 && (s.best == 0 || pair < s.best) {
 		s.best = pair
 	}
-	s.last = took
+	s.previous = took
 }
 
 // Fraction returns the present speed as a fraction of the best one, from 0 to 1. It is 1 while
 // there are too few samples.
-func (s *Speed) Share() float64 {
-	if s.count < recent {
+func (s *Speed) Fraction() float64 {
+	if s.count < recentSamples {
 		return 1
 	}
 	fastest := s.samples[0]
 	for _, took := range s.samples {
 		fastest = min(fastest, took)
 	}
-	if fraction := float64(s.best) / float64(fastest); fraction < steady {
+	if fraction := float64(s.best) / float64(fastest); fraction < undisturbedSpeed {
 		return fraction
 	}
 	return 1
@@ -81,14 +81,14 @@
 // NewMeter returns a meter for a VM whose settings declare this share of a core.
 func NewMeter(declared float64) *Meter {
 	m := &Meter{declared: declared}
-	m.set(1)
+	m.setSpeed(1)
 	return m
 }
 
 // perMille is the number of units in a core.
 const perMille = 1000
 
-func (m *Meter) set(speed float64) { m.share.Store(int64(m.declared * speed * perMille)) }
+func (m *Meter) setSpeed(speed float64) { m.share.Store(int64(m.declared * speed * perMille)) }
 
 // PerMille returns the share of a core at the present speed, in thousandths.
 func (m *Meter) PerMille() int32 { return int32(m.share.Load()) }
@@ -100,7 +100,7 @@
 func (m *Meter) Run(ctx context.Context) {
 	var speed Speed
 	data := make([]byte, sampleBytes)
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,21 +108,21 @@
 			return
 		case <-ticker.C:
 			began := time.Now()
-			sample(data)
+			runSample(data)
 			speed.Add(time.Since(began))
-			m.set(speed.Share())
+			m.setSpeed(speed.Fraction())
 		}
 	}
 }
 
 // runSample does work of a fixed size.
-func sample(data []byte) {
+func runSample(data []byte) {
 	sum := uint32(0)
 	for range samplePasses {
 		sum = crc32.Update(sum, crc32.IEEETable, data)
 	}
-	sink.Store(sum)
+	sampleResult.Store(sum)
 }
 
 // sampleResult keeps the compiler from omitting the work of a sample.
-var sink atomic.Uint32
+var sampleResult atomic.Uint32
--- a/processor/processor_test.go
+++ b/processor/processor_test.go
@@ -33,13 +33,13 @@
 			for _, took := range test.samples {
 				s.Add(took)
 			}
-			must.Eq(t, test.want, s.Share())
+			must.Eq(t, test.want, s.Fraction())
 		})
 	}
 }
 
 // A meter returns the declared share until it has measured less, and ends with its context.
-func TestMeter(t *testing.T) {
+func TestMeterStartsAtTheDeclaredShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMeter(0.192)
 		must.Eq(t, 192, m.PerMille())
@@ -49,7 +49,7 @@
 		// The clock of the synctest bubble doesn't advance during a sample.
 		m.Run(ctx)
 		must.Eq(t, 192, m.PerMille())
-		m.set(0.25)
+		m.setSpeed(0.25)
 		must.Eq(t, 48, m.PerMille())
 	})
 }
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -16,7 +16,7 @@
 // BenchmarkMessages encodes a start and decodes its answer, which is the owner's work for an order
 // through a relay without that of the connection.
 func BenchmarkMessages(b *testing.B) {
-	order := work.Order{Run: work.Run{Task: "5c0e7a21d94b36f8.0.1.17", Number: 123456}, Payload: string(make([]byte, 200)), Until: 486000}
+	order := work.StartOrder{Run: work.RunID{Task: "5c0e7a21d94b36f8.0.1.17", Number: 123456}, Payload: string(make([]byte, 200)), LeaseUntilMS: 486000}
 	var answer bytes.Buffer
 	_, err := protodelim.MarshalTo(&answer, &linkpb.Carried{Sequence: 1 << 20, Verdict: int32(work.VerdictDone), ClockMs: 482113, StoreAgeUs: 1e6})
 	must.NoError(b, err)
@@ -48,7 +48,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if f.Start(b.Context(), to, work.Order{}, 1).Verdict != work.VerdictDone {
+			if f.Start(b.Context(), to, work.StartOrder{}, 1).Verdict != work.VerdictDone {
 				b.Error("no answer")
 			}
 		}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -19,37 +19,37 @@
 
 // Targets sends orders to targets.
 type Targets interface {
-	Start(ctx context.Context, to work.Address, order work.Order, token int64) work.OrderAnswer
-	Stop(ctx context.Context, to work.Address, run work.Run, token int64) work.OrderAnswer
-	Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict)
+	Start(ctx context.Context, to work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer
+	Stop(ctx context.Context, to work.TargetAddress, run work.RunID, token int64) work.OrderAnswer
+	Poll(ctx context.Context, to work.TargetAddress, token, until, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict)
 }
 
 // maxMessageBytes bounds a message; the largest lists all runs and completions of a target.
 const maxFrame = 1 << 20
 
-func runToWire(r work.Run) *linkpb.Run { return &linkpb.Run{Task: r.Task, Number: r.Number} }
+func runToWire(r work.RunID) *linkpb.Run { return &linkpb.Run{Task: r.Task, Number: r.Number} }
 
-func runFromWire(r *linkpb.Run) work.Run {
-	return work.Run{Task: r.GetTask(), Number: r.GetNumber()}
+func runFromWire(r *linkpb.Run) work.RunID {
+	return work.RunID{Task: r.GetTask(), Number: r.GetNumber()}
 }
 
-func startToWire(o work.Order) *linkpb.Carry_Start {
+func startToWire(o work.StartOrder) *linkpb.Carry_Start {
 	return &linkpb.Carry_Start{Start: &linkpb.CarryStart{
-		Run: runToWire(o.Run), Payload: o.Payload, Saved: o.Saved, Ticket: o.Ticket, UntilMs: o.Until,
+		Run: runToWire(o.Run), Payload: o.Payload, Saved: o.SavedState, Ticket: o.Ticket, UntilMs: o.LeaseUntilMS,
 	}}
 }
 
-func startFromWire(s *linkpb.CarryStart) work.Order {
-	return work.Order{Run: runFromWire(s.GetRun()), Payload: s.GetPayload(), Saved: s.GetSaved(), Ticket: s.GetTicket(), Until: s.GetUntilMs()}
+func startFromWire(s *linkpb.CarryStart) work.StartOrder {
+	return work.StartOrder{Run: runFromWire(s.GetRun()), Payload: s.GetPayload(), SavedState: s.GetSaved(), Ticket: s.GetTicket(), LeaseUntilMS: s.GetUntilMs()}
 }
 
-func heldToWire(held work.Held) *linkpb.Carried {
-	wire := &linkpb.Carried{ClockMs: held.Clock, Life: held.Life}
+func heldToWire(held work.PollAnswer) *linkpb.Carried {
+	wire := &linkpb.Carried{ClockMs: held.ClockMS, Life: held.Incarnation}
 	for _, running := range held.Running {
-		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(running.Run), Saved: running.Saved})
+		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(running.Run), Saved: running.SavedState})
 	}
-	for _, end := range held.Ended {
-		wire.Ended = append(wire.Ended, &linkpb.EndedRun{Number: end.Number, Run: runToWire(end.Run), Kind: string(end.Kind), Saved: end.Saved})
+	for _, end := range held.Completions {
+		wire.Ended = append(wire.Ended, &linkpb.EndedRun{Number: end.Number, Run: runToWire(end.Run), Kind: string(end.Kind), Saved: end.SavedState})
 	}
 	if c := held.Capacity; c != nil {
 		wire.Capacity = &linkpb.Resources{Cpu: c.CPU, MemoryMb: c.MemoryMB, Gpu: c.GPU}
@@ -57,14 +57,14 @@
 	return wire
 }
 
-func heldFromWire(wire *linkpb.Carried) work.Held {
-	held := work.Held{Clock: wire.GetClockMs(), Life: wire.GetLife()}
+func heldFromWire(wire *linkpb.Carried) work.PollAnswer {
+	held := work.PollAnswer{ClockMS: wire.GetClockMs(), Incarnation: wire.GetLife()}
 	for _, running := range wire.GetRunning() {
-		held.Running = append(held.Running, work.Running{Run: runFromWire(running.GetRun()), Saved: running.GetSaved()})
+		held.Running = append(held.Running, work.RunningRun{Run: runFromWire(running.GetRun()), SavedState: running.GetSaved()})
 	}
 	for _, end := range wire.GetEnded() {
-		held.Ended = append(held.Ended, work.End{
-			Number: end.GetNumber(), Run: runFromWire(end.GetRun()), Kind: work.EndKind(end.GetKind()), Saved: end.GetSaved(),
+		held.Completions = append(held.Completions, work.Completion{
+			Number: end.GetNumber(), Run: runFromWire(end.GetRun()), Kind: work.CompletionKind(end.GetKind()), SavedState: end.GetSaved(),
 		})
 	}
 	if c := wire.GetCapacity(); c != nil {
--- a/relay/router.go
+++ b/relay/router.go
@@ -201,7 +201,7 @@
 }
 
 // Start implements Targets.
-func (r *Router) Start(ctx context.Context, to work.Address, order work.Order, token int64) work.OrderAnswer {
+func (r *Router) Start(ctx context.Context, to work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer {
 	s := r.usable(to.ID)
 	if s == nil || r.options.StoreAge() > freshStore && s.storeAge() < r.options.StoreAge() {
 		r.options.Count("start_routes", "own")
@@ -212,7 +212,7 @@
 }
 
 // Stop implements Targets.
-func (r *Router) Stop(ctx context.Context, to work.Address, run work.Run, token int64) work.OrderAnswer {
+func (r *Router) Stop(ctx context.Context, to work.TargetAddress, run work.RunID, token int64) work.OrderAnswer {
 	s := r.usable(to.ID)
 	if s == nil {
 		return r.options.Direct.Stop(ctx, to, run, token)
@@ -221,14 +221,14 @@
 }
 
 // sendOrder has a relay send a start or a stop and waits for the answer.
-func (r *Router) order(ctx context.Context, s *stream, to work.Address, carry *linkpb.Carry) work.OrderAnswer {
+func (r *Router) order(ctx context.Context, s *stream, to work.TargetAddress, carry *linkpb.Carry) work.OrderAnswer {
 	answer := s.call(ctx, to, carry, orderTime+answerSlack, true)
-	return work.OrderAnswer{Verdict: work.Verdict(answer.GetVerdict()), Clock: answer.GetClockMs()}
+	return work.OrderAnswer{Verdict: work.Verdict(answer.GetVerdict()), ClockMS: answer.GetClockMs()}
 }
 
 // Poll implements Targets. It limits the polls without a wait that this VM itself sends, since a
 // new owner sends one to each of its targets at once.
-func (r *Router) Look(ctx context.Context, to work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict) {
+func (r *Router) Poll(ctx context.Context, to work.TargetAddress, token, until, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
 	if s := r.route(to.ID); s != nil {
 		s.awaitConnection(ctx)
 	}
@@ -239,7 +239,7 @@
 		s = r.usable(to.ID)
 	}
 	if s == nil {
-		return r.options.Direct.Look(ctx, to, token, until, seen, wait)
+		return r.options.Direct.Poll(ctx, to, token, until, seen, wait)
 	}
 	answer := s.call(ctx, to, &linkpb.Carry{Token: token, What: &linkpb.Carry_Look{Look: &linkpb.CarryLook{
 		UntilMs: until, Seen: seen, WaitUs: wait.Microseconds(),
--- a/relay/router_test.go
+++ b/relay/router_test.go
@@ -24,7 +24,7 @@
 // fakeTargets answers all orders and polls.
 type fakeTargets struct {
 	mu     sync.Mutex
-	starts []work.Order
+	starts []work.StartOrder
 	looks  atomic.Int64
 	// activePolls and maxActivePolls count the simultaneous polls.
 	now, most atomic.Int64
@@ -32,7 +32,7 @@
 	held chan struct{}
 }
 
-func (f *fakeTargets) Start(ctx context.Context, _ work.Address, order work.Order, token int64) work.OrderAnswer {
+func (f *fakeTargets) Start(ctx context.Context, _ work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer {
 	f.mu.Lock()
 	f.starts = append(f.starts, order)
 	held := f.held
@@ -44,22 +44,22 @@
 			return work.OrderAnswer{}
 		}
 	}
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: token}
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: token}
 }
 
-func (f *fakeTargets) Stop(context.Context, work.Address, work.Run, int64) work.OrderAnswer {
-	return work.OrderAnswer{Verdict: work.VerdictOld, Clock: 9}
+func (f *fakeTargets) Stop(context.Context, work.TargetAddress, work.RunID, int64) work.OrderAnswer {
+	return work.OrderAnswer{Verdict: work.VerdictStaleRun, ClockMS: 9}
 }
 
-func (f *fakeTargets) Look(_ context.Context, _ work.Address, token, until, seen int64, wait time.Duration) (work.Held, work.Verdict) {
+func (f *fakeTargets) Poll(_ context.Context, _ work.TargetAddress, token, until, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
 	f.looks.Add(1)
 	f.most.Store(max(f.most.Load(), f.now.Add(1)))
 	defer f.now.Add(-1)
 	time.Sleep(time.Millisecond)
-	run := work.Run{Task: "j.0.0.0", Number: 7}
-	return work.Held{
-		Clock: token, Life: until, Capacity: &work.Resources{CPU: seen, MemoryMB: wait.Milliseconds()},
-		Running: []work.Running{{Run: run, Saved: "s"}}, Ended: []work.End{{Number: 3, Run: run, Kind: work.EndDone, Saved: "t"}},
+	run := work.RunID{Task: "j.0.0.0", Number: 7}
+	return work.PollAnswer{
+		ClockMS: token, Incarnation: until, Capacity: &work.Resources{CPU: seen, MemoryMB: wait.Milliseconds()},
+		Running: []work.RunningRun{{Run: run, SavedState: "s"}}, Completions: []work.Completion{{Number: 3, Run: run, Kind: work.CompletionDone, SavedState: "t"}},
 	}, work.VerdictDone
 }
 
@@ -128,8 +128,8 @@
 	return f
 }
 
-func address(i int) work.Address {
-	return work.Address{ID: fmt.Sprintf("t%03d", i), Address: "127.0.0.1:1"}
+func address(i int) work.TargetAddress {
+	return work.TargetAddress{ID: fmt.Sprintf("t%03d", i), Address: "127.0.0.1:1"}
 }
 
 // pollAll polls all targets once, without a wait.
@@ -137,7 +137,7 @@
 	var wait sync.WaitGroup
 	for i := range f.targets {
 		wait.Go(func() {
-			_, verdict := f.Look(t.Context(), address(i), 1, 0, 0, 0)
+			_, verdict := f.Poll(t.Context(), address(i), 1, 0, 0, 0)
 			must.Eq(t, work.VerdictDone, verdict)
 		})
 	}
@@ -145,7 +145,7 @@
 }
 
 // relayedTarget waits until a relay is connected and returns a target that it serves.
-func (f *fleet) carried(t testing.TB) work.Address {
+func (f *fleet) carried(t testing.TB) work.TargetAddress {
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for i := range f.targets {
 			if f.usable(address(i).ID) != nil {
@@ -154,22 +154,22 @@
 		}
 	}
 	t.Fatal("no target is served by a relay")
-	return work.Address{}
+	return work.TargetAddress{}
 }
 
 // Orders and answers pass through a relay unchanged.
 func TestRelaysCarryOrdersAndAnswers(t *testing.T) {
 	f := newFleet(t, 3, 100)
 	to := f.carried(t)
-	order := work.Order{Run: work.Run{Task: "j.0.0.1", Number: 5}, Payload: "p", Saved: "s", Ticket: "t", Until: 99}
-	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 11}, f.Start(t.Context(), to, order, 11))
-	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictOld, Clock: 9}, f.Stop(t.Context(), to, order.Run, 11))
-	held, verdict := f.Look(t.Context(), to, 12, 34, 56, 78*time.Millisecond)
+	order := work.StartOrder{Run: work.RunID{Task: "j.0.0.1", Number: 5}, Payload: "p", SavedState: "s", Ticket: "t", LeaseUntilMS: 99}
+	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 11}, f.Start(t.Context(), to, order, 11))
+	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictStaleRun, ClockMS: 9}, f.Stop(t.Context(), to, order.Run, 11))
+	held, verdict := f.Poll(t.Context(), to, 12, 34, 56, 78*time.Millisecond)
 	must.Eq(t, work.VerdictDone, verdict)
-	run := work.Run{Task: "j.0.0.0", Number: 7}
-	must.Eq(t, work.Held{
-		Clock: 12, Life: 34, Capacity: &work.Resources{CPU: 56, MemoryMB: 78},
-		Running: []work.Running{{Run: run, Saved: "s"}}, Ended: []work.End{{Number: 3, Run: run, Kind: work.EndDone, Saved: "t"}},
+	run := work.RunID{Task: "j.0.0.0", Number: 7}
+	must.Eq(t, work.PollAnswer{
+		ClockMS: 12, Incarnation: 34, Capacity: &work.Resources{CPU: 56, MemoryMB: 78},
+		Running: []work.RunningRun{{Run: run, SavedState: "s"}}, Completions: []work.Completion{{Number: 3, Run: run, Kind: work.CompletionDone, SavedState: "t"}},
 	}, held)
 	must.Eq(t, 0, f.direct.started())
 	starts := 0
@@ -205,14 +205,14 @@
 	f.relays[0].held = make(chan struct{})
 	f.relays[0].mu.Unlock()
 	answers := make(chan work.OrderAnswer, 1)
-	go func() { answers <- f.Start(t.Context(), to, work.Order{}, 1) }()
+	go func() { answers <- f.Start(t.Context(), to, work.StartOrder{}, 1) }()
 	for f.relays[0].started() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	f.gone[0].Store(true)
 	f.stops[0]()
-	must.Eq(t, work.VerdictBroken, (<-answers).Verdict)
-	must.Eq(t, work.VerdictDone, f.Start(t.Context(), to, work.Order{}, 1).Verdict)
+	must.Eq(t, work.VerdictConnectionLost, (<-answers).Verdict)
+	must.Eq(t, work.VerdictDone, f.Start(t.Context(), to, work.StartOrder{}, 1).Verdict)
 	must.Eq(t, 1, f.direct.started())
 }
 
@@ -223,16 +223,16 @@
 	f.relays[0].mu.Lock()
 	f.relays[0].held = make(chan struct{})
 	f.relays[0].mu.Unlock()
-	must.Eq(t, work.VerdictUnknown, f.Start(t.Context(), to, work.Order{}, 1).Verdict)
+	must.Eq(t, work.VerdictUnknown, f.Start(t.Context(), to, work.StartOrder{}, 1).Verdict)
 	s, answered := f.usable(to.ID), make(chan struct{})
 	go func() {
 		defer close(answered)
-		s.call(t.Context(), to, &linkpb.Carry{What: startToWire(work.Order{})}, 30*time.Second, true)
+		s.call(t.Context(), to, &linkpb.Carry{What: startToWire(work.StartOrder{})}, 30*time.Second, true)
 	}()
 	for began := time.Now(); s.answers(bootclock.Now()); time.Sleep(time.Millisecond) {
 		must.Less(t, 20*time.Second, time.Since(began))
 	}
-	must.Eq(t, work.VerdictDone, f.Start(t.Context(), to, work.Order{}, 1).Verdict)
+	must.Eq(t, work.VerdictDone, f.Start(t.Context(), to, work.StartOrder{}, 1).Verdict)
 	must.Eq(t, 1, f.direct.started())
 	close(f.relays[0].held)
 	<-answered
@@ -263,7 +263,7 @@
 	go func() { done <- server.Serve(ctx, short) }()
 	s := openStream(ctx, VM{Name: "vm", Address: listener.Addr().String()}, server.Log)
 	s.awaitConnection(ctx)
-	answer := s.call(ctx, address(1), &linkpb.Carry{Token: 5, What: startToWire(work.Order{})}, 5*time.Second, true)
+	answer := s.call(ctx, address(1), &linkpb.Carry{Token: 5, What: startToWire(work.StartOrder{})}, 5*time.Second, true)
 	must.Eq(t, int64(5), answer.GetClockMs())
 	s.close()
 	cancel()
@@ -276,9 +276,9 @@
 	f := newFleet(t, 2, 100)
 	to := f.carried(t)
 	f.age.Store(int64(freshStore + 1))
-	f.Start(t.Context(), to, work.Order{}, 1)
+	f.Start(t.Context(), to, work.StartOrder{}, 1)
 	must.Eq(t, 1, f.direct.started())
-	_, verdict := f.Look(t.Context(), to, 1, 0, 0, 0)
+	_, verdict := f.Poll(t.Context(), to, 1, 0, 0, 0)
 	must.Eq(t, work.VerdictDone, verdict)
 	must.Eq(t, int64(0), f.direct.looks.Load())
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -134,7 +134,7 @@
 // forward sends an order to its target and returns the answer. A start that has waited too long
 // is not sent.
 func (s *Server) send(ctx context.Context, order *linkpb.Carry, received time.Duration) *linkpb.Carried {
-	to := work.Address{ID: order.GetId(), Address: order.GetAddress()}
+	to := work.TargetAddress{ID: order.GetId(), Address: order.GetAddress()}
 	switch what := order.GetWhat().(type) {
 	case *linkpb.Carry_Start:
 		if bootclock.Now()-received > staleCarry {
@@ -148,7 +148,7 @@
 	case *linkpb.Carry_Look:
 		s.Count("carried", "look")
 		poll := what.Look
-		held, verdict := s.Targets.Look(ctx, to, order.GetToken(), poll.GetUntilMs(), poll.GetSeen(), time.Duration(poll.GetWaitUs())*time.Microsecond)
+		held, verdict := s.Targets.Poll(ctx, to, order.GetToken(), poll.GetUntilMs(), poll.GetSeen(), time.Duration(poll.GetWaitUs())*time.Microsecond)
 		answer := heldToWire(held)
 		answer.Verdict = int32(verdict)
 		return answer
@@ -159,7 +159,7 @@
 
 // orderAnswerToWire converts the answer to a start or a stop.
 func orderAnswer(a work.OrderAnswer) *linkpb.Carried {
-	return &linkpb.Carried{Verdict: int32(a.Verdict), ClockMs: a.Clock}
+	return &linkpb.Carried{Verdict: int32(a.Verdict), ClockMs: a.ClockMS}
 }
 
 // writeMessages writes messages until the context ends or the connection breaks.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -148,13 +148,13 @@
 	s.broken = bootclock.Now()
 	s.mu.Unlock()
 	for _, c := range pending {
-		c.answer <- &linkpb.Carried{Verdict: int32(work.VerdictBroken)}
+		c.answer <- &linkpb.Carried{Verdict: int32(work.VerdictConnectionLost)}
 	}
 }
 
 // call has the relay send an order or a poll and waits for the answer. The verdict is
 // VerdictUnsent if the call was not written, VerdictUnknown if there is no answer in time.
-func (s *stream) call(ctx context.Context, to work.Address, carry *linkpb.Carry, timeout time.Duration, prompt bool) *linkpb.Carried {
+func (s *stream) call(ctx context.Context, to work.TargetAddress, carry *linkpb.Carry, timeout time.Duration, prompt bool) *linkpb.Carried {
 	c := &call{answer: make(chan *linkpb.Carried, 1), prompt: prompt}
 	s.mu.Lock()
 	if !s.open {
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -212,17 +212,17 @@
 
 // recordDemand updates the averages of needs and demand with an accepted job.
 func (p *pool) met(now time.Duration, j *job) {
-	if j.steps[0].Fills {
+	if j.steps[0].Background {
 		return
 	}
-	cpu := float64(max(j.steps[0].Each.CPU, 1))
+	cpu := float64(max(j.steps[0].PerTask.CPU, 1))
 	if p.usualCPU == 0 {
 		p.usualCPU = cpu
 	}
 	p.usualCPU += usualWeight * (cpu - p.usualCPU)
 	p.decay(now)
 	for _, st := range j.steps[:len(j.sub.Job.Steps)] {
-		p.demand[priorityOf(j.sub.Queue)] += float64(st.Each.CPU) * float64(st.Tasks) * st.expected.Seconds()
+		p.demand[priorityOf(j.sub.Queue)] += float64(st.PerTask.CPU) * float64(st.Tasks) * st.expected.Seconds()
 	}
 }
 
@@ -256,8 +256,8 @@
 	var n need
 	for _, st := range j.current() {
 		if j.ready(st) {
-			n.each = max(n.each, st.Each.CPU)
-			n.total += st.Each.CPU * int64(len(st.pending))
+			n.each = max(n.each, st.PerTask.CPU)
+			n.total += st.PerTask.CPU * int64(len(st.pending))
 		}
 	}
 	return n
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -114,7 +114,7 @@
 
 // fitsEmpty reports whether a target with no runs could hold a task of the step.
 func (st *step) fitsOn(t *target) bool {
-	return st.Each.Fits(t.Capacity) && st.filling <= t.Capacity.CPU && (st.Label == "" || slices.Contains(t.Labels, st.Label))
+	return st.PerTask.FitsIn(t.Capacity) && st.filling <= t.Capacity.CPU && (st.RequiredLabel == "" || slices.Contains(t.Labels, st.RequiredLabel))
 }
 
 // Advised takes the adviser's answer on the targets that an AskAdviser named. Without an answer
