--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -12,24 +12,24 @@
 // over by message, while orders under the old token are still on their way.
 func Settle(verdict work.Verdict, sent, current int64) work.Verdict {
 	if verdict == work.VerdictFenced && sent < current {
-		return work.VerdictOvertaken
+		return work.VerdictStaleToken
 	}
 	return verdict
 }
 
 // HandleStartAnswer takes a target's answer to a StartRun.
-func (s *State) Started(now time.Duration, id string, order work.Run, answer work.OrderAnswer) {
+func (s *State) Started(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
 	s.resend.heard(answer.Verdict)
 	t := s.targets[id]
 	if t == nil {
 		return
 	}
-	if t.restarted(answer.Clock) {
+	if t.restarted(answer.ClockMS) {
 		s.renew(now, t, "its clock restarted")
 	}
-	t.readClock(now, answer.Clock)
+	t.readClock(now, answer.ClockMS)
 	r := t.runs[order.Task]
-	if r == nil || r.Run != order {
+	if r == nil || r.RunID != order {
 		s.answeredElsewhere(now, t, answer.Verdict)
 		return
 	}
@@ -37,7 +37,7 @@
 	switch verdict := answer.Verdict; {
 	case verdict == work.VerdictDone:
 		s.began(r)
-	case verdict == work.VerdictBroken && s.startAtOnce(now, r):
+	case verdict == work.VerdictConnectionLost && s.startAtOnce(now, r):
 	case unanswered(verdict):
 		if r.copies.waiting <= 0 || now-r.ordered >= answerTime {
 			s.unanswered(now, t, r)
@@ -51,7 +51,7 @@
 
 // isUnanswered reports whether an order may have been carried out although no answer came.
 func unanswered(verdict work.Verdict) bool {
-	return verdict == work.VerdictUnknown || verdict == work.VerdictBroken
+	return verdict == work.VerdictUnknown || verdict == work.VerdictConnectionLost
 }
 
 // handleCopyRefusal takes the refusal of one of several copies of a start. The refusal tells
@@ -59,12 +59,12 @@
 // target lists its completion.
 func (s *State) copyRefused(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	switch {
-	case verdict == work.VerdictGone || verdict == work.VerdictFenced:
+	case verdict == work.VerdictMisdirected || verdict == work.VerdictFenced:
 		// Another copy may have started the run in the previous incarnation or under the
 		// previous token: the job still counts as started.
 		s.answeredElsewhere(now, t, verdict)
 	case r.state != ordered:
-	case verdict == work.VerdictOld && r.stop == nil:
+	case verdict == work.VerdictStaleRun && r.stop == nil:
 		s.began(r)
 	case verdict == work.VerdictUnsent && r.copies.waiting > 0:
 	default:
@@ -76,7 +76,7 @@
 // answers, or that the target obeys another owner.
 func (s *State) answeredElsewhere(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
-	case work.VerdictGone:
+	case work.VerdictMisdirected:
 		s.lose(now, t, "another incarnation answers at its address")
 	case work.VerdictFenced:
 		if s.foreign(t) {
@@ -144,7 +144,7 @@
 	s.emit(Note{What: "start refused", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Detail: verdict.String(), Age: now - r.ordered})
 	j.mark(now, "start refused", r.Task, t.ID, verdict.String())
 	j.begun--
-	if verdict == work.VerdictTicket {
+	if verdict == work.VerdictInvalidTicket {
 		r.task.step.unticketed(t.ID)
 	}
 	s.release(r)
@@ -157,14 +157,14 @@
 // applyRefusal updates the state of a target after it refused an order.
 func (s *State) blame(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
-	case work.VerdictGone, work.VerdictFenced:
+	case work.VerdictMisdirected, work.VerdictFenced:
 		s.answeredElsewhere(now, t, verdict)
 	case work.VerdictUnsent:
 		s.silence(now, t, "no connection")
 	case work.VerdictUnhealthy, work.VerdictInvalid:
 		t.health.suspend(now)
 		s.touch(t)
-	case work.VerdictOvertaken, work.VerdictTicket:
+	case work.VerdictStaleToken, work.VerdictInvalidTicket:
 	default:
 		t.blocked = now + roomPause
 	}
@@ -175,24 +175,24 @@
 const roomPause = 30 * time.Millisecond
 
 // HandleStopAnswer takes a target's answer to a StopRun.
-func (s *State) Stopped(now time.Duration, id string, order work.Run, answer work.OrderAnswer) {
+func (s *State) Stopped(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
 	s.resend.heard(answer.Verdict)
 	t := s.targets[id]
 	if t == nil {
 		return
 	}
-	if t.restarted(answer.Clock) {
+	if t.restarted(answer.ClockMS) {
 		s.renew(now, t, "its clock restarted")
 	}
-	t.readClock(now, answer.Clock)
-	agreed := answer.Verdict == work.VerdictDone || answer.Verdict == work.VerdictOld
+	t.readClock(now, answer.ClockMS)
+	agreed := answer.Verdict == work.VerdictDone || answer.Verdict == work.VerdictStaleRun
 	if try := t.strangers[order]; try != nil && agreed {
 		try.acked = now
 	}
-	if r := t.runs[order.Task]; r != nil && r.Run == order && r.stop != nil && agreed && r.stop.acked == 0 {
+	if r := t.runs[order.Task]; r != nil && r.RunID == order && r.stop != nil && agreed && r.stop.acked == 0 {
 		r.stop.acked = now
 	}
-	if answer.Verdict == work.VerdictOvertaken {
+	if answer.Verdict == work.VerdictStaleToken {
 		s.emit(StopRun{To: t.address(), Run: order})
 	}
 	s.answeredElsewhere(now, t, answer.Verdict)
@@ -209,7 +209,7 @@
 }
 
 // HandlePollAnswer takes a target's answer to the poll that was first sent at the given time.
-func (s *State) Looked(now time.Duration, id string, at time.Duration, held work.Held, verdict work.Verdict) {
+func (s *State) Looked(now time.Duration, id string, at time.Duration, held work.PollAnswer, verdict work.Verdict) {
 	s.resend.heard(verdict)
 	t := s.targets[id]
 	if t == nil || !t.looking || at != t.look.At {
@@ -224,9 +224,9 @@
 	switch verdict {
 	case work.VerdictDone:
 		s.held(now, t, held)
-	case work.VerdictGone, work.VerdictFenced:
+	case work.VerdictMisdirected, work.VerdictFenced:
 		s.answeredElsewhere(now, t, verdict)
-	case work.VerdictOvertaken:
+	case work.VerdictStaleToken:
 	default:
 		s.missAnswer(now, t)
 		if t.failedLooks++; t.failedLooks >= silentLooks {
@@ -241,8 +241,8 @@
 
 // applyPoll takes what a target reports in a poll's answer: its incarnation and capacity, new
 // completions, and the runs in progress.
-func (s *State) held(now time.Duration, t *target, held work.Held) {
-	if !s.tellsLife(now, t, held.Life) {
+func (s *State) held(now time.Duration, t *target, held work.PollAnswer) {
+	if !s.tellsLife(now, t, held.Incarnation) {
 		return
 	}
 	if held.Capacity != nil {
@@ -253,14 +253,14 @@
 	t.barred = true
 	t.told = t.asked
 	t.answered = t.look.At
-	t.lease.read(held.Clock, now)
-	for _, end := range held.Ended {
+	t.lease.read(held.ClockMS, now)
+	for _, end := range held.Completions {
 		if end.Number > t.seen {
 			t.seen = end.Number
 			s.runEnded(now, t, end)
 		}
 	}
-	listed := make(map[work.Run]bool, len(held.Running))
+	listed := make(map[work.RunID]bool, len(held.Running))
 	for _, entry := range held.Running {
 		listed[entry.Run] = true
 		s.seenRunning(now, t, entry)
@@ -291,11 +291,11 @@
 }
 
 // handleListedRun takes a run that the target lists as running.
-func (s *State) seenRunning(now time.Duration, t *target, listed work.Running) {
-	if r := t.runs[listed.Run.Task]; r != nil && r.Run == listed.Run {
+func (s *State) seenRunning(now time.Duration, t *target, listed work.RunningRun) {
+	if r := t.runs[listed.Run.Task]; r != nil && r.RunID == listed.Run {
 		r.listed = true
-		if listed.Saved != "" {
-			r.saved = listed.Saved
+		if listed.SavedState != "" {
+			r.saved = listed.SavedState
 		}
 		if r.state != running && r.stop == nil {
 			s.began(r)
@@ -311,7 +311,7 @@
 }
 
 // stopUnknownRun stops a run whose owner or job this owner does not know.
-func (s *State) stopStranger(now time.Duration, t *target, unknown work.Run) {
+func (s *State) stopStranger(now time.Duration, t *target, unknown work.RunID) {
 	if t.strangers[unknown] == nil {
 		s.emit(Note{What: "stranger stopped", Task: unknown.Task, Target: t.ID})
 		t.strangers[unknown] = &orderTry{asked: now, sent: now}
@@ -321,9 +321,9 @@
 
 // endUnlistedRuns ends the runs that the target should list and doesn't: their completions
 // were lost, or they never started and can't start any more.
-func (s *State) missed(now time.Duration, t *target, listed map[work.Run]bool) {
+func (s *State) missed(now time.Duration, t *target, listed map[work.RunID]bool) {
 	for _, r := range t.sortedRuns() {
-		if listed[r.Run] {
+		if listed[r.RunID] {
 			continue
 		}
 		switch {
@@ -340,22 +340,22 @@
 const lookAfterStart = 300 * time.Millisecond
 
 // handleCompletion takes a completion that a target reports.
-func (s *State) runEnded(now time.Duration, t *target, end work.End) {
+func (s *State) runEnded(now time.Duration, t *target, end work.Completion) {
 	r := t.runs[end.Run.Task]
-	if r == nil || r.Run != end.Run {
+	if r == nil || r.RunID != end.Run {
 		s.orphaned(now, t, end)
 		return
 	}
-	if end.Saved != "" {
-		r.saved = end.Saved
+	if end.SavedState != "" {
+		r.saved = end.SavedState
 	}
 	switch {
 	case r.task.step.Lasting:
 		s.lost(now, r, "it ended: "+string(end.Kind))
-	case end.Kind == work.EndDone:
+	case end.Kind == work.CompletionDone:
 		s.note(t, r, end.Number, false)
 		s.done(now, t, r)
-	case end.Kind == work.EndFailed:
+	case end.Kind == work.CompletionFailed:
 		s.note(t, r, end.Number, true)
 		s.failed(now, t, r)
 	default:
@@ -415,7 +415,7 @@
 		return
 	}
 	poll := Look{To: t.address(), At: now, Seen: t.ackable()}
-	if t.Life != 0 && (t.failedLooks > 0 || now-t.lease.at > lifeTold) {
+	if t.Incarnation != 0 && (t.failedLooks > 0 || now-t.lease.at > lifeTold) {
 		poll.Seen = 0
 	}
 	switch {
--- a/scheduler/callers_world_test.go
+++ b/scheduler/callers_world_test.go
@@ -43,7 +43,7 @@
 	return Submission{
 		Ref: c.ref, Entry: "e", Wait: 5 * time.Second,
 		Job: work.Job{ID: c.id, Steps: []work.Step{{
-			Tasks: c.tasks, Each: work.Resources{CPU: 1}, Estimate: time.Duration(w.longest/2) * ms,
+			Tasks: c.tasks, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: time.Duration(w.longest/2) * ms,
 		}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 3, Stretch: 10, Allowance: 500 * ms},
 	}
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -15,7 +15,7 @@
 	b := newBench(t, Options{})
 	b.usable("a", 2000)
 	b.usable("b", 1000)
-	b.listed(work.Target{ID: "a", Capacity: work.Resources{CPU: 2000}, WarmIn: 10 * time.Second})
+	b.listed(work.Target{ID: "a", Capacity: work.Resources{CPU: 2000}, WarmUpLeft: 10 * time.Second})
 	b.submit("warm", 1, 1000, "")
 	first := pickEffects[StartRun](b.do())
 	must.Eq(t, "b", first[0].To.ID)
@@ -27,7 +27,7 @@
 	b.pass(700 * ms)
 	must.False(t, b.s.targets["a"].health.suspected)
 	must.MapEmpty(t, b.s.targets["a"].health.strikes)
-	b.look("a", ended(1, second[0].Run, work.EndDone))
+	b.look("a", ended(1, second[0].Run, work.CompletionDone))
 	must.Eq(t, 1, b.s.targets["a"].health.speed)
 	must.Eq(t, ratio, b.s.kindOf("q").ratio)
 	b.now += 10 * time.Second
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -70,7 +70,7 @@
 	delegated := pickEffects[Lend](effects)
 	must.SliceLen(t, 1, delegated)
 	b.s.Returned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
-	b.look("a", ended(1, first[0].Run, work.EndDone))
+	b.look("a", ended(1, first[0].Run, work.CompletionDone))
 	answers = pickEffects[Answer](b.do())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
@@ -84,7 +84,7 @@
 	b.begun(first)
 	b.usable("b", 4000)
 	b.s.Cordoned(b.now, true)
-	b.look("a", ended(1, first[0].Run, work.EndFailed))
+	b.look("a", ended(1, first[0].Run, work.CompletionFailed))
 	must.SliceEmpty(t, b.startsNow())
 	b.s.Cordoned(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
@@ -99,7 +99,7 @@
 		order := b.startsNow()[0]
 		b.s.Cordoned(b.now, true)
 		if broken {
-			b.s.Started(b.now, "a", order.Run, work.OrderAnswer{Verdict: work.VerdictBroken})
+			b.s.Started(b.now, "a", order.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
 		}
 		b.pass(100 * ms)
 		must.Eq(t, 1, b.starts[order.Run], must.Sprint("broken connection: ", broken))
@@ -131,7 +131,7 @@
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref:   b.ref,
-		Job:   work.Job{ID: "gang", Steps: []work.Step{{Tasks: 2, Gang: true, Each: work.Resources{CPU: 3000}, Estimate: 100 * ms}}},
+		Job:   work.Job{ID: "gang", Steps: []work.Step{{Tasks: 2, Gang: true, PerTask: work.Resources{CPU: 3000}, DeclaredRunTime: 100 * ms}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: 10 * time.Second},
 	})
 	b.pass(200 * ms)
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -189,11 +189,11 @@
 	if tk.excused == 0 && s.manyFell(t, tk.job) {
 		tk.excused++
 		tk.job.mark(now, "target lost with others", tk.name, t.ID, "")
-		s.noteCrash(tk, Crash{Target: t.ID, Life: t.Life, Excused: true})
+		s.noteCrash(tk, Crash{Target: t.ID, Life: t.Incarnation, Excused: true})
 		s.rememberTask(now, tk)
 		return
 	}
-	loss := &fall{Crash: Crash{Target: t.ID, Life: t.Life, Alone: r.alone && r.state == running}, at: now, after: now - r.ordered, task: tk}
+	loss := &fall{Crash: Crash{Target: t.ID, Life: t.Incarnation, Alone: r.alone && r.state == running}, at: now, after: now - r.ordered, task: tk}
 	tk.step.suspected = true
 	tk.falls = append(tk.fallen(), loss)
 	s.crashes.at[t.ID] = append(s.crashes.at[t.ID], loss)
@@ -317,7 +317,7 @@
 	for _, target := range slices.Sorted(maps.Keys(c.at)) {
 		t := s.targets[target]
 		switch {
-		case t == nil && s.listed, t != nil && c.at[target][0].Life < t.Life:
+		case t == nil && s.listed, t != nil && c.at[target][0].Life < t.Incarnation:
 			s.settleFalls(now, target)
 		case t != nil && now-c.at[target][0].at > fallPatience:
 			// The registry still lists the target, so its incarnation goes on.
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -25,13 +25,13 @@
 	id, rack := fmt.Sprintf("t%02d", i), fmt.Sprintf("r%d", i/2)
 	b.listed(work.Target{ID: id, Rack: rack, Labels: []string{"kind", rack}, Capacity: work.Resources{CPU: 4}})
 	b.do()
-	b.look(id, work.Held{Clock: 5000})
+	b.look(id, work.PollAnswer{ClockMS: 5000})
 }
 
 // confirmStarts answers starts as done.
 func (b *bench) begin(starts []StartRun) {
 	for _, start := range starts {
-		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000})
+		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
 	b.do()
 }
@@ -126,7 +126,7 @@
 			must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(start.To.ID)))
 			continue
 		}
-		b.look(start.To.ID, ended(1, start.Run, work.EndDone))
+		b.look(start.To.ID, ended(1, start.Run, work.CompletionDone))
 	}
 	var ends []JobEnded
 	for range 4 {
@@ -134,7 +134,7 @@
 		ends = append(ends, pickEffects[JobEnded](effects)...)
 		for _, start := range pickEffects[StartRun](effects) {
 			b.begin([]StartRun{start})
-			b.look(start.To.ID, ended(2, start.Run, work.EndDone))
+			b.look(start.To.ID, ended(2, start.Run, work.CompletionDone))
 		}
 	}
 	must.SliceLen(t, 1, ends)
@@ -150,7 +150,7 @@
 		id := fmt.Sprintf("t%02d", i)
 		b.listed(work.Target{ID: id, Rack: "r", Labels: []string{"kind", "r"}, Capacity: work.Resources{CPU: 4}})
 		b.do()
-		b.look(id, work.Held{Clock: 5000})
+		b.look(id, work.PollAnswer{ClockMS: 5000})
 	}
 	for i := range 4 {
 		b.rackTarget(10 + i)
@@ -168,13 +168,13 @@
 	b.begin(starts)
 	id := starts[0].To.ID
 	for range silentLooks {
-		b.looked(id, work.Held{}, work.VerdictUnknown)
+		b.looked(id, work.PollAnswer{}, work.VerdictUnknown)
 		b.pass(120 * ms)
 	}
 	b.pass(1500 * ms)
 	task := b.s.byID["j"].tasks[0]
 	must.SliceLen(t, 1, task.fallen())
-	b.look(id, work.Held{Clock: 9000})
+	b.look(id, work.PollAnswer{ClockMS: 9000})
 	must.SliceEmpty(t, task.fallen())
 }
 
@@ -215,12 +215,12 @@
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
-	b.look("a", work.Held{Clock: 5100, Ended: []work.End{{Number: 1, Run: starts[0].Run, Kind: work.EndDone}, {Number: 2, Run: starts[1].Run, Kind: work.EndDone}},
+	b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}, {Number: 2, Run: starts[1].Run, Kind: work.CompletionDone}},
 		Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
 	b.target("a", 0)
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
-	b.look("a", work.Held{Clock: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
+	b.look("a", work.PollAnswer{ClockMS: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 	// The registry entry was read before and tells nothing new.
 	b.target("a", 0)
@@ -231,26 +231,26 @@
 // numbered from the start, and a late entry or answer of the old incarnation changes nothing.
 func TestATargetThatStartsAgainUnderItsID(t *testing.T) {
 	b := newBench(t, Options{})
-	listed := work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Life: 100}
+	listed := work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Incarnation: 100}
 	b.listed(listed)
 	b.do()
-	b.look("a", work.Held{Clock: 5000, Life: 100})
+	b.look("a", work.PollAnswer{ClockMS: 5000, Incarnation: 100})
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.do()
-	b.look("a", work.Held{Clock: 5010, Life: 100, Running: listing(start.Run), Ended: []work.End{{Number: 7, Run: work.Run{Task: "x", Number: 2}, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5010, Incarnation: 100, Running: listing(start.Run), Completions: []work.Completion{{Number: 7, Run: work.RunID{Task: "x", Number: 2}, Kind: work.CompletionDone}}})
 	b.do()
-	b.look("a", work.Held{Clock: 10, Life: 200})
+	b.look("a", work.PollAnswer{ClockMS: 10, Incarnation: 200})
 	again := pickEffects[StartRun](b.pass(20 * ms))
 	must.SliceLen(t, 1, again)
-	must.Eq(t, int64(200), b.s.targets["a"].Life)
+	must.Eq(t, int64(200), b.s.targets["a"].Incarnation)
 	must.Eq(t, 0, b.s.targets["a"].seen)
 	b.listed(listed)
-	must.Eq(t, int64(200), b.s.targets["a"].Life)
+	must.Eq(t, int64(200), b.s.targets["a"].Incarnation)
 	b.s.Started(b.now, "a", again[0].Run, done(30))
 	b.do()
-	b.look("a", work.Held{Clock: 60, Life: 200, Ended: []work.End{{Number: 1, Run: again[0].Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 60, Incarnation: 200, Completions: []work.Completion{{Number: 1, Run: again[0].Run, Kind: work.CompletionDone}}})
 	must.SliceLen(t, 1, pickEffects[Answer](b.do()))
 }
 
@@ -273,7 +273,7 @@
 	must.Eq(t, usable, b.s.targets["a"].state)
 	b.target("b", 4)
 	b.do()
-	b.look("b", work.Held{Clock: 5000})
+	b.look("b", work.PollAnswer{ClockMS: 5000})
 	must.SliceLen(t, 1, pickEffects[ConfirmClaim](b.do()))
 	must.Eq(t, adopting, b.s.targets["b"].state)
 	// Meanwhile it is polled at most twice.
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -249,7 +249,7 @@
 	}
 	for _, id := range ids {
 		r := w.kept.jobs[id]
-		fmt.Fprintf(&text, "\n%s is %v, poison %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.culprits[id], r.done, r.crashed, r.sub.Job.Repeats, r.sub.Job.Steps)
+		fmt.Fprintf(&text, "\n%s is %v, poison %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.culprits[id], r.done, r.crashed, r.sub.Job.Recurrence, r.sub.Job.Steps)
 		for _, o := range w.owners {
 			j := o.state.byID[id]
 			if j == nil {
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -10,7 +10,7 @@
 )
 
 func (t *fakeTarget) refuse(verdict work.Verdict) work.OrderAnswer {
-	return work.OrderAnswer{Verdict: verdict, Clock: t.clock()}
+	return work.OrderAnswer{Verdict: verdict, ClockMS: t.clock()}
 }
 
 func (t *fakeTarget) fenced(token int64) bool {
@@ -31,26 +31,26 @@
 	if r := t.runs[e.Run.Task]; r != nil && r.number == e.Run.Number {
 		return t.refuse(work.VerdictDone)
 	}
-	if e.Until <= t.clock() {
-		return t.refuse(work.VerdictLate)
+	if e.LeaseUntilMS <= t.clock() {
+		return t.refuse(work.VerdictLeaseExpired)
 	}
-	t.until = max(t.until, min(e.Until, t.clock()+1000))
+	t.until = max(t.until, min(e.LeaseUntilMS, t.clock()+1000))
 	if e.Run.Number <= t.highest[e.Run.Task] {
-		return t.refuse(work.VerdictOld)
+		return t.refuse(work.VerdictStaleRun)
 	}
-	if !t.world.admits(t, e.Order) {
+	if !t.world.admits(t, e.StartOrder) {
 		t.world.unticketed++
-		return t.refuse(work.VerdictTicket)
+		return t.refuse(work.VerdictInvalidTicket)
 	}
 	if t.free < 1 && !t.careless || t.runs[e.Run.Task] != nil {
-		return t.refuse(work.VerdictRoom)
+		return t.refuse(work.VerdictNoCapacity)
 	}
 	t.world.checkLimit(t)
-	t.begin(e.Order)
+	t.begin(e.StartOrder)
 	return t.refuse(work.VerdictDone)
 }
 
-func (t *fakeTarget) begin(order work.Order) {
+func (t *fakeTarget) begin(order work.StartOrder) {
 	run := order.Run
 	r := &fakeRun{number: run.Number, cpu: 1}
 	t.runs[run.Task] = r
@@ -60,9 +60,9 @@
 	if t.world.beginKept(t, r, order) {
 		return
 	}
-	kind := work.EndDone
+	kind := work.CompletionDone
 	if t.world.random.Float64() < t.world.faults.failing {
-		kind = work.EndFailed
+		kind = work.CompletionFailed
 	}
 	took := time.Duration(20+t.world.random.IntN(t.world.longest)) * ms
 	t.world.after(took, func() {
@@ -72,7 +72,7 @@
 	})
 }
 
-func (t *fakeTarget) end(task string, r *fakeRun, kind work.EndKind) {
+func (t *fakeTarget) end(task string, r *fakeRun, kind work.CompletionKind) {
 	if r == nil || t.runs[task] != r {
 		return
 	}
@@ -82,14 +82,14 @@
 	t.highest[task] = max(t.highest[task], r.number)
 	t.number++
 	t.endedAt[t.number] = t.world.now
-	t.ended = append(t.ended, work.End{Number: t.number, Run: work.Run{Task: task, Number: r.number}, Kind: kind, Saved: r.saved})
+	t.ended = append(t.ended, work.Completion{Number: t.number, Run: work.RunID{Task: task, Number: r.number}, Kind: kind, SavedState: r.saved})
 	t.world.endKept(task, r, kind)
 	if t.poll != nil {
 		t.poll()
 	}
 }
 
-func (t *fakeTarget) stop(token int64, run work.Run) work.OrderAnswer {
+func (t *fakeTarget) stop(token int64, run work.RunID) work.OrderAnswer {
 	if t.down || t.silent {
 		return work.OrderAnswer{}
 	}
@@ -98,24 +98,24 @@
 	}
 	t.highest[run.Task] = max(t.highest[run.Task], run.Number)
 	if r := t.runs[run.Task]; r != nil && r.number == run.Number {
-		t.world.after(time.Duration(t.world.random.IntN(50))*ms, func() { t.end(run.Task, r, work.EndStopped) })
+		t.world.after(time.Duration(t.world.random.IntN(50))*ms, func() { t.end(run.Task, r, work.CompletionStopped) })
 	}
 	return t.refuse(work.VerdictDone)
 }
 
-func (t *fakeTarget) look(token int64, e Look, reply func(work.Held, work.Verdict)) {
+func (t *fakeTarget) look(token int64, e Look, reply func(work.PollAnswer, work.Verdict)) {
 	if t.down || t.silent {
-		reply(work.Held{}, work.VerdictUnknown)
+		reply(work.PollAnswer{}, work.VerdictUnknown)
 		return
 	}
 	if t.fenced(token) {
-		reply(work.Held{}, work.VerdictFenced)
+		reply(work.PollAnswer{}, work.VerdictFenced)
 		return
 	}
 	if e.Until > 0 && e.Until > t.clock() {
 		t.until = max(t.until, min(e.Until, t.clock()+1000))
 	}
-	t.ended = slices.DeleteFunc(t.ended, func(end work.End) bool {
+	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool {
 		if end.Number <= e.Seen {
 			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("completion %d of %s, ended at %v, by token %d at %v, acknowledged up to %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.Seen)
 			t.acknowledge(end)
@@ -129,23 +129,23 @@
 		}
 		if t.life != life {
 			replied = true
-			reply(work.Held{}, work.VerdictUnknown)
+			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
 		}
 		replied = true
 		t.poll = nil
 		if t.down || t.silent {
-			reply(work.Held{}, work.VerdictUnknown)
+			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
 		}
-		held := work.Held{Clock: t.clock(), Life: t.life, Ended: slices.Clone(t.ended)}
+		held := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
 		if t.world.restarts {
 			held.Capacity = &work.Resources{CPU: t.capacity}
 		}
 		for task, r := range t.runs {
-			held.Running = append(held.Running, work.Running{Run: work.Run{Task: task, Number: r.number}, Saved: r.saved})
+			held.Running = append(held.Running, work.RunningRun{Run: work.RunID{Task: task, Number: r.number}, SavedState: r.saved})
 		}
-		slices.SortFunc(held.Running, func(a, b work.Running) int { return strings.Compare(a.Run.Task, b.Run.Task) })
+		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
 		reply(held, work.VerdictDone)
 	}
 	if e.Wait == 0 || len(t.ended) > 0 {
@@ -158,14 +158,14 @@
 
 // acknowledge records a completion after which the task must not start again. It does not count if
 // the lease has lapsed since.
-func (t *fakeTarget) acknowledge(end work.End) {
+func (t *fakeTarget) acknowledge(end work.Completion) {
 	if t.world.isLasting(end.Run.Task) || t.lapsed >= t.endedAt[end.Number] {
 		return
 	}
-	if end.Kind == work.EndFailed {
+	if end.Kind == work.CompletionFailed {
 		t.world.failed[end.Run.Task]++
 	}
-	if end.Kind == work.EndDone && strings.HasPrefix(end.Run.Task, "kept") {
+	if end.Kind == work.CompletionDone && strings.HasPrefix(end.Run.Task, "kept") {
 		t.world.acknowledged[end.Run.Task] = true
 		if started := t.world.startedAt[end.Run.Task]; started > t.endedAt[end.Number] {
 			t.world.violations = append(t.world.violations, end.Run.Task+" started again after a completion that was acknowledged later")
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -59,7 +59,7 @@
 // findPlaces returns a target for each pending task of a gang; nil if there is not enough capacity
 // for all. A gang that wants one rack gets targets of one rack, unless no rack is large enough.
 func (s *State) gather(now time.Duration, j *job, st *step) []*target {
-	if st.OneRack {
+	if st.PreferOneRack {
 		for _, rack := range j.pool.racks() {
 			if places := s.gatherOn(now, j, st, j.pool.onRack(rack)); places != nil {
 				return places
@@ -114,13 +114,13 @@
 // fitsBeside reports whether one more task fits into the given capacity of a target, beside some
 // others of its step.
 func (st *step) fitsBeside(t *target, capacity work.Resources, others int) bool {
-	if st.Spread > 0 && st.on[t.ID]+others >= st.Spread {
+	if st.MaxPerTarget > 0 && st.on[t.ID]+others >= st.MaxPerTarget {
 		return false
 	}
 	for range others {
-		capacity = capacity.Minus(st.Each)
+		capacity = capacity.Sub(st.PerTask)
 	}
-	return st.Each.Fits(capacity)
+	return st.PerTask.FitsIn(capacity)
 }
 
 // canHoldGang reports whether the pool's targets could hold a gang if nothing else ran there.
@@ -138,16 +138,16 @@
 func capacityFor(st *step, among []*target) int {
 	total := 0
 	for _, t := range among {
-		if st.Label != "" && !slices.Contains(t.Labels, st.Label) {
+		if st.RequiredLabel != "" && !slices.Contains(t.Labels, st.RequiredLabel) {
 			continue
 		}
 		n := 0
-		for n < len(st.members) && (st.Spread == 0 || n < st.Spread) {
+		for n < len(st.members) && (st.MaxPerTarget == 0 || n < st.MaxPerTarget) {
 			capacity := t.Capacity
 			for range n {
-				capacity = capacity.Minus(st.Each)
+				capacity = capacity.Sub(st.PerTask)
 			}
-			if !st.Each.Fits(capacity) {
+			if !st.PerTask.FitsIn(capacity) {
 				break
 			}
 			n++
@@ -209,7 +209,7 @@
 // gang.
 func (s *State) roomFor(now time.Duration, j *job, st *step) []*target {
 	among := j.pool.targets
-	if st.OneRack {
+	if st.PreferOneRack {
 		for _, rack := range j.pool.racks() {
 			if on := j.pool.onRack(rack); capacityFor(st, s.takers(now, on)) >= len(st.members) {
 				among = on
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -20,7 +20,7 @@
 	b.target("b", 2)
 	b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", gang(3)))))
-	b.look("b", work.Held{Clock: 5000})
+	b.look("b", work.PollAnswer{ClockMS: 5000})
 	starts := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 3, starts)
 	for _, start := range starts {
@@ -43,13 +43,13 @@
 func TestGangsBeginAnewTogether(t *testing.T) {
 	for name, harm := range map[string]func(b *bench, start StartRun){
 		"refused": func(b *bench, start StartRun) {
-			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictRoom, Clock: 5000})
+			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 		},
 		"unanswered": func(b *bench, start StartRun) {
 			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 		},
 		"failed": func(b *bench, start StartRun) {
-			b.look(start.To.ID, ended(1, start.Run, work.EndFailed))
+			b.look(start.To.ID, ended(1, start.Run, work.CompletionFailed))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 				return
 			}
 			must.SliceEmpty(t, pickEffects[StartRun](b.pass(100*ms)))
-			b.look(starts[1].To.ID, work.Held{Clock: 5100, Ended: []work.End{{Number: 1, Run: starts[1].Run, Kind: work.EndStopped}}})
+			b.look(starts[1].To.ID, work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[1].Run, Kind: work.CompletionStopped}}})
 			again := pickEffects[StartRun](append(b.do(), b.pass(100*ms)...))
 			must.SliceLen(t, 2, again)
 			must.Greater(t, starts[0].Run.Number, again[0].Run.Number)
@@ -86,7 +86,7 @@
 	b.usable("b", 1)
 	starts := pickEffects[StartRun](b.store(b.stepsJob("j", gang(2))))
 	b.begun(starts)
-	b.look(starts[0].To.ID, ended(1, starts[0].Run, work.EndDone))
+	b.look(starts[0].To.ID, ended(1, starts[0].Run, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.do()))
 
 	b = newBench(t, Options{})
@@ -116,9 +116,9 @@
 		b.begun(starts)
 		small = append(small, starts...)
 		// The oldest small task ends.
-		b.look("a", work.Held{
-			Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(runsOf(small[1:])...),
-			Ended: []work.End{{Number: int64(i + 1), Run: small[0].Run, Kind: work.EndDone}},
+		b.look("a", work.PollAnswer{
+			ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(runsOf(small[1:])...),
+			Completions: []work.Completion{{Number: int64(i + 1), Run: small[0].Run, Kind: work.CompletionDone}},
 		})
 		small = small[1:]
 		if len(small) == 0 {
@@ -131,8 +131,8 @@
 	t.Fatal("the gang never started")
 }
 
-func runsOf(starts []StartRun) []work.Run {
-	var runs []work.Run
+func runsOf(starts []StartRun) []work.RunID {
+	var runs []work.RunID
 	for _, start := range starts {
 		runs = append(runs, start.Run)
 	}
@@ -155,10 +155,10 @@
 			for _, id := range []string{"a", "b", "c"} {
 				b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", racks[id]}, Rack: racks[id]})
 				b.do()
-				b.look(id, work.Held{Clock: 5000})
+				b.look(id, work.PollAnswer{ClockMS: 5000})
 			}
 			step := gang(test.tasks)
-			step.OneRack = true
+			step.PreferOneRack = true
 			var used []string
 			for _, start := range pickEffects[StartRun](b.store(b.stepsJob("j", step))) {
 				used = append(used, racks[start.To.ID])
@@ -175,16 +175,16 @@
 	for id, rack := range map[string]string{"a": "r1", "b": "r2", "c": "r2"} {
 		b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", rack}, Rack: rack})
 		b.do()
-		b.look(id, work.Held{Clock: 5000})
+		b.look(id, work.PollAnswer{ClockMS: 5000})
 	}
 	small := b.keptJob("small", 1)
-	small.Job.Steps[0].Label = "r2"
+	small.Job.Steps[0].RequiredLabel = "r2"
 	busy := pickEffects[StartRun](b.store(small))
 	must.SliceLen(t, 1, busy)
 	b.begun(busy)
 	step := gang(2)
-	step.OneRack = true
+	step.PreferOneRack = true
 	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", step))))
-	b.look(busy[0].To.ID, ended(1, busy[0].Run, work.EndDone))
+	b.look(busy[0].To.ID, ended(1, busy[0].Run, work.CompletionDone))
 	must.SliceLen(t, 2, pickEffects[StartRun](b.do()))
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -16,11 +16,11 @@
 	now time.Duration
 	ref Ref
 	// starts counts, for each run that was ordered, the copies of its order.
-	starts map[work.Run]int
+	starts map[work.RunID]int
 }
 
 func newBench(t *testing.T, o Options) *bench {
-	b := &bench{t: t, s: New(o), now: 10 * time.Second, starts: map[work.Run]int{}}
+	b := &bench{t: t, s: New(o), now: 10 * time.Second, starts: map[work.RunID]int{}}
 	b.s.Listed()
 	b.s.Tick(b.now)
 	return b
@@ -39,13 +39,13 @@
 func (b *bench) usable(id string, cpu int64) {
 	b.target(id, cpu)
 	b.do()
-	b.look(id, work.Held{Clock: 5000})
+	b.look(id, work.PollAnswer{ClockMS: 5000})
 }
 
-func (b *bench) look(id string, held work.Held) { b.looked(id, held, work.VerdictDone) }
+func (b *bench) look(id string, held work.PollAnswer) { b.looked(id, held, work.VerdictDone) }
 
 // answerPollWith answers the poll that is on its way, and its copies.
-func (b *bench) looked(id string, held work.Held, verdict work.Verdict) {
+func (b *bench) looked(id string, held work.PollAnswer, verdict work.Verdict) {
 	t := b.s.targets[id]
 	for range max(t.lookCopies.waiting, 1) {
 		b.s.Looked(b.now, id, t.look.At, held, verdict)
@@ -89,7 +89,7 @@
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref, Entry: entry,
 		Job: work.Job{ID: id, Steps: []work.Step{{
-			Tasks: tasks, Each: work.Resources{CPU: cpu}, Estimate: 100 * ms,
+			Tasks: tasks, PerTask: work.Resources{CPU: cpu}, DeclaredRunTime: 100 * ms,
 		}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 	})
@@ -97,10 +97,10 @@
 }
 
 // listing is a target's list of runs that have saved nothing.
-func listing(runs ...work.Run) []work.Running {
-	var list []work.Running
+func listing(runs ...work.RunID) []work.RunningRun {
+	var list []work.RunningRun
 	for _, run := range runs {
-		list = append(list, work.Running{Run: run})
+		list = append(list, work.RunningRun{Run: run})
 	}
 	return list
 }
@@ -116,7 +116,7 @@
 }
 
 func done(clock int64) work.OrderAnswer {
-	return work.OrderAnswer{Verdict: work.VerdictDone, Clock: clock}
+	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: clock}
 }
 
 func TestNoStartBeforeTheFirstLook(t *testing.T) {
@@ -124,7 +124,7 @@
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
-	b.look("a", work.Held{Clock: 5000})
+	b.look("a", work.PollAnswer{ClockMS: 5000})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
@@ -133,13 +133,13 @@
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
 	b.do()
-	unknown := work.Run{Task: "old.0.0.0", Number: 8}
-	b.look("a", work.Held{Clock: 5000, Running: listing(unknown)})
+	unknown := work.RunID{Task: "old.0.0.0", Number: 8}
+	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(unknown)})
 	effects := b.do()
-	must.Eq(t, []StopRun{{To: work.Address{ID: "a"}, Run: unknown}}, pickEffects[StopRun](effects))
+	must.Eq(t, []StopRun{{To: work.TargetAddress{ID: "a"}, Run: unknown}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
-	b.look("a", work.Held{Clock: 5050})
+	b.look("a", work.PollAnswer{ClockMS: 5050})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
@@ -151,7 +151,7 @@
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.look("a", work.Held{Clock: 5001, Running: listing(start.Run, work.Run{Task: "old.0.0.0", Number: 8})})
+	b.look("a", work.PollAnswer{ClockMS: 5001, Running: listing(start.Run, work.RunID{Task: "old.0.0.0", Number: 8})})
 	b.submit("k", 1, 1, "")
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -187,10 +187,10 @@
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.s.Cancel(b.now, ref)
 	b.pass(200 * ms)
-	b.look("a", work.Held{Clock: 5200, Running: listing(other.Run, start.Run)})
+	b.look("a", work.PollAnswer{ClockMS: 5200, Running: listing(other.Run, start.Run)})
 	must.Eq(t, 0, pickEffects[Look](b.do())[0].Until)
 	b.s.Stopped(b.now, "a", start.Run, done(5201))
-	b.look("a", work.Held{Clock: 5201, Running: listing(other.Run), Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
+	b.look("a", work.PollAnswer{ClockMS: 5201, Running: listing(other.Run), Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
 	must.Positive(t, pickEffects[Look](b.do())[0].Until)
 }
 
@@ -203,9 +203,9 @@
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.looked("a", work.Held{}, work.VerdictUnknown)
-	must.Eq(t, []Look{{To: work.Address{ID: "a"}, At: b.now}}, pickEffects[Look](b.do()))
-	b.looked("a", work.Held{}, work.VerdictUnknown)
+	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
+	must.Eq(t, []Look{{To: work.TargetAddress{ID: "a"}, At: b.now}}, pickEffects[Look](b.do()))
+	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
 	slow := DefaultLease * 102 / 100
 	effects := b.pass(slow)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -236,7 +236,7 @@
 	b.submit("j", 1, 1, "e")
 	b.do()
 	b.now += 15 * ms
-	b.look("a", work.Held{Clock: 5000})
+	b.look("a", work.PollAnswer{ClockMS: 5000})
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
 }
 
@@ -263,7 +263,7 @@
 	effects := b.pass(40 * ms)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
-	b.look("a", work.Held{Clock: 5040, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
+	b.look("a", work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
 }
 
@@ -278,7 +278,7 @@
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, first, pickEffects[Answer](effects)[0].Ref)
-	b.look("a", work.Held{Clock: 5100, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	answer := pickEffects[Answer](b.do())[0]
 	must.Eq(t, second, answer.Ref)
 	must.Eq(t, work.Completed, answer.Outcome.Result)
@@ -341,7 +341,7 @@
 	b.usable("a", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictRoom, Clock: 5000})
+	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 	b.s.Leave(b.now)
 	must.Eq(t, work.Moved, pickEffects[Answer](b.do())[0].Outcome.Result)
 }
@@ -358,7 +358,7 @@
 	}
 	start := pickEffects[StartRun](effects)[0]
 	b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
-	b.look("a", work.Held{Clock: 5000, Running: listing(start.Run)})
+	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
 	polls := pickEffects[Look](b.do())
 	must.SliceNotEmpty(t, polls)
 	must.Eq(t, disturbedWait, polls[0].Wait)
@@ -367,7 +367,7 @@
 	for end := b.now + disturbedTime + 20*ms; b.now < end; {
 		b.pass(20 * ms)
 		for id := range b.s.targets {
-			b.look(id, work.Held{Clock: 5000, Running: listing(start.Run, other.Run)})
+			b.look(id, work.PollAnswer{ClockMS: 5000, Running: listing(start.Run, other.Run)})
 		}
 	}
 	must.Eq(t, DefaultLookWait, b.s.lookWait(b.now))
@@ -391,7 +391,7 @@
 			b.usable("b", 2)
 			var effects []Effect
 			for range 20 {
-				b.look("a", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start.Run)})
+				b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start.Run)})
 				effects = append(effects, b.pass(200*ms)...)
 			}
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -407,7 +407,7 @@
 				must.Eq(t, "a", pickEffects[StartRun](b.do())[0].To.ID)
 				return
 			}
-			b.look("a", work.Held{Clock: 9000, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+			b.look("a", work.PollAnswer{ClockMS: 9000, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 			must.SliceLen(t, 1, pickEffects[Answer](b.do()))
 			b.pass(100 * ms)
 			must.MapNotContainsKey(t, b.s.targets, "a")
@@ -434,11 +434,11 @@
 			continue
 		}
 		b.disturb()
-		b.looked("a", work.Held{Clock: 5300, Running: listing(start.Run)}, work.VerdictDone)
+		b.looked("a", work.PollAnswer{ClockMS: 5300, Running: listing(start.Run)}, work.VerdictDone)
 		b.pass(20 * ms)
 		must.MapLen(t, 1, b.s.targets["a"].health.strikes)
 		b.disturb()
-		b.look("a", work.Held{Clock: 5400, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+		b.look("a", work.PollAnswer{ClockMS: 5400, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 		must.Eq(t, 1+speedWeight*2, b.s.targets["a"].health.speed)
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -106,7 +106,7 @@
 // recordSuccess updates a target's speed and clears its failures after a successful run.
 func (s *State) praise(now time.Duration, t *target, r *run) {
 	h := &t.health
-	if st := r.task.step; r.adopted || r.cold || st.Lasting || st.Fills {
+	if st := r.task.step; r.adopted || r.cold || st.Lasting || st.Background {
 		// These runs say nothing of the target's speed: the start of adopted runs is not known,
 		// cold targets are slow for a while, lasting tasks never succeed, and background tasks get
 		// only processor that others leave unused.
@@ -121,7 +121,7 @@
 	speed := float64(took) / float64(r.expected)
 	h.speed += speedWeight * (min(speed, maxSpeed) - h.speed)
 	if !h.suspected && !t.slow() {
-		r.task.job.kind.learn(took, r.task.step.Estimate)
+		r.task.job.kind.learn(took, r.task.step.DeclaredRunTime)
 	}
 	if speed > overdueFactor {
 		return
@@ -209,7 +209,7 @@
 // isOverdue reports whether a run should have ended. Lasting tasks never should, and background
 // tasks have no predictable run time.
 func (r *run) overdue(now time.Duration) bool {
-	return !r.task.step.Lasting && !r.task.step.Fills && now-r.ordered > time.Duration(overdueFactor*float64(r.patience()))+overdueSlack
+	return !r.task.step.Lasting && !r.task.step.Background && now-r.ordered > time.Duration(overdueFactor*float64(r.patience()))+overdueSlack
 }
 
 // coldFactor is how many times as long a run may take on a cold target.
@@ -251,11 +251,11 @@
 // shouldMove reports whether a run on a suspected target would end earlier elsewhere, while its
 // answer is still of use.
 func (s *State) worthMoving(now, runningUntil time.Duration, t *target, r *run) bool {
-	if r.task.step.Lasting || r.task.step.Gang || r.task.step.Fills || r.task.job.dropped {
+	if r.task.step.Lasting || r.task.step.Gang || r.task.step.Background || r.task.job.dropped {
 		return false
 	}
 	elsewhere := now + s.options.StopTime + r.expected
-	if elsewhere > r.task.job.useful && !r.task.job.kept() || !s.roomElsewhere(t, r.task.step.Each) {
+	if elsewhere > r.task.job.useful && !r.task.job.kept() || !s.roomElsewhere(t, r.task.step.PerTask) {
 		return false
 	}
 	if r.ordered > t.health.since {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -182,7 +182,7 @@
 		kind:    s.kindOf(sub.Queue.Name),
 		pool:    s.poolOf(sub.Queue.Service),
 		arrived: now - sub.Age, submitted: now,
-		open:   sub.Job.Tasks() * sub.Job.Occurrences(),
+		open:   sub.Job.TaskCount() * sub.Job.Occurrences(),
 		blamed: map[string]bool{},
 	}
 	for occurrence := range sub.Job.Occurrences() {
@@ -191,7 +191,7 @@
 		}
 	}
 	j.due = s.dueSteps(now, j)
-	chain := j.kind.expect(sub.Job.Chain())
+	chain := j.kind.expect(sub.Job.CriticalPath())
 	objective := sub.Queue.Objective(chain)
 	j.objective = j.arrived + objective
 	j.latest = j.objective - chain
@@ -208,23 +208,23 @@
 // comes again says how much of it remains. After a loss of all VMs many callers come again at
 // once: those whose time has run out go behind those whose jobs can still be on time.
 func (sub Submission) waitedBefore() time.Duration {
-	if sub.Wait <= 0 || sub.Part != nil || sub.Job.Kept {
+	if sub.Wait <= 0 || sub.Part != nil || sub.Job.Durable {
 		return 0
 	}
-	return max(sub.Queue.Timeout-sub.Wait, 0)
+	return max(sub.Queue.RequestTimeout-sub.Wait, 0)
 }
 
 // addStep appends a step of an occurrence, and its tasks, to the job.
 func (j *job) addStep(occurrence, index int, declared work.Step) {
 	st := &step{
-		Step: declared, job: j, place: len(j.steps), open: declared.Tasks, expected: j.kind.expect(declared.Estimate),
+		Step: declared, job: j, place: len(j.steps), open: declared.Tasks, expected: j.kind.expect(declared.DeclaredRunTime),
 	}
-	if declared.Spread > 0 {
+	if declared.MaxPerTarget > 0 {
 		st.on = map[string]int{}
 	}
 	st.share()
 	st.name = fmt.Sprintf("%s.%d.%d", j.sub.Job.ID, occurrence, index)
-	if j.sub.Queue.Advised {
+	if j.sub.Queue.RequiresAdvice {
 		st.advice = newAdvice()
 	}
 	for i := range declared.Tasks {
@@ -262,7 +262,7 @@
 		return false
 	}
 	first := st.place - st.place%len(j.sub.Job.Steps)
-	for _, before := range st.After {
+	for _, before := range st.DependsOn {
 		if j.steps[first+before].open > 0 {
 			return false
 		}
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -42,7 +42,7 @@
 // JobEnded has the store record how a job ended; HandleJobEndStored then confirms it.
 type JobEnded struct {
 	Job   string
-	State work.State
+	State work.JobState
 	Times Times
 }
 
@@ -62,7 +62,7 @@
 
 // isDurable reports whether the job is stored before it is accepted, and then runs whether or not
 // anybody waits for it.
-func (j *job) kept() bool { return j.sub.Job.Kept }
+func (j *job) kept() bool { return j.sub.Job.Durable }
 
 // store has an admitted job stored before anything of it starts.
 func (s *State) keep(j *job) {
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -16,15 +16,15 @@
 	b.ref++
 	return Submission{
 		Ref: b.ref,
-		Job: work.Job{ID: id, Kept: true, Steps: []work.Step{{
-			Tasks: tasks, Each: work.Resources{CPU: 1}, Estimate: 100 * ms,
+		Job: work.Job{ID: id, Durable: true, Steps: []work.Step{{
+			Tasks: tasks, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms,
 		}}},
 		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: maxFails, Stretch: 2, Allowance: time.Second},
 	}
 }
 
 // startDurableJob has a durable job of one task stored and started at target a.
-func runKept(b *bench) work.Run {
+func runKept(b *bench) work.RunID {
 	b.s.Resumed(b.now)
 	b.usable("a", 4)
 	b.do()
@@ -32,14 +32,14 @@
 	b.do()
 	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000})
+	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	b.do()
 	return start.Run
 }
 
 // heldWithCompletion returns a poll's answer that lists one completion and no runs.
-func ended(number int64, run work.Run, kind work.EndKind) work.Held {
-	return work.Held{Clock: 5100, Ended: []work.End{{Number: number, Run: run, Kind: kind}}}
+func ended(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
+	return work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: number, Run: run, Kind: kind}}}
 }
 
 // newestAcknowledged returns the newest completion that polls have acknowledged.
@@ -106,14 +106,14 @@
 func TestEndsAreAcknowledgedOnceNoted(t *testing.T) {
 	b := newBench(t, Options{})
 	run := runKept(b)
-	b.look("a", ended(1, run, work.EndDone))
+	b.look("a", ended(1, run, work.CompletionDone))
 	effects := append(b.do(), b.pass(200*ms)...)
 	must.Eq(t, 0, seen(effects))
 	done := pickEffects[TaskDone](effects)
 	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, done)
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](effects))
 	must.False(t, b.s.AtRest())
-	b.look("a", ended(1, run, work.EndDone))
+	b.look("a", ended(1, run, work.CompletionDone))
 	b.s.Noted(done[0].End)
 	b.s.EndNoted("j")
 	must.Eq(t, 1, seen(b.pass(200*ms)))
@@ -128,9 +128,9 @@
 	effects := b.do()
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCancelled}}, pickEffects[JobEnded](effects))
 	must.SliceLen(t, 1, pickEffects[StopRun](effects))
-	b.look("a", ended(1, run, work.EndDone))
+	b.look("a", ended(1, run, work.CompletionDone))
 	must.Eq(t, 0, seen(b.pass(200*ms)))
-	b.look("a", ended(1, run, work.EndDone))
+	b.look("a", ended(1, run, work.CompletionDone))
 	b.s.EndNoted("j")
 	must.Eq(t, 1, seen(b.pass(200*ms)))
 	must.False(t, b.s.CancelKept(b.now, "j"))
@@ -147,7 +147,7 @@
 			}
 			b.s.Abandon(b.now)
 			b.do()
-			b.look("a", ended(1, run, work.EndDone))
+			b.look("a", ended(1, run, work.CompletionDone))
 			effects := append(b.do(), b.pass(time.Second)...)
 			must.Eq(t, 0, seen(effects))
 			must.SliceEmpty(t, pickEffects[TaskDone](effects))
@@ -171,15 +171,15 @@
 			b.now += 100 * ms
 			b.s.Started(b.now, "a", run, work.OrderAnswer{})
 			must.SliceLen(t, 1, pickEffects[StopRun](b.do()))
-			b.s.Stopped(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5100})
+			b.s.Stopped(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5100})
 			must.SliceEmpty(t, pickEffects[StartRun](b.pass(200*ms)))
 			// The poll that was on its way all the while says nothing of the stop.
-			b.look("a", work.Held{Clock: 5200})
+			b.look("a", work.PollAnswer{ClockMS: 5200})
 			must.SliceEmpty(t, pickEffects[StartRun](b.pass(40*ms)))
 			if done {
-				b.look("a", ended(1, run, work.EndDone))
+				b.look("a", ended(1, run, work.CompletionDone))
 			} else {
-				b.look("a", work.Held{Clock: 5300})
+				b.look("a", work.PollAnswer{ClockMS: 5300})
 			}
 			effects := append(b.do(), b.pass(100*ms)...)
 			must.Eq(t, done, len(pickEffects[JobEnded](effects)) == 1)
@@ -201,7 +201,7 @@
 	must.Eq(t, "j.0.0.2", starts[1].Run.Task)
 	must.True(t, b.s.Begun("j"))
 	// With the failure before the takeover, the task has now failed too often.
-	b.look("a", ended(1, starts[1].Run, work.EndFailed))
+	b.look("a", ended(1, starts[1].Run, work.CompletionFailed))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.do()))
 }
 
@@ -210,7 +210,7 @@
 	for name, test := range map[string]struct {
 		done  []int
 		fails map[int]int
-		want  work.State
+		want  work.JobState
 	}{
 		"done":   {[]int{0, 1}, nil, work.StateCompleted},
 		"failed": {[]int{0}, map[int]int{1: maxFails}, work.StateFailed},
@@ -232,10 +232,10 @@
 	b := newBench(t, Options{})
 	b.target("a", 4)
 	b.do()
-	b.look("a", work.Held{Clock: 5000, Ended: []work.End{
-		{Number: 1, Run: work.Run{Task: "j.0.0.0", Number: 31}, Kind: work.EndDone},
-		{Number: 2, Run: work.Run{Task: "gone.0.0.0", Number: 33}, Kind: work.EndDone},
-		{Number: 3, Run: work.Run{Task: "other.0.0.0", Number: 34}, Kind: work.EndDone},
+	b.look("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
+		{Number: 1, Run: work.RunID{Task: "j.0.0.0", Number: 31}, Kind: work.CompletionDone},
+		{Number: 2, Run: work.RunID{Task: "gone.0.0.0", Number: 33}, Kind: work.CompletionDone},
+		{Number: 3, Run: work.RunID{Task: "other.0.0.0", Number: 34}, Kind: work.CompletionDone},
 	}})
 	must.Eq(t, 0, seen(b.pass(100*ms)))
 	b.s.Resume(b.now, b.keptJob("j", 2), Progress{})
@@ -243,10 +243,10 @@
 	effects := b.do()
 	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, pickEffects[TaskDone](effects))
 	must.Eq(t, "j.0.0.1", pickEffects[StartRun](effects)[0].Run.Task)
-	b.look("a", work.Held{Clock: 5100})
+	b.look("a", work.PollAnswer{ClockMS: 5100})
 	must.Eq(t, 0, seen(b.pass(100*ms)))
 	b.s.Noted(EndRef{Target: "a", Number: 1})
-	b.look("a", work.Held{Clock: 5200})
+	b.look("a", work.PollAnswer{ClockMS: 5200})
 	must.Eq(t, 3, seen(b.pass(100*ms)))
 }
 
@@ -254,15 +254,15 @@
 func TestResumedJobsMayBePending(t *testing.T) {
 	for name, test := range map[string]struct {
 		progress Progress
-		held     work.Held
+		held     work.PollAnswer
 		pending  int
 	}{
-		"nothing is known":       {Progress{}, work.Held{Clock: 5000}, 1},
-		"a task is done":         {Progress{Done: []int{0}}, work.Held{Clock: 5000}, 0},
-		"a run had failed":       {Progress{Fails: map[int]int{0: 1}}, work.Held{Clock: 5000}, 0},
-		"a task has saved work":  {Progress{Saved: map[int]string{0: "c"}}, work.Held{Clock: 5000}, 0},
-		"a run is in progress":   {Progress{}, work.Held{Clock: 5000, Running: listing(work.Run{Task: "j.0.0.0", Number: 31})}, 0},
-		"a completion is listed": {Progress{}, work.Held{Clock: 5000, Ended: []work.End{{Number: 1, Run: work.Run{Task: "j.0.0.0", Number: 31}, Kind: work.EndDone}}}, 0},
+		"nothing is known":       {Progress{}, work.PollAnswer{ClockMS: 5000}, 1},
+		"a task is done":         {Progress{Done: []int{0}}, work.PollAnswer{ClockMS: 5000}, 0},
+		"a run had failed":       {Progress{Fails: map[int]int{0: 1}}, work.PollAnswer{ClockMS: 5000}, 0},
+		"a task has saved work":  {Progress{Saved: map[int]string{0: "c"}}, work.PollAnswer{ClockMS: 5000}, 0},
+		"a run is in progress":   {Progress{}, work.PollAnswer{ClockMS: 5000, Running: listing(work.RunID{Task: "j.0.0.0", Number: 31})}, 0},
+		"a completion is listed": {Progress{}, work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{{Number: 1, Run: work.RunID{Task: "j.0.0.0", Number: 31}, Kind: work.CompletionDone}}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, Options{})
@@ -289,7 +289,7 @@
 			b := newBench(t, Options{})
 			b.target("a", 4)
 			b.do()
-			b.look("a", ended(1, work.Run{Task: "j.0.0.0", Number: 31}, work.EndFailed))
+			b.look("a", ended(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
 			b.s.Resume(b.now, b.keptJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.noted}})
 			b.s.Resumed(b.now)
 			effects := b.do()
@@ -318,10 +318,10 @@
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.Eq(t, 0, b.s.Jobs())
-	b.look("a", work.Held{Clock: 5100, Running: listing(run)})
+	b.look("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
 	must.Positive(t, pickEffects[Look](b.do())[0].Until)
 	b.pass(leavingLease)
-	b.look("a", ended(1, run, work.EndDone))
+	b.look("a", ended(1, run, work.CompletionDone))
 	effects = append(b.do(), b.pass(time.Second)...)
 	must.Eq(t, 0, seen(effects))
 	must.SliceEmpty(t, pickEffects[TaskDone](effects))
@@ -334,7 +334,7 @@
 	run := runKept(b)
 	b.s.Abandon(b.now)
 	b.pass(20 * ms)
-	b.look("a", work.Held{Clock: 5100, Running: listing(run)})
+	b.look("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
@@ -358,7 +358,7 @@
 	must.SliceLen(t, 1, first)
 	must.Eq(t, "new.0.0.0", first[0].Run.Task)
 	b.begun(first)
-	b.look("a", ended(1, first[0].Run, work.EndDone))
+	b.look("a", ended(1, first[0].Run, work.CompletionDone))
 	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.do())[0].Run.Task)
 }
 
@@ -384,7 +384,7 @@
 	b := newBench(t, Options{})
 	run := runKept(b)
 	listed := func() {
-		b.look("a", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(run)})
+		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(run)})
 	}
 	var stopped []time.Duration
 	for range 60 {
@@ -392,9 +392,9 @@
 		effects := b.pass(100 * ms)
 		if len(pickEffects[StopRun](effects)) > 0 {
 			stopped = append(stopped, b.now)
-			b.look("a", ended(int64(len(stopped)), run, work.EndStopped))
+			b.look("a", ended(int64(len(stopped)), run, work.CompletionStopped))
 			run = pickEffects[StartRun](b.do())[0].Run
-			b.s.Started(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000 + (b.now - 10*time.Second).Milliseconds()})
+			b.s.Started(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
 			b.do()
 		}
 	}
--- a/scheduler/kept_world_test.go
+++ b/scheduler/kept_world_test.go
@@ -33,7 +33,7 @@
 	// lastFailed is the number of each task's last failed run.
 	lastFailed map[int]int64
 	crashed    map[int][]Crash
-	state      work.State
+	state      work.JobState
 	// cancelRequested is set once a caller has cancelled the job.
 	asked bool
 }
@@ -69,7 +69,7 @@
 	w.kept.holder = o
 	for _, id := range slices.Sorted(maps.Keys(w.kept.jobs)) {
 		r := w.kept.jobs[id]
-		if r.state.Final() {
+		if r.state.IsFinal() {
 			continue
 		}
 		w.refs++
@@ -142,10 +142,10 @@
 // submitDurableTo submits a durable job to the given owner.
 func (w *world) handInTo(o *fakeOwner, job work.Job, advised bool) {
 	w.refs++
-	job.ID, job.Kept = fmt.Sprintf("kept%d", w.refs), true
+	job.ID, job.Durable = fmt.Sprintf("kept%d", w.refs), true
 	o.state.Submit(w.now, Submission{
 		Ref: w.refs, Job: job,
-		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: 3, Stretch: 10, Allowance: 500 * ms, Advised: advised},
+		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: 3, Stretch: 10, Allowance: 500 * ms, RequiresAdvice: advised},
 	})
 	w.carryOut(o)
 }
@@ -154,7 +154,7 @@
 func (w *world) cancelKept() {
 	o := w.owner()
 	for _, id := range slices.Sorted(maps.Keys(w.kept.jobs)) {
-		if r := w.kept.jobs[id]; !r.state.Final() && !o.dead && !o.frozen && !o.cut {
+		if r := w.kept.jobs[id]; !r.state.IsFinal() && !o.dead && !o.frozen && !o.cut {
 			r.asked = true
 			o.state.CancelKept(w.now, id)
 			w.carryOut(o)
@@ -184,7 +184,7 @@
 func (w *world) unended() []string {
 	var open []string
 	for id, r := range w.kept.jobs {
-		if !r.state.Final() && !(r.sub.Job.Steps[0].Lasting && w.runsWhole(r)) {
+		if !r.state.IsFinal() && !(r.sub.Job.Steps[0].Lasting && w.runsWhole(r)) {
 			open = append(open, id)
 		}
 	}
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -13,11 +13,11 @@
 func (b *bench) stepsJob(id string, steps ...work.Step) Submission {
 	sub := b.keptJob(id, 1)
 	for i := range steps {
-		if steps[i].Each == (work.Resources{}) {
-			steps[i].Each = work.Resources{CPU: 1}
+		if steps[i].PerTask == (work.Resources{}) {
+			steps[i].PerTask = work.Resources{CPU: 1}
 		}
-		if steps[i].Estimate == 0 {
-			steps[i].Estimate = 100 * ms
+		if steps[i].DeclaredRunTime == 0 {
+			steps[i].DeclaredRunTime = 100 * ms
 		}
 	}
 	sub.Job.Steps = steps
@@ -35,22 +35,22 @@
 // answerStarts answers starts as done.
 func (b *bench) begun(starts []StartRun) {
 	for _, start := range starts {
-		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: 5000})
+		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
 	b.do()
 }
 
 // A task continues from the work that its last run had saved, however that run ended.
 func TestTasksGoOnFromWhatTheySaved(t *testing.T) {
-	for name, harm := range map[string]func(b *bench, run work.Run) []Effect{
-		"listed as it ended": func(b *bench, run work.Run) []Effect {
-			b.look("a", work.Held{Clock: 5100, Ended: []work.End{{Number: 1, Run: run, Kind: work.EndFailed, Saved: "c7"}}})
+	for name, harm := range map[string]func(b *bench, run work.RunID) []Effect{
+		"listed as it ended": func(b *bench, run work.RunID) []Effect {
+			b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: run, Kind: work.CompletionFailed, SavedState: "c7"}}})
 			return b.do()
 		},
-		"listed before its target was lost": func(b *bench, run work.Run) []Effect {
-			b.look("a", work.Held{Clock: 5100, Running: []work.Running{{Run: run, Saved: "c7"}}})
+		"listed before its target was lost": func(b *bench, run work.RunID) []Effect {
+			b.look("a", work.PollAnswer{ClockMS: 5100, Running: []work.RunningRun{{Run: run, SavedState: "c7"}}})
 			b.do()
-			b.looked("a", work.Held{}, work.VerdictGone)
+			b.looked("a", work.PollAnswer{}, work.VerdictMisdirected)
 			effects := b.do()
 			b.usable("b", 1)
 			return append(effects, b.do()...)
@@ -63,13 +63,13 @@
 			must.Eq(t, []TaskSaved{{Job: "j", Task: 0, Saved: "c7"}}, pickEffects[TaskSaved](effects))
 			starts := pickEffects[StartRun](effects)
 			must.SliceLen(t, 1, starts)
-			must.Eq(t, "c7", starts[0].Saved)
+			must.Eq(t, "c7", starts[0].SavedState)
 		})
 	}
 	b := newBench(t, Options{})
 	b.usable("a", 1)
 	b.s.Resume(b.now, b.keptJob("j", 1), Progress{Saved: map[int]string{0: "c9"}})
-	must.Eq(t, "c9", pickEffects[StartRun](b.do())[0].Saved)
+	must.Eq(t, "c9", pickEffects[StartRun](b.do())[0].SavedState)
 }
 
 // A lasting task is started again however it ends, after a delay that grows with each short run.
@@ -80,14 +80,14 @@
 	b.usable("a", 1)
 	run := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))[0].Run
 	var pauses []time.Duration
-	for i, kind := range []work.EndKind{work.EndDone, work.EndFailed, work.EndFailed, work.EndFailed, work.EndFailed, "lapsed"} {
-		b.begun([]StartRun{{To: work.Address{ID: "a"}, Order: work.Order{Run: run}}})
-		b.look("a", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Ended: []work.End{{Number: int64(i + 1), Run: run, Kind: kind}}})
+	for i, kind := range []work.CompletionKind{work.CompletionDone, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, "lapsed"} {
+		b.begun([]StartRun{{To: work.TargetAddress{ID: "a"}, StartOrder: work.StartOrder{Run: run}}})
+		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Completions: []work.Completion{{Number: int64(i + 1), Run: run, Kind: kind}}})
 		over := b.now
 		effects := b.do()
 		for len(pickEffects[StartRun](effects)) == 0 {
 			effects = append(effects, b.pass(20*ms)...)
-			b.look("a", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds()})
+			b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
 		}
 		must.SliceEmpty(t, pickEffects[JobEnded](effects))
 		must.SliceEmpty(t, pickEffects[TaskFailed](effects))
@@ -113,7 +113,7 @@
 	start := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))
 	b.begun(start)
 	for range 100 {
-		b.look("a", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start[0].Run)})
+		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start[0].Run)})
 		must.SliceEmpty(t, pickEffects[StopRun](b.pass(200*ms)))
 	}
 	must.Eq(t, 0, b.s.Summary().Suspected)
@@ -127,8 +127,8 @@
 	b.usable("a", 4)
 	wall := 1000 * time.Hour
 	b.s.Wall(b.now, wall)
-	sub := b.stepsJob("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, After: []int{0}})
-	sub.Job.Repeats = work.Repeats{Count: 2, First: wall + 300*ms, Interval: 200 * ms}
+	sub := b.stepsJob("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, DependsOn: []int{0}})
+	sub.Job.Recurrence = work.Recurrence{Count: 2, FirstDue: wall + 300*ms, Interval: 200 * ms}
 	effects := append(b.store(sub), b.pass(280*ms)...)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	first := pickEffects[StartRun](b.pass(40 * ms))
@@ -139,11 +139,11 @@
 	must.Eq(t, "j.1.0.0", second[0].Run.Task)
 	b.begun(append(first, second...))
 	number := int64(0)
-	end := func(runs ...work.Run) []Effect {
-		held := work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds()}
+	end := func(runs ...work.RunID) []Effect {
+		held := work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()}
 		for _, run := range runs {
 			number++
-			held.Ended = append(held.Ended, work.End{Number: number, Run: run, Kind: work.EndDone})
+			held.Completions = append(held.Completions, work.Completion{Number: number, Run: run, Kind: work.CompletionDone})
 		}
 		b.look("a", held)
 		return b.do()
@@ -162,9 +162,9 @@
 	b := newBench(t, Options{})
 	b.target("a", 2)
 	b.do()
-	on := work.Run{Task: "j.0.0.0", Number: 31}
-	gone := work.Run{Task: "gone.0.0.0", Number: 33}
-	b.look("a", work.Held{Clock: 5000, Running: []work.Running{{Run: on, Saved: "c1"}, {Run: gone}}})
+	on := work.RunID{Task: "j.0.0.0", Number: 31}
+	gone := work.RunID{Task: "gone.0.0.0", Number: 33}
+	b.look("a", work.PollAnswer{ClockMS: 5000, Running: []work.RunningRun{{Run: on, SavedState: "c1"}, {Run: gone}}})
 	b.submit("loose", 1, 1, "")
 	effects := b.do()
 	must.True(t, b.s.Adopted())
@@ -174,15 +174,15 @@
 	b.s.Resume(b.now, b.keptJob("j", 1), Progress{})
 	b.s.Resumed(b.now)
 	effects = b.do()
-	must.Eq(t, []StopRun{{To: work.Address{ID: "a"}, Run: gone}}, pickEffects[StopRun](effects))
+	must.Eq(t, []StopRun{{To: work.TargetAddress{ID: "a"}, Run: gone}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	b.look("a", work.Held{Clock: 5050, Running: listing(on)})
+	b.look("a", work.PollAnswer{ClockMS: 5050, Running: listing(on)})
 	effects = b.do()
 	starts := pickEffects[StartRun](effects)
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "loose.0.0.0", starts[0].Run.Task)
 	b.begun(starts)
-	b.look("a", ended(1, on, work.EndDone))
+	b.look("a", ended(1, on, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.do()))
 }
 
@@ -192,10 +192,10 @@
 	b := newBench(t, Options{})
 	b.target("a", 2)
 	b.do()
-	on := work.Run{Task: "j.0.0.0", Number: 31}
+	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	var stops []StopRun
 	for begun := b.now; b.now-begun < guestPatience+200*ms && len(stops) == 0; {
-		b.look("a", work.Held{Clock: 5000 + (b.now - begun).Milliseconds(), Running: listing(on)})
+		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - begun).Milliseconds(), Running: listing(on)})
 		stops = pickEffects[StopRun](b.pass(100 * ms))
 	}
 	must.SliceNotEmpty(t, stops)
@@ -208,14 +208,14 @@
 	b := newBench(t, Options{})
 	b.target("a", 2)
 	b.do()
-	on := work.Run{Task: "j.0.0.0", Number: 31}
-	b.look("a", work.Held{Clock: 5000, Running: listing(on)})
+	on := work.RunID{Task: "j.0.0.0", Number: 31}
+	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(on)})
 	b.s.Resume(b.now, b.stepsJob("j", gang(2)), Progress{})
 	b.s.Resumed(b.now)
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, on, pickEffects[StopRun](effects)[0].Run)
-	b.look("a", work.Held{Clock: 5050, Ended: []work.End{{Number: 1, Run: on, Kind: work.EndStopped}}})
+	b.look("a", work.PollAnswer{ClockMS: 5050, Completions: []work.Completion{{Number: 1, Run: on, Kind: work.CompletionStopped}}})
 	must.SliceLen(t, 2, pickEffects[StartRun](append(b.do(), b.pass(40*ms)...)))
 }
 
@@ -228,7 +228,7 @@
 		b.usable(id, 1)
 	}
 	sub := b.stepsJob("j", work.Step{Tasks: 3})
-	sub.Queue.Advised = true
+	sub.Queue.RequiresAdvice = true
 	effects := b.store(sub)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	asks := pickEffects[Ask](effects)
@@ -257,14 +257,14 @@
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
 	sub := b.stepsJob("j", work.Step{Tasks: 1})
-	sub.Queue.Advised = true
+	sub.Queue.RequiresAdvice = true
 	ask := pickEffects[Ask](b.store(sub))[0]
 	b.s.Advised(b.now, ask, nil, 0, false)
 	must.SliceEmpty(t, pickEffects[Ask](b.pass(askPause-40*ms)))
 	must.SliceLen(t, 1, pickEffects[Ask](b.pass(80*ms)))
 	b.s.Advised(b.now, ask, map[string]string{"a": "t1"}, time.Second, true)
 	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictTicket, Clock: 5000})
+	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictInvalidTicket, ClockMS: 5000})
 	must.SliceLen(t, 1, pickEffects[Ask](b.do()))
 }
 
@@ -276,7 +276,7 @@
 	var asks []Ask
 	for i := range 2 * maxAsking {
 		sub := b.stepsJob("j"+string(rune('a'+i)), work.Step{Tasks: 1})
-		sub.Queue.Advised = true
+		sub.Queue.RequiresAdvice = true
 		asks = append(asks, pickEffects[Ask](b.store(sub))...)
 	}
 	must.SliceLen(t, maxAsking, asks)
@@ -291,21 +291,21 @@
 	b.s.Resumed(b.now)
 	b.usable("a", 4000)
 	b.usable("b", 2000)
-	fill := pickEffects[StartRun](b.store(b.stepsJob("f", work.Step{Tasks: 3, Fills: true, Each: work.Resources{CPU: 2000}})))
+	fill := pickEffects[StartRun](b.store(b.stepsJob("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 3, fill)
 	must.Eq(t, "a", fill[0].To.ID)
 	must.Eq(t, "a", fill[1].To.ID)
 	must.Eq(t, "b", fill[2].To.ID)
 	b.begun(fill)
-	plain := pickEffects[StartRun](b.store(b.stepsJob("p", work.Step{Tasks: 1, Each: work.Resources{CPU: 2000}})))
+	plain := pickEffects[StartRun](b.store(b.stepsJob("p", work.Step{Tasks: 1, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 1, plain)
 	must.Eq(t, "b", plain[0].To.ID)
 	b.begun(plain)
-	effects := b.store(b.stepsJob("s", work.Step{Tasks: 1, Serves: true, Each: work.Resources{CPU: 4000}}))
+	effects := b.store(b.stepsJob("s", work.Step{Tasks: 1, LatencySensitive: true, PerTask: work.Resources{CPU: 4000}}))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceLen(t, 2, pickEffects[StopRun](effects))
-	b.look("a", work.Held{Clock: 5000, Ended: []work.End{
-		{Number: 1, Run: fill[0].Run, Kind: work.EndStopped}, {Number: 2, Run: fill[1].Run, Kind: work.EndStopped},
+	b.look("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
+		{Number: 1, Run: fill[0].Run, Kind: work.CompletionStopped}, {Number: 2, Run: fill[1].Run, Kind: work.CompletionStopped},
 	}})
 	serving := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 1, serving)
@@ -315,7 +315,7 @@
 	must.Eq(t, 0, b.s.targets["a"].fillers)
 	// A background task never counts as stuck.
 	for range 20 {
-		b.look("b", work.Held{Clock: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
+		b.look("b", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
 		for _, stop := range pickEffects[StopRun](b.pass(500 * ms)) {
 			must.NotEq(t, fill[2].Run, stop.Run)
 		}
--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -29,12 +29,12 @@
 
 // drawJob draws a random job: plain, with steps, a gang, lasting or repeated.
 func (w *world) drawJob(rt *rapid.T) work.Job {
-	step := work.Step{Tasks: rapid.IntRange(1, 4).Draw(rt, "tasks"), Each: work.Resources{CPU: 1}, Estimate: time.Duration(w.longest/2) * ms}
+	step := work.Step{Tasks: rapid.IntRange(1, 4).Draw(rt, "tasks"), PerTask: work.Resources{CPU: 1}, DeclaredRunTime: time.Duration(w.longest/2) * ms}
 	job := work.Job{Steps: []work.Step{step}}
 	kind := rapid.SampledFrom([]string{"plain", "plain", "steps", "gang", "gang", "lasting", "repeated"}).Draw(rt, "kind")
 	switch kind {
 	case "steps":
-		step.After = []int{0}
+		step.DependsOn = []int{0}
 		job.Steps = append(job.Steps, step)
 	case "gang":
 		job.Steps[0].Gang, job.Steps[0].Tasks = true, 2
@@ -46,11 +46,11 @@
 		w.lasting = true
 		job.Steps[0].Lasting, job.Steps[0].Tasks = true, 1
 	case "repeated":
-		step.After, step.Tasks = []int{0}, 1
+		step.DependsOn, step.Tasks = []int{0}, 1
 		job.Steps = append(job.Steps, step)
-		job.Repeats = work.Repeats{
-			Count: rapid.IntRange(1, 3).Draw(rt, "count"),
-			First: wallBase + w.now + time.Duration(rapid.IntRange(-200, 800).Draw(rt, "first"))*ms, Interval: time.Duration(rapid.IntRange(0, 600).Draw(rt, "interval")) * ms,
+		job.Recurrence = work.Recurrence{
+			Count:    rapid.IntRange(1, 3).Draw(rt, "count"),
+			FirstDue: wallBase + w.now + time.Duration(rapid.IntRange(-200, 800).Draw(rt, "first"))*ms, Interval: time.Duration(rapid.IntRange(0, 600).Draw(rt, "interval")) * ms,
 		}
 	}
 	return job
@@ -86,14 +86,14 @@
 	violate := func(what string) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts %s", w.now, task, what))
 	}
-	for _, before := range step.After {
+	for _, before := range step.DependsOn {
 		for i := range r.sub.Job.Steps[before].Tasks {
 			if !w.done[fmt.Sprintf("%s.%d.%d.%d", r.sub.Job.ID, p.occurrence, before, i)] {
 				violate("before the steps that it depends on are done")
 			}
 		}
 	}
-	if due := r.sub.Job.Repeats.Due(p.occurrence); due > w.now+wallBase {
+	if due := r.sub.Job.Recurrence.DueAt(p.occurrence); due > w.now+wallBase {
 		violate("before it is due")
 	}
 	if !step.Lasting && w.failed[task] >= r.sub.Queue.MaxAttempts {
@@ -111,16 +111,16 @@
 
 // playDurableRun plays what a durable task saves, and the work of gangs and lasting tasks. It
 // reports whether it also plays the end of the run.
-func (w *world) beginKept(t *fakeTarget, r *fakeRun, order work.Order) bool {
+func (w *world) beginKept(t *fakeTarget, r *fakeRun, order work.StartOrder) bool {
 	record, p := w.find(order.Run.Task)
 	if record == nil {
 		return false
 	}
 	as := w.savesAs(order.Run.Task)
-	if order.Saved != "" && !w.saved[as][order.Saved] {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, which it never saved", w.now, order.Run.Task, order.Saved))
+	if order.SavedState != "" && !w.saved[as][order.SavedState] {
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, which it never saved", w.now, order.Run.Task, order.SavedState))
 	}
-	r.saved = order.Saved
+	r.saved = order.SavedState
 	w.after(25*ms, func() {
 		if t.runs[order.Run.Task] != r || t.down {
 			return
@@ -139,7 +139,7 @@
 	case step.Lasting:
 		w.after(time.Duration(100+w.random.IntN(8000))*ms, func() {
 			if !t.down {
-				t.end(order.Run.Task, r, work.EndFailed)
+				t.end(order.Run.Task, r, work.CompletionFailed)
 			}
 		})
 		return true
@@ -150,23 +150,23 @@
 func gangKey(as string, run int64) string { return fmt.Sprintf("%s run %d", as, run) }
 
 // joinGang has a member of a gang wait for the others and then work with them.
-func (w *world) joinGang(t *fakeTarget, r *fakeRun, order work.Order, step work.Step) {
+func (w *world) joinGang(t *fakeTarget, r *fakeRun, order work.StartOrder, step work.Step) {
 	key := gangKey(w.savesAs(order.Run.Task), r.number)
 	g := w.gangs[key]
 	if g == nil {
-		g = &fakeGang{members: map[string]*gangMember{}, saved: order.Saved}
+		g = &fakeGang{members: map[string]*gangMember{}, saved: order.SavedState}
 		w.gangs[key] = g
 	}
-	if g.saved != order.Saved {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, others of its gang from %q", w.now, order.Run.Task, order.Saved, g.saved))
+	if g.saved != order.SavedState {
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, others of its gang from %q", w.now, order.Run.Task, order.SavedState, g.saved))
 	}
 	g.members[order.Run.Task] = &gangMember{target: t, run: r}
 	if len(g.members) < step.Tasks {
 		return
 	}
-	kind := work.EndDone
+	kind := work.CompletionDone
 	if w.random.Float64() < w.faults.failing {
-		kind = work.EndFailed
+		kind = work.CompletionFailed
 	}
 	w.after(time.Duration(20+w.random.IntN(w.longest))*ms, func() {
 		if len(g.members) < step.Tasks || t.hung || t.down {
@@ -174,7 +174,7 @@
 		}
 		tasks := slices.Sorted(maps.Keys(g.members))
 		for i, task := range tasks {
-			if member := g.members[task]; kind == work.EndDone || i == 0 {
+			if member := g.members[task]; kind == work.CompletionDone || i == 0 {
 				member.target.end(task, member.run, kind)
 			}
 		}
@@ -183,20 +183,20 @@
 
 // recordDurableEnd records how a durable run ended. If a gang's member ends without completing, the
 // other members end as broken.
-func (w *world) endKept(task string, r *fakeRun, kind work.EndKind) {
+func (w *world) endKept(task string, r *fakeRun, kind work.CompletionKind) {
 	record, p := w.find(task)
 	if record == nil {
 		return
 	}
 	step := record.sub.Job.Steps[p.step]
 	as := w.savesAs(task)
-	if kind == work.EndFailed {
+	if kind == work.CompletionFailed {
 		w.failedEnds[task]++
 		if step.Gang {
 			w.failedEnds[as]++
 		}
 	}
-	if kind == work.EndDone {
+	if kind == work.CompletionDone {
 		w.done[task] = true
 		for i := 0; step.Gang && i < step.Tasks; i++ {
 			w.done[fmt.Sprintf("%s.%d", as, i)] = true
@@ -207,7 +207,7 @@
 		return
 	}
 	delete(g.members, task)
-	if kind == work.EndDone {
+	if kind == work.CompletionDone {
 		return
 	}
 	for _, other := range slices.Sorted(maps.Keys(g.members)) {
@@ -271,9 +271,9 @@
 
 // acceptsTicket reports whether a target accepts a start. If the job's queue is advised, the start
 // needs a valid ticket for the step and the target.
-func (w *world) admits(t *fakeTarget, order work.Order) bool {
+func (w *world) admits(t *fakeTarget, order work.StartOrder) bool {
 	r, _ := w.find(order.Run.Task)
-	if r == nil || !r.sub.Queue.Advised {
+	if r == nil || !r.sub.Queue.RequiresAdvice {
 		return true
 	}
 	step := order.Run.Task[:strings.LastIndex(order.Run.Task, ".")]
--- a/scheduler/learn_test.go
+++ b/scheduler/learn_test.go
@@ -18,7 +18,7 @@
 		id := string(rune('a' + i%3))
 		s.TargetSeen(now, work.Target{ID: id, Service: "s", Capacity: work.Resources{CPU: 1000}})
 		j := s.newJob(now, Submission{
-			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Estimate: 100 * time.Millisecond}}},
+			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, DeclaredRunTime: 100 * time.Millisecond}}},
 			Queue: work.Queue{Name: "q", Service: "s"},
 		})
 		r := &run{task: j.tasks[0], target: s.targets[id], ordered: now, expected: j.steps[0].expected}
@@ -41,7 +41,7 @@
 		declared := 100 * time.Millisecond
 		actual := time.Duration(float64(declared) / (1 + 0.4*(2*random.Float64()-1)))
 		j := s.newJob(now, Submission{
-			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: declared}}},
+			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: declared}}},
 			Queue: work.Queue{Name: "q", Service: "s"},
 		})
 		r := &run{task: j.tasks[0], target: target, ordered: now, expected: j.steps[0].expected}
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -71,11 +71,11 @@
 
 // canDelegate reports whether other owners may run tasks of a job. The progress of a durable job
 // may be written only by its own owner, and the adviser's answers are given to this owner.
-func (j *job) lendable() bool { return j.sub.Part == nil && !j.kept() && !j.sub.Queue.Advised }
+func (j *job) lendable() bool { return j.sub.Part == nil && !j.kept() && !j.sub.Queue.RequiresAdvice }
 
 // delegateStep hands the waiting tasks of a step to other owners that report free capacity.
 func (s *State) lendJob(now time.Duration, j *job, st *step) {
-	if !j.lendable() || st.on != nil || st.Gang || st.Fills || st.Serves || s.leaving {
+	if !j.lendable() || st.on != nil || st.Gang || st.Background || st.LatencySensitive || s.leaving {
 		return
 	}
 	priority := priorityOf(j.sub.Queue)
@@ -124,7 +124,7 @@
 		names[i] = t.name
 	}
 	part := st.Step
-	part.Tasks, part.After = len(tasks), nil
+	part.Tasks, part.DependsOn = len(tasks), nil
 	sub := Submission{
 		Part:  names,
 		Job:   work.Job{ID: j.sub.Job.ID, Payload: j.sub.Job.Payload, Steps: []work.Step{part}},
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -20,7 +20,7 @@
 	}
 	s.emit(Note{What: "target capacity changed", Target: t.ID, Detail: fmt.Sprintf("cpu %d to %d, memory %d to %d MB, gpu %d to %d",
 		t.Capacity.CPU, capacity.CPU, t.Capacity.MemoryMB, capacity.MemoryMB, t.Capacity.GPU, capacity.GPU)})
-	t.free = t.free.Plus(capacity).Minus(t.Capacity)
+	t.free = t.free.Add(capacity).Sub(t.Capacity)
 	t.Capacity = capacity
 	s.touch(t)
 }
@@ -36,13 +36,13 @@
 
 // clockRestarted reports whether an answer's clock value shows that the target's clock restarted.
 func (t *target) restarted(clock int64) bool {
-	return t.Life != 0 && !t.reborn && clock != 0 && t.lease.known && clock+clockRestart.Milliseconds() < t.lease.clock
+	return t.Incarnation != 0 && !t.reborn && clock != 0 && t.lease.known && clock+clockRestart.Milliseconds() < t.lease.clock
 }
 
 // updateClock takes the clock value of an answer to an order, which does not name its incarnation:
 // a late answer may be of a previous one, whose clock was further ahead.
 func (t *target) readClock(now time.Duration, clock int64) {
-	if t.Life != 0 && (!t.lease.known || clock > t.lease.end(now, clockRestart)) {
+	if t.Incarnation != 0 && (!t.lease.known || clock > t.lease.end(now, clockRestart)) {
 		return
 	}
 	t.lease.read(clock, now)
@@ -52,14 +52,14 @@
 // reports whether it is the present one.
 func (s *State) tellsLife(now time.Duration, t *target, life int64) bool {
 	switch {
-	case life == 0 || life == t.Life:
+	case life == 0 || life == t.Incarnation:
 		return true
-	case life < t.Life:
+	case life < t.Incarnation:
 		return false
-	case t.Life != 0 && !t.reborn:
+	case t.Incarnation != 0 && !t.reborn:
 		s.renew(now, t, "it names a later start")
 	}
-	t.Life, t.reborn = life, false
+	t.Incarnation, t.reborn = life, false
 	return true
 }
 
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -33,7 +33,7 @@
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref,
-		Job: work.Job{ID: "small", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 2}, Estimate: 100 * ms}}},
+		Job: work.Job{ID: "small", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 2}, DeclaredRunTime: 100 * ms}}},
 		// It is placed after all others, and has no time to wait for them.
 		Queue: work.Queue{Name: "q", Service: "s", Priority: 5, MaxAttempts: 2, Stretch: 2, Allowance: 100 * ms},
 	})
@@ -78,11 +78,11 @@
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref, Part: []string{"j.0.0.3"},
-		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: 100 * ms}}},
+		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 	})
-	b.looked("a", work.Held{}, work.VerdictUnknown)
-	b.looked("a", work.Held{}, work.VerdictUnknown)
+	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
+	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
 	answers := pickEffects[Answer](b.pass(partPatience + 40*ms))
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
@@ -166,11 +166,11 @@
 	ref := b.submit("j", 1, 1, "")
 	first := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, first.To.ID, first.Run, done(5000))
-	b.look(first.To.ID, work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: first.Run, Kind: work.EndFailed}}})
+	b.look(first.To.ID, work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: first.Run, Kind: work.CompletionFailed}}})
 	second := pickEffects[StartRun](b.do())[0]
 	must.NotEq(t, first.To.ID, second.To.ID)
 	b.s.Started(b.now, second.To.ID, second.Run, done(5000))
-	b.look(second.To.ID, work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: second.Run, Kind: work.EndFailed}}})
+	b.look(second.To.ID, work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: second.Run, Kind: work.CompletionFailed}}})
 	answer := pickEffects[Answer](b.do())[0]
 	must.Eq(t, ref, answer.Ref)
 	must.Eq(t, work.Failed, answer.Outcome.Result)
@@ -230,7 +230,7 @@
 	must.SliceLen(t, 1, again)
 	b.s.Returned(b.now, again[0].Part, work.Outcome{Result: work.Completed})
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.look("a", work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	answer := pickEffects[Answer](b.do())[0]
 	must.Eq(t, ref, answer.Ref)
 	must.Eq(t, work.Completed, answer.Outcome.Result)
@@ -247,7 +247,7 @@
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.s.Cancel(b.now, ref)
 	must.Eq(t, delegated.Part, pickEffects[Withdraw](b.do())[0].Part)
-	b.look("a", work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndStopped}}})
+	b.look("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
 	b.submit("j", 1, 1, "")
 	must.SliceEmpty(t, pickEffects[StartRun](b.pass(withdrawTime-50*ms)))
 	must.SliceLen(t, 1, pickEffects[StartRun](b.pass(100*ms)))
@@ -260,7 +260,7 @@
 		b.ref++
 		b.s.Submit(b.now, Submission{
 			Ref: b.ref, Part: []string{name},
-			Job:   work.Job{ID: name[:1], Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: 100 * ms}}},
+			Job:   work.Job{ID: name[:1], Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		})
 	}
@@ -271,7 +271,7 @@
 	b.s.Cancel(b.now, 1)
 	b.pass(40 * ms)
 	run := b.s.targets["a"].sortedRuns()[0]
-	b.look("a", work.Held{Clock: 5040, Ended: []work.End{{Number: 1, Run: run.Run, Kind: work.EndStopped}}})
+	b.look("a", work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: run.RunID, Kind: work.CompletionStopped}}})
 	part("j.0.0.3")
 	starts := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 1, starts)
@@ -284,15 +284,15 @@
 	b.s.Submit(b.now, Submission{
 		Ref: 1,
 		Job: work.Job{ID: "j", Steps: []work.Step{
-			{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: 100 * ms},
-			{Tasks: 2, Each: work.Resources{CPU: 1}, Estimate: 100 * ms, After: []int{0}},
+			{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms},
+			{Tasks: 2, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms, DependsOn: []int{0}},
 		}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 	})
 	first := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 1, first)
 	b.s.Started(b.now, "a", first[0].Run, done(5000))
-	b.look("a", work.Held{Clock: 5010, Ended: []work.End{{Number: 1, Run: first[0].Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: first[0].Run, Kind: work.CompletionDone}}})
 	must.SliceLen(t, 2, pickEffects[StartRun](b.do()))
 }
 
@@ -301,13 +301,13 @@
 	for _, id := range []string{"a", "b"} {
 		b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: 4}, Labels: []string{"fast"}})
 		b.do()
-		b.look(id, work.Held{Clock: 5000})
+		b.look(id, work.PollAnswer{ClockMS: 5000})
 	}
 	b.usable("c", 4)
 	b.s.Submit(b.now, Submission{
 		Ref: 1,
 		Job: work.Job{ID: "j", Steps: []work.Step{
-			{Tasks: 3, Each: work.Resources{CPU: 1}, Estimate: 100 * ms, Label: "fast", Spread: 1},
+			{Tasks: 3, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms, RequiredLabel: "fast", MaxPerTarget: 1},
 		}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 	})
@@ -334,11 +334,11 @@
 			b.do()
 			if silent {
 				for range silentLooks {
-					b.looked("a", work.Held{}, work.VerdictUnknown)
+					b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
 					b.pass(lookPause)
 				}
 			} else {
-				b.look("a", work.Held{Clock: 5000, Ended: []work.End{{Number: 1, Run: starts[0].Run, Kind: work.EndDone}}})
+				b.look("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}}})
 			}
 			b.pass(missingPatience + 40*ms)
 			must.MapEmpty(t, b.s.targets)
@@ -350,7 +350,7 @@
 	b := newBench(t, Options{})
 	b.target("a", 4)
 	b.do()
-	b.looked("a", work.Held{}, work.VerdictFenced)
+	b.looked("a", work.PollAnswer{}, work.VerdictFenced)
 	must.Eq(t, []Deposed{{Target: "a"}}, pickEffects[Deposed](b.do()))
 }
 
@@ -361,7 +361,7 @@
 	b.usable("a", 1)
 	b.target("theirs", 4)
 	b.do()
-	b.looked("theirs", work.Held{}, work.VerdictFenced)
+	b.looked("theirs", work.PollAnswer{}, work.VerdictFenced)
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[Deposed](effects))
 	must.SliceEmpty(t, pickEffects[Look](effects), must.Sprint("polls of it are paced"))
@@ -381,7 +381,7 @@
 	b.s.Started(b.now, "a", start.Run, done(5000))
 	b.usable("b", 1)
 	b.s.TargetMissing(b.now, "a")
-	b.looked("a", work.Held{}, work.VerdictFenced)
+	b.looked("a", work.PollAnswer{}, work.VerdictFenced)
 	effects := b.do()
 	must.SliceEmpty(t, pickEffects[Deposed](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint("its run may still execute"))
@@ -397,7 +397,7 @@
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.looked("a", work.Held{}, work.VerdictGone)
+	b.looked("a", work.PollAnswer{}, work.VerdictMisdirected)
 	starts := pickEffects[StartRun](b.do())
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "b", starts[0].To.ID)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -94,24 +94,24 @@
 
 // placeStep starts tasks of a step until one fits no target.
 func (s *State) placeStep(now time.Duration, j *job, st *step, failed *misses) {
-	unconstrained := st.Label == "" && st.on == nil && st.advice == nil && !st.Fills && !st.Serves
+	unconstrained := st.RequiredLabel == "" && st.on == nil && st.advice == nil && !st.Background && !st.LatencySensitive
 	if st.suspected {
 		s.placeInRoom(now, j, st)
 		st.suspectsLast()
 	}
-	for len(st.pending) > 0 && !(unconstrained && failed.hopeless(j.pool, st.Each)) {
+	for len(st.pending) > 0 && !(unconstrained && failed.hopeless(j.pool, st.PerTask)) {
 		if st.Lasting && !st.bringRipe(now) {
 			return
 		}
 		t := s.pick(now, j, st, st.pending[0])
 		if t == nil {
 			if unconstrained && !st.pending[0].suspect() {
-				failed.add(j.pool, st.Each)
+				failed.add(j.pool, st.PerTask)
 			}
 			if st.suspected && j.kept() {
 				s.makeRoom(now, st.pending[0])
 			}
-			if st.Serves {
+			if st.LatencySensitive {
 				s.clear(now, j, st)
 			}
 			return
@@ -124,13 +124,13 @@
 
 // canStart reports whether a task may start on a target now.
 func (s *State) may(now time.Duration, t *target, j *job, st *step, tk *task) bool {
-	if !t.takes() || now < t.blocked || !st.Each.Fits(t.free) {
+	if !t.takes() || now < t.blocked || !st.PerTask.FitsIn(t.free) {
 		return false
 	}
-	if st.Label != "" && !slices.Contains(t.Labels, st.Label) || !st.advice.allows(now, t.ID) {
+	if st.RequiredLabel != "" && !slices.Contains(t.Labels, st.RequiredLabel) || !st.advice.allows(now, t.ID) {
 		return false
 	}
-	if st.on != nil && st.on[t.ID] >= st.Spread {
+	if st.on != nil && st.on[t.ID] >= st.MaxPerTarget {
 		return false
 	}
 	if !tk.joins(t) || tk.suspect() && !s.tries(t, st, tk) {
@@ -148,7 +148,7 @@
 // rank rates how badly a target suits a task apart from its free capacity; 0 is best.
 func (t *target) rank(now time.Duration, st *step, tk *task) int {
 	rank := 0
-	if st.Rack != "" && !slices.Contains(t.Labels, st.Rack) {
+	if st.PreferredRack != "" && !slices.Contains(t.Labels, st.PreferredRack) {
 		rank += 4
 	}
 	if t.ID == tk.avoid {
@@ -170,7 +170,7 @@
 func (s *State) start(now time.Duration, t *target, tk *task, number int64) {
 	j := tk.job
 	r := &run{
-		Run:      work.Run{Task: tk.name, Number: number},
+		RunID:    work.RunID{Task: tk.name, Number: number},
 		task:     tk,
 		target:   t,
 		ordered:  now,
@@ -192,8 +192,8 @@
 // sendStart sends one copy of a run's start order.
 func (s *State) sendStart(now time.Duration, r *run) {
 	r.copies.add(now)
-	s.emit(StartRun{To: r.target.address(), Order: work.Order{
-		Run: r.Run, Payload: r.task.job.sub.Job.Payload, Saved: r.saves, Ticket: r.ticket, Until: r.until,
+	s.emit(StartRun{To: r.target.address(), StartOrder: work.StartOrder{
+		Run: r.RunID, Payload: r.task.job.sub.Job.Payload, SavedState: r.saves, Ticket: r.ticket, LeaseUntilMS: r.until,
 	}})
 }
 
@@ -203,9 +203,9 @@
 	r.task.run = r
 	s.tryAlone(r)
 	t.runs[r.Task] = r
-	t.free = t.free.Minus(st.Each)
+	t.free = t.free.Sub(st.PerTask)
 	if !st.Lasting {
-		r.flow = float64(st.Each.CPU) / r.lasts()
+		r.flow = float64(st.PerTask.CPU) / r.lasts()
 	}
 	t.flow += r.flow
 	t.sharing(st, 1)
--- a/scheduler/place_bench_test.go
+++ b/scheduler/place_bench_test.go
@@ -33,10 +33,10 @@
 			switch e := effect.(type) {
 			case Look:
 				if e.Until == 0 && e.Wait == 0 {
-					s.Looked(now, e.To.ID, e.At, work.Held{Clock: now.Milliseconds()}, work.VerdictDone)
+					s.Looked(now, e.To.ID, e.At, work.PollAnswer{ClockMS: now.Milliseconds()}, work.VerdictDone)
 				}
 			case StartRun:
-				s.Started(now, e.To.ID, e.Run, work.OrderAnswer{Verdict: work.VerdictDone, Clock: now.Milliseconds()})
+				s.Started(now, e.To.ID, e.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: now.Milliseconds()})
 				running = append(running, e)
 			}
 		}
@@ -46,7 +46,7 @@
 		s.Submit(now, Submission{
 			Ref: Ref(i + 1),
 			Job: work.Job{ID: fmt.Sprintf("%016x", i), Steps: []work.Step{{
-				Tasks: benchTasks, Each: work.Resources{CPU: 14000 + int64(i%5)*500}, Estimate: 100 * time.Millisecond,
+				Tasks: benchTasks, PerTask: work.Resources{CPU: 14000 + int64(i%5)*500}, DeclaredRunTime: 100 * time.Millisecond,
 			}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		})
@@ -66,10 +66,10 @@
 			completed[e.To.ID]++
 			t := s.targets[e.To.ID]
 			t.looking = true
-			held := work.Held{Clock: now.Milliseconds(), Ended: []work.End{{Number: completed[e.To.ID], Run: e.Run, Kind: work.EndDone}}}
+			held := work.PollAnswer{ClockMS: now.Milliseconds(), Completions: []work.Completion{{Number: completed[e.To.ID], Run: e.Run, Kind: work.CompletionDone}}}
 			for _, r := range t.runs {
-				if r.Run != e.Run {
-					held.Running = append(held.Running, work.Running{Run: r.Run})
+				if r.RunID != e.Run {
+					held.Running = append(held.Running, work.RunningRun{Run: r.RunID})
 				}
 			}
 			s.Looked(now, e.To.ID, t.look.At, held, work.VerdictDone)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -149,7 +149,7 @@
 // pickTarget chooses the target with the least free processor that fits a task, so that large tasks
 // find capacity elsewhere. A target with a worse rank is chosen only if no better one fits.
 func (s *State) pick(now time.Duration, j *job, st *step, tk *task) *target {
-	if st.Fills {
+	if st.Background {
 		return s.pickFill(now, j, st, tk)
 	}
 	if st.held != nil && s.may(now, st.held, j, st, tk) {
@@ -160,7 +160,7 @@
 	}
 	p := j.pool
 	var best *target
-	for bucket := bucketOf(st.Each.CPU); bucket < bucketCount; bucket++ {
+	for bucket := bucketOf(st.PerTask.CPU); bucket < bucketCount; bucket++ {
 		for _, t := range p.buckets[bucket] {
 			if !s.may(now, t, j, st, tk) || best != nil && best.rank(now, st, tk) <= t.rank(now, st, tk) {
 				continue
@@ -230,7 +230,7 @@
 func (s *State) roomElsewhere(t *target, need work.Resources) bool {
 	for bucket := bucketOf(need.CPU); bucket < bucketCount; bucket++ {
 		for _, other := range t.pool.buckets[bucket] {
-			if other != t && need.Fits(other.free) {
+			if other != t && need.FitsIn(other.free) {
 				return true
 			}
 		}
--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -38,7 +38,7 @@
 	// The handler of the broken connection cancels a request that is no longer the job's.
 	b.s.Cancel(b.now, first.Ref)
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.look("a", work.Held{Clock: 5001, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	answers := pickEffects[Answer](b.do())
 	must.Eq(t, again.Ref, answers[0].Ref)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
@@ -52,7 +52,7 @@
 	sub := b.remote("j", "e")
 	start := pickEffects[StartRun](b.do())[0]
 	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.look("a", work.Held{Clock: 5001, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+	b.look("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	// This also holds before the first answer has been sent.
 	again := b.asked(sub)
 	must.Eq(t, Present, b.s.Rejoin(b.now, again, ms, false))
@@ -91,7 +91,7 @@
 	b.ref++
 	part := Submission{
 		Ref: b.ref, Entry: "e", Part: []string{"j.0.0.3"},
-		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1}, Estimate: 100 * ms}}},
+		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 	}
 	b.s.Submit(b.now, part)
@@ -123,7 +123,7 @@
 		b.s.EntrySeen("e", b.now+time.Hour)
 		first := Submission{
 			Ref: 100, Entry: "e",
-			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 2 - room}, Estimate: 100 * ms}}},
+			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 2 - room}, DeclaredRunTime: 100 * ms}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		}
 		again := b.asked(first)
--- a/scheduler/repeat.go
+++ b/scheduler/repeat.go
@@ -7,12 +7,12 @@
 
 // countDueSteps counts the steps of the job that belong to occurrences that are due by now.
 func (s *State) dueSteps(now time.Duration, j *job) int {
-	repeats := j.sub.Job.Repeats
+	repeats := j.sub.Job.Recurrence
 	if repeats.Count == 0 {
 		return len(j.steps)
 	}
 	each, due := len(j.sub.Job.Steps), j.due
-	for due < len(j.steps) && s.wall+now >= repeats.Due(due/each) {
+	for due < len(j.steps) && s.wall+now >= repeats.DueAt(due/each) {
 		due += each
 	}
 	return due
--- a/scheduler/resend.go
+++ b/scheduler/resend.go
@@ -245,7 +245,7 @@
 // shouldHaveEnded reports whether most runs of this expected time would have ended by now.
 // Lasting tasks don't end, and background tasks get too little CPU for their time to tell.
 func (r *run) due(now time.Duration) bool {
-	return !r.task.step.Lasting && !r.task.step.Fills && now-r.ordered > time.Duration(dueFactor*float64(r.expected))+dueSlack
+	return !r.task.step.Lasting && !r.task.step.Background && now-r.ordered > time.Duration(dueFactor*float64(r.expected))+dueSlack
 }
 
 // pollNow sends a copy of the poll that waits at the target; the copy asks for an answer at once.
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -65,16 +65,16 @@
 // only after its stop or its completion, and a target that has seen it end did start it.
 func TestARefusedCopyTellsNothingOfTheOthers(t *testing.T) {
 	for verdict, stopped := range map[work.Verdict]bool{
-		work.VerdictRoom: true, work.VerdictLate: true, work.VerdictUnhealthy: true, work.VerdictInvalid: true, work.VerdictOld: false,
+		work.VerdictNoCapacity: true, work.VerdictLeaseExpired: true, work.VerdictUnhealthy: true, work.VerdictInvalid: true, work.VerdictStaleRun: false,
 	} {
 		b, start := orderedRun(t)
 		b.pass(40 * ms)
-		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, Clock: 5000})
+		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
 		effects := b.do()
 		must.Eq(t, stopped, len(pickEffects[StopRun](effects)) > 0, must.Sprint(verdict))
 		must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint(verdict))
 		if !stopped {
-			b.look("a", work.Held{Clock: 5001, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}})
+			b.look("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 			must.Eq(t, work.Completed, pickEffects[Answer](b.do())[0].Outcome.Result)
 		}
 	}
@@ -83,13 +83,13 @@
 // This also holds if the copy is refused by another owner's target or by another incarnation: the
 // job counts as started, and its caller is told Unknown.
 func TestACopyThatMeetsAnotherOwnerLeavesTheJobBegun(t *testing.T) {
-	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictGone} {
+	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictMisdirected} {
 		b := newBench(t, Options{})
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
 		start := pickEffects[StartRun](b.do())[0]
 		b.pass(40 * ms)
-		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, Clock: 5000})
+		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
 		deposed := pickEffects[Deposed](b.do())
 		must.Eq(t, verdict == work.VerdictFenced, len(deposed) > 0)
 		b.s.Abandon(b.now)
@@ -129,9 +129,9 @@
 	again := pickEffects[Look](b.pass(20 * ms))
 	must.SliceLen(t, 1, again)
 	must.Eq(t, Look{To: first.To, At: first.At, Until: first.Until, Seen: first.Seen}, again[0])
-	b.s.Looked(b.now, "a", first.At, work.Held{Clock: 5400, Running: listing(start.Run)}, work.VerdictDone)
+	b.s.Looked(b.now, "a", first.At, work.PollAnswer{ClockMS: 5400, Running: listing(start.Run)}, work.VerdictDone)
 	b.do()
-	b.s.Looked(b.now, "a", first.At, work.Held{Clock: 5400}, work.VerdictDone)
+	b.s.Looked(b.now, "a", first.At, work.PollAnswer{ClockMS: 5400}, work.VerdictDone)
 	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
 	must.True(t, b.s.targets["a"].looking)
 }
@@ -145,7 +145,7 @@
 			b.disturb()
 		}
 		b.s.Started(b.now, "a", start.Run, done(5000))
-		b.look("a", work.Held{Clock: 5000, Running: listing(start.Run)})
+		b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
 		b.do()
 		looks := pickEffects[Look](b.pass(40 * ms))
 		if !lost {
@@ -155,7 +155,7 @@
 		must.SliceLen(t, 1, looks)
 		must.Eq(t, disturbedWait, looks[0].Wait)
 		first := b.s.targets["a"].look.At
-		b.s.Looked(b.now, "a", first, work.Held{Clock: 5040, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}}, work.VerdictDone)
+		b.s.Looked(b.now, "a", first, work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}}, work.VerdictDone)
 		must.Eq(t, work.Completed, pickEffects[Answer](b.do())[0].Outcome.Result)
 	}
 }
@@ -321,7 +321,7 @@
 // A start whose connection breaks is sent again at once, because no answer to it will come.
 func TestABrokenStartIsSentAgainAtOnce(t *testing.T) {
 	b, start := orderedRun(t)
-	broken := work.OrderAnswer{Verdict: work.VerdictBroken}
+	broken := work.OrderAnswer{Verdict: work.VerdictConnectionLost}
 	for copies := 1; copies < maxCopies; copies++ {
 		b.s.Started(b.now, "a", start.Run, broken)
 		must.SliceEmpty(t, b.do())
@@ -334,6 +334,6 @@
 // A start whose connection breaks only when its answer was due is stopped.
 func TestAStartThatBreaksLateIsStopped(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now+answerTime, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictBroken})
+	b.s.Started(b.now+answerTime, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
 	must.Eq(t, start.Run, pickEffects[StopRun](b.do())[0].Run)
 }
--- a/scheduler/return_test.go
+++ b/scheduler/return_test.go
@@ -15,8 +15,8 @@
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref:   b.ref,
-		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1000}, Estimate: 100 * ms}}},
-		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: slack, Timeout: time.Second},
+		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: 100 * ms}}},
+		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: slack, RequestTimeout: time.Second},
 	})
 	return pickEffects[Answer](b.do())
 }
@@ -44,8 +44,8 @@
 			b.ref++
 			b.s.Submit(b.now, Submission{
 				Ref: b.ref, Wait: test.wait,
-				Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1000}, Estimate: 100 * ms}}},
-				Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: 400 * ms, Timeout: time.Second},
+				Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: 100 * ms}}},
+				Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: 400 * ms, RequestTimeout: time.Second},
 			})
 			answers := pickEffects[Answer](b.do())
 			must.Eq(t, test.accepted, len(answers) == 0)
@@ -60,8 +60,8 @@
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref, Wait: 300 * ms,
-		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, Each: work.Resources{CPU: 1000}, Estimate: time.Hour}}},
-		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: time.Second, Timeout: time.Second},
+		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: time.Hour}}},
+		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: time.Second, RequestTimeout: time.Second},
 	})
 	must.SliceEmpty(t, pickEffects[Answer](b.pass(280*ms)))
 	must.SliceLen(t, 1, pickEffects[Answer](b.pass(40*ms)))
@@ -82,7 +82,7 @@
 			accepted++
 		}
 		if i == 3 {
-			b.look("t0", work.Held{Clock: 5000})
+			b.look("t0", work.PollAnswer{ClockMS: 5000})
 			b.do()
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -43,19 +43,19 @@
 
 // StartRun orders the start of a run; the answer goes to Started.
 type StartRun struct {
-	To work.Address
-	work.Order
+	To work.TargetAddress
+	work.StartOrder
 }
 
 // StopRun orders a run to stop; the answer goes to Stopped.
 type StopRun struct {
-	To  work.Address
-	Run work.Run
+	To  work.TargetAddress
+	Run work.RunID
 }
 
 // Poll asks a target for its runs and completions; the answer goes to Polled.
 type Look struct {
-	To work.Address
+	To work.TargetAddress
 	// SentAt is when its first copy was sent; it distinguishes this poll from others of the target.
 	At time.Duration
 	// LeaseUntil extends the target's lease; 0 leaves it unchanged.
@@ -284,7 +284,7 @@
 }
 
 // isDurableRun reports whether a run belongs to a durable job, whoever ordered it.
-func keptRun(run work.Run) bool { return run.Number&1 == 1 }
+func keptRun(run work.RunID) bool { return run.Number&1 == 1 }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -9,17 +9,17 @@
 // excludeBackgroundCPU removes the processor that background tasks want from what they reserve on
 // their target.
 func (st *step) share() {
-	if st.Fills {
-		st.filling, st.Each.CPU = st.Each.CPU, 0
+	if st.Background {
+		st.filling, st.PerTask.CPU = st.PerTask.CPU, 0
 	}
 }
 
 // canRunBeside reports whether tasks of a step may run beside the runs of a target.
 func (st *step) sharesWith(t *target) bool {
 	switch {
-	case st.Fills:
+	case st.Background:
 		return t.serving == 0 && t.filled+st.filling <= t.Capacity.CPU
-	case st.Serves:
+	case st.LatencySensitive:
 		return t.fillers == 0
 	}
 	return true
@@ -27,11 +27,11 @@
 
 // countSharing counts a run of a step that starts or ends.
 func (t *target) sharing(st *step, by int) {
-	if st.Fills {
+	if st.Background {
 		t.fillers += by
 		t.filled += int64(by) * st.filling
 	}
-	if st.Serves {
+	if st.LatencySensitive {
 		t.serving += by
 	}
 }
@@ -56,13 +56,13 @@
 	}
 	s.letGo(st)
 	for _, t := range j.pool.targets {
-		if t.fillers == 0 || !t.open() || t.reserved != nil || !st.Each.Fits(t.free) || !st.fitsOn(t) || !st.advice.allows(now, t.ID) {
+		if t.fillers == 0 || !t.open() || t.reserved != nil || !st.PerTask.FitsIn(t.free) || !st.fitsOn(t) || !st.advice.allows(now, t.ID) {
 			continue
 		}
 		st.held, st.cleared, t.reserved = t, now, st
 		s.touch(t)
 		for _, r := range t.sortedRuns() {
-			if r.task.step.Fills {
+			if r.task.step.Background {
 				s.stop(now, r)
 			}
 		}
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -58,7 +58,7 @@
 
 // continueListedRun takes a run of a previous owner that a target lists, and reports whether it
 // may continue.
-func (s *State) goesOn(now time.Duration, t *target, listed work.Running) bool {
+func (s *State) goesOn(now time.Duration, t *target, listed work.RunningRun) bool {
 	if !keptRun(listed.Run) || t.strangers[listed.Run] != nil || s.leaving {
 		return false
 	}
@@ -78,7 +78,7 @@
 		delete(t.guests, listed.Run)
 		return false
 	}
-	g.saved = listed.Saved
+	g.saved = listed.SavedState
 	t.guests[listed.Run] = g
 	return true
 }
@@ -99,15 +99,15 @@
 }
 
 // continueRun assigns a run that a previous owner ordered to its task.
-func (s *State) adoptRun(now time.Duration, t *target, tk *task, listed work.Running) {
+func (s *State) adoptRun(now time.Duration, t *target, tk *task, listed work.RunningRun) {
 	st := tk.step
 	st.pending = slices.DeleteFunc(st.pending, func(other *task) bool { return other == tk })
 	s.emit(Note{What: "run goes on", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID})
 	tk.job.mark(now, "goes on", tk.name, t.ID, "")
 	tk.job.traced = true
 	s.occupy(t, &run{
-		Run: listed.Run, task: tk, target: t, state: running, ordered: now, until: t.lease.until,
-		expected: st.expected, saved: listed.Saved, adopted: true, listed: true,
+		RunID: listed.Run, task: tk, target: t, state: running, ordered: now, until: t.lease.until,
+		expected: st.expected, saved: listed.SavedState, adopted: true, listed: true,
 	})
 }
 
@@ -203,15 +203,15 @@
 // handleUnknownCompletion takes the completion of a run that isn't known here. If the run is of a
 // durable job, the completion is not acknowledged until the job was taken over and the store has
 // the completion.
-func (s *State) orphaned(now time.Duration, t *target, end work.End) {
+func (s *State) orphaned(now time.Duration, t *target, end work.Completion) {
 	if !keptRun(end.Run) {
 		return
 	}
 	s.inherit(end)
-	if end.Kind != work.EndDone && end.Kind != work.EndFailed {
+	if end.Kind != work.CompletionDone && end.Kind != work.CompletionFailed {
 		return
 	}
-	o := orphan{end: t.endRef(end.Number), run: end.Run.Number, failed: end.Kind == work.EndFailed}
+	o := orphan{end: t.endRef(end.Number), run: end.Run.Number, failed: end.Kind == work.CompletionFailed}
 	if !s.resumed {
 		t.unnoted[end.Number] = true
 		s.orphans[end.Run.Task] = append(s.orphans[end.Run.Task], o)
@@ -237,15 +237,15 @@
 }
 
 // inheritSaved takes the work that a previous owner's run has saved.
-func (s *State) inherit(end work.End) {
+func (s *State) inherit(end work.Completion) {
 	switch inherited := s.left[end.Run.Task]; {
-	case end.Saved == "" || end.Run.Number < inherited.number:
+	case end.SavedState == "" || end.Run.Number < inherited.number:
 	case s.resumed:
 		if tk := s.pendingTask(end.Run.Task); tk != nil {
-			s.keepSaved(tk, end.Run.Number, end.Saved)
+			s.keepSaved(tk, end.Run.Number, end.SavedState)
 		}
 	default:
-		s.left[end.Run.Task] = leftover{number: end.Run.Number, saved: end.Saved}
+		s.left[end.Run.Task] = leftover{number: end.Run.Number, saved: end.SavedState}
 	}
 }
 
@@ -298,7 +298,7 @@
 		saved := t.guests[inherited].saved
 		delete(t.guests, inherited)
 		if tk := s.pendingTask(inherited.Task); tk != nil && t.runs[inherited.Task] == nil {
-			s.adoptRun(now, t, tk, work.Running{Run: inherited, Saved: saved})
+			s.adoptRun(now, t, tk, work.RunningRun{Run: inherited, SavedState: saved})
 		} else {
 			s.stopStranger(now, t, inherited)
 		}
@@ -308,11 +308,11 @@
 }
 
 // sortedInheritedRuns returns the target's inherited runs, sorted by task.
-func (t *target) sortedGuests() []work.Run {
-	runs := make([]work.Run, 0, len(t.guests))
+func (t *target) sortedGuests() []work.RunID {
+	runs := make([]work.RunID, 0, len(t.guests))
 	for inherited := range t.guests {
 		runs = append(runs, inherited)
 	}
-	slices.SortFunc(runs, func(a, b work.Run) int { return strings.Compare(a.Task, b.Task) })
+	slices.SortFunc(runs, func(a, b work.RunID) int { return strings.Compare(a.Task, b.Task) })
 	return runs
 }
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -65,10 +65,10 @@
 	filed filing
 	dirty bool
 	// unknownRuns are runs whose owner or job is not known here; they are stopped.
-	strangers map[work.Run]*orderTry
+	strangers map[work.RunID]*orderTry
 	// inheritedRuns are a previous owner's runs of durable jobs that are not read from the store
 	// yet. fenced says that the target has answered under this owner's fencing token.
-	guests map[work.Run]guest
+	guests map[work.RunID]guest
 	barred bool
 	// latencySensitiveRuns and backgroundRuns count runs of such steps; backgroundCPU is the
 	// processor that the latter want.
@@ -125,7 +125,7 @@
 
 // run is one start of a task on a target.
 type run struct {
-	work.Run
+	work.RunID
 	task    *task
 	target  *target
 	state   runState
@@ -203,21 +203,23 @@
 	return runs
 }
 
-func (t *target) sortedStrangers() []work.Run {
+func (t *target) sortedStrangers() []work.RunID {
 	if len(t.strangers) == 0 {
 		return nil
 	}
-	return slices.SortedFunc(maps.Keys(t.strangers), func(a, b work.Run) int {
+	return slices.SortedFunc(maps.Keys(t.strangers), func(a, b work.RunID) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 	})
 }
 
-func (t *target) address() work.Address { return work.Address{ID: t.ID, Address: t.Address} }
+func (t *target) address() work.TargetAddress {
+	return work.TargetAddress{ID: t.ID, Address: t.Address}
+}
 
 // TargetListed processes a target's registry entry.
 func (s *State) TargetSeen(now time.Duration, entry work.Target) {
 	t := s.targets[entry.ID]
-	if t != nil && !s.tellsLife(now, t, entry.Life) {
+	if t != nil && !s.tellsLife(now, t, entry.Incarnation) {
 		return
 	}
 	if t == nil {
@@ -225,12 +227,12 @@
 			pool:      s.poolOf(entry.Service),
 			free:      entry.Capacity,
 			runs:      map[string]*run{},
-			strangers: map[work.Run]*orderTry{},
+			strangers: map[work.RunID]*orderTry{},
 			unnoted:   map[int64]bool{},
-			guests:    map[work.Run]guest{},
+			guests:    map[work.RunID]guest{},
 			health:    newHealth(),
 		}
-		t.ID, t.Life = entry.ID, entry.Life
+		t.ID, t.Incarnation = entry.ID, entry.Incarnation
 		s.comesLater(now, t)
 		s.targets[entry.ID] = t
 		t.pool.targets = append(t.pool.targets, t)
@@ -244,8 +246,8 @@
 		s.resize(t, entry.Capacity)
 	}
 	t.missing, t.gone = 0, false
-	t.warm = now + entry.WarmIn
-	entry.Capacity, entry.Life = t.Capacity, t.Life
+	t.warm = now + entry.WarmUpLeft
+	entry.Capacity, entry.Incarnation = t.Capacity, t.Incarnation
 	t.Target = entry
 	s.touch(t)
 }
@@ -322,7 +324,7 @@
 	t := r.target
 	r.endTrial()
 	delete(t.runs, r.Task)
-	t.free = t.free.Plus(r.task.step.Each)
+	t.free = t.free.Add(r.task.step.PerTask)
 	t.flow -= r.flow
 	t.sharing(r.task.step, -1)
 	s.touch(t)
@@ -362,7 +364,7 @@
 		r.stop = &orderTry{asked: now, sent: now}
 		s.touch(r.target)
 		r.task.job.mark(now, "stopped", r.Task, r.target.ID, "")
-		s.emit(StopRun{To: r.target.address(), Run: r.Run})
+		s.emit(StopRun{To: r.target.address(), Run: r.RunID})
 	}
 }
 
@@ -447,7 +449,7 @@
 			s.lost(now, r, "stopped before it was seen to run")
 			return
 		case s.stopDue(now, r.stop):
-			s.emit(StopRun{To: t.address(), Run: r.Run})
+			s.emit(StopRun{To: t.address(), Run: r.RunID})
 		}
 	}
 	s.startAgain(now, r)
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -151,7 +151,7 @@
 	fence   int64
 	runs    map[string]*fakeRun
 	highest map[string]int64
-	ended   []work.End
+	ended   []work.Completion
 	number  int64
 	until   int64
 	down    bool
@@ -205,7 +205,7 @@
 }
 
 func (t *fakeTarget) listed() work.Target {
-	return work.Target{ID: t.id, Service: "s", Address: t.id, Capacity: work.Resources{CPU: t.capacity}, Life: t.life}
+	return work.Target{ID: t.id, Service: "s", Address: t.id, Capacity: work.Resources{CPU: t.capacity}, Incarnation: t.life}
 }
 
 func (t *fakeTarget) clock() int64 {
@@ -413,7 +413,7 @@
 		if w.random.IntN(2) == 0 {
 			w.after(ms, func() { do() })
 		}
-		reply(work.OrderAnswer{Verdict: work.VerdictBroken}, ms+time.Duration(w.random.IntN(4))*ms)
+		reply(work.OrderAnswer{Verdict: work.VerdictConnectionLost}, ms+time.Duration(w.random.IntN(4))*ms)
 	case draw < w.faults.lostOrders+w.faults.lateOrders+w.faults.lostAnswers:
 		w.after(ms, func() { do() })
 		reply(unknown, unansweredTime)
@@ -446,32 +446,32 @@
 	token := o.token
 	t := w.targets[e.To.ID]
 	life := t.life
-	reply := func(after time.Duration, held work.Held, verdict work.Verdict) {
+	reply := func(after time.Duration, held work.PollAnswer, verdict work.Verdict) {
 		w.after(after, func() { w.hear(o, func() { o.state.Looked(w.now, t.id, e.At, held, Settle(verdict, token, o.token)) }) })
 	}
-	ignore := func(work.Held, work.Verdict) {}
+	ignore := func(work.PollAnswer, work.Verdict) {}
 	timeout := e.Wait + unansweredTime
 	switch draw := w.random.Float64(); {
 	case draw < w.faults.lostOrders:
-		reply(timeout, work.Held{}, work.VerdictUnknown)
+		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, func() {
 			if t.life == life {
 				t.look(token, e, ignore)
 			}
 		})
-		reply(timeout, work.Held{}, work.VerdictUnknown)
+		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders+w.faults.lostAnswers:
 		// The answer takes long, and others overtake it.
 		sent := w.now
 		w.after(ms, func() {
-			t.look(token, e, func(held work.Held, verdict work.Verdict) {
+			t.look(token, e, func(held work.PollAnswer, verdict work.Verdict) {
 				reply(max(sent+timeout-ms-w.now, 0), held, verdict)
 			})
 		})
 	default:
 		w.after(ms, func() {
-			t.look(token, e, func(held work.Held, verdict work.Verdict) {
+			t.look(token, e, func(held work.PollAnswer, verdict work.Verdict) {
 				if verdict == work.VerdictUnknown {
 					reply(unansweredTime, held, verdict)
 					return
--- a/work/configuration.go
+++ b/work/configuration.go
@@ -4,8 +4,8 @@
 
 // Route assigns the requests of a host and a path prefix to a queue.
 type Route struct {
-	Host, Prefix string
-	Queue        Queue
+	Host, PathPrefix string
+	Queue            Queue
 }
 
 // Configuration is the operator's configuration.
@@ -17,13 +17,13 @@
 }
 
 // FindRoute returns the host's route with the longest prefix of the path.
-func (c Configuration) Find(host, path string) (Route, bool) {
+func (c Configuration) FindRoute(host, path string) (Route, bool) {
 	best, found := Route{}, false
 	for _, route := range c.Routes {
-		if route.Host != host || !strings.HasPrefix(path, route.Prefix) {
+		if route.Host != host || !strings.HasPrefix(path, route.PathPrefix) {
 			continue
 		}
-		if !found || len(route.Prefix) > len(best.Prefix) {
+		if !found || len(route.PathPrefix) > len(best.PathPrefix) {
 			best, found = route, true
 		}
 	}
--- a/work/orders.go
+++ b/work/orders.go
@@ -17,104 +17,104 @@
 	VerdictFenced
 	// VerdictStaleRun means that on this target the run, or a later run of its task, has
 	// already ended.
-	VerdictOld
+	VerdictStaleRun
 	// VerdictLeaseExpired means that the requested lease is already over on the target's clock.
-	VerdictLate
+	VerdictLeaseExpired
 	// VerdictNoCapacity means that the task doesn't fit on the target.
-	VerdictRoom
+	VerdictNoCapacity
 	// VerdictMisdirected means that another incarnation of the target answers at its address.
-	VerdictGone
+	VerdictMisdirected
 	// VerdictUnhealthy means that the target did nothing and asks for no orders for now.
 	VerdictUnhealthy
 	// VerdictInvalid means that the target rejects the order as malformed.
 	VerdictInvalid
 	// VerdictStaleToken means that the target did nothing, because it has seen a newer
 	// token of the same owner. The order can be sent again.
-	VerdictOvertaken
+	VerdictStaleToken
 	// VerdictInvalidTicket means that the target doesn't accept the adviser's ticket.
-	VerdictTicket
+	VerdictInvalidTicket
 	// VerdictConnectionLost means the same as VerdictUnknown, and that no answer will come,
 	// because the connection broke.
-	VerdictBroken
+	VerdictConnectionLost
 )
 
 var verdictNames = map[Verdict]string{
 	VerdictUnknown: "unknown", VerdictDone: "done", VerdictUnsent: "unsent", VerdictFenced: "fenced",
-	VerdictOld: "old", VerdictLate: "late", VerdictRoom: "room", VerdictGone: "gone",
-	VerdictUnhealthy: "unhealthy", VerdictInvalid: "invalid", VerdictOvertaken: "overtaken",
-	VerdictTicket: "ticket", VerdictBroken: "broken",
+	VerdictStaleRun: "old", VerdictLeaseExpired: "late", VerdictNoCapacity: "room", VerdictMisdirected: "gone",
+	VerdictUnhealthy: "unhealthy", VerdictInvalid: "invalid", VerdictStaleToken: "overtaken",
+	VerdictInvalidTicket: "ticket", VerdictConnectionLost: "broken",
 }
 
 // String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // TargetAddress identifies one incarnation of a target and says where to reach it.
-type Address struct {
+type TargetAddress struct {
 	ID, Address string
 }
 
 // RunID identifies one start of a task. Later runs of a task have higher numbers.
-type Run struct {
+type RunID struct {
 	Task   string
 	Number int64
 }
 
 // StartOrder tells a target to start a run.
-type Order struct {
-	Run Run
+type StartOrder struct {
+	Run RunID
 	// Payload is the payload of the job.
 	Payload string
 	// SavedState is what an earlier run of the task saved of its work; empty if none did.
-	Saved string
+	SavedState string
 	// Ticket is the adviser's ticket for this target; empty if the queue needs no advice.
 	Ticket string
 	// LeaseUntilMS is the end of the lease on the target's clock.
-	Until int64
+	LeaseUntilMS int64
 }
 
 // OrderAnswer is a target's answer to a start or a stop.
 type OrderAnswer struct {
 	Verdict Verdict
 	// ClockMS is the target's monotonic clock; 0 if the answer didn't contain it.
-	Clock int64
+	ClockMS int64
 }
 
 // CompletionKind says how a run ended.
-type EndKind string
+type CompletionKind string
 
 // The completion kinds that the scheduler tells apart. After any other kind the work of the
 // run is lost.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
+	CompletionDone    CompletionKind = "done"
+	CompletionFailed  CompletionKind = "failed"
+	CompletionStopped CompletionKind = "stopped"
 )
 
 // Completion is a target's record of how a run ended. The completions of one incarnation of a
 // target are numbered from 1.
-type End struct {
+type Completion struct {
 	Number int64
-	Run    Run
-	Kind   EndKind
+	Run    RunID
+	Kind   CompletionKind
 	// SavedState is what the task has saved of its work; empty if nothing.
-	Saved string
+	SavedState string
 }
 
 // RunningRun is a run that a target lists as running.
-type Running struct {
-	Run Run
+type RunningRun struct {
+	Run RunID
 	// SavedState is what the task has saved of its work so far; empty if nothing.
-	Saved string
+	SavedState string
 }
 
 // PollAnswer is a target's answer to a poll.
-type Held struct {
+type PollAnswer struct {
 	// ClockMS is the target's monotonic clock.
-	Clock int64
+	ClockMS int64
 	// Incarnation is the incarnation that answers, as in Target; 0 if it isn't reported.
-	Life int64
+	Incarnation int64
 	// Capacity is the target's present total capacity; nil if the target doesn't report it.
-	Capacity *Resources
-	Running  []Running
-	Ended    []End
+	Capacity    *Resources
+	Running     []RunningRun
+	Completions []Completion
 }
--- a/work/work.go
+++ b/work/work.go
@@ -2,7 +2,8 @@
 // tasks, the queues that callers submit them to, the targets that run the tasks, the orders
 // sent to targets with the answers, and the outcomes that callers get.
 //
-// It decides nothing and does no I/O. Times of day are durations since 1970.
+// It decides nothing and does no I/O. Times of day are durations since 1970. The JSON names of
+// Job, Step, Recurrence and Queue are those of stored jobs.
 package work
 
 import "time"
@@ -18,17 +19,17 @@
 }
 
 // FitsIn reports whether the free resources include the resources r.
-func (r Resources) Fits(free Resources) bool {
+func (r Resources) FitsIn(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemoryMB <= free.MemoryMB && r.GPU <= free.GPU
 }
 
 // Add returns the sum of two amounts.
-func (r Resources) Plus(other Resources) Resources {
+func (r Resources) Add(other Resources) Resources {
 	return Resources{CPU: r.CPU + other.CPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPU: r.GPU + other.GPU}
 }
 
 // Sub returns r less the other amount.
-func (r Resources) Minus(other Resources) Resources {
+func (r Resources) Sub(other Resources) Resources {
 	return Resources{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPU: r.GPU - other.GPU}
 }
 
@@ -37,27 +38,27 @@
 	// Tasks is the number of tasks, at least 1.
 	Tasks int
 	// PerTask is what one task takes of its target.
-	Each Resources
+	PerTask Resources `json:"Each"`
 	// DeclaredRunTime is the caller's estimate of a task's run time; it may be far off.
-	Estimate time.Duration
+	DeclaredRunTime time.Duration `json:"Estimate"`
 	// DependsOn lists the indexes of earlier steps, whose tasks must all be done first.
-	After []int
+	DependsOn []int `json:"After"`
 	// RequiredLabel must be among the target's labels; empty means any target.
-	Label string
+	RequiredLabel string `json:"Label"`
 	// PreferredRack is the label of the rack where the task's data lies; empty means any.
-	Rack string
+	PreferredRack string `json:"Rack"`
 	// MaxPerTarget bounds the step's tasks on one target; 0 means no bound.
-	Spread int
+	MaxPerTarget int `json:"Spread"`
 	// Gang tasks work only together: all of them run, or none does.
 	Gang bool
 	// PreferOneRack is set for gangs that take much longer on more than one rack.
-	OneRack bool
+	PreferOneRack bool `json:"OneRack"`
 	// Background tasks use the processor time that others leave unused. Their processor
 	// isn't counted against a target's capacity.
-	Fills bool
+	Background bool `json:"Fills"`
 	// LatencySensitive tasks have users of their own, whom background tasks on the same
 	// target would slow down.
-	Serves bool
+	LatencySensitive bool `json:"Serves"`
 	// Lasting tasks run until their job is cancelled, and are restarted however they end.
 	Lasting bool
 }
@@ -71,35 +72,36 @@
 	// Steps has at least one step.
 	Steps []Step
 	// Recurrence has the steps run at set times; the zero value runs them once, immediately.
-	Repeats Repeats
+	Recurrence Recurrence `json:"Repeats"`
 	// Durable jobs are stored before they are accepted, and are finished whichever VM or
 	// target fails. Their callers ask for their state later. All other jobs are answered
 	// when they have ended.
-	Kept bool
+	Durable bool `json:"Kept"`
 }
 
 // Recurrence says when the steps of a job run. Occurrences may overlap.
-type Repeats struct {
+type Recurrence struct {
 	// Count is the number of occurrences; 0 means a single one that is due immediately.
 	Count int
-	// FirstDue is when the first occurrence is due, since 1970. Interval is the time from
-	// one occurrence to the next.
-	First, Interval time.Duration
+	// FirstDue is when the first occurrence is due, since 1970.
+	FirstDue time.Duration `json:"First"`
+	// Interval is the time from one occurrence to the next.
+	Interval time.Duration
 }
 
 // DueAt returns when an occurrence, counted from 0, is due, since 1970; 0 means immediately.
-func (r Repeats) Due(occurrence int) time.Duration {
+func (r Recurrence) DueAt(occurrence int) time.Duration {
 	if r.Count == 0 {
 		return 0
 	}
-	return r.First + time.Duration(occurrence)*r.Interval
+	return r.FirstDue + time.Duration(occurrence)*r.Interval
 }
 
 // Occurrences returns how many times the steps of the job run.
-func (j Job) Occurrences() int { return max(j.Repeats.Count, 1) }
+func (j Job) Occurrences() int { return max(j.Recurrence.Count, 1) }
 
 // TaskCount returns the number of tasks in all steps of one occurrence.
-func (j Job) Tasks() int {
+func (j Job) TaskCount() int {
 	tasks := 0
 	for _, step := range j.Steps {
 		tasks += step.Tasks
@@ -108,15 +110,15 @@
 }
 
 // CriticalPath returns the declared run time of the longest chain of dependent steps.
-func (j Job) Chain() time.Duration {
+func (j Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
 	for i, step := range j.Steps {
 		begin := time.Duration(0)
-		for _, before := range step.After {
+		for _, before := range step.DependsOn {
 			begin = max(begin, ends[before])
 		}
-		ends[i] = begin + step.Estimate
+		ends[i] = begin + step.DeclaredRunTime
 		longest = max(longest, ends[i])
 	}
 	return longest
@@ -136,9 +138,9 @@
 	Stretch   float64
 	Allowance time.Duration
 	// RequestTimeout bounds the time of a request; 0 means no bound.
-	Timeout time.Duration
+	RequestTimeout time.Duration `json:"Timeout"`
 	// RequiresAdvice has tasks run only on targets that the adviser allows.
-	Advised bool
+	RequiresAdvice bool `json:"Advised"`
 }
 
 // Objective returns the time within which a job with this critical path should be answered.
@@ -161,11 +163,11 @@
 	// Draining targets take no new tasks.
 	Draining bool
 	// WarmUpLeft is how much longer the target is slow after its start.
-	WarmIn time.Duration
+	WarmUpLeft time.Duration
 	// Incarnation is when the target started, in milliseconds since 1970; 0 if the platform
 	// doesn't report it. A target that restarts under its ID has forgotten its runs, its
 	// completions and the fencing token.
-	Life int64
+	Incarnation int64
 }
 
 // Result is how a submission ended.
