--- a/lab/replay/cordons_losses.go
+++ b/lab/replay/cordons_losses.go
@@ -43,7 +43,7 @@
 		for _, id := range w.targetOrder {
 			if t := w.targets[id]; t.domain == domain {
 				t.Draining = cordoned
-				w.owners[0].state.TargetSeen(w.now, t.Target)
+				w.owners[0].state.TargetListed(w.now, t.Target)
 			}
 		}
 		w.carryOut(w.owners[0])
@@ -52,7 +52,7 @@
 	o := w.owners[domain]
 	o.cordoned = cordoned
 	if !o.lost {
-		o.state.Cordoned(w.now, cordoned)
+		o.state.CordonReported(w.now, cordoned)
 		w.carryOut(o)
 	}
 }
@@ -117,13 +117,13 @@
 	for _, o := range w.owners {
 		o.lost = false
 		o.state = w.newState()
-		o.state.Cordoned(w.now, o.cordoned)
+		o.state.CordonReported(w.now, o.cordoned)
 		for _, id := range w.targetOrder {
 			if t := w.targets[id]; t.domain%len(w.owners) == o.index {
-				o.state.TargetSeen(w.now, t.Target)
+				o.state.TargetListed(w.now, t.Target)
 			}
 		}
-		o.state.Listed()
+		o.state.RegistryRead()
 		w.carryOut(o)
 	}
 }
--- a/lab/replay/delegate.go
+++ b/lab/replay/delegate.go
@@ -15,7 +15,7 @@
 // requestCapacity asks all other owners for their free capacity if an owner has tasks to
 // delegate and has not asked within capacityInterval.
 func (w *world) askRoom(o *ownerSim) {
-	if w.options.Alone || !o.state.Hungry() || w.now < o.asked+askInterval {
+	if w.options.Alone || !o.state.HasTasksToDelegate() || w.now < o.asked+askInterval {
 		return
 	}
 	o.asked = w.now
@@ -29,7 +29,7 @@
 				if o.lost {
 					return
 				}
-				o.state.RoomAt(w.now, strconv.Itoa(other.index), "service", load.Room)
+				o.state.CapacityReported(w.now, strconv.Itoa(other.index), "service", load.FreeCapacity)
 				w.carryOut(o)
 			})
 		})
@@ -39,7 +39,7 @@
 // delegate submits a part of a job to another owner and returns its outcome to the delegating
 // owner. A part for a lost owner is dropped, and so is an outcome or a withdrawal of an earlier
 // incarnation of the delegating owner.
-func (w *world) lend(o *ownerSim, e scheduler.Lend) {
+func (w *world) lend(o *ownerSim, e scheduler.Delegate) {
 	index, _ := strconv.Atoi(e.Owner)
 	other := w.owners[index]
 	delay := w.options.Site.Far + hop
@@ -58,7 +58,7 @@
 					return
 				}
 				delete(o.lent, e.Part)
-				o.state.Returned(w.now, e.Part, outcome)
+				o.state.PartReturned(w.now, e.Part, outcome)
 				w.carryOut(o)
 			})
 		}
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -62,7 +62,7 @@
 	w.targets[t.ID] = t
 	w.targetOrder = append(w.targetOrder, t.ID)
 	o := w.owners[domain%len(w.owners)]
-	o.state.TargetSeen(0, t.Target)
+	o.state.TargetListed(0, t.Target)
 	for i := range w.options.Site.Faults {
 		fault := &w.options.Site.Faults[i]
 		if w.random.Float64() < fault.Share {
@@ -194,8 +194,8 @@
 // handlePoll drops the completions that the poll acknowledges, and answers it with the running
 // tasks and the other completions: at once if there are any or the poll does not wait, otherwise
 // at the next completion or when its wait is over.
-func (t *targetSim) look(o *ownerSim, e scheduler.Look, sent time.Duration) {
-	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool { return end.Number <= e.Seen })
+func (t *targetSim) look(o *ownerSim, e scheduler.Poll, sent time.Duration) {
+	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool { return end.Number <= e.AckUpTo })
 	p := &poll{}
 	p.answer = func() {
 		if p.over {
@@ -211,7 +211,7 @@
 			if e.Wait == 0 {
 				o.state.Answered(now - sent)
 			}
-			o.state.Looked(now, t.ID, e.At, held, work.VerdictDone)
+			o.state.Looked(now, t.ID, e.SentAt, held, work.VerdictDone)
 		})
 	}
 	if len(t.ended) > 0 || e.Wait == 0 {
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -203,7 +203,7 @@
 			index: i, state: w.newState(), callers: map[scheduler.Ref]*arrival{},
 			lenders: map[scheduler.Ref]func(work.Outcome){}, lent: map[scheduler.Part]func(){},
 		}
-		o.state.Listed()
+		o.state.RegistryRead()
 		w.owners = append(w.owners, o)
 	}
 	for domain := range site.Domains {
@@ -362,7 +362,7 @@
 			if !handled(e) {
 				w.answered(o, e)
 			}
-		case scheduler.Lend:
+		case scheduler.Delegate:
 			w.lend(o, e)
 		case scheduler.Withdraw:
 			if cancel := o.lent[e.Part]; cancel != nil {
@@ -378,10 +378,10 @@
 			w.call(o, e.To.ID, func(t *targetSim) { t.stop(o, e, sent) }, func(t *targetSim) {
 				t.unanswered(o, orderTime, func() { o.state.Stopped(w.now, t.ID, e.Run, work.OrderAnswer{}) })
 			})
-		case scheduler.Look:
+		case scheduler.Poll:
 			sent := w.now
 			w.call(o, e.To.ID, func(t *targetSim) { t.look(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, e.Wait+orderTime, func() { o.state.Looked(w.now, t.ID, e.At, work.PollAnswer{}, work.VerdictUnknown) })
+				t.unanswered(o, e.Wait+orderTime, func() { o.state.Looked(w.now, t.ID, e.SentAt, work.PollAnswer{}, work.VerdictUnknown) })
 			})
 		}
 	}
--- a/node/delegate.go
+++ b/node/delegate.go
@@ -22,10 +22,10 @@
 		return
 	}
 	for _, load := range loads {
-		var room scheduler.Room
+		var room scheduler.FreeCapacity
 		for i, places := range load.GetPlaces() {
-			if i < len(room.Places) {
-				room.Places[i] = int(places)
+			if i < len(room.Tasks) {
+				room.Tasks[i] = int(places)
 			}
 		}
 		o.UpdateCapacityOf(ownerName(incarnation), load.GetService(), room)
--- a/node/node.go
+++ b/node/node.go
@@ -263,7 +263,7 @@
 	options := owner.Options{
 		Group: held.Group, FailureDomain: n.self.FailureDomain, Token: held.Version,
 		Schedule: scheduler.Options{
-			StopTime: n.options.Settings.StopTime,
+			StopTimeout: n.options.Settings.StopTime,
 		},
 		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, StoreAnswered: n.ages.heard(&n.ages.registry),
 		Delegate: n.lend, NeedsCapacity: n.beats.Hurry, StoreClock: n.clock.told,
@@ -356,7 +356,7 @@
 		for _, wait := range load.Wait {
 			sent.WaitUs = append(sent.WaitUs, wait.Microseconds())
 		}
-		for _, places := range load.Room.Places {
+		for _, places := range load.FreeCapacity.Tasks {
 			sent.Places = append(sent.Places, int32(places))
 		}
 		loads = append(loads, sent)
--- a/owner/cordon.go
+++ b/owner/cordon.go
@@ -18,7 +18,7 @@
 			return
 		}
 		o.cordonsVersion = view.Version
-		o.state.Cordoned(now, view.IsCordoned(o.options.FailureDomain))
+		o.state.CordonReported(now, view.IsCordoned(o.options.FailureDomain))
 	})
 }
 
--- a/owner/delegate.go
+++ b/owner/delegate.go
@@ -9,12 +9,12 @@
 
 // UpdateCapacityOf sets the free capacity that another owner reports for a service. The report
 // is dropped while the submission queue is full, because the next one follows soon.
-func (o *Owner) UpdateCapacityOf(owner, service string, capacity scheduler.Room) {
-	o.submissions.Offer(func(now time.Duration) { o.state.RoomAt(now, owner, service, capacity) })
+func (o *Owner) UpdateCapacityOf(owner, service string, capacity scheduler.FreeCapacity) {
+	o.submissions.Offer(func(now time.Duration) { o.state.CapacityReported(now, owner, service, capacity) })
 }
 
 // delegate has another owner run a part of a job and passes the outcome to the State.
-func (o *Owner) delegate(ctx context.Context, e scheduler.Lend) {
+func (o *Owner) delegate(ctx context.Context, e scheduler.Delegate) {
 	ctx, cancel := context.WithCancel(ctx)
 	o.delegated[e.Part] = cancel
 	go func() {
@@ -22,7 +22,7 @@
 		outcome := o.options.Delegate(ctx, e.Owner, e.Submission)
 		o.post(context.WithoutCancel(ctx), func(now time.Duration) {
 			delete(o.delegated, e.Part)
-			o.state.Returned(now, e.Part, outcome)
+			o.state.PartReturned(now, e.Part, outcome)
 		})
 	}()
 }
--- a/owner/keepalives.go
+++ b/owner/keepalives.go
@@ -44,7 +44,7 @@
 	k.until, k.givenUpJobs = nil, nil
 	k.mu.Unlock()
 	for entry, end := range until {
-		state.EntrySeen(entry, end)
+		state.EntryKeepalive(entry, end)
 	}
 	for entry, jobs := range givenUp {
 		for _, job := range jobs {
--- a/owner/keepalives_test.go
+++ b/owner/keepalives_test.go
@@ -14,8 +14,8 @@
 // are placed, and are delivered once. Of several keepalives the one that expires last counts.
 func TestKeepalivesAreDeliveredOnce(t *testing.T) {
 	o := &Owner{state: scheduler.New(scheduler.Options{})}
-	o.state.Listed()
-	o.state.TargetSeen(0, work.Target{ID: "a", Service: "s", Capacity: work.Resources{CPU: 4}})
+	o.state.RegistryRead()
+	o.state.TargetListed(0, work.Target{ID: "a", Service: "s", Capacity: work.Resources{CPU: 4}})
 	o.state.Effects(0)
 	o.state.Looked(0, "a", 0, work.PollAnswer{ClockMS: 5000}, work.VerdictDone)
 	o.RecordKeepalive("e", time.Second, nil)
--- a/owner/lag.go
+++ b/owner/lag.go
@@ -67,7 +67,7 @@
 		for i := range load.Wait {
 			load.Wait[i] += behind
 		}
-		load.Room = scheduler.Room{}
+		load.FreeCapacity = scheduler.FreeCapacity{}
 		result[service] = load
 	}
 	return result
--- a/owner/lag_test.go
+++ b/owner/lag_test.go
@@ -47,13 +47,13 @@
 // show longer waits and no capacity, so that entry VMs and other owners avoid it.
 func TestDelayedOwnerShedsJobs(t *testing.T) {
 	o, _ := newIdleOwner(t)
-	o.loads.Store(&map[string]scheduler.Load{"service": {FreeCPU: 10, Room: scheduler.Room{Places: [scheduler.Priorities]int{1, 1, 1}}}})
+	o.loads.Store(&map[string]scheduler.Load{"service": {FreeCPU: 10, FreeCapacity: scheduler.FreeCapacity{Tasks: [scheduler.Priorities]int{1, 1, 1}}}})
 	o.lag.recordWait(time.Hour)
 	outcome := <-submit(t, o, "1")
 	must.Eq(t, work.Refused, outcome.Result)
 	must.GreaterEq(t, time.Hour, outcome.RetryAfter)
 	load := o.Loads()["service"]
 	must.GreaterEq(t, time.Hour, load.Wait[0])
-	must.Eq(t, scheduler.Room{}, load.Room)
-	must.Eq(t, 1, (*o.loads.Load())["service"].Room.Places[0])
+	must.Eq(t, scheduler.FreeCapacity{}, load.FreeCapacity)
+	must.Eq(t, 1, (*o.loads.Load())["service"].FreeCapacity.Tasks[0])
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -287,7 +287,7 @@
 func (o *Owner) readClocks(now time.Duration) {
 	o.state.Wall(now, time.Duration(time.Now().UnixNano()))
 	if clock, known := o.options.StoreClock(); known {
-		o.state.RunClock(now, clock)
+		o.state.SetRunClock(now, clock)
 	}
 }
 
@@ -313,9 +313,9 @@
 // durable jobs can be taken over, the number of targets, and the loads. It also reports when this
 // owner needs the capacity of others.
 func (o *Owner) publish() {
-	o.openJobs.Store(int64(o.state.Jobs() + o.state.Unnoted()))
+	o.openJobs.Store(int64(o.state.Jobs() + o.state.PendingWrites()))
 	o.durable.canTakeOver.Store(o.canTakeOverJobs())
-	if o.state.Hungry() {
+	if o.state.HasTasksToDelegate() {
 		o.options.NeedsCapacity()
 	}
 	if o.options.SetTargetCount != nil {
@@ -365,11 +365,11 @@
 			go o.sendStart(ctx, e, decided)
 		case scheduler.StopRun:
 			go o.sendStop(ctx, e, decided)
-		case scheduler.Look:
+		case scheduler.Poll:
 			go o.poll(ctx, e, decided)
-		case scheduler.Ask:
+		case scheduler.AskAdviser:
 			go o.askAdviser(ctx, e)
-		case scheduler.Lend:
+		case scheduler.Delegate:
 			o.delegate(ctx, e)
 		case scheduler.Withdraw:
 			o.giveUpPart(e)
@@ -377,7 +377,7 @@
 			o.answerCaller(e)
 		case scheduler.Keep, scheduler.TaskDone, scheduler.TaskFailed, scheduler.TaskCrashed, scheduler.TaskSaved, scheduler.JobEnded:
 			o.record(ctx, e)
-		case scheduler.Note:
+		case scheduler.LogEvent:
 			o.logEvent(e)
 		case scheduler.Trail:
 			o.logHistory(e)
@@ -420,9 +420,9 @@
 }
 
 // poll asks a target for its runs and completions.
-func (o *Owner) poll(ctx context.Context, e scheduler.Look, decided time.Duration) {
+func (o *Owner) poll(ctx context.Context, e scheduler.Poll, decided time.Duration) {
 	token := o.token.Load()
-	answer, verdict := o.targets.Poll(ctx, e.To, token, e.Until, e.Seen, e.Wait)
+	answer, verdict := o.targets.Poll(ctx, e.To, token, e.LeaseUntil, e.AckUpTo, e.Wait)
 	verdict = scheduler.Settle(verdict, token, o.token.Load())
 	o.options.Count("looks", verdict.String())
 	o.post(ctx, func(now time.Duration) {
@@ -430,7 +430,7 @@
 		if e.Wait == 0 {
 			o.recordAnswerTime(verdict, now-decided)
 		}
-		o.state.Looked(now, e.To.ID, e.At, answer, verdict)
+		o.state.Looked(now, e.To.ID, e.SentAt, answer, verdict)
 	})
 }
 
@@ -445,7 +445,7 @@
 }
 
 // askAdviser asks the adviser which targets may run a step.
-func (o *Owner) askAdviser(ctx context.Context, e scheduler.Ask) {
+func (o *Owner) askAdviser(ctx context.Context, e scheduler.AskAdviser) {
 	var tickets map[string]string
 	var valid time.Duration
 	err := error(errNoAdviser)
@@ -477,13 +477,13 @@
 }
 
 // logEvent logs and counts an event of the scheduler.
-func (o *Owner) logEvent(n scheduler.Note) {
-	o.options.Count("notes", n.What)
+func (o *Owner) logEvent(n scheduler.LogEvent) {
+	o.options.Count("notes", n.Message)
 	level := slog.LevelInfo
 	if n.Failure {
 		level = slog.LevelWarn
 	}
-	o.options.Log.LogAttrs(context.Background(), level, n.What,
+	o.options.Log.LogAttrs(context.Background(), level, n.Message,
 		slog.String("job", n.Job), slog.String("task", n.Task), slog.String("target", n.Target),
 		slog.String("detail", n.Detail), slog.Duration("age", n.Age))
 }
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -44,14 +44,14 @@
 			continue
 		}
 		if !o.registry.snapshotRead {
-			o.state.ListedEarly(c.id)
+			o.state.ListedAtStart(c.id)
 		}
 		o.registry.listed[c.id] = *c.target
 		o.addTarget(now, *c.target)
 	}
 	if n.snapshot {
 		o.registry.snapshotRead = true
-		o.state.Listed()
+		o.state.RegistryRead()
 	}
 	for id := range o.registry.listed {
 		if n.snapshot && !n.present[id] {
@@ -65,7 +65,7 @@
 // longer, until the target may have rewritten its entry.
 func (o *Owner) unlist(now time.Duration, id string) {
 	delete(o.registry.listed, id)
-	o.state.TargetMissing(now, id)
+	o.state.TargetUnlisted(now, id)
 }
 
 // addTarget gives a target to the scheduler, unless it still belongs to the previous owner or
@@ -75,7 +75,7 @@
 		return
 	}
 	o.services[target.Service] = true
-	o.state.TargetSeen(now, target)
+	o.state.TargetListed(now, target)
 }
 
 // Times of a handover.
@@ -113,7 +113,7 @@
 	for _, target := range released.Registry {
 		if !o.registry.snapshotRead {
 			o.registry.listed[target.ID] = target
-			o.state.ListedEarly(target.ID)
+			o.state.ListedAtStart(target.ID)
 		}
 	}
 	if released.All || silent {
--- a/owner/status.go
+++ b/owner/status.go
@@ -21,9 +21,9 @@
 		"jobs", summary.Jobs, "waiting_jobs", summary.Waiting, "runs", summary.Runs,
 		"targets", summary.Targets, "usable", summary.Usable, "suspected", summary.Suspected, "draining", summary.Draining, "cordoned", summary.Cordoned,
 		"cpu", summary.CPU, "free_cpu", summary.FreeCPU,
-		"tick_late", summary.TickLate, "answer_time", summary.AnswerTime, "look_wait", summary.LookWait, "copies", summary.Copies)
+		"tick_late", summary.TickLate, "answer_time", summary.AnswerTime, "look_wait", summary.PollWait, "copies", summary.Copies)
 	for what, value := range map[string]int{
-		"jobs_present": summary.Jobs, "jobs_waiting": summary.Waiting, "runs": summary.Runs, "unnoted": o.state.Unnoted(),
+		"jobs_present": summary.Jobs, "jobs_waiting": summary.Waiting, "runs": summary.Runs, "unnoted": o.state.PendingWrites(),
 		"targets": summary.Targets, "targets_usable": summary.Usable, "targets_suspected": summary.Suspected,
 		"targets_draining": summary.Draining, "free_cpu": int(summary.FreeCPU), "copies": summary.Copies,
 		"cordoned":     cordonedValue(summary.Cordoned),
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -132,11 +132,11 @@
 func (o *Owner) Release(ctx context.Context) Released {
 	answer := make(chan Released, 1)
 	o.post(ctx, func(time.Duration) {
-		o.registry.released = append(o.registry.released, o.state.Idle()...)
-		o.state.Release(o.registry.released)
+		o.registry.released = append(o.registry.released, o.state.IdleTargets()...)
+		o.state.ReleaseTargets(o.registry.released)
 		answer <- Released{
 			Targets:  slices.Clone(o.registry.released),
-			All:      o.state.AtRest(),
+			All:      o.state.IsIdle(),
 			Registry: slices.Collect(maps.Values(o.registry.listed)),
 		}
 	})
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -15,19 +15,19 @@
 		s.answer(sub, work.Outcome{Result: work.Unknown, Reason: "the job was asked for again"})
 		return
 	}
-	s.submit(now, sub)
+	s.admit(now, sub)
 }
 
-func (s *State) submit(now time.Duration, sub Submission) {
+func (s *State) admit(now time.Duration, sub Submission) {
 	if s.leaving {
 		s.answer(sub, work.Outcome{Result: work.Moved, Reason: "another VM orders the targets"})
 		return
 	}
-	if j := s.byID[sub.key()]; j != nil {
+	if j := s.jobsByKey[sub.key()]; j != nil {
 		if j.kept() {
 			s.attachKept(j, sub)
 		} else {
-			s.attach(now, j, sub)
+			s.attachCaller(now, j, sub)
 		}
 		return
 	}
@@ -35,28 +35,28 @@
 		s.answer(sub, work.Outcome{Result: work.Failed, Reason: reason})
 		return
 	}
-	if s.cordon.closes() {
-		s.answer(sub, work.Outcome{Result: work.Refused, Reason: cordonedReason, RetryAfter: cordonedRetry})
+	if s.cordon.isCordoned() {
+		s.answer(sub, work.Outcome{Result: work.Refused, Reason: cordonedReason, RetryAfter: cordonedRetryAfter})
 		return
 	}
 	j := s.newJob(now, sub)
-	if why := s.unservable(j); why != "" {
-		s.answer(sub, work.Outcome{Result: work.Refused, Reason: why, RetryAfter: unservableRetry})
+	if why := s.unservableReason(j); why != "" {
+		s.answer(sub, work.Outcome{Result: work.Refused, Reason: why, RetryAfter: unservableRetryAfter})
 		return
 	}
 	if sub.Part != nil {
-		if !s.takesPart(now, j) {
+		if !s.canTakePart(now, j) {
 			s.answer(sub, work.Outcome{Result: work.Refused, Reason: "no room for a part"})
 			return
 		}
-	} else if wait, ok := s.forecast(now, j); !ok {
+	} else if wait, ok := s.forecastStart(now, j); !ok {
 		s.refuse(now, j, wait)
 		return
 	}
-	j.pool.met(now, j)
-	j.mark(now, "taken", "", "", s.crowd(j))
+	j.pool.recordDemand(now, j)
+	j.mark(now, "taken", "", "", s.describeLoad(j))
 	s.jobs[sub.Ref] = j
-	s.byID[sub.key()] = j
+	s.jobsByKey[sub.key()] = j
 	if s.recallFalls(now, j); j.ended {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // unservableRetryAfter is told to callers where only a change of targets helps.
-const unservableRetry = 5 * time.Second
+const unservableRetryAfter = 5 * time.Second
 
 func (s *State) answer(sub Submission, outcome work.Outcome) {
 	s.emit(Answer{Ref: sub.Ref, Outcome: outcome})
@@ -76,7 +76,7 @@
 
 // attachCaller connects a running job to the caller that sent it again; that caller has given up
 // its earlier request.
-func (s *State) attach(now time.Duration, j *job, sub Submission) {
+func (s *State) attachCaller(now time.Duration, j *job, sub Submission) {
 	s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the job was sent again"})
 	delete(s.jobs, j.sub.Ref)
 	if j.queued {
@@ -94,18 +94,18 @@
 }
 
 // RegistryRead records that the whole registry was read: a target not known now does not exist.
-func (s *State) Listed() { s.listed = true }
+func (s *State) RegistryRead() { s.registryRead = true }
 
 // unservableReason returns why no known target can ever run a job; empty if one can.
-func (s *State) unservable(j *job) string {
-	if !s.listed {
+func (s *State) unservableReason(j *job) string {
+	if !s.registryRead {
 		return ""
 	}
 	if len(j.pool.targets) == 0 {
 		return "no target of the service is known"
 	}
 	for _, st := range j.steps[:len(j.sub.Job.Steps)] {
-		if !j.pool.holds(st) {
+		if !j.pool.canFit(st) {
 			return "no target can hold one of its tasks: ask for less"
 		}
 		if st.Gang && !j.pool.holdsGang(st) {
@@ -116,13 +116,13 @@
 }
 
 // describeLoad describes how busy the targets are, for job histories.
-func (s *State) crowd(j *job) string {
-	return fmt.Sprintf("%d jobs wait, needs %d of cpu, entry %s", len(s.waiting), j.firstNeed().total, j.sub.Entry)
+func (s *State) describeLoad(j *job) string {
+	return fmt.Sprintf("%d jobs wait, needs %d of cpu, entry %s", len(s.waiting), j.initialNeed().total, j.sub.Entry)
 }
 
 func (s *State) refuse(now time.Duration, j *job, wait time.Duration) {
 	j.mark(now, "refused", "", "", fmt.Sprintf("forecast wait %v, slack %v, %s",
-		wait.Round(time.Millisecond), (j.latest-now).Round(time.Millisecond), s.crowd(j)))
+		wait.Round(time.Millisecond), (j.latest-now).Round(time.Millisecond), s.describeLoad(j)))
 	outcome := work.Outcome{Result: work.Refused, Reason: "too much work waits", RetryAfter: wait}
 	s.tell(now, j, outcome)
 	s.answer(j.sub, outcome)
@@ -130,33 +130,33 @@
 
 // startMarginShare of the objective is by how much a forecast start must be earlier than needed.
 // Jobs that turn out late take the capacity of jobs that would be on time.
-const marginShare = 0.1
+const startMarginShare = 0.1
 
 // forecastStart estimates how long a job waits for targets, and reports whether to accept it.
-func (s *State) forecast(now time.Duration, j *job) (time.Duration, bool) {
-	need := j.firstNeed()
+func (s *State) forecastStart(now time.Duration, j *job) (time.Duration, bool) {
+	need := j.initialNeed()
 	free, rate := j.pool.supply(now, need.each)
-	if j.lendable() {
-		_, elsewhere := s.roomiest(now, j.sub.Queue)
-		free += int64(elsewhere.Places[priorityOf(j.sub.Queue)]) * need.each
+	if j.canDelegate() {
+		_, elsewhere := s.ownerWithMostCapacity(now, j.sub.Queue)
+		free += int64(elsewhere.Tasks[priorityOf(j.sub.Queue)]) * need.each
 	}
 	// Capacity that is free now does not fit the waiting jobs, so that this job can use it.
 	shortfall := need.total - free
-	arriving := j.pool.arriving(need.each)
-	if shortfall <= 0 || arriving+free == 0 && rate == 0 && s.unsure(j.pool) {
+	arriving := j.pool.arrivingCPU(need.each)
+	if shortfall <= 0 || arriving+free == 0 && rate == 0 && s.isCapacityUnknown(j.pool) {
 		return 0, true
 	}
 	// Tasks that start at once free their processor again when they end.
 	rate += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
-	rate *= j.pool.left(now, priorityOf(j.sub.Queue))
-	wait := waitFor(s.ahead(j)+shortfall-arriving, rate)
-	slack := j.latest - now - time.Duration(marginShare*float64(j.objective-j.arrived))
+	rate *= j.pool.shareLeft(now, priorityOf(j.sub.Queue))
+	wait := drainTime(s.cpuAhead(j)+shortfall-arriving, rate)
+	slack := j.latest - now - time.Duration(startMarginShare*float64(j.objective-j.arrived))
 	return wait, wait <= slack
 }
 
 // drainTime returns how long it takes until an amount of processor is freed at a rate per
 // millisecond.
-func waitFor(amount int64, rate float64) time.Duration {
+func drainTime(amount int64, rate float64) time.Duration {
 	switch {
 	case amount <= 0:
 		return 0
@@ -167,23 +167,23 @@
 }
 
 // isCapacityUnknown reports whether it is not known yet what the targets can take.
-func (s *State) unsure(p *pool) bool {
-	return !s.listed || !s.cordon.known || p.unready()
+func (s *State) isCapacityUnknown(p *pool) bool {
+	return !s.registryRead || !s.cordon.known || p.hasUnusableTargets()
 }
 
 // refuseLate refuses a late job that, behind all jobs that can still be on time, would not start
 // while its answer is of any use. Its caller learns so now instead of at the end of that time.
-func (s *State) turnAway(now time.Duration, j *job) {
+func (s *State) refuseLate(now time.Duration, j *job) {
 	if j.kept() || j.sub.Part != nil {
 		return
 	}
-	need := j.firstNeed()
+	need := j.initialNeed()
 	free, rate := j.pool.supply(now, need.each)
-	if rate == 0 && s.unsure(j.pool) {
+	if rate == 0 && s.isCapacityUnknown(j.pool) {
 		return
 	}
 	// The job itself is among the waiting ones that cpuAhead counts.
-	wait := waitFor(s.ahead(j)-free-j.pool.arriving(need.each), rate*j.pool.left(now, Priorities))
+	wait := drainTime(s.cpuAhead(j)-free-j.pool.arrivingCPU(need.each), rate*j.pool.shareLeft(now, Priorities))
 	if wait <= j.useful-j.chain()-now {
 		return
 	}
@@ -196,39 +196,39 @@
 const maxForecast = 10 * time.Second
 
 // typicalWeight is the weight of the newest job in the moving average of needs.
-const usualWeight = 0.05
+const typicalWeight = 0.05
 
 // demandWindow is the time over which the demand of each priority is averaged: some tens of a
 // failure domain's jobs, and a fraction of a burst.
-const demandTime = 400 * time.Millisecond
+const demandWindow = 400 * time.Millisecond
 
 // urgentDemandFactor is how much of the more urgent demand counts. Most of it goes first, as
 // waiting jobs gain urgency only slowly.
-const overtaking = 0.75
+const urgentDemandFactor = 0.75
 
 // minCPUShare is the least share that a priority gets in forecasts, however much goes before it:
 // its jobs gain urgency as they wait.
-const leastLeft = 0.1
+const minCPUShare = 0.1
 
 // recordDemand updates the averages of needs and demand with an accepted job.
-func (p *pool) met(now time.Duration, j *job) {
+func (p *pool) recordDemand(now time.Duration, j *job) {
 	if j.steps[0].Background {
 		return
 	}
 	cpu := float64(max(j.steps[0].PerTask.CPU, 1))
-	if p.usualCPU == 0 {
-		p.usualCPU = cpu
+	if p.typicalCPU == 0 {
+		p.typicalCPU = cpu
 	}
-	p.usualCPU += usualWeight * (cpu - p.usualCPU)
-	p.decay(now)
+	p.typicalCPU += typicalWeight * (cpu - p.typicalCPU)
+	p.decayDemand(now)
 	for _, st := range j.steps[:len(j.sub.Job.Steps)] {
 		p.demand[priorityOf(j.sub.Queue)] += float64(st.PerTask.CPU) * float64(st.Tasks) * st.expected.Seconds()
 	}
 }
 
 // decayDemand reduces the weight of older demand.
-func (p *pool) decay(now time.Duration) {
-	factor := math.Exp(-(now - p.demandAt).Seconds() / demandTime.Seconds())
+func (p *pool) decayDemand(now time.Duration) {
+	factor := math.Exp(-(now - p.demandAt).Seconds() / demandWindow.Seconds())
 	for i := range p.demand {
 		p.demand[i] *= factor
 	}
@@ -237,22 +237,22 @@
 
 // shareLeft returns the share of the processor that more urgent work leaves to a priority,
 // estimated from recent demand: urgent work goes first even when it comes later.
-func (p *pool) left(now time.Duration, priority int) float64 {
-	p.decay(now)
+func (p *pool) shareLeft(now time.Duration, priority int) float64 {
+	p.decayDemand(now)
 	urgent := 0.0
 	for _, demand := range p.demand[:priority] {
-		urgent += demand / demandTime.Seconds()
+		urgent += demand / demandWindow.Seconds()
 	}
-	if p.cpu == 0 {
-		return leastLeft
+	if p.openCPU == 0 {
+		return minCPUShare
 	}
-	return max(1-overtaking*urgent/float64(p.cpu), leastLeft)
+	return max(1-urgentDemandFactor*urgent/float64(p.openCPU), minCPUShare)
 }
 
 // need is what a job wants at its start, in thousandths of a core.
 type need struct{ each, total int64 }
 
-func (j *job) firstNeed() need {
+func (j *job) initialNeed() need {
 	var n need
 	for _, st := range j.current() {
 		if j.ready(st) {
@@ -264,37 +264,37 @@
 }
 
 // cpuAhead returns the processor that the waiting jobs up to and including a job still want.
-func (s *State) ahead(j *job) int64 {
+func (s *State) cpuAhead(j *job) int64 {
 	total := int64(0)
 	for _, other := range s.waiting {
 		if compareJobs(other, j) > 0 {
 			break
 		}
 		if other.pool == j.pool && !other.ended {
-			total += other.firstNeed().total
+			total += other.initialNeed().total
 		}
 	}
 	return total
 }
 
 // expectedMillis returns the expected run time on the run's target, in milliseconds.
-func (r *run) lasts() float64 {
+func (r *run) expectedMillis() float64 {
 	return max(float64(r.expected)/float64(time.Millisecond)*max(r.target.health.speed, 1), 1)
 }
 
 // Load summarizes for other VMs how busy the targets of a service are.
 func (s *State) Load(now time.Duration, service string) Load {
 	p := s.poolOf(service)
-	load := Load{Cordoned: s.cordon.closes()}
-	load.CPU = p.cpu
-	load.FreeCPU = p.free(0)
-	load.Room.Places = s.places(now, p)
+	load := Load{Cordoned: s.cordon.isCordoned()}
+	load.CPU = p.openCPU
+	load.FreeCPU = p.freeCPU(0)
+	load.FreeCapacity.Tasks = s.acceptableTasks(now, p)
 	_, rate := p.supply(now, 0)
 	ahead := int64(0)
 	var waits [Priorities]int64
 	for _, j := range s.waiting {
 		if j.pool == p && !j.ended {
-			need := j.firstNeed().total
+			need := j.initialNeed().total
 			ahead += need
 			waits[priorityOf(j.sub.Queue)] += need
 		}
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -11,40 +11,40 @@
 // processor, then about more while tasks find no capacity on the targets that it has named.
 
 // AskAdviser asks the adviser which of some targets may run a step; the answer goes to Advised.
-type Ask struct {
+type AskAdviser struct {
 	Step    string
 	Targets []string
 }
 
-func (Ask) effect() {}
+func (AskAdviser) effect() {}
 
 // Parameters of requests to the adviser.
 const (
 	// maxAskedTargets is how many targets one request names: each of them makes the answer take
 	// longer.
-	askedAtOnce = 30
+	maxAskedTargets = 30
 	// maxOpenRequests bounds the unanswered requests. The adviser handles one at a time from each
 	// VM and rejects further ones when 32 wait.
-	maxAsking = 8
+	maxOpenRequests = 8
 	// ticketMargin is the part of a ticket's validity left for the start order to reach its
 	// target.
 	ticketMargin = 60 * time.Millisecond
 	// adviserRetryInterval is the pause after a request without an answer.
-	askPause = 200 * time.Millisecond
+	adviserRetryInterval = 200 * time.Millisecond
 	// adviserRepeatInterval is when targets that the adviser did not name are asked about again, in
 	// case it mistook them for others.
-	askAgain = 30 * time.Second
+	adviserRepeatInterval = 30 * time.Second
 )
 
 // advice is what is known of the targets that may run a step.
 type advice struct {
 	tickets map[string]ticket
 	// excludedAt is when the adviser last left out each target that it was asked about.
-	asked map[string]time.Duration
+	excludedAt map[string]time.Duration
 	// asking is set while a request has no answer.
 	asking bool
 	// nextRequest is when the adviser may be asked again.
-	ready time.Duration
+	nextRequest time.Duration
 }
 
 // ticket permits a target to run the step until it expires.
@@ -54,7 +54,7 @@
 }
 
 func newAdvice() *advice {
-	return &advice{tickets: map[string]ticket{}, asked: map[string]time.Duration{}}
+	return &advice{tickets: map[string]ticket{}, excludedAt: map[string]time.Duration{}}
 }
 
 // allows reports whether a target may run the step now; without advice any target may.
@@ -66,7 +66,7 @@
 }
 
 // ticketFor returns the ticket for a target; empty without advice.
-func (a *advice) value(target string) string {
+func (a *advice) ticketFor(target string) string {
 	if a == nil {
 		return ""
 	}
@@ -74,30 +74,30 @@
 }
 
 // askAdviser asks the adviser about more targets if tasks of a step wait.
-func (s *State) seek(now time.Duration, j *job, st *step) {
+func (s *State) askAdviser(now time.Duration, j *job, st *step) {
 	a := st.advice
-	if a == nil || a.asking || now < a.ready || len(st.pending) == 0 || s.asking >= maxAsking {
+	if a == nil || a.asking || now < a.nextRequest || len(st.pending) == 0 || s.asking >= maxOpenRequests {
 		return
 	}
-	targets := s.unadvised(now, j, st)
+	targets := s.targetsToAsk(now, j, st)
 	if len(targets) == 0 {
-		a.ready = now + askPause
+		a.nextRequest = now + adviserRetryInterval
 		return
 	}
 	a.asking = true
 	s.asking++
-	s.asked[st.name] = st
+	s.adviserRequests[st.name] = st
 	j.mark(now, "adviser asked", "", "", "")
-	s.emit(Ask{Step: st.name, Targets: targets})
+	s.emit(AskAdviser{Step: st.name, Targets: targets})
 }
 
 // targetsToAsk lists targets that could hold a task and on which the adviser's answer is not known,
 // those with the most free processor first.
-func (s *State) unadvised(now time.Duration, j *job, st *step) []string {
+func (s *State) targetsToAsk(now time.Duration, j *job, st *step) []string {
 	var candidates []*target
 	for _, t := range j.pool.targets {
-		known := st.advice.allows(now, t.ID) || st.advice.asked[t.ID] > 0 && now-st.advice.asked[t.ID] < askAgain
-		if known || t.state != usable || t.Draining || t.gone || !st.fitsOn(t) {
+		known := st.advice.allows(now, t.ID) || st.advice.excludedAt[t.ID] > 0 && now-st.advice.excludedAt[t.ID] < adviserRepeatInterval
+		if known || t.state != usable || t.Draining || t.retired || !st.fitsEmpty(t) {
 			continue
 		}
 		candidates = append(candidates, t)
@@ -106,38 +106,38 @@
 		return cmp.Or(cmp.Compare(b.free.CPU, a.free.CPU), cmp.Compare(a.ID, b.ID))
 	})
 	var ids []string
-	for _, t := range candidates[:min(len(candidates), askedAtOnce)] {
+	for _, t := range candidates[:min(len(candidates), maxAskedTargets)] {
 		ids = append(ids, t.ID)
 	}
 	return ids
 }
 
 // fitsEmpty reports whether a target with no runs could hold a task of the step.
-func (st *step) fitsOn(t *target) bool {
+func (st *step) fitsEmpty(t *target) bool {
 	return st.PerTask.FitsIn(t.Capacity) && st.filling <= t.Capacity.CPU && (st.RequiredLabel == "" || slices.Contains(t.Labels, st.RequiredLabel))
 }
 
 // Advised takes the adviser's answer on the targets that an AskAdviser named. Without an answer
 // nothing is learned.
-func (s *State) Advised(now time.Duration, request Ask, tickets map[string]string, valid time.Duration, answered bool) {
-	st := s.asked[request.Step]
+func (s *State) Advised(now time.Duration, request AskAdviser, tickets map[string]string, valid time.Duration, answered bool) {
+	st := s.adviserRequests[request.Step]
 	if st == nil {
 		return
 	}
-	delete(s.asked, request.Step)
+	delete(s.adviserRequests, request.Step)
 	s.asking--
 	a := st.advice
 	a.asking = false
 	if !answered {
-		a.ready = now + askPause
-		s.emit(Note{What: "adviser doesn't answer", Job: st.job.sub.Job.ID, Detail: request.Step})
+		a.nextRequest = now + adviserRetryInterval
+		s.emit(LogEvent{Message: "adviser doesn't answer", Job: st.job.sub.Job.ID, Detail: request.Step})
 		return
 	}
 	for _, id := range request.Targets {
-		a.asked[id] = now
+		a.excludedAt[id] = now
 	}
 	for id, value := range tickets {
-		delete(a.asked, id)
+		delete(a.excludedAt, id)
 		a.tickets[id] = ticket{value: value, until: now + valid - ticketMargin}
 	}
 	if !st.job.ended {
@@ -146,7 +146,7 @@
 }
 
 // dropTicket discards the ticket of a target that rejected it.
-func (st *step) unticketed(target string) {
+func (st *step) dropTicket(target string) {
 	if st.advice != nil {
 		delete(st.advice.tickets, target)
 	}
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -24,10 +24,10 @@
 	if t == nil {
 		return
 	}
-	if t.restarted(answer.ClockMS) {
-		s.renew(now, t, "its clock restarted")
+	if t.clockRestarted(answer.ClockMS) {
+		s.beginIncarnation(now, t, "its clock restarted")
 	}
-	t.readClock(now, answer.ClockMS)
+	t.updateClock(now, answer.ClockMS)
 	r := t.runs[order.Task]
 	if r == nil || r.RunID != order {
 		s.answeredElsewhere(now, t, answer.Verdict)
@@ -77,7 +77,7 @@
 func (s *State) answeredElsewhere(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
 	case work.VerdictMisdirected:
-		s.lose(now, t, "another incarnation answers at its address")
+		s.loseTarget(now, t, "another incarnation answers at its address")
 	case work.VerdictFenced:
 		if s.foreign(t) {
 			s.leaveTo(now, t)
@@ -91,14 +91,14 @@
 // group, so that its answer doesn't depose this owner. That holds if its registry entry is
 // gone from the group, or if it has never obeyed this owner while other targets do.
 func (s *State) foreign(t *target) bool {
-	if t.missing != 0 {
+	if t.unlistedSince != 0 {
 		return true
 	}
-	if t.barred {
+	if t.fenced {
 		return false
 	}
 	for _, other := range s.targets {
-		if other.barred {
+		if other.fenced {
 			return true
 		}
 	}
@@ -109,10 +109,10 @@
 // owner started there ends with its lease: the other owner extends the lease only after it has
 // stopped those runs.
 func (s *State) leaveTo(now time.Duration, t *target) {
-	s.emit(Note{What: "target obeys another owner", Target: t.ID, Age: now - t.lease.at})
-	t.failedLooks = silentLooks
+	s.emit(LogEvent{Message: "target obeys another owner", Target: t.ID, Age: now - t.lease.readAt})
+	t.failedPolls = silentLooks
 	s.silence(now, t, "it obeys another owner")
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // markRunning notes that a run has certainly started.
@@ -128,10 +128,10 @@
 	if r.state != ordered {
 		return
 	}
-	r.state = doubtful
+	r.state = uncertain
 	s.missAnswer(now, t)
 	r.task.job.mark(now, "start unanswered", r.Task, t.ID, "")
-	s.emit(Note{What: "start unanswered", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
+	s.emit(LogEvent{Message: "start unanswered", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 	s.stop(now, r)
 	if r.task.step.Gang {
 		s.disband(now, r.task.step)
@@ -141,15 +141,15 @@
 // handleStartRefused takes back a run that the target certainly did not start.
 func (s *State) notBegun(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	j := r.task.job
-	s.emit(Note{What: "start refused", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Detail: verdict.String(), Age: now - r.ordered})
+	s.emit(LogEvent{Message: "start refused", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Detail: verdict.String(), Age: now - r.ordered})
 	j.mark(now, "start refused", r.Task, t.ID, verdict.String())
 	j.begun--
 	if verdict == work.VerdictInvalidTicket {
-		r.task.step.unticketed(t.ID)
+		r.task.step.dropTicket(t.ID)
 	}
-	s.release(r)
+	s.releaseRun(r)
 	if !j.ended && !r.task.complete {
-		s.again(now, r)
+		s.requeue(now, r)
 	}
 	s.blame(now, t, verdict)
 }
@@ -162,11 +162,11 @@
 	case work.VerdictUnsent:
 		s.silence(now, t, "no connection")
 	case work.VerdictUnhealthy, work.VerdictInvalid:
-		t.health.suspend(now)
-		s.touch(t)
+		t.health.markSuspected(now)
+		s.markChanged(t)
 	case work.VerdictStaleToken, work.VerdictInvalidTicket:
 	default:
-		t.blocked = now + roomPause
+		t.blockedUntil = now + roomPause
 	}
 }
 
@@ -181,12 +181,12 @@
 	if t == nil {
 		return
 	}
-	if t.restarted(answer.ClockMS) {
-		s.renew(now, t, "its clock restarted")
+	if t.clockRestarted(answer.ClockMS) {
+		s.beginIncarnation(now, t, "its clock restarted")
 	}
-	t.readClock(now, answer.ClockMS)
+	t.updateClock(now, answer.ClockMS)
 	agreed := answer.Verdict == work.VerdictDone || answer.Verdict == work.VerdictStaleRun
-	if try := t.strangers[order]; try != nil && agreed {
+	if try := t.unknownRuns[order]; try != nil && agreed {
 		try.acked = now
 	}
 	if r := t.runs[order.Task]; r != nil && r.RunID == order && r.stop != nil && agreed && r.stop.acked == 0 {
@@ -201,10 +201,10 @@
 // markSilent takes a target out of use until it answers a poll.
 func (s *State) silence(now time.Duration, t *target, why string) {
 	if t.state == usable {
-		s.emit(Note{What: "target is silent", Target: t.ID, Detail: why, Age: now - t.lease.at})
+		s.emit(LogEvent{Message: "target is silent", Target: t.ID, Detail: why, Age: now - t.lease.readAt})
 		t.state = silent
 		s.fallsSilent(now, t)
-		s.touch(t)
+		s.markChanged(t)
 	}
 }
 
@@ -212,15 +212,15 @@
 func (s *State) Looked(now time.Duration, id string, at time.Duration, held work.PollAnswer, verdict work.Verdict) {
 	s.resend.heard(verdict)
 	t := s.targets[id]
-	if t == nil || !t.looking || at != t.look.At {
+	if t == nil || !t.pollPending || at != t.poll.SentAt {
 		return
 	}
-	t.lookCopies.waiting--
-	if unanswered(verdict) && t.lookCopies.waiting > 0 && now-at < t.lookTime+answerTime {
+	t.pollCopies.waiting--
+	if unanswered(verdict) && t.pollCopies.waiting > 0 && now-at < t.firstPollWait+answerTime {
 		return
 	}
-	t.looking = false
-	s.touch(t)
+	t.pollPending = false
+	s.markChanged(t)
 	switch verdict {
 	case work.VerdictDone:
 		s.held(now, t, held)
@@ -229,7 +229,7 @@
 	case work.VerdictStaleToken:
 	default:
 		s.missAnswer(now, t)
-		if t.failedLooks++; t.failedLooks >= silentLooks {
+		if t.failedPolls++; t.failedPolls >= silentLooks {
 			s.silence(now, t, "polls failed: "+verdict.String())
 		}
 	}
@@ -242,21 +242,21 @@
 // applyPoll takes what a target reports in a poll's answer: its incarnation and capacity, new
 // completions, and the runs in progress.
 func (s *State) held(now time.Duration, t *target, held work.PollAnswer) {
-	if !s.tellsLife(now, t, held.Incarnation) {
+	if !s.acceptIncarnation(now, t, held.Incarnation) {
 		return
 	}
 	if held.Capacity != nil {
-		s.resize(t, *held.Capacity)
+		s.setCapacity(t, *held.Capacity)
 	}
 	s.answersAgain(t)
-	t.failedLooks = 0
-	t.barred = true
-	t.told = t.asked
-	t.answered = t.look.At
-	t.lease.read(held.ClockMS, now)
+	t.failedPolls = 0
+	t.fenced = true
+	t.ackedCompletion = t.ackSent
+	t.answered = t.poll.SentAt
+	t.lease.update(held.ClockMS, now)
 	for _, end := range held.Completions {
-		if end.Number > t.seen {
-			t.seen = end.Number
+		if end.Number > t.lastCompletion {
+			t.lastCompletion = end.Number
 			s.runEnded(now, t, end)
 		}
 	}
@@ -266,26 +266,26 @@
 		s.seenRunning(now, t, entry)
 	}
 	s.missed(now, t, listed)
-	for unknown := range t.strangers {
+	for unknown := range t.unknownRuns {
 		if !listed[unknown] {
-			delete(t.strangers, unknown)
+			delete(t.unknownRuns, unknown)
 		}
 	}
-	for run := range t.guests {
+	for run := range t.inheritedRuns {
 		if !listed[run] {
-			delete(t.guests, run)
+			delete(t.inheritedRuns, run)
 		}
 	}
-	t.heard = now
+	t.lastAnswer = now
 	s.use(now, t)
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // useIfReady takes a target into use once it obeys this owner, nothing runs there that isn't
 // this owner's, and it is known that nobody else owns the targets.
 func (s *State) use(now time.Duration, t *target) {
-	if t.state != usable && t.barred && len(t.strangers) == 0 && len(t.guests) == 0 && s.proven(now, t) {
-		s.emit(Note{What: "target is usable", Target: t.ID})
+	if t.state != usable && t.fenced && len(t.unknownRuns) == 0 && len(t.inheritedRuns) == 0 && s.hasConfirmedClaim(now, t) {
+		s.emit(LogEvent{Message: "target is usable", Target: t.ID})
 		t.state = usable
 	}
 }
@@ -299,7 +299,7 @@
 		}
 		if r.state != running && r.stop == nil {
 			s.began(r)
-		} else if r.state == doubtful {
+		} else if r.state == uncertain {
 			// Its stop is on the way; the target will list its completion.
 			r.state = running
 		}
@@ -312,9 +312,9 @@
 
 // stopUnknownRun stops a run whose owner or job this owner does not know.
 func (s *State) stopStranger(now time.Duration, t *target, unknown work.RunID) {
-	if t.strangers[unknown] == nil {
-		s.emit(Note{What: "stranger stopped", Task: unknown.Task, Target: t.ID})
-		t.strangers[unknown] = &orderTry{asked: now, sent: now}
+	if t.unknownRuns[unknown] == nil {
+		s.emit(LogEvent{Message: "stranger stopped", Task: unknown.Task, Target: t.ID})
+		t.unknownRuns[unknown] = &stopTry{first: now, last: now}
 		s.emit(StopRun{To: t.address(), Run: unknown})
 	}
 }
@@ -327,10 +327,10 @@
 			continue
 		}
 		switch {
-		case r.state == running && r.ordered+lookAfterStart < t.look.At:
-			s.lost(now, r, "its target doesn't list it")
-		case r.state == doubtful && t.lease.lapsed(t.look.At, r.until):
-			s.lost(now, r, "it can't begin any more")
+		case r.state == running && r.ordered+lookAfterStart < t.poll.SentAt:
+			s.loseRun(now, r, "its target doesn't list it")
+		case r.state == uncertain && t.lease.hasLapsed(t.poll.SentAt, r.leaseUntil):
+			s.loseRun(now, r, "it can't begin any more")
 		}
 	}
 }
@@ -351,7 +351,7 @@
 	}
 	switch {
 	case r.task.step.Lasting:
-		s.lost(now, r, "it ended: "+string(end.Kind))
+		s.loseRun(now, r, "it ended: "+string(end.Kind))
 	case end.Kind == work.CompletionDone:
 		s.note(t, r, end.Number, false)
 		s.done(now, t, r)
@@ -359,14 +359,14 @@
 		s.note(t, r, end.Number, true)
 		s.failed(now, t, r)
 	default:
-		s.lost(now, r, string(end.Kind))
+		s.loseRun(now, r, string(end.Kind))
 	}
 }
 
 // completeRun takes the completion of a run that did its task's work.
 func (s *State) done(now time.Duration, t *target, r *run) {
-	s.release(r)
-	s.praise(now, t, r)
+	s.releaseRun(r)
+	s.recordSuccess(now, t, r)
 	j := r.task.job
 	if j.ended || r.task.complete {
 		return
@@ -385,10 +385,10 @@
 // often as its queue allows, and otherwise has the task run again.
 func (s *State) failed(now time.Duration, t *target, r *run) {
 	j := r.task.job
-	s.release(r)
-	s.emit(Note{What: "run failed", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
+	s.releaseRun(r)
+	s.emit(LogEvent{Message: "run failed", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 	j.mark(now, "failed", r.Task, t.ID, "")
-	s.strikeFailed(now, t, j)
+	s.recordFailedRun(now, t, j)
 	if j.ended || r.task.complete {
 		return
 	}
@@ -399,57 +399,57 @@
 		s.finish(now, j, work.Outcome{Result: work.Failed, Reason: "a task failed as often as its queue allows"})
 		return
 	}
-	s.again(now, r)
+	s.requeue(now, r)
 }
 
 // pollIfNeeded sends a target the poll that it needs, if any and if none is on its way.
 func (s *State) pump(now time.Duration, t *target) {
-	if t.looking || t.failedLooks >= silentLooks && now < t.look.At+lookPause {
+	if t.pollPending || t.failedPolls >= silentLooks && now < t.poll.SentAt+lookPause {
 		return
 	}
-	if t.awaitsClaim(s) && now < t.look.At+confirmPause {
+	if t.awaitsClaim(s) && now < t.poll.SentAt+claimRetryInterval {
 		return
 	}
-	unrecorded := len(t.unnoted) > 0
-	if unrecorded && now < t.look.At+unnotedPause {
+	unrecorded := len(t.unrecorded) > 0
+	if unrecorded && now < t.poll.SentAt+unnotedPause {
 		return
 	}
-	poll := Look{To: t.address(), At: now, Seen: t.ackable()}
-	if t.Incarnation != 0 && (t.failedLooks > 0 || now-t.lease.at > lifeTold) {
-		poll.Seen = 0
+	poll := Poll{To: t.address(), SentAt: now, AckUpTo: t.ackable()}
+	if t.Incarnation != 0 && (t.failedPolls > 0 || now-t.lease.readAt > maxAckAge) {
+		poll.AckUpTo = 0
 	}
 	switch {
 	case t.state == silent:
 	case t.state == adopting && !t.lease.known:
-	case len(t.strangers) > 0:
-		poll.Wait = s.options.StopTime
-	case len(t.guests) > 0:
-		poll.Wait = s.options.StopTime
+	case len(t.unknownRuns) > 0:
+		poll.Wait = s.options.StopTimeout
+	case len(t.inheritedRuns) > 0:
+		poll.Wait = s.options.StopTimeout
 		s.prolong(now, t, &poll)
 	case t.state == adopting:
 	case len(t.runs) > 0:
-		if t.failedLooks == 0 && !unrecorded {
+		if t.failedPolls == 0 && !unrecorded {
 			poll.Wait = s.lookWait(now)
 		}
-		if s.prolongs(now, t) {
+		if s.canRenewLease(now, t) {
 			s.prolong(now, t, &poll)
 		}
-	case t.told < poll.Seen:
+	case t.ackedCompletion < poll.AckUpTo:
 	default:
 		return
 	}
-	t.looking = true
-	t.asked = poll.Seen
-	t.look, t.lookTime = poll, poll.Wait
-	t.lookCopies = copies{}
-	t.lookCopies.add(now)
+	t.pollPending = true
+	t.ackSent = poll.AckUpTo
+	t.poll, t.firstPollWait = poll, poll.Wait
+	t.pollCopies = copies{}
+	t.pollCopies.add(now)
 	s.emit(poll)
 }
 
 // renewLease has a poll extend the lease of all that runs at its target.
-func (s *State) prolong(now time.Duration, t *target, poll *Look) {
-	poll.Until = t.lease.end(now, s.options.Lease)
-	t.lease.until = max(t.lease.until, poll.Until)
+func (s *State) prolong(now time.Duration, t *target, poll *Poll) {
+	poll.LeaseUntil = t.lease.endAfter(now, s.options.Lease)
+	t.lease.until = max(t.lease.until, poll.LeaseUntil)
 }
 
 // Parameters of polls while answers are being lost.
@@ -467,13 +467,13 @@
 	if s.unsettled(now) && !s.resend.once {
 		return s.resend.look
 	}
-	return s.options.LookWait
+	return s.options.PollWait
 }
 
 // losesAnswers reports whether so many answers were lost lately that more losses are expected.
 func (s *State) unsettled(now time.Duration) bool {
 	r := &s.resend
-	return s.disturbed > 0 && now-s.disturbed < disturbedTime && r.missed >= doubtShare*(r.missed+r.answered)
+	return s.lastMissedAnswer > 0 && now-s.lastMissedAnswer < disturbedTime && r.missed >= doubtShare*(r.missed+r.answered)
 }
 
 // silentPollInterval is the least time between two polls of a target that doesn't answer.
--- a/scheduler/callers_world_test.go
+++ b/scheduler/callers_world_test.go
@@ -15,8 +15,8 @@
 	ref      Ref
 	answered bool
 	// refused is set once the caller was told that nothing of its job runs.
-	refused bool
-	tries   int
+	refused  bool
+	attempts int
 	// given is when its owner got the job.
 	given    time.Duration
 	outcomes []work.Result
@@ -29,13 +29,13 @@
 		w.after(100*ms, func() { w.submit(c) })
 		return
 	}
-	c.tries++
+	c.attempts++
 	w.refs++
 	c.owner, c.ref = o, w.refs
 	o.refs[c.ref] = c
 	c.given = w.now
 	o.state.Submit(w.now, w.submission(c))
-	w.carryOut(o)
+	w.applyEffects(o)
 }
 
 // submission is a caller's job as its owner gets it.
@@ -52,15 +52,15 @@
 // breakConnection breaks the connection over which an owner got a job. An answer to it is lost, and
 // after a while the entry VM asks for one over another connection. The owner gives up a job that
 // nobody asks for in time.
-func (w *world) reset(o *fakeOwner, ref Ref, pause time.Duration) {
+func (w *world) breakConnection(o *fakeOwner, ref Ref, pause time.Duration) {
 	c := o.refs[ref]
 	delete(o.refs, ref)
 	w.after(80*ms, func() {
-		w.hear(o, func() { o.state.Cancel(w.now, ref) })
+		w.deliver(o, func() { o.state.Cancel(w.now, ref) })
 	})
 	w.after(pause, func() {
 		if o.dead || o.frozen || o.cut {
-			w.again(c)
+			w.retryLater(c)
 			return
 		}
 		w.refs++
@@ -70,18 +70,18 @@
 		case Present:
 		case Forgotten:
 			delete(o.refs, c.ref)
-			w.again(c)
+			w.retryLater(c)
 		case Absent:
 			if w.started[c.id] {
 				w.violations = append(w.violations, c.id+" was reported absent, though it had started")
 			}
 		}
-		w.carryOut(o)
+		w.applyEffects(o)
 	})
 }
 
 // addCaller adds a caller with a job.
-func (w *world) call(tasks int) *caller {
+func (w *world) addCaller(tasks int) *caller {
 	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks}
 	w.callers[c.id] = c
 	w.submit(c)
@@ -89,42 +89,42 @@
 }
 
 // disconnect makes a caller leave and come again later.
-func (w *world) leave(o *fakeOwner, ref Ref) {
+func (w *world) disconnect(o *fakeOwner, ref Ref) {
 	c := o.refs[ref]
 	delete(o.refs, ref)
 	if !o.frozen && !o.cut && !o.dead {
 		o.state.Cancel(w.now, ref)
-		w.carryOut(o)
+		w.applyEffects(o)
 	}
-	w.again(c)
+	w.retryLater(c)
 }
 
 // retryInterval is the shortest time after which a caller sends a job again.
-const resend = 1300 * ms
+const retryInterval = 1300 * ms
 
 // retryLater makes a caller without an answer send its job again.
-func (w *world) again(c *caller) {
-	if c.tries < 3 {
-		w.after(resend, func() { w.submit(c) })
+func (w *world) retryLater(c *caller) {
+	if c.attempts < 3 {
+		w.after(retryInterval, func() { w.submit(c) })
 	}
 }
 
 // rejoinBeforeSubmit has a caller's job asked for again, over another connection, before the owner
 // processes the first request for it.
-func (w *world) overtake(tasks int, pause time.Duration) {
+func (w *world) rejoinBeforeSubmit(tasks int, pause time.Duration) {
 	o := w.owner()
 	if o.dead || o.frozen || o.cut {
 		return
 	}
-	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks, owner: o, tries: 1, given: w.now, ref: w.refs + 1}
+	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks, owner: o, attempts: 1, given: w.now, ref: w.refs + 1}
 	w.callers[c.id] = c
 	first := w.submission(c)
 	w.refs += 2
 	c.ref = w.refs
 	o.refs[c.ref] = c
 	o.state.Rejoin(w.now, w.submission(c), ms, true)
-	w.carryOut(o)
+	w.applyEffects(o)
 	w.after(pause, func() {
-		w.hear(o, func() { o.state.Submit(w.now, first) })
+		w.deliver(o, func() { o.state.Submit(w.now, first) })
 	})
 }
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -10,111 +10,111 @@
 )
 
 // cordonedHarness has a usable target and knows that its domain is not cordoned.
-func cordonedBench(t *testing.T) *bench {
-	b := newBench(t, Options{AwaitCordon: true})
-	b.s.Cordoned(b.now, false)
+func cordonedHarness(t *testing.T) *harness {
+	b := newHarness(t, Options{AwaitCordon: true})
+	b.s.CordonReported(b.now, false)
 	b.usable("a", 4000)
 	return b
 }
 
-func (b *bench) startsNow() []StartRun { return pickEffects[StartRun](b.do()) }
+func (b *harness) startsNow() []StartRun { return pickEffects[StartRun](b.effects()) }
 
 // Nothing starts before it is known whether the failure domain is cordoned, and jobs are not
 // refused meanwhile.
-func TestNothingStartsBeforeTheCordonIsKnown(t *testing.T) {
-	b := newBench(t, Options{AwaitCordon: true})
+func TestNothingStartsWhileCordonIsUnknown(t *testing.T) {
+	b := newHarness(t, Options{AwaitCordon: true})
 	b.usable("a", 4000)
 	b.submit("j", 1, 1000, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceEmpty(t, pickEffects[Answer](effects))
-	b.s.Cordoned(b.now, false)
+	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
 }
 
 // New jobs are refused at once with a retry time, so that their entry VM turns to other owners.
 // After the cordon they run at once.
-func TestCordonedDomainRefusesAtOnce(t *testing.T) {
-	b := cordonedBench(t)
-	b.s.Cordoned(b.now, true)
+func TestCordonedDomainRefusesNewJobs(t *testing.T) {
+	b := cordonedHarness(t)
+	b.s.CordonReported(b.now, true)
 	b.submit("j", 1, 1000, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	answers := pickEffects[Answer](effects)
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
-	must.Eq(t, cordonedRetry, answers[0].Outcome.RetryAfter)
-	b.s.Cordoned(b.now, false)
+	must.Eq(t, cordonedRetryAfter, answers[0].Outcome.RetryAfter)
+	b.s.CordonReported(b.now, false)
 	b.submit("k", 1, 1000, "")
 	must.SliceLen(t, 1, b.startsNow())
 }
 
 // Jobs with nothing started go back to their entry VM. Runs go on and count for their job, whose
 // remaining tasks are delegated.
-func TestCordonClearsOut(t *testing.T) {
-	b := cordonedBench(t)
+func TestCordonReturnsUnstartedJobsAndDelegatesTheRest(t *testing.T) {
+	b := cordonedHarness(t)
 	b.submit("begun", 2, 3000, "")
 	first := b.startsNow()
 	must.SliceLen(t, 1, first)
 	b.begun(first)
 	waiting := b.submit("waiting", 1, 3000, "")
 	must.SliceEmpty(t, b.startsNow())
-	b.s.Cordoned(b.now, true)
-	answers := pickEffects[Answer](b.do())
+	b.s.CordonReported(b.now, true)
+	answers := pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, waiting, answers[0].Ref)
 	must.Eq(t, work.Moved, answers[0].Outcome.Result)
-	b.s.RoomAt(b.now, "other", "s", Room{Places: [Priorities]int{5, 5, 5}})
-	effects := b.do()
+	b.s.CapacityReported(b.now, "other", "s", FreeCapacity{Tasks: [Priorities]int{5, 5, 5}})
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	delegated := pickEffects[Lend](effects)
+	delegated := pickEffects[Delegate](effects)
 	must.SliceLen(t, 1, delegated)
-	b.s.Returned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
-	b.look("a", ended(1, first[0].Run, work.CompletionDone))
-	answers = pickEffects[Answer](b.do())
+	b.s.PartReturned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
+	b.answerPoll("a", ended(1, first[0].Run, work.CompletionDone))
+	answers = pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
 }
 
 // A task whose run failed does not start again on another target of a cordoned failure domain.
-func TestTasksDontRunAgainInACordonedDomain(t *testing.T) {
-	b := cordonedBench(t)
+func TestFailedTaskIsNotRestartedInCordonedDomain(t *testing.T) {
+	b := cordonedHarness(t)
 	b.submit("j", 1, 1000, "")
 	first := b.startsNow()
 	b.begun(first)
 	b.usable("b", 4000)
-	b.s.Cordoned(b.now, true)
-	b.look("a", ended(1, first[0].Run, work.CompletionFailed))
+	b.s.CordonReported(b.now, true)
+	b.answerPoll("a", ended(1, first[0].Run, work.CompletionFailed))
 	must.SliceEmpty(t, b.startsNow())
-	b.s.Cordoned(b.now, false)
+	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
 }
 
 // An unanswered order is not sent again once the failure domain is cordoned: the copy could start
 // the run.
-func TestOrdersAreNotSentAgainIntoACordonedDomain(t *testing.T) {
+func TestUnansweredStartIsNotResentInCordonedDomain(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		b := cordonedBench(t)
+		b := cordonedHarness(t)
 		b.submit("j", 1, 1000, "")
 		order := b.startsNow()[0]
-		b.s.Cordoned(b.now, true)
+		b.s.CordonReported(b.now, true)
 		if broken {
 			b.s.Started(b.now, "a", order.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
 		}
-		b.pass(100 * ms)
+		b.advance(100 * ms)
 		must.Eq(t, 1, b.starts[order.Run], must.Sprint("broken connection: ", broken))
 	}
 }
 
 // Parts of other owners' jobs are not accepted, and no capacity for them is reported.
-func TestCordonedDomainTakesNoParts(t *testing.T) {
-	b := cordonedBench(t)
+func TestCordonedDomainReportsNoCapacity(t *testing.T) {
+	b := cordonedHarness(t)
 	b.submit("j", 1, 1000, "")
 	b.begun(b.startsNow())
-	must.Positive(t, b.s.Load(b.now, "s").Room.Places[0])
-	b.s.Cordoned(b.now, true)
+	must.Positive(t, b.s.Load(b.now, "s").FreeCapacity.Tasks[0])
+	b.s.CordonReported(b.now, true)
 	load := b.s.Load(b.now, "s")
-	must.Eq(t, [Priorities]int{}, load.Room.Places)
+	must.Eq(t, [Priorities]int{}, load.FreeCapacity.Tasks)
 	must.Zero(t, load.FreeCPU)
 	must.True(t, load.Cordoned)
 	for _, wait := range load.Wait {
@@ -123,8 +123,8 @@
 }
 
 // Targets reserved for a gang are released.
-func TestCordonLetsGoOfRoomForGangs(t *testing.T) {
-	b := cordonedBench(t)
+func TestCordonReleasesGangReservation(t *testing.T) {
+	b := cordonedHarness(t)
 	b.usable("b", 4000)
 	b.submit("small", 1, 3000, "")
 	b.begun(b.startsNow())
@@ -134,63 +134,63 @@
 		Job:   work.Job{ID: "gang", Steps: []work.Step{{Tasks: 2, Gang: true, PerTask: work.Resources{CPU: 3000}, DeclaredRunTime: 100 * ms}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: 10 * time.Second},
 	})
-	b.pass(200 * ms)
-	must.NotNil(t, b.s.poolOf("s").reserved)
-	b.s.Cordoned(b.now, true)
-	must.Nil(t, b.s.poolOf("s").reserved)
+	b.advance(200 * ms)
+	must.NotNil(t, b.s.poolOf("s").reservedFor)
+	b.s.CordonReported(b.now, true)
+	must.Nil(t, b.s.poolOf("s").reservedFor)
 }
 
 // Durable jobs wait for the end of the cordon, and start then.
-func TestKeptJobsWaitOutACordon(t *testing.T) {
-	b := cordonedBench(t)
+func TestDurableJobsWaitForEndOfCordon(t *testing.T) {
+	b := cordonedHarness(t)
 	b.s.Resumed(b.now)
-	b.s.Cordoned(b.now, true)
+	b.s.CordonReported(b.now, true)
 	b.s.Resume(b.now, b.keptJob("j", 1), Progress{})
-	must.SliceEmpty(t, pickEffects[StartRun](b.pass(time.Second)))
-	b.s.Cordoned(b.now, false)
+	must.SliceEmpty(t, pickEffects[StartRun](b.advance(time.Second)))
+	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
 }
 
 // A process that was paused starts nothing before it knows again whether the failure domain is
 // cordoned, even if messages are processed before its first tick.
-func TestNothingStartsAfterAPauseBeforeTheCordonIsConfirmed(t *testing.T) {
+func TestNothingStartsAfterPauseUntilCordonIsConfirmed(t *testing.T) {
 	for _, ticked := range []bool{false, true} {
-		b := cordonedBench(t)
+		b := cordonedHarness(t)
 		b.now += 5 * time.Second
 		if ticked {
 			b.s.Tick(b.now)
 		}
 		b.submit("j", 1, 1000, "")
-		effects := b.do()
+		effects := b.effects()
 		must.SliceEmpty(t, pickEffects[StartRun](effects))
 		must.SliceLen(t, 1, pickEffects[ConfirmCordon](effects))
-		b.s.Cordoned(b.now, true)
+		b.s.CordonReported(b.now, true)
 		must.SliceEmpty(t, b.startsNow())
 	}
 }
 
 // Where nobody confirms it, the last known state applies after a timeout: an isolated failure
 // domain serves what it can, unless it was cordoned.
-func TestTheLastWordHoldsWhereNobodyConfirmsIt(t *testing.T) {
+func TestUnconfirmedCordonStateAppliesAfterTimeout(t *testing.T) {
 	for _, cordoned := range []bool{false, true} {
-		b := cordonedBench(t)
-		b.s.Cordoned(b.now, cordoned)
+		b := cordonedHarness(t)
+		b.s.CordonReported(b.now, cordoned)
 		b.now += 5 * time.Second
 		b.s.Tick(b.now)
-		b.do()
+		b.effects()
 		b.submit("j", 1, 1000, "")
-		b.pass(cordonPatience - 100*ms)
-		must.True(t, b.s.cordon.bars())
-		b.pass(200 * ms)
-		must.Eq(t, cordoned, b.s.cordon.bars())
+		b.advance(cordonConfirmTimeout - 100*ms)
+		must.True(t, b.s.cordon.blocksStarts())
+		b.advance(200 * ms)
+		must.Eq(t, cordoned, b.s.cordon.blocksStarts())
 	}
 }
 
 // A state that was never known blocks starts without a time limit.
-func TestAnUnknownCordonStaysUnknown(t *testing.T) {
-	b := newBench(t, Options{AwaitCordon: true})
+func TestUnknownCordonStaysUnknown(t *testing.T) {
+	b := newHarness(t, Options{AwaitCordon: true})
 	b.usable("a", 4000)
-	b.pass(time.Minute)
+	b.advance(time.Minute)
 	b.submit("j", 1, 1000, "")
 	must.SliceEmpty(t, b.startsNow())
 }
--- a/scheduler/cordon_world_test.go
+++ b/scheduler/cordon_world_test.go
@@ -13,17 +13,17 @@
 
 // fakeCordons is the operator's setting for the owners' failure domain.
 type fakeCordons struct {
-	closed bool
+	cordoned bool
 	// changes counts the changes of the setting.
-	steps int
+	changes int
 }
 
 // knownCordon is what an owner was told of the setting.
-type toldCordon struct {
-	known, closed bool
+type knownCordon struct {
+	known, cordoned bool
 	// unconfirmedSince is when it last asked whether the setting still applies; 0 before the first
 	// time.
-	doubted time.Duration
+	unconfirmedSince time.Duration
 }
 
 // maxCordonDelay bounds a report's delay in milliseconds; it exceeds an owner's confirmation
@@ -31,24 +31,24 @@
 const maxCordonDelay = 1500
 
 // reportCordon sends an owner the setting that applies after a random delay.
-func (w *world) tellCordon(o *fakeOwner) {
+func (w *world) reportCordon(o *fakeOwner) {
 	if w.cordons == nil {
 		return
 	}
 	w.after(time.Duration(w.random.IntN(maxCordonDelay))*ms, func() {
-		w.hear(o, func() {
-			o.cordon = toldCordon{known: true, closed: w.cordons.closed}
-			o.state.Cordoned(w.now, w.cordons.closed)
+		w.deliver(o, func() {
+			o.cordon = knownCordon{known: true, cordoned: w.cordons.cordoned}
+			o.state.CordonReported(w.now, w.cordons.cordoned)
 		})
 	})
 }
 
 // toggleCordon changes the operator's setting.
-func (w *world) cordon() {
-	w.cordons.closed = !w.cordons.closed
-	w.cordons.steps++
+func (w *world) toggleCordon() {
+	w.cordons.cordoned = !w.cordons.cordoned
+	w.cordons.changes++
 	for _, o := range w.owners {
-		w.tellCordon(o)
+		w.reportCordon(o)
 	}
 }
 
@@ -56,8 +56,8 @@
 // one. A setting that stays unconfirmed for the timeout may be applied again.
 func (w *world) checkCordon(o *fakeOwner, e StartRun) {
 	c := o.cordon
-	trusted := c.known || c.doubted > 0 && w.now-c.doubted > cordonPatience
-	if w.cordons != nil && (c.closed || !trusted) {
+	trusted := c.known || c.unconfirmedSince > 0 && w.now-c.unconfirmedSince > cordonConfirmTimeout
+	if w.cordons != nil && (c.cordoned || !trusted) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts, though the owner knows %+v", w.now, e.Run.Task, c))
 	}
 }
@@ -74,7 +74,7 @@
 			lostOrders: share("lost"), lateOrders: share("late"), lostAnswers: share("answers"), failing: share("failing"),
 			broken: share("broken"),
 		})
-		w.cordons = &fakeCordons{closed: rapid.Bool().Draw(rt, "closed")}
+		w.cordons = &fakeCordons{cordoned: rapid.Bool().Draw(rt, "closed")}
 		w.longest = rapid.SampledFrom([]int{100, 800}).Draw(rt, "longest")
 		if rapid.Bool().Draw(rt, "lending") {
 			w.addOther(rapid.IntRange(1, 3).Draw(rt, "others"))
@@ -82,9 +82,9 @@
 		w.takeOver()
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 			if rapid.IntRange(0, 4).Draw(rt, "cordon") == 0 {
-				w.cordon()
+				w.toggleCordon()
 			}
-			strike(rt, w)
+			injectEvent(rt, w)
 			w.run(time.Duration(rapid.IntRange(0, 400).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
 				rt.Fatalf("broken: %v", w.violations)
@@ -94,14 +94,14 @@
 		if len(w.violations) > 0 {
 			rt.Fatalf("broken: %v", w.violations)
 		}
-		steps += w.cordons.steps
+		steps += w.cordons.changes
 	})
 	must.Greater(t, 100, steps)
 }
 
 // While a failure domain is cordoned its jobs go to the other owner as a whole, and afterwards they
 // are served here again.
-func TestServesThroughACordon(t *testing.T) {
+func TestJobsMoveToOtherOwnerDuringCordon(t *testing.T) {
 	w := newWorld(3, 4, worldFaults{})
 	w.cordons = &fakeCordons{}
 	w.addOther(4)
@@ -118,20 +118,20 @@
 		return n
 	}
 	for range 20 {
-		w.call(3)
+		w.addCaller(3)
 		w.run(30 * ms)
 	}
-	w.cordon()
+	w.toggleCordon()
 	w.run(2 * time.Second)
 	must.Eq(t, 20, count(work.Completed)+count(work.Moved))
 	must.Zero(t, count(work.Unknown))
 	before := count(work.Completed)
-	w.call(1)
+	w.addCaller(1)
 	w.run(100 * ms)
 	must.Eq(t, 1, count(work.Refused))
-	w.cordon()
+	w.toggleCordon()
 	w.run(2 * time.Second)
-	w.call(1)
+	w.addCaller(1)
 	w.run(500 * ms)
 	must.Eq(t, before+1, count(work.Completed))
 	must.SliceEmpty(t, w.violations)
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -131,11 +131,11 @@
 
 // recordTargetLoss remembers what ran on a target that fell silent or whose incarnation ended.
 func (s *State) fallsSilent(now time.Duration, t *target) {
-	if t.fell {
+	if t.presumedLost {
 		return
 	}
-	t.fell = true
-	end := lifeEnd{target: t.ID, rack: t.Rack, pool: t.pool, at: now, jobs: map[string]bool{}, trial: t.trial != nil}
+	t.presumedLost = true
+	end := lifeEnd{target: t.ID, rack: t.Rack, pool: t.pool, at: now, jobs: map[string]bool{}, trial: t.isolated != nil}
 	for _, r := range t.runs {
 		end.jobs[r.task.job.sub.Job.ID] = true
 	}
@@ -144,10 +144,10 @@
 
 // clearTargetLoss clears the losses of a silent target that answers again in the same incarnation.
 func (s *State) answersAgain(t *target) {
-	if !t.fell {
+	if !t.presumedLost {
 		return
 	}
-	t.fell = false
+	t.presumedLost = false
 	s.crashes.ends = slices.DeleteFunc(s.crashes.ends, func(e lifeEnd) bool { return e.target == t.ID })
 	for _, loss := range s.crashes.at[t.ID] {
 		loss.cleared = true
@@ -163,7 +163,7 @@
 	for _, r := range t.sortedRuns() {
 		s.fallsUnder(now, r)
 	}
-	t.fell = false
+	t.presumedLost = false
 	s.settleFalls(now, t.ID)
 }
 
@@ -183,7 +183,7 @@
 // correlated loss. The loss of a draining target doesn't count.
 func (s *State) fallsUnder(now time.Duration, r *run) {
 	t, tk := r.target, r.task
-	if tk.complete || tk.job.dropped || s.leaving || t.Draining || !t.fell {
+	if tk.complete || tk.job.dropped || s.leaving || t.Draining || !t.presumedLost {
 		return
 	}
 	if tk.excused == 0 && s.manyFell(t, tk.job) {
@@ -193,12 +193,12 @@
 		s.rememberTask(now, tk)
 		return
 	}
-	loss := &fall{Crash: Crash{Target: t.ID, Life: t.Incarnation, Alone: r.alone && r.state == running}, at: now, after: now - r.ordered, task: tk}
+	loss := &fall{Crash: Crash{Target: t.ID, Life: t.Incarnation, Alone: r.isolated && r.state == running}, at: now, after: now - r.ordered, task: tk}
 	tk.step.suspected = true
 	tk.falls = append(tk.fallen(), loss)
 	s.crashes.at[t.ID] = append(s.crashes.at[t.ID], loss)
 	tk.job.mark(now, "target lost under it", tk.name, t.ID, fmt.Sprintf("%d losses in total", len(tk.falls)))
-	s.emit(Note{What: "target lost under a task", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID, Detail: fmt.Sprintf("%d losses in total", len(tk.falls))})
+	s.emit(LogEvent{Message: "target lost under a task", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID, Detail: fmt.Sprintf("%d losses in total", len(tk.falls))})
 	s.noteCrash(tk, loss.Crash)
 	s.rememberTask(now, tk)
 }
@@ -249,7 +249,7 @@
 	if len(s.crashes.condemned) < maxRemembered {
 		s.crashes.condemned[tk.job.sub.key()] = condemned{reason: reason, at: now}
 	}
-	s.emit(Note{Failure: true, What: "task crashes targets", Job: tk.job.sub.Job.ID, Task: tk.name, Detail: strings.Join(targets, ", ")})
+	s.emit(LogEvent{Failure: true, Message: "task crashes targets", Job: tk.job.sub.Job.ID, Task: tk.name, Detail: strings.Join(targets, ", ")})
 	s.finish(now, tk.job, work.Outcome{Result: work.Failed, Reason: reason})
 }
 
@@ -317,7 +317,7 @@
 	for _, target := range slices.Sorted(maps.Keys(c.at)) {
 		t := s.targets[target]
 		switch {
-		case t == nil && s.listed, t != nil && c.at[target][0].Life < t.Incarnation:
+		case t == nil && s.registryRead, t != nil && c.at[target][0].Life < t.Incarnation:
 			s.settleFalls(now, target)
 		case t != nil && now-c.at[target][0].at > fallPatience:
 			// The registry still lists the target, so its incarnation goes on.
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -11,8 +11,8 @@
 )
 
 // newRackBench returns a bench with usable targets, two in each rack.
-func crashBench(t *testing.T, targets int) *bench {
-	b := newBench(t, Options{})
+func crashBench(t *testing.T, targets int) *harness {
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	for i := range targets {
 		b.rackTarget(i)
@@ -21,38 +21,38 @@
 }
 
 // addRackTarget adds a usable target; two successive indexes share a rack.
-func (b *bench) rackTarget(i int) {
+func (b *harness) rackTarget(i int) {
 	id, rack := fmt.Sprintf("t%02d", i), fmt.Sprintf("r%d", i/2)
-	b.listed(work.Target{ID: id, Rack: rack, Labels: []string{"kind", rack}, Capacity: work.Resources{CPU: 4}})
-	b.do()
-	b.look(id, work.PollAnswer{ClockMS: 5000})
+	b.listTarget(work.Target{ID: id, Rack: rack, Labels: []string{"kind", rack}, Capacity: work.Resources{CPU: 4}})
+	b.effects()
+	b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 }
 
 // confirmStarts answers starts as done.
-func (b *bench) begin(starts []StartRun) {
+func (b *harness) begin(starts []StartRun) {
 	for _, start := range starts {
 		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
-	b.do()
+	b.effects()
 }
 
 // loseTargets loses targets at the same time, and returns the effects of the 20 ms after that.
-func (b *bench) falls(ids ...string) []Effect {
+func (b *harness) falls(ids ...string) []Effect {
 	for _, id := range ids {
 		b.s.fallsSilent(b.now, b.s.targets[id])
 	}
 	for _, id := range ids {
-		b.s.lose(b.now, b.s.targets[id], "another incarnation answers at its address")
+		b.s.loseTarget(b.now, b.s.targets[id], "another incarnation answers at its address")
 	}
-	return b.pass(20 * ms)
+	return b.advance(20 * ms)
 }
 
 // startStoredJob has a durable job stored and returns its first starts.
-func (b *bench) storedJob(id string, tasks int) []StartRun {
+func (b *harness) storedJob(id string, tasks int) []StartRun {
 	b.s.Submit(b.now, b.keptJob(id, tasks))
-	b.do()
+	b.effects()
 	b.s.Stored(b.now, id, work.Outcome{Result: work.Accepted}, true)
-	return pickEffects[StartRun](b.do())
+	return pickEffects[StartRun](b.effects())
 }
 
 func TestATaskThatCrashesTwoTargetsIsGivenUp(t *testing.T) {
@@ -70,7 +70,7 @@
 	ends := pickEffects[JobEnded](effects)
 	must.SliceLen(t, 1, ends)
 	must.Eq(t, work.StateFailed, ends[0].State)
-	must.SliceEmpty(t, pickEffects[StartRun](b.pass(5*time.Second)))
+	must.SliceEmpty(t, pickEffects[StartRun](b.advance(5*time.Second)))
 }
 
 // A caller that sends a poisoned job again gets the failure again, and nothing is started.
@@ -78,18 +78,18 @@
 	b := crashBench(t, 8)
 	b.submit("j", 1, 1, "")
 	for range 2 {
-		starts := pickEffects[StartRun](b.do())
+		starts := pickEffects[StartRun](b.effects())
 		if len(starts) == 0 {
-			starts = pickEffects[StartRun](b.pass(20 * ms))
+			starts = pickEffects[StartRun](b.advance(20 * ms))
 		}
 		must.SliceLen(t, 1, starts)
 		b.begin(starts)
 		b.s.fallsSilent(b.now, b.s.targets[starts[0].To.ID])
-		b.s.lose(b.now, b.s.targets[starts[0].To.ID], "gone")
+		b.s.loseTarget(b.now, b.s.targets[starts[0].To.ID], "gone")
 	}
-	b.do()
+	b.effects()
 	b.submit("j", 1, 1, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	answers := pickEffects[Answer](effects)
 	must.SliceLen(t, 1, answers)
@@ -126,15 +126,15 @@
 			must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(start.To.ID)))
 			continue
 		}
-		b.look(start.To.ID, ended(1, start.Run, work.CompletionDone))
+		b.answerPoll(start.To.ID, ended(1, start.Run, work.CompletionDone))
 	}
 	var ends []JobEnded
 	for range 4 {
-		effects := b.pass(100 * ms)
+		effects := b.advance(100 * ms)
 		ends = append(ends, pickEffects[JobEnded](effects)...)
 		for _, start := range pickEffects[StartRun](effects) {
 			b.begin([]StartRun{start})
-			b.look(start.To.ID, ended(2, start.Run, work.CompletionDone))
+			b.answerPoll(start.To.ID, ended(2, start.Run, work.CompletionDone))
 		}
 	}
 	must.SliceLen(t, 1, ends)
@@ -144,13 +144,13 @@
 
 // A target that is lost with others of its rack doesn't count against the tasks that ran there.
 func TestTargetsThatFallTogetherBlameNoTask(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	for i := range 4 {
 		id := fmt.Sprintf("t%02d", i)
-		b.listed(work.Target{ID: id, Rack: "r", Labels: []string{"kind", "r"}, Capacity: work.Resources{CPU: 4}})
-		b.do()
-		b.look(id, work.PollAnswer{ClockMS: 5000})
+		b.listTarget(work.Target{ID: id, Rack: "r", Labels: []string{"kind", "r"}, Capacity: work.Resources{CPU: 4}})
+		b.effects()
+		b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 	}
 	for i := range 4 {
 		b.rackTarget(10 + i)
@@ -159,7 +159,7 @@
 	b.begin(starts)
 	b.s.targets[starts[0].To.ID].Rack = "r"
 	b.falls("t00", "t01", "t02", "t03")
-	must.SliceEmpty(t, b.s.byID["j"].tasks[0].fallen())
+	must.SliceEmpty(t, b.s.jobsByKey["j"].tasks[0].fallen())
 }
 
 func TestASilentTargetThatAnswersAgainClearsItsTasks(t *testing.T) {
@@ -168,13 +168,13 @@
 	b.begin(starts)
 	id := starts[0].To.ID
 	for range silentLooks {
-		b.looked(id, work.PollAnswer{}, work.VerdictUnknown)
-		b.pass(120 * ms)
+		b.answerPollWith(id, work.PollAnswer{}, work.VerdictUnknown)
+		b.advance(120 * ms)
 	}
-	b.pass(1500 * ms)
-	task := b.s.byID["j"].tasks[0]
+	b.advance(1500 * ms)
+	task := b.s.jobsByKey["j"].tasks[0]
 	must.SliceLen(t, 1, task.fallen())
-	b.look(id, work.PollAnswer{ClockMS: 9000})
+	b.answerPoll(id, work.PollAnswer{ClockMS: 9000})
 	must.SliceEmpty(t, task.fallen())
 }
 
@@ -204,24 +204,24 @@
 // A target whose capacity shrinks below what runs there takes nothing until that fits. A target
 // without any capacity is not faulty. New capacity is used at once.
 func TestCapacityThatShrinksAndGrows(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	b.submit("j", 4, 1, "")
-	starts := pickEffects[StartRun](b.do())
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 4, starts)
 	b.begin(starts)
 	b.target("a", 2)
 	b.submit("k", 1, 1, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
-	b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}, {Number: 2, Run: starts[1].Run, Kind: work.CompletionDone}},
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}, {Number: 2, Run: starts[1].Run, Kind: work.CompletionDone}},
 		Running: listing(starts[2].Run, starts[3].Run)})
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 	b.target("a", 0)
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
-	b.look("a", work.PollAnswer{ClockMS: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
-	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
+	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 	// The registry entry was read before and tells nothing new.
 	b.target("a", 0)
 	must.Eq(t, 3, b.s.targets["a"].Capacity.CPU)
@@ -230,55 +230,55 @@
 // A target that restarts under its ID counts as another one: its runs are over, its completions are
 // numbered from the start, and a late entry or answer of the old incarnation changes nothing.
 func TestATargetThatStartsAgainUnderItsID(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	listed := work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Incarnation: 100}
-	b.listed(listed)
-	b.do()
-	b.look("a", work.PollAnswer{ClockMS: 5000, Incarnation: 100})
+	b.listTarget(listed)
+	b.effects()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Incarnation: 100})
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.do()
-	b.look("a", work.PollAnswer{ClockMS: 5010, Incarnation: 100, Running: listing(start.Run), Completions: []work.Completion{{Number: 7, Run: work.RunID{Task: "x", Number: 2}, Kind: work.CompletionDone}}})
-	b.do()
-	b.look("a", work.PollAnswer{ClockMS: 10, Incarnation: 200})
-	again := pickEffects[StartRun](b.pass(20 * ms))
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.effects()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5010, Incarnation: 100, Running: listing(start.Run), Completions: []work.Completion{{Number: 7, Run: work.RunID{Task: "x", Number: 2}, Kind: work.CompletionDone}}})
+	b.effects()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 10, Incarnation: 200})
+	again := pickEffects[StartRun](b.advance(20 * ms))
 	must.SliceLen(t, 1, again)
 	must.Eq(t, int64(200), b.s.targets["a"].Incarnation)
-	must.Eq(t, 0, b.s.targets["a"].seen)
-	b.listed(listed)
+	must.Eq(t, 0, b.s.targets["a"].lastCompletion)
+	b.listTarget(listed)
 	must.Eq(t, int64(200), b.s.targets["a"].Incarnation)
-	b.s.Started(b.now, "a", again[0].Run, done(30))
-	b.do()
-	b.look("a", work.PollAnswer{ClockMS: 60, Incarnation: 200, Completions: []work.Completion{{Number: 1, Run: again[0].Run, Kind: work.CompletionDone}}})
-	must.SliceLen(t, 1, pickEffects[Answer](b.do()))
+	b.s.Started(b.now, "a", again[0].Run, doneAnswer(30))
+	b.effects()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 60, Incarnation: 200, Completions: []work.Completion{{Number: 1, Run: again[0].Run, Kind: work.CompletionDone}}})
+	must.SliceLen(t, 1, pickEffects[Answer](b.effects()))
 }
 
 // A target that was listed when the owner began knows the previous owner's token, so that it needs
 // no confirmed claim even if it is seen late.
 func TestATargetThatIsGivenLateDoesNotWaitForTheClaim(t *testing.T) {
-	b := newBench(t, Options{ConfirmClaims: true})
-	b.s.ListedEarly("a")
-	b.s.ListedEarly("b")
+	b := newHarness(t, Options{ConfirmClaims: true})
+	b.s.ListedAtStart("a")
+	b.s.ListedAtStart("b")
 	b.usable("a", 1)
 	b.usable("b", 4)
 	must.Eq(t, usable, b.s.targets["b"].state)
-	must.SliceEmpty(t, pickEffects[ConfirmClaim](b.do()))
+	must.SliceEmpty(t, pickEffects[ConfirmClaim](b.effects()))
 }
 
 // A target that comes later is used only once the claim was confirmed since.
 func TestALaterTargetWaitsForTheClaim(t *testing.T) {
-	b := newBench(t, Options{ConfirmClaims: true})
+	b := newHarness(t, Options{ConfirmClaims: true})
 	b.usable("a", 1)
 	must.Eq(t, usable, b.s.targets["a"].state)
 	b.target("b", 4)
-	b.do()
-	b.look("b", work.PollAnswer{ClockMS: 5000})
-	must.SliceLen(t, 1, pickEffects[ConfirmClaim](b.do()))
+	b.effects()
+	b.answerPoll("b", work.PollAnswer{ClockMS: 5000})
+	must.SliceLen(t, 1, pickEffects[ConfirmClaim](b.effects()))
 	must.Eq(t, adopting, b.s.targets["b"].state)
 	// Meanwhile it is polled at most twice.
-	must.LessEq(t, 2, len(pickEffects[Look](b.pass(confirmPause))))
-	b.s.ClaimConfirmed(b.now, b.s.targets["b"].since-1)
+	must.LessEq(t, 2, len(pickEffects[Poll](b.advance(claimRetryInterval))))
+	b.s.ClaimConfirmed(b.now, b.s.targets["b"].firstSeen-1)
 	must.Eq(t, adopting, b.s.targets["b"].state)
 	b.s.ClaimConfirmed(b.now, b.now)
 	must.Eq(t, usable, b.s.targets["b"].state)
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -17,7 +17,7 @@
 // scheduleCrash has a run crash its target after a while if its job is a poison job.
 func (w *world) beginsCulprit(t *fakeTarget, task string, r *fakeRun) {
 	id, _, _ := strings.Cut(task, ".")
-	if !w.culprits[id] {
+	if !w.poisonJobs[id] {
 		return
 	}
 	w.after(time.Duration(1+w.random.IntN(40))*ms, func() {
@@ -55,13 +55,13 @@
 func (t *fakeTarget) fallsByItself() {
 	for task := range t.runs {
 		id, _, _ := strings.Cut(task, ".")
-		t.world.struck[id] = true
+		t.world.lostUnder[id] = true
 	}
 }
 
 // mayBePoisoned reports whether a job may fail as poisoned: its tasks crash targets, or targets
 // were lost under them for other reasons.
-func (w *world) mayBlame(id string) bool { return w.culprits[id] || w.struck[id] }
+func (w *world) mayBlame(id string) bool { return w.poisonJobs[id] || w.lostUnder[id] }
 
 // checkPoisoned notes a violation if a job that failed as poisoned may not do so.
 func (w *world) blamed(id string) {
@@ -75,11 +75,11 @@
 func (w *world) confirmClaim(o *fakeOwner) {
 	asOf := w.now
 	w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
-		if o != w.owner() || w.kept.away {
+		if o != w.owner() || w.durableStore.away {
 			return
 		}
 		w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
-			w.hear(o, func() { o.state.ClaimConfirmed(w.now, asOf) })
+			w.deliver(o, func() { o.state.ClaimConfirmed(w.now, asOf) })
 		})
 	})
 }
@@ -102,12 +102,12 @@
 	for _, task := range sortedTasks(t.runs) {
 		if r := t.runs[task]; r != nil {
 			delete(t.runs, task)
-			w.ends(task)
+			w.runEnded(task)
 			w.endKept(task, r, "crashed")
 		}
 	}
 	w.after(time.Duration(300+w.random.IntN(3000))*ms, func() {
-		t.down, t.poll = false, nil
+		t.down, t.answerPoll = false, nil
 		t.life = w.now.Milliseconds()
 		t.free, t.fence, t.until, t.number, t.ended = t.capacity, 0, 0, 0, nil
 		t.highest, t.endedAt = map[string]int64{}, map[int64]time.Duration{}
@@ -121,9 +121,9 @@
 	w := t.world
 	for _, o := range w.owners {
 		w.after(delay, func() {
-			w.hear(o, func() {
+			w.deliver(o, func() {
 				if !t.down {
-					o.state.TargetSeen(w.now, t.listed())
+					o.state.TargetListed(w.now, t.listed())
 				}
 			})
 		})
@@ -172,8 +172,8 @@
 		for _, n := range w.crashed {
 			crashes += n
 		}
-		for id, r := range w.kept.jobs {
-			if r.state == work.StateFailed && w.culprits[id] {
+		for id, r := range w.durableStore.jobs {
+			if r.state == work.StateFailed && w.poisonJobs[id] {
 				poisoned++
 			}
 		}
@@ -191,7 +191,7 @@
 	})
 	w.longest = rapid.SampledFrom([]int{100, 800}).Draw(rt, "longest")
 	w.restarts = rapid.Bool().Draw(rt, "restarts")
-	w.alone = w.restarts && alone
+	w.singleOwner = w.restarts && alone
 	if w.restarts {
 		for _, target := range w.targets {
 			target.life = 1
@@ -206,14 +206,14 @@
 			rt.Fatalf("invariants broken: %v%s", w.violations, w.trails())
 		}
 	}
-	w.kept.away, w.faults = false, worldFaults{}
+	w.durableStore.away, w.faults = false, worldFaults{}
 	for _, id := range w.targetIDs() {
 		w.targets[id].resize(fakeCPU)
 	}
 	w.takeOver()
 	w.settleKept()
 	// Suspects take turns, and each may need two isolated runs.
-	for end := w.now + time.Duration(1+len(w.kept.jobs))*30*time.Second; w.now < end && len(w.unended()) > 0; {
+	for end := w.now + time.Duration(1+len(w.durableStore.jobs))*30*time.Second; w.now < end && len(w.unended()) > 0; {
 		w.run(time.Second)
 	}
 	w.run(10 * time.Second)
@@ -241,17 +241,17 @@
 	var text strings.Builder
 	ids := w.unended()
 	for _, violation := range w.violations {
-		for id := range w.kept.jobs {
+		for id := range w.durableStore.jobs {
 			if strings.Contains(violation, id+".") && !slices.Contains(ids, id) {
 				ids = append(ids, id)
 			}
 		}
 	}
 	for _, id := range ids {
-		r := w.kept.jobs[id]
-		fmt.Fprintf(&text, "\n%s is %v, poison %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.culprits[id], r.done, r.crashed, r.sub.Job.Recurrence, r.sub.Job.Steps)
+		r := w.durableStore.jobs[id]
+		fmt.Fprintf(&text, "\n%s is %v, poison %v, done %v, crashed %v, repeats %v, steps %+v", id, r.state, w.poisonJobs[id], r.done, r.crashed, r.sub.Job.Recurrence, r.sub.Job.Steps)
 		for _, o := range w.owners {
-			j := o.state.byID[id]
+			j := o.state.jobsByKey[id]
 			if j == nil {
 				continue
 			}
@@ -263,13 +263,13 @@
 				fmt.Fprintf(&text, "\n%s has %d losses, unresolved %v, reserved %v", tk.name, len(tk.falls), tk.unsettled(), tk.room != nil)
 				if tk.run != nil {
 					t := tk.run.target
-					fmt.Fprintf(&text, ", runs on %s, state %v, down %v, failed polls %d, missing %v, stop %+v, run %v", t.ID, t.state, w.targets[t.ID].down, t.failedLooks, t.missing, tk.run.stop, tk.run.state)
+					fmt.Fprintf(&text, ", runs on %s, state %v, down %v, failed polls %d, missing %v, stop %+v, run %v", t.ID, t.state, w.targets[t.ID].down, t.failedPolls, t.unlistedSince, tk.run.stop, tk.run.state)
 				}
 			}
 		}
 	}
 	for _, t := range w.owner().state.sortedTargets() {
-		fmt.Fprintf(&text, "\n%s state %v, fenced %v, later %v, %d runs, %d isolated runs, down %v, capacity %v, free %v, suspected %v, isolated %v, reserved %v, lease extended %v, pool isolated %d, stopping %v", t.ID, t.state, t.barred, t.later, len(t.runs), t.trials, w.targets[t.ID].down, t.Capacity.CPU, t.free.CPU, t.health.suspected, t.trial != nil, t.reserved != nil, w.owner().state.prolongs(w.now, t), t.pool.trials, w.owner().state.settling)
+		fmt.Fprintf(&text, "\n%s state %v, fenced %v, later %v, %d runs, %d isolated runs, down %v, capacity %v, free %v, suspected %v, isolated %v, reserved %v, lease extended %v, pool isolated %d, stopping %v", t.ID, t.state, t.fenced, t.needsClaim, len(t.runs), t.isolatedRuns, w.targets[t.ID].down, t.Capacity.CPU, t.free.CPU, t.health.suspected, t.isolated != nil, t.reservedFor != nil, w.owner().state.canRenewLease(w.now, t), t.pool.isolations, w.owner().state.stoppingRuns)
 	}
 	return text.String()
 }
@@ -281,13 +281,13 @@
 	case "poison":
 		c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: rapid.IntRange(1, 4).Draw(rt, "tasks")}
 		w.callers[c.id] = c
-		w.culprits[c.id] = true
+		w.poisonJobs[c.id] = true
 		w.submit(c)
 	case "durable poison":
-		w.culprits[fmt.Sprintf("kept%d", w.refs+1)] = true
+		w.poisonJobs[fmt.Sprintf("kept%d", w.refs+1)] = true
 		w.handIn(w.drawJob(rt), false)
 	case "harmless":
-		w.call(rapid.IntRange(1, 4).Draw(rt, "tasks"))
+		w.addCaller(rapid.IntRange(1, 4).Draw(rt, "tasks"))
 	case "durable":
 		w.handIn(w.drawJob(rt), false)
 	case "loss":
@@ -304,7 +304,7 @@
 			// Targets that fall silent or hang may look like lost ones.
 			at.fallsByItself()
 		}
-		strike(rt, w)
+		injectEvent(rt, w)
 	}
 }
 
@@ -320,7 +320,7 @@
 		w.longest = rapid.SampledFrom([]int{100, 800, 2500}).Draw(rt, "longest")
 		w.restarts = rapid.Bool().Draw(rt, "tells")
 		for _, target := range w.targets {
-			target.careless = true
+			target.overcommits = true
 		}
 		w.takeOver()
 		w.run(200 * ms)
@@ -328,7 +328,7 @@
 			target := w.targets[rapid.SampledFrom(w.targetIDs()).Draw(rt, "target")]
 			switch rapid.SampledFrom([]string{"call", "call", "durable", "resize", "resize", "other"}).Draw(rt, "what") {
 			case "call":
-				w.call(rapid.IntRange(1, 6).Draw(rt, "tasks"))
+				w.addCaller(rapid.IntRange(1, 6).Draw(rt, "tasks"))
 			case "durable":
 				w.handIn(w.drawJob(rt), false)
 			case "resize":
@@ -337,7 +337,7 @@
 				for _, at := range w.targets {
 					at.fallsByItself()
 				}
-				strike(rt, w)
+				injectEvent(rt, w)
 			}
 			w.run(time.Duration(rapid.IntRange(0, 700).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
@@ -347,7 +347,7 @@
 		for _, id := range w.targetIDs() {
 			w.targets[id].resize(fakeCPU)
 		}
-		w.kept.away, w.faults = false, worldFaults{}
+		w.durableStore.away, w.faults = false, worldFaults{}
 		w.takeOver()
 		w.settleKept()
 		must.SliceEmpty(rt, w.violations, must.Sprint(w.violations))
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -9,11 +9,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-func (t *fakeTarget) refuse(verdict work.Verdict) work.OrderAnswer {
+func (t *fakeTarget) reply(verdict work.Verdict) work.OrderAnswer {
 	return work.OrderAnswer{Verdict: verdict, ClockMS: t.clock()}
 }
 
-func (t *fakeTarget) fenced(token int64) bool {
+func (t *fakeTarget) isFenced(token int64) bool {
 	if token < t.fence {
 		return true
 	}
@@ -25,37 +25,37 @@
 	if t.down || t.silent {
 		return work.OrderAnswer{}
 	}
-	if t.fenced(token) {
-		return t.refuse(work.VerdictFenced)
+	if t.isFenced(token) {
+		return t.reply(work.VerdictFenced)
 	}
 	if r := t.runs[e.Run.Task]; r != nil && r.number == e.Run.Number {
-		return t.refuse(work.VerdictDone)
+		return t.reply(work.VerdictDone)
 	}
 	if e.LeaseUntilMS <= t.clock() {
-		return t.refuse(work.VerdictLeaseExpired)
+		return t.reply(work.VerdictLeaseExpired)
 	}
 	t.until = max(t.until, min(e.LeaseUntilMS, t.clock()+1000))
 	if e.Run.Number <= t.highest[e.Run.Task] {
-		return t.refuse(work.VerdictStaleRun)
+		return t.reply(work.VerdictStaleRun)
 	}
 	if !t.world.admits(t, e.StartOrder) {
-		t.world.unticketed++
-		return t.refuse(work.VerdictInvalidTicket)
+		t.world.ticketRefusals++
+		return t.reply(work.VerdictInvalidTicket)
 	}
-	if t.free < 1 && !t.careless || t.runs[e.Run.Task] != nil {
-		return t.refuse(work.VerdictNoCapacity)
+	if t.free < 1 && !t.overcommits || t.runs[e.Run.Task] != nil {
+		return t.reply(work.VerdictNoCapacity)
 	}
 	t.world.checkLimit(t)
-	t.begin(e.StartOrder)
-	return t.refuse(work.VerdictDone)
+	t.startRun(e.StartOrder)
+	return t.reply(work.VerdictDone)
 }
 
-func (t *fakeTarget) begin(order work.StartOrder) {
+func (t *fakeTarget) startRun(order work.StartOrder) {
 	run := order.Run
 	r := &fakeRun{number: run.Number, cpu: 1}
 	t.runs[run.Task] = r
 	t.free--
-	t.world.begins(run.Task)
+	t.world.runStarted(run.Task)
 	t.world.beginsCulprit(t, run.Task, r)
 	if t.world.beginKept(t, r, order) {
 		return
@@ -67,25 +67,25 @@
 	took := time.Duration(20+t.world.random.IntN(t.world.longest)) * ms
 	t.world.after(took, func() {
 		if !t.hung && !t.down {
-			t.end(run.Task, r, kind)
+			t.endRun(run.Task, r, kind)
 		}
 	})
 }
 
-func (t *fakeTarget) end(task string, r *fakeRun, kind work.CompletionKind) {
+func (t *fakeTarget) endRun(task string, r *fakeRun, kind work.CompletionKind) {
 	if r == nil || t.runs[task] != r {
 		return
 	}
 	delete(t.runs, task)
 	t.free++
-	t.world.ends(task)
+	t.world.runEnded(task)
 	t.highest[task] = max(t.highest[task], r.number)
 	t.number++
 	t.endedAt[t.number] = t.world.now
 	t.ended = append(t.ended, work.Completion{Number: t.number, Run: work.RunID{Task: task, Number: r.number}, Kind: kind, SavedState: r.saved})
 	t.world.endKept(task, r, kind)
-	if t.poll != nil {
-		t.poll()
+	if t.answerPoll != nil {
+		t.answerPoll()
 	}
 }
 
@@ -93,34 +93,34 @@
 	if t.down || t.silent {
 		return work.OrderAnswer{}
 	}
-	if t.fenced(token) {
-		return t.refuse(work.VerdictFenced)
+	if t.isFenced(token) {
+		return t.reply(work.VerdictFenced)
 	}
 	t.highest[run.Task] = max(t.highest[run.Task], run.Number)
 	if r := t.runs[run.Task]; r != nil && r.number == run.Number {
-		t.world.after(time.Duration(t.world.random.IntN(50))*ms, func() { t.end(run.Task, r, work.CompletionStopped) })
+		t.world.after(time.Duration(t.world.random.IntN(50))*ms, func() { t.endRun(run.Task, r, work.CompletionStopped) })
 	}
-	return t.refuse(work.VerdictDone)
+	return t.reply(work.VerdictDone)
 }
 
-func (t *fakeTarget) look(token int64, e Look, reply func(work.PollAnswer, work.Verdict)) {
+func (t *fakeTarget) servePoll(token int64, e Poll, reply func(work.PollAnswer, work.Verdict)) {
 	if t.down || t.silent {
 		reply(work.PollAnswer{}, work.VerdictUnknown)
 		return
 	}
-	if t.fenced(token) {
+	if t.isFenced(token) {
 		reply(work.PollAnswer{}, work.VerdictFenced)
 		return
 	}
-	if e.Until > 0 && e.Until > t.clock() {
-		t.until = max(t.until, min(e.Until, t.clock()+1000))
+	if e.LeaseUntil > 0 && e.LeaseUntil > t.clock() {
+		t.until = max(t.until, min(e.LeaseUntil, t.clock()+1000))
 	}
 	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool {
-		if end.Number <= e.Seen {
-			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("completion %d of %s, ended at %v, by token %d at %v, acknowledged up to %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.Seen)
+		if end.Number <= e.AckUpTo {
+			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("completion %d of %s, ended at %v, by token %d at %v, acknowledged up to %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.AckUpTo)
 			t.acknowledge(end)
 		}
-		return end.Number <= e.Seen
+		return end.Number <= e.AckUpTo
 	})
 	replied, life := false, t.life
 	answer := func() {
@@ -133,7 +133,7 @@
 			return
 		}
 		replied = true
-		t.poll = nil
+		t.answerPoll = nil
 		if t.down || t.silent {
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
@@ -152,18 +152,18 @@
 		answer()
 		return
 	}
-	t.poll = answer
+	t.answerPoll = answer
 	t.world.after(e.Wait, answer)
 }
 
 // acknowledge records a completion after which the task must not start again. It does not count if
 // the lease has lapsed since.
 func (t *fakeTarget) acknowledge(end work.Completion) {
-	if t.world.isLasting(end.Run.Task) || t.lapsed >= t.endedAt[end.Number] {
+	if t.world.isLasting(end.Run.Task) || t.leaseLapsed >= t.endedAt[end.Number] {
 		return
 	}
 	if end.Kind == work.CompletionFailed {
-		t.world.failed[end.Run.Task]++
+		t.world.ackedFailures[end.Run.Task]++
 	}
 	if end.Kind == work.CompletionDone && strings.HasPrefix(end.Run.Task, "kept") {
 		t.world.acknowledged[end.Run.Task] = true
@@ -179,9 +179,9 @@
 		return
 	}
 	if t.clock() > t.until {
-		t.lapsed = t.world.now
+		t.leaseLapsed = t.world.now
 		for _, task := range sortedTasks(t.runs) {
-			t.end(task, t.runs[task], "lapsed")
+			t.endRun(task, t.runs[task], "lapsed")
 		}
 	}
 	t.world.after(ms, t.lapse)
@@ -205,21 +205,21 @@
 	for _, task := range sortedTasks(t.runs) {
 		if r := t.runs[task]; r != nil {
 			delete(t.runs, task)
-			t.world.ends(task)
+			t.world.runEnded(task)
 			t.world.endKept(task, r, "crashed")
 		}
 	}
-	for _, o := range append(slices.Clone(t.world.owners), t.world.other) {
+	for _, o := range append(slices.Clone(t.world.owners), t.world.otherOwner) {
 		if o == nil {
 			continue
 		}
 		t.world.after(500*ms, func() {
 			if !o.frozen && !o.dead {
-				o.state.TargetMissing(t.world.now, t.id)
+				o.state.TargetUnlisted(t.world.now, t.id)
 			}
 		})
 	}
-	if !t.others {
+	if !t.ofOtherOwner {
 		t.world.addTarget()
 	}
 }
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -27,7 +27,7 @@
 		w.takeOver()
 		w.run(200 * ms)
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
-			strike(rt, w)
+			injectEvent(rt, w)
 			w.run(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
 				rt.Fatalf("broken: %v", w.violations)
@@ -40,7 +40,7 @@
 	})
 }
 
-func strike(rt *rapid.T, w *world) {
+func injectEvent(rt *rapid.T, w *world) {
 	o := w.owner()
 	ids := w.targetIDs()
 	target := w.targets[rapid.SampledFrom(ids).Draw(rt, "target")]
@@ -49,18 +49,18 @@
 		"reset", "reset", "overtake",
 	}).Draw(rt, "action") {
 	case "call":
-		w.call(rapid.IntRange(1, 6).Draw(rt, "tasks"))
+		w.addCaller(rapid.IntRange(1, 6).Draw(rt, "tasks"))
 	case "leave":
 		if refs := sortedRefs(o.refs); len(refs) > 0 {
-			w.leave(o, refs[0])
+			w.disconnect(o, refs[0])
 		}
 	case "reset":
 		if refs := sortedRefs(o.refs); len(refs) > 0 {
 			at := rapid.IntRange(0, len(refs)-1).Draw(rt, "connection")
-			w.reset(o, refs[at], time.Duration(rapid.IntRange(0, 120).Draw(rt, "rejoin"))*ms)
+			w.breakConnection(o, refs[at], time.Duration(rapid.IntRange(0, 120).Draw(rt, "rejoin"))*ms)
 		}
 	case "overtake":
-		w.overtake(rapid.IntRange(1, 6).Draw(rt, "tasks"), time.Duration(rapid.IntRange(0, 60).Draw(rt, "turn"))*ms)
+		w.rejoinBeforeSubmit(rapid.IntRange(1, 6).Draw(rt, "tasks"), time.Duration(rapid.IntRange(0, 60).Draw(rt, "turn"))*ms)
 	case "crash":
 		target.crash()
 	case "hang":
@@ -71,23 +71,23 @@
 		w.after(time.Duration(200+w.random.IntN(1500))*ms, func() { target.silent = false })
 	case "die":
 		o.dead = true
-		w.lose(o, 0)
-		w.after(entrySilence, func() { w.takeOver() })
+		w.dropCallers(o, 0)
+		w.after(silenceTimeout, func() { w.takeOver() })
 	case "freeze":
 		o.frozen = true
-		w.lose(o, entrySilence)
-		w.after(entrySilence, func() { w.takeOver() })
+		w.dropCallers(o, silenceTimeout)
+		w.after(silenceTimeout, func() { w.takeOver() })
 		w.after(time.Duration(500+w.random.IntN(3000))*ms, func() { o.frozen = false })
 	case "cut":
 		o.cut = true
-		w.lose(o, entrySilence)
-		w.after(entrySilence, func() { w.takeOver() })
+		w.dropCallers(o, silenceTimeout)
+		w.after(silenceTimeout, func() { w.takeOver() })
 	case "link":
-		if w.other != nil && !w.linkCut {
+		if w.otherOwner != nil && !w.linkCut {
 			w.cutLink(time.Duration(100+w.random.IntN(2000)) * ms)
 		}
 	case "raise":
-		w.raise()
+		w.raiseToken()
 	case "depose":
 		// The claim was written late: the previous owner is alive and does not know of its
 		// successor.
@@ -96,14 +96,14 @@
 }
 
 // A token that rises while orders are on their way fails no job.
-func TestServesWhileTheTokenRises(t *testing.T) {
+func TestJobsCompleteWhileTokenRises(t *testing.T) {
 	w := newWorld(2, 4, worldFaults{})
 	w.takeOver()
 	w.run(200 * ms)
 	for range 100 {
-		w.call(2)
-		w.raise()
-		w.call(2)
+		w.addCaller(2)
+		w.raiseToken()
+		w.addCaller(2)
 		w.run(100 * ms)
 	}
 	w.run(5 * time.Second)
@@ -114,12 +114,12 @@
 }
 
 // Jobs are served despite a few lost and late orders.
-func TestServesThroughFaults(t *testing.T) {
+func TestJobsCompleteDespiteFaults(t *testing.T) {
 	w := newWorld(1, 4, worldFaults{lostOrders: 0.02, lateOrders: 0.03, lostAnswers: 0.02})
 	w.takeOver()
 	w.run(200 * ms)
 	for range 200 {
-		w.call(2)
+		w.addCaller(2)
 		w.run(60 * ms)
 	}
 	w.run(5 * time.Second)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -33,7 +33,7 @@
 }
 
 // placeGang starts all tasks of a gang, or none.
-func (s *State) placeGang(now time.Duration, j *job, st *step, full *misses) {
+func (s *State) placeGang(now time.Duration, j *job, st *step, full *failedPlacements) {
 	if len(st.pending) < len(st.members) {
 		// Some run of the last try has not ended yet.
 		return
@@ -49,9 +49,9 @@
 	}
 	s.unreserve(j.pool, st)
 	st.tried = 0
-	number := s.nextRun(now, j.kept())
+	number := s.nextRunNumber(now, j.kept())
 	for i, tk := range st.pending {
-		s.start(now, places[i], tk, number)
+		s.startRun(now, places[i], tk, number)
 	}
 	st.pending = nil
 }
@@ -92,7 +92,7 @@
 func (s *State) tightest(now time.Duration, j *job, st *step, tk *task, among []*target, taken map[*target]int) *target {
 	var best *target
 	for _, t := range among {
-		if t.health.suspected || !st.fitsBeside(t, t.free, taken[t]) || !s.may(now, t, j, st, tk) {
+		if t.health.suspected || !st.fitsBeside(t, t.free, taken[t]) || !s.canStart(now, t, j, st, tk) {
 			continue
 		}
 		if best == nil || better(now, t, best, st, tk) {
@@ -185,10 +185,10 @@
 // time.
 func (s *State) reserve(now time.Duration, j *job, st *step) {
 	p := j.pool
-	if p.reserved != nil && now-p.reservedAt > reservedTime {
-		s.unreserve(p, p.reserved)
+	if p.reservedFor != nil && now-p.reservedAt > reservedTime {
+		s.unreserve(p, p.reservedFor)
 	}
-	if p.reserved != nil || now-st.tried < gangPatience {
+	if p.reservedFor != nil || now-st.tried < gangPatience {
 		return
 	}
 	chosen := s.roomFor(now, j, st)
@@ -197,10 +197,10 @@
 	}
 	// If this doesn't succeed, others get their turn before the next attempt.
 	st.tried = now + reservedTime
-	p.reserved, p.reservedAt = st, now
+	p.reservedFor, p.reservedAt = st, now
 	for _, t := range chosen {
-		t.reserved = st
-		s.touch(t)
+		t.reservedFor = st
+		s.markChanged(t)
 	}
 }
 
@@ -232,7 +232,7 @@
 func (s *State) takers(now time.Duration, among []*target) []*target {
 	var available []*target
 	for _, t := range among {
-		if t.takes() && t.trial == nil && !t.health.suspected && s.prolongs(now, t) {
+		if t.acceptsTasks() && t.isolated == nil && !t.health.suspected && s.canRenewLease(now, t) {
 			available = append(available, t)
 		}
 	}
@@ -241,25 +241,25 @@
 
 // unreserve frees the targets that are reserved for a gang.
 func (s *State) unreserve(p *pool, st *step) {
-	if p.reserved != st {
+	if p.reservedFor != st {
 		return
 	}
-	p.reserved = nil
+	p.reservedFor = nil
 	for _, t := range p.targets {
-		if t.reserved == st {
-			t.reserved = nil
-			s.touch(t)
+		if t.reservedFor == st {
+			t.reservedFor = nil
+			s.markChanged(t)
 		}
 	}
 }
 
 // unreserveJob frees all targets that are reserved for a job's steps.
 func (s *State) unreserveAll(j *job) {
-	if st := j.pool.reserved; st != nil && st.job == j {
+	if st := j.pool.reservedFor; st != nil && st.job == j {
 		s.unreserve(j.pool, st)
 	}
 	for _, st := range j.current() {
-		s.letGo(st)
+		s.releaseHeld(st)
 	}
 }
 
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -14,14 +14,14 @@
 
 // A gang starts under one run number once there is capacity for all of it.
 func TestGangsBeginTogether(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 2)
 	b.target("b", 2)
-	b.do()
+	b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", gang(3)))))
-	b.look("b", work.PollAnswer{ClockMS: 5000})
-	starts := pickEffects[StartRun](b.do())
+	b.answerPoll("b", work.PollAnswer{ClockMS: 5000})
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 3, starts)
 	for _, start := range starts {
 		must.Eq(t, starts[0].Run.Number, start.Run.Number)
@@ -30,10 +30,10 @@
 
 // A gang that the targets can't hold is refused at once.
 func TestGangsThatFitNowhereAreRefused(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 2)
 	b.s.Submit(b.now, b.stepsJob("j", gang(3)))
-	answers := pickEffects[Answer](b.do())
+	answers := pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
 }
@@ -41,19 +41,19 @@
 // If a member can't start or fails, the other members are stopped. All members start again together
 // once the last run has ended.
 func TestGangsBeginAnewTogether(t *testing.T) {
-	for name, harm := range map[string]func(b *bench, start StartRun){
-		"refused": func(b *bench, start StartRun) {
+	for name, harm := range map[string]func(b *harness, start StartRun){
+		"refused": func(b *harness, start StartRun) {
 			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 		},
-		"unanswered": func(b *bench, start StartRun) {
+		"unanswered": func(b *harness, start StartRun) {
 			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 		},
-		"failed": func(b *bench, start StartRun) {
-			b.look(start.To.ID, ended(1, start.Run, work.CompletionFailed))
+		"failed": func(b *harness, start StartRun) {
+			b.answerPoll(start.To.ID, ended(1, start.Run, work.CompletionFailed))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.s.Resumed(b.now)
 			b.usable("a", 1)
 			b.usable("b", 1)
@@ -61,16 +61,16 @@
 			must.SliceLen(t, 2, starts)
 			b.begun(starts[1:])
 			harm(b, starts[0])
-			effects := b.do()
+			effects := b.effects()
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
 			stops := pickEffects[StopRun](effects)
 			must.Eq(t, starts[1].Run, stops[len(stops)-1].Run)
 			if name == "unanswered" {
 				return
 			}
-			must.SliceEmpty(t, pickEffects[StartRun](b.pass(100*ms)))
-			b.look(starts[1].To.ID, work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[1].Run, Kind: work.CompletionStopped}}})
-			again := pickEffects[StartRun](append(b.do(), b.pass(100*ms)...))
+			must.SliceEmpty(t, pickEffects[StartRun](b.advance(100*ms)))
+			b.answerPoll(starts[1].To.ID, work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[1].Run, Kind: work.CompletionStopped}}})
+			again := pickEffects[StartRun](append(b.effects(), b.advance(100*ms)...))
 			must.SliceLen(t, 2, again)
 			must.Greater(t, starts[0].Run.Number, again[0].Run.Number)
 			must.Eq(t, again[0].Run.Number, again[1].Run.Number)
@@ -80,34 +80,34 @@
 
 // One member's completion completes the gang. The failed runs of all members count together.
 func TestGangsEndTogether(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
 	b.usable("b", 1)
 	starts := pickEffects[StartRun](b.store(b.stepsJob("j", gang(2))))
 	b.begun(starts)
-	b.look(starts[0].To.ID, ended(1, starts[0].Run, work.CompletionDone))
-	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.do()))
+	b.answerPoll(starts[0].To.ID, ended(1, starts[0].Run, work.CompletionDone))
+	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 
-	b = newBench(t, Options{})
+	b = newHarness(t, Options{})
 	b.usable("a", 2)
 	b.s.Resume(b.now, b.stepsJob("j", gang(2)), Progress{Fails: map[int]int{0: 1, 1: maxFails - 1}})
-	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.do()))
+	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
 
 // A steady stream of small tasks doesn't starve a gang.
 func TestGangsGetTheirRoom(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 2)
 	var small []StartRun
 	b.submit("s0", 1, 1, "")
-	small = append(small, pickEffects[StartRun](b.do())...)
+	small = append(small, pickEffects[StartRun](b.effects())...)
 	b.begun(small)
 	b.store(b.stepsJob("j", gang(2)))
 	for i := range 10 {
 		b.submit("s"+string(rune('1'+i)), 1, 1, "")
-		starts := pickEffects[StartRun](b.pass(40 * ms))
+		starts := pickEffects[StartRun](b.advance(40 * ms))
 		for _, start := range starts {
 			if start.Run.Task == "j.0.0.0" {
 				return
@@ -116,13 +116,13 @@
 		b.begun(starts)
 		small = append(small, starts...)
 		// The oldest small task ends.
-		b.look("a", work.PollAnswer{
+		b.answerPoll("a", work.PollAnswer{
 			ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(runsOf(small[1:])...),
 			Completions: []work.Completion{{Number: int64(i + 1), Run: small[0].Run, Kind: work.CompletionDone}},
 		})
 		small = small[1:]
 		if len(small) == 0 {
-			small = append(small, pickEffects[StartRun](b.do())...)
+			small = append(small, pickEffects[StartRun](b.effects())...)
 			if len(small) > 0 && small[0].Run.Task == "j.0.0.0" {
 				return
 			}
@@ -149,13 +149,13 @@
 		"none can":        {3, []string{"r1", "r2", "r2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.s.Resumed(b.now)
 			racks := map[string]string{"a": "r1", "b": "r2", "c": "r2"}
 			for _, id := range []string{"a", "b", "c"} {
-				b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", racks[id]}, Rack: racks[id]})
-				b.do()
-				b.look(id, work.PollAnswer{ClockMS: 5000})
+				b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", racks[id]}, Rack: racks[id]})
+				b.effects()
+				b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 			}
 			step := gang(test.tasks)
 			step.PreferOneRack = true
@@ -170,12 +170,12 @@
 
 // A gang that wants one rack waits for capacity there while the rack could hold it.
 func TestGangsWaitForTheirRack(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	for id, rack := range map[string]string{"a": "r1", "b": "r2", "c": "r2"} {
-		b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", rack}, Rack: rack})
-		b.do()
-		b.look(id, work.PollAnswer{ClockMS: 5000})
+		b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", rack}, Rack: rack})
+		b.effects()
+		b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 	}
 	small := b.keptJob("small", 1)
 	small.Job.Steps[0].RequiredLabel = "r2"
@@ -185,6 +185,6 @@
 	step := gang(2)
 	step.PreferOneRack = true
 	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", step))))
-	b.look(busy[0].To.ID, ended(1, busy[0].Run, work.CompletionDone))
-	must.SliceLen(t, 2, pickEffects[StartRun](b.do()))
+	b.answerPoll(busy[0].To.ID, ended(1, busy[0].Run, work.CompletionDone))
+	must.SliceLen(t, 2, pickEffects[StartRun](b.effects()))
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -10,7 +10,7 @@
 )
 
 // harness drives a State directly.
-type bench struct {
+type harness struct {
 	t   *testing.T
 	s   *State
 	now time.Duration
@@ -19,41 +19,43 @@
 	starts map[work.RunID]int
 }
 
-func newBench(t *testing.T, o Options) *bench {
-	b := &bench{t: t, s: New(o), now: 10 * time.Second, starts: map[work.RunID]int{}}
-	b.s.Listed()
+func newHarness(t *testing.T, o Options) *harness {
+	b := &harness{t: t, s: New(o), now: 10 * time.Second, starts: map[work.RunID]int{}}
+	b.s.RegistryRead()
 	b.s.Tick(b.now)
 	return b
 }
 
-func (b *bench) target(id string, cpu int64) {
-	b.listed(work.Target{ID: id, Capacity: work.Resources{CPU: cpu}})
+func (b *harness) target(id string, cpu int64) {
+	b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: cpu}})
 }
 
-func (b *bench) listed(t work.Target) {
+func (b *harness) listTarget(t work.Target) {
 	t.Service = "s"
-	b.s.TargetSeen(b.now, t)
+	b.s.TargetListed(b.now, t)
 }
 
 // usable adds a target and answers its first poll.
-func (b *bench) usable(id string, cpu int64) {
+func (b *harness) usable(id string, cpu int64) {
 	b.target(id, cpu)
-	b.do()
-	b.look(id, work.PollAnswer{ClockMS: 5000})
+	b.effects()
+	b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 }
 
-func (b *bench) look(id string, held work.PollAnswer) { b.looked(id, held, work.VerdictDone) }
+func (b *harness) answerPoll(id string, held work.PollAnswer) {
+	b.answerPollWith(id, held, work.VerdictDone)
+}
 
 // answerPollWith answers the poll that is on its way, and its copies.
-func (b *bench) looked(id string, held work.PollAnswer, verdict work.Verdict) {
+func (b *harness) answerPollWith(id string, held work.PollAnswer, verdict work.Verdict) {
 	t := b.s.targets[id]
-	for range max(t.lookCopies.waiting, 1) {
-		b.s.Looked(b.now, id, t.look.At, held, verdict)
+	for range max(t.pollCopies.waiting, 1) {
+		b.s.Looked(b.now, id, t.poll.SentAt, held, verdict)
 	}
 }
 
 // effects returns the effects, except repeated copies of starts, which it counts.
-func (b *bench) do() []Effect {
+func (b *harness) effects() []Effect {
 	var effects []Effect
 	for _, effect := range b.s.Effects(b.now) {
 		if start, ok := effect.(StartRun); ok {
@@ -67,24 +69,24 @@
 }
 
 // advance moves the time forward, with ticks.
-func (b *bench) pass(d time.Duration) []Effect {
+func (b *harness) advance(d time.Duration) []Effect {
 	var all []Effect
 	for end := b.now + d; b.now < end; {
 		b.now += min(20*ms, end-b.now)
 		b.s.Tick(b.now)
-		all = append(all, b.do()...)
+		all = append(all, b.effects()...)
 	}
 	return all
 }
 
 // loseAnswers makes an answer of each target get lost.
-func (b *bench) disturb() {
+func (b *harness) loseAnswers() {
 	for _, t := range b.s.targets {
 		b.s.missAnswer(b.now, t)
 	}
 }
 
-func (b *bench) submit(id string, tasks int, cpu int64, entry string) Ref {
+func (b *harness) submit(id string, tasks int, cpu int64, entry string) Ref {
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref, Entry: entry,
@@ -115,301 +117,301 @@
 	return picked
 }
 
-func done(clock int64) work.OrderAnswer {
+func doneAnswer(clock int64) work.OrderAnswer {
 	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: clock}
 }
 
-func TestNoStartBeforeTheFirstLook(t *testing.T) {
-	b := newBench(t, Options{})
+func TestNoStartBeforeFirstPoll(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
-	b.look("a", work.PollAnswer{ClockMS: 5000})
-	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000})
+	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 }
 
-func TestStrangersAreStoppedFirst(t *testing.T) {
-	b := newBench(t, Options{})
+func TestUnknownRunsAreStoppedBeforeStarts(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
-	b.do()
+	b.effects()
 	unknown := work.RunID{Task: "old.0.0.0", Number: 8}
-	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(unknown)})
-	effects := b.do()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(unknown)})
+	effects := b.effects()
 	must.Eq(t, []StopRun{{To: work.TargetAddress{ID: "a"}, Run: unknown}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
-	b.look("a", work.PollAnswer{ClockMS: 5050})
-	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
+	must.Eq(t, 0, pickEffects[Poll](effects)[0].LeaseUntil)
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5050})
+	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 }
 
 // An unknown run that appears later also blocks starts and the renewal of the lease: a start that
 // was lost under a previous owner may be carried out late.
-func TestLateStrangersAreNotProlonged(t *testing.T) {
-	b := newBench(t, Options{})
+func TestLateUnknownRunBlocksStartsAndLeaseRenewal(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.look("a", work.PollAnswer{ClockMS: 5001, Running: listing(start.Run, work.RunID{Task: "old.0.0.0", Number: 8})})
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5001, Running: listing(start.Run, work.RunID{Task: "old.0.0.0", Number: 8})})
 	b.submit("k", 1, 1, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
+	must.Eq(t, 0, pickEffects[Poll](effects)[0].LeaseUntil)
 }
 
-func TestUnansweredStartIsStoppedBeforeAnother(t *testing.T) {
-	b := newBench(t, Options{})
+func TestUnansweredStartIsStoppedBeforeRestart(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
+	start := pickEffects[StartRun](b.effects())[0]
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
-	effects := b.pass(60 * ms)
+	effects := b.advance(60 * ms)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
-	b.s.Stopped(b.now, "a", start.Run, done(5100))
-	effects = b.pass(120 * ms)
+	b.s.Stopped(b.now, "a", start.Run, doneAnswer(5100))
+	effects = b.advance(120 * ms)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
 	must.Eq(t, "b", pickEffects[StartRun](effects)[0].To.ID)
 	must.Greater(t, start.Run.Number, pickEffects[StartRun](effects)[0].Run.Number)
 }
 
 // While a stop has no answer, the lease of its target must run out.
-func TestLeaseRunsOutBesideAnUnansweredStop(t *testing.T) {
-	b := newBench(t, Options{})
+func TestLeaseIsNotRenewedDuringUnansweredStop(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 2)
 	b.submit("j", 1, 1, "")
-	other := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", other.Run, done(5000))
+	other := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", other.Run, doneAnswer(5000))
 	ref := b.submit("k", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
-	b.pass(200 * ms)
-	b.look("a", work.PollAnswer{ClockMS: 5200, Running: listing(other.Run, start.Run)})
-	must.Eq(t, 0, pickEffects[Look](b.do())[0].Until)
-	b.s.Stopped(b.now, "a", start.Run, done(5201))
-	b.look("a", work.PollAnswer{ClockMS: 5201, Running: listing(other.Run), Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
-	must.Positive(t, pickEffects[Look](b.do())[0].Until)
+	b.advance(200 * ms)
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5200, Running: listing(other.Run, start.Run)})
+	must.Eq(t, 0, pickEffects[Poll](b.effects())[0].LeaseUntil)
+	b.s.Stopped(b.now, "a", start.Run, doneAnswer(5201))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5201, Running: listing(other.Run), Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
+	must.Positive(t, pickEffects[Poll](b.effects())[0].LeaseUntil)
 }
 
 // The run of a silent target is over once its lease has lapsed on a clock that is 2 % slow, and not
 // before.
-func TestRunOfSilentTargetWaitsForItsLease(t *testing.T) {
-	b := newBench(t, Options{})
+func TestTaskOfSilentTargetRestartsAfterLeaseLapses(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
-	must.Eq(t, []Look{{To: work.TargetAddress{ID: "a"}, At: b.now}}, pickEffects[Look](b.do()))
-	b.looked("a", work.PollAnswer{}, work.VerdictUnknown)
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.answerPollWith("a", work.PollAnswer{}, work.VerdictUnknown)
+	must.Eq(t, []Poll{{To: work.TargetAddress{ID: "a"}, SentAt: b.now}}, pickEffects[Poll](b.effects()))
+	b.answerPollWith("a", work.PollAnswer{}, work.VerdictUnknown)
 	slow := DefaultLease * 102 / 100
-	effects := b.pass(slow)
+	effects := b.advance(slow)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	for _, poll := range pickEffects[Look](effects) {
-		must.Eq(t, 0, poll.Until)
+	for _, poll := range pickEffects[Poll](effects) {
+		must.Eq(t, 0, poll.LeaseUntil)
 	}
-	effects = b.pass(100 * ms)
+	effects = b.advance(100 * ms)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
 }
 
-func TestSilentEntryVMsJobsAreStopped(t *testing.T) {
-	b := newBench(t, Options{})
+func TestJobEndsWithoutKeepalive(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
-	b.s.EntrySeen("e", b.now+300*ms)
+	b.s.EntryKeepalive("e", b.now+300*ms)
 	ref := b.submit("j", 1, 1, "e")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	effects := b.pass(340 * ms)
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	effects := b.advance(340 * ms)
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
 	must.Eq(t, ref, pickEffects[Answer](effects)[0].Ref)
 	must.Eq(t, work.Unknown, pickEffects[Answer](effects)[0].Outcome.Result)
 }
 
-func TestNothingStartsForASilentEntryVM(t *testing.T) {
-	b := newBench(t, Options{})
-	b.s.EntrySeen("e", b.now+10*ms)
+func TestNothingStartsWithoutKeepalive(t *testing.T) {
+	b := newHarness(t, Options{})
+	b.s.EntryKeepalive("e", b.now+10*ms)
 	b.target("a", 4)
 	b.submit("j", 1, 1, "e")
-	b.do()
+	b.effects()
 	b.now += 15 * ms
-	b.look("a", work.PollAnswer{ClockMS: 5000})
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000})
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 }
 
-func TestJobsAreGivenUpAfterAPause(t *testing.T) {
-	b := newBench(t, Options{})
+func TestJobsEndAfterPause(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.target("a", 4)
 	b.submit("j", 1, 1, "")
-	b.do()
-	b.now += DefaultPause + 100*ms
+	b.effects()
+	b.now += DefaultPauseThreshold + 100*ms
 	b.s.Tick(b.now)
-	must.SliceLen(t, 1, pickEffects[Answer](b.do()))
+	must.SliceLen(t, 1, pickEffects[Answer](b.effects()))
 }
 
 // A job that was sent again waits until the runs of its first submission are over.
-func TestJobSentAgainWaitsForItsFormerRuns(t *testing.T) {
-	b := newBench(t, Options{})
+func TestResubmittedJobWaitsForEarlierRuns(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	ref := b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
 	b.submit("j", 1, 1, "")
-	effects := b.pass(40 * ms)
+	effects := b.advance(40 * ms)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
-	b.look("a", work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
-	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
+	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 }
 
 // A job that is sent again while it runs goes on for the later request.
-func TestJobSentAgainIsAttached(t *testing.T) {
-	b := newBench(t, Options{})
+func TestResubmittedRunningJobAnswersLaterCaller(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	first := b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	second := b.submit("j", 1, 1, "")
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, first, pickEffects[Answer](effects)[0].Ref)
-	b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
-	answer := pickEffects[Answer](b.do())[0]
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
+	answer := pickEffects[Answer](b.effects())[0]
 	must.Eq(t, second, answer.Ref)
 	must.Eq(t, work.Completed, answer.Outcome.Result)
 }
 
-func TestCancelStopsWhatRuns(t *testing.T) {
-	b := newBench(t, Options{})
+func TestCancelStopsRuns(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	ref := b.submit("j", 2, 1, "")
-	starts := pickEffects[StartRun](b.do())
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
-	b.s.Started(b.now, "a", starts[0].Run, done(5000))
+	b.s.Started(b.now, "a", starts[0].Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
-	must.SliceLen(t, 2, pickEffects[StopRun](b.do()))
+	must.SliceLen(t, 2, pickEffects[StopRun](b.effects()))
 }
 
-func TestDrainingAndFullTargetsAreLeftAlone(t *testing.T) {
-	b := newBench(t, Options{})
+func TestDrainingAndFullTargetsAreNotUsed(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
-	b.listed(work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Draining: true})
+	b.listTarget(work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Draining: true})
 	b.usable("b", 1)
 	b.submit("j", 2, 1, "")
-	starts := pickEffects[StartRun](b.do())
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "b", starts[0].To.ID)
 }
 
 // Runs get higher numbers than those of the same task under a previous owner, whose machine may
 // have been booted earlier.
-func TestRunsAreNumberedByTheSharedClock(t *testing.T) {
+func TestRunNumbersFollowSharedClock(t *testing.T) {
 	number := func(clock, now time.Duration) int64 {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.now = now
-		b.s.RunClock(now, now+clock)
+		b.s.SetRunClock(now, now+clock)
 		b.usable("a", 4)
 		b.submit("j", 1, 1, "")
-		return pickEffects[StartRun](b.do())[0].Run.Number
+		return pickEffects[StartRun](b.effects())[0].Run.Number
 	}
 	must.Greater(t, number(5*time.Second, 10*time.Second), number(-3*time.Second, 20*time.Second))
 }
 
-func TestRefusedOnlyWhereNothingBegan(t *testing.T) {
-	b := newBench(t, Options{})
+func TestStartedJobIsNotRefused(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
-	b.s.EntrySeen("e", b.now+10*time.Minute)
+	b.s.EntryKeepalive("e", b.now+10*time.Minute)
 	ref := b.submit("j", 2, 1, "e")
-	start := pickEffects[StartRun](b.do())[0]
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	start := pickEffects[StartRun](b.effects())[0]
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Leave(b.now)
-	must.SliceEmpty(t, pickEffects[Answer](b.do()))
+	must.SliceEmpty(t, pickEffects[Answer](b.effects()))
 	b.s.Abandon(b.now)
-	answer := pickEffects[Answer](b.do())[0]
+	answer := pickEffects[Answer](b.effects())[0]
 	must.Eq(t, ref, answer.Ref)
 	must.Eq(t, work.Unknown, answer.Outcome.Result)
 }
 
 // A refused start did nothing: its job may still be refused.
-func TestRefusedStartIsNoBeginning(t *testing.T) {
-	b := newBench(t, Options{})
+func TestJobWithOnlyRefusedStartsCanBeRefused(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
+	start := pickEffects[StartRun](b.effects())[0]
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 	b.s.Leave(b.now)
-	must.Eq(t, work.Moved, pickEffects[Answer](b.do())[0].Outcome.Result)
+	must.Eq(t, work.Moved, pickEffects[Answer](b.effects())[0].Outcome.Result)
 }
 
 // While answers get lost, a lost poll must not hide completions for its whole wait.
-func TestLooksAreShortWhileAnswersGetLost(t *testing.T) {
-	b := newBench(t, Options{})
+func TestPollsAreShortWhileAnswersGetLost(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	b.submit("j", 2, 1, "")
-	effects := b.do()
-	for _, poll := range pickEffects[Look](effects) {
-		must.Eq(t, DefaultLookWait, poll.Wait)
+	effects := b.effects()
+	for _, poll := range pickEffects[Poll](effects) {
+		must.Eq(t, DefaultPollWait, poll.Wait)
 	}
 	start := pickEffects[StartRun](effects)[0]
 	b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
-	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
-	polls := pickEffects[Look](b.do())
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
+	polls := pickEffects[Poll](b.effects())
 	must.SliceNotEmpty(t, polls)
 	must.Eq(t, disturbedWait, polls[0].Wait)
 	other := pickEffects[StartRun](effects)[1]
-	b.s.Started(b.now, other.To.ID, other.Run, done(5000))
+	b.s.Started(b.now, other.To.ID, other.Run, doneAnswer(5000))
 	for end := b.now + disturbedTime + 20*ms; b.now < end; {
-		b.pass(20 * ms)
+		b.advance(20 * ms)
 		for id := range b.s.targets {
-			b.look(id, work.PollAnswer{ClockMS: 5000, Running: listing(start.Run, other.Run)})
+			b.answerPoll(id, work.PollAnswer{ClockMS: 5000, Running: listing(start.Run, other.Run)})
 		}
 	}
-	must.Eq(t, DefaultLookWait, b.s.lookWait(b.now))
+	must.Eq(t, DefaultPollWait, b.s.lookWait(b.now))
 }
 
 // A target that answers but stays unlisted may only be cut off from the registry. It takes nothing
 // new, and its runs are neither lost nor started elsewhere. Listed again it is used; otherwise it
 // is removed once it has no runs.
-func TestUnlistedTargetsThatAnswer(t *testing.T) {
+func TestUnlistedAnsweringTargetKeepsItsRuns(t *testing.T) {
 	for name, back := range map[string]bool{"listed again": true, "stays unlisted": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.usable("a", 2)
 			b.submit("j", 1, 1, "")
-			start := pickEffects[StartRun](b.do())[0]
-			b.s.Started(b.now, "a", start.Run, done(5000))
+			start := pickEffects[StartRun](b.effects())[0]
+			b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 			// The run may take as long as the test, so that it does not count as a failure.
 			b.s.targets["a"].runs[start.Run.Task].expected = 5 * time.Second
-			b.do()
-			b.s.TargetMissing(b.now, "a")
+			b.effects()
+			b.s.TargetUnlisted(b.now, "a")
 			b.usable("b", 2)
 			var effects []Effect
 			for range 20 {
-				b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start.Run)})
-				effects = append(effects, b.pass(200*ms)...)
+				b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start.Run)})
+				effects = append(effects, b.advance(200*ms)...)
 			}
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
 			must.SliceEmpty(t, pickEffects[StopRun](effects))
 			must.MapContainsKey(t, b.s.targets, "a")
 			b.submit("k", 2, 1, "")
 			b.submit("l", 1, 1, "")
-			for _, other := range pickEffects[StartRun](b.do()) {
+			for _, other := range pickEffects[StartRun](b.effects()) {
 				must.Eq(t, "b", other.To.ID)
 			}
 			if back {
 				b.target("a", 2)
-				must.Eq(t, "a", pickEffects[StartRun](b.do())[0].To.ID)
+				must.Eq(t, "a", pickEffects[StartRun](b.effects())[0].To.ID)
 				return
 			}
-			b.look("a", work.PollAnswer{ClockMS: 9000, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
-			must.SliceLen(t, 1, pickEffects[Answer](b.do()))
-			b.pass(100 * ms)
+			b.answerPoll("a", work.PollAnswer{ClockMS: 9000, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
+			must.SliceLen(t, 1, pickEffects[Answer](b.effects()))
+			b.advance(100 * ms)
 			must.MapNotContainsKey(t, b.s.targets, "a")
 		})
 	}
@@ -417,28 +419,28 @@
 
 // While answers get lost, an overdue run counts as a failure of its target only if the target has
 // listed it since. Its time is not taken from when its completion was reported.
-func TestSilenceIsNoEvidenceWhileAnswersGetLost(t *testing.T) {
+func TestOverdueRunIsNoFailureWhileAnswersGetLost(t *testing.T) {
 	for name, lost := range map[string]bool{"answers get lost": true, "no answer is lost": false} {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
-		start := pickEffects[StartRun](b.do())[0]
-		b.s.Started(b.now, "a", start.Run, done(5000))
+		start := pickEffects[StartRun](b.effects())[0]
+		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 		if lost {
-			b.disturb()
+			b.loseAnswers()
 		}
-		b.pass(300 * ms)
-		counted := len(b.s.targets["a"].health.strikes) > 0
+		b.advance(300 * ms)
+		counted := len(b.s.targets["a"].health.failures) > 0
 		must.Eq(t, !lost, counted, must.Sprint(name))
 		if !lost {
 			continue
 		}
-		b.disturb()
-		b.looked("a", work.PollAnswer{ClockMS: 5300, Running: listing(start.Run)}, work.VerdictDone)
-		b.pass(20 * ms)
-		must.MapLen(t, 1, b.s.targets["a"].health.strikes)
-		b.disturb()
-		b.look("a", work.PollAnswer{ClockMS: 5400, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
+		b.loseAnswers()
+		b.answerPollWith("a", work.PollAnswer{ClockMS: 5300, Running: listing(start.Run)}, work.VerdictDone)
+		b.advance(20 * ms)
+		must.MapLen(t, 1, b.s.targets["a"].health.failures)
+		b.loseAnswers()
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5400, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 		must.Eq(t, 1+speedWeight*2, b.s.targets["a"].health.speed)
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -11,12 +11,12 @@
 	// speed is the moving average of run time divided by expected run time; higher is slower.
 	speed float64
 	// failures holds, by job, the last failure here since the last successful run.
-	strikes map[string]time.Duration
+	failures map[string]time.Duration
 	// probeAfter is when the target may be probed; backoff is how long it gets no task after the
 	// next suspicion.
-	until, retry time.Duration
+	probeAfter, backoff time.Duration
 	// suspectedSince is when the target came under suspicion.
-	since time.Duration
+	suspectedSince time.Duration
 	// suspected targets get one task at a time from probeAfter on, until one succeeds.
 	suspected bool
 }
@@ -24,12 +24,12 @@
 // Parameters of suspicion.
 const (
 	// minFailedJobs is how many jobs must have had failures on a target.
-	suspicious = 2
+	minFailedJobs = 2
 	// minBackoff and maxBackoff bound how long a suspected target gets no task.
-	firstRest   = 300 * time.Millisecond
-	longestRest = 1200 * time.Millisecond
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
 	// failureRetention is how long a failure counts.
-	strikeMemory = 3 * time.Second
+	failureRetention = 3 * time.Second
 	// speedWeight is the weight of the newest run in the moving average.
 	speedWeight = 0.3
 	// slowSpeed is the speed above which a target is used only where a job can still be on time
@@ -41,70 +41,70 @@
 	overdueFactor = 2.5
 	overdueSlack  = 30 * time.Millisecond
 	// maxSuspectedShare is the share of a service's targets that may be suspected at one time.
-	maxSuspected = 0.34
+	maxSuspectedShare = 0.34
 )
 
 func newHealth() health {
-	return health{speed: 1, strikes: map[string]time.Duration{}, retry: firstRest}
+	return health{speed: 1, failures: map[string]time.Duration{}, backoff: minBackoff}
 }
 
-func (h *health) suspend(now time.Duration) {
+func (h *health) markSuspected(now time.Duration) {
 	if !h.suspected {
-		h.suspected, h.since = true, now
+		h.suspected, h.suspectedSince = true, now
 	}
-	h.until = now + h.retry
-	h.retry = min(2*h.retry, longestRest)
+	h.probeAfter = now + h.backoff
+	h.backoff = min(2*h.backoff, maxBackoff)
 }
 
 // canProbe reports whether a suspected target may get a task, one at a time, that tests whether it
 // has recovered.
-func (h *health) probed(now time.Duration, t *target) bool {
-	return now >= h.until && len(t.runs) == 0
+func (h *health) canProbe(now time.Duration, t *target) bool {
+	return now >= h.probeAfter && len(t.runs) == 0
 }
 
 // recordFailure counts a failed run or a lost answer against a target.
-func (s *State) strike(now time.Duration, t *target, j *job) {
+func (s *State) recordFailure(now time.Duration, t *target, j *job) {
 	h := &t.health
-	if _, known := h.strikes[j.sub.Job.ID]; known && !h.suspected {
+	if _, known := h.failures[j.sub.Job.ID]; known && !h.suspected {
 		return
 	}
-	h.strikes[j.sub.Job.ID] = now
-	for job, at := range h.strikes {
-		if now-at > strikeMemory {
-			delete(h.strikes, job)
+	h.failures[j.sub.Job.ID] = now
+	for job, at := range h.failures {
+		if now-at > failureRetention {
+			delete(h.failures, job)
 		}
 	}
 	if h.suspected {
-		h.suspend(now)
+		h.markSuspected(now)
 		return
 	}
-	defer s.touch(t)
-	if len(h.strikes) >= suspicious && s.maySuspect(t.pool) {
-		s.emit(Note{What: "target suspected", Target: t.ID, Job: j.sub.Job.ID})
-		h.suspend(now)
+	defer s.markChanged(t)
+	if len(h.failures) >= minFailedJobs && s.canSuspect(t.pool) {
+		s.emit(LogEvent{Message: "target suspected", Target: t.ID, Job: j.sub.Job.ID})
+		h.markSuspected(now)
 	}
 }
 
 // recordFailedRun counts a failed run against its target, unless the job fails on several targets.
-func (s *State) strikeFailed(now time.Duration, t *target, j *job) {
+func (s *State) recordFailedRun(now time.Duration, t *target, j *job) {
 	j.blamed[t.ID] = true
-	if len(j.blamed) >= suspicious {
+	if len(j.blamed) >= minFailedJobs {
 		for id := range j.blamed {
 			if other := s.targets[id]; other != nil {
-				delete(other.health.strikes, j.sub.Job.ID)
+				delete(other.health.failures, j.sub.Job.ID)
 			}
 		}
 		return
 	}
-	s.strike(now, t, j)
+	s.recordFailure(now, t, j)
 }
 
-func (s *State) maySuspect(p *pool) bool {
-	return float64(len(p.suspects)+1) <= maxSuspected*float64(len(p.targets))
+func (s *State) canSuspect(p *pool) bool {
+	return float64(len(p.suspectTargets)+1) <= maxSuspectedShare*float64(len(p.targets))
 }
 
 // recordSuccess updates a target's speed and clears its failures after a successful run.
-func (s *State) praise(now time.Duration, t *target, r *run) {
+func (s *State) recordSuccess(now time.Duration, t *target, r *run) {
 	h := &t.health
 	if st := r.task.step; r.adopted || r.cold || st.Lasting || st.Background {
 		// These runs say nothing of the target's speed: the start of adopted runs is not known,
@@ -113,39 +113,39 @@
 		return
 	}
 	took := now - r.ordered
-	if s.unsettled(now) && now-t.lookCopies.sent < atOnce {
+	if s.unsettled(now) && now-t.pollCopies.sent < promptPollTime {
 		// The run had ended before the poll, at some time since it was last listed. Assume the
 		// expected time where that is possible.
-		took = min(took, max(t.heard-r.ordered, r.expected))
+		took = min(took, max(t.lastAnswer-r.ordered, r.expected))
 	}
 	speed := float64(took) / float64(r.expected)
-	h.speed += speedWeight * (min(speed, maxSpeed) - h.speed)
-	if !h.suspected && !t.slow() {
+	h.speed += speedWeight * (min(speed, maxSampleSpeed) - h.speed)
+	if !h.suspected && !t.isSlow() {
 		r.task.job.kind.learn(took, r.task.step.DeclaredRunTime)
 	}
 	if speed > overdueFactor {
 		return
 	}
-	clear(h.strikes)
+	clear(h.failures)
 	if h.suspected {
-		s.emit(Note{What: "target trusted again", Target: t.ID})
+		s.emit(LogEvent{Message: "target trusted again", Target: t.ID})
 		h.suspected = false
-		s.touch(t)
+		s.markChanged(t)
 		h.speed = min(h.speed, slowSpeed)
 	}
-	h.retry = firstRest
+	h.backoff = minBackoff
 }
 
 // isSlow reports whether a target takes much longer than the median one. Where all targets do, the
 // declared run times are wrong.
-func (t *target) slow() bool { return t.health.speed > slowSpeed*max(t.pool.usual, 1) }
+func (t *target) isSlow() bool { return t.health.speed > slowSpeed*max(t.pool.medianSpeed, 1) }
 
 // isCold reports whether a target is still slow after its start. That is no fault: its runs teach
 // nothing of its speed, and other targets with capacity are preferred.
-func (t *target) cold(now time.Duration) bool { return now < t.warm }
+func (t *target) isCold(now time.Duration) bool { return now < t.warmAt }
 
 // computeMedianSpeed returns the median speed of a pool's targets.
-func (p *pool) usualSpeed() float64 {
+func (p *pool) computeMedianSpeed() float64 {
 	if len(p.targets) == 0 {
 		return 1
 	}
@@ -158,29 +158,29 @@
 }
 
 // maxSampleSpeed bounds what one run can add to the moving average.
-const maxSpeed = 10.0
+const maxSampleSpeed = 10.0
 
 // promptPollTime is the time within which a target answers a poll that need not wait.
-const atOnce = 10 * time.Millisecond
+const promptPollTime = 10 * time.Millisecond
 
 // checkRuns handles the runs of a target that should have ended.
-func (s *State) judge(now time.Duration, t *target) {
-	runningUntil := s.listedUntil(now, t)
+func (s *State) checkRuns(now time.Duration, t *target) {
+	runningUntil := s.lastKnownRunning(now, t)
 	for _, r := range t.sortedRuns() {
-		if r.state != running || r.stop != nil || r.task.job.dropped || !r.overdue(now) {
+		if r.state != running || r.stop != nil || r.task.job.dropped || !r.isOverdue(now) {
 			continue
 		}
-		if !r.overdue(runningUntil) {
+		if !r.isOverdue(runningUntil) {
 			continue
 		}
-		s.strike(now, t, r.task.job)
-		if r.hopeless(runningUntil) && !t.health.suspected && s.maySuspect(t.pool) {
-			s.emit(Note{What: "target suspected", Target: t.ID, Task: r.Task, Detail: "a run does not end", Age: now - r.ordered})
-			t.health.suspend(now)
-			s.touch(t)
+		s.recordFailure(now, t, r.task.job)
+		if r.isHung(runningUntil) && !t.health.suspected && s.canSuspect(t.pool) {
+			s.emit(LogEvent{Message: "target suspected", Target: t.ID, Task: r.Task, Detail: "a run does not end", Age: now - r.ordered})
+			t.health.markSuspected(now)
+			s.markChanged(t)
 		}
-		if r.stuck(runningUntil) {
-			s.emit(Note{What: "run takes too long", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
+		if r.isStuck(runningUntil) {
+			s.emit(LogEvent{Message: "run takes too long", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 			r.task.restarts++
 			s.stop(now, r)
 		}
@@ -189,8 +189,8 @@
 		return
 	}
 	for _, r := range t.sortedRuns() {
-		if r.state == running && r.stop == nil && s.worthMoving(now, runningUntil, t, r) {
-			s.emit(Note{What: "run moved", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
+		if r.state == running && r.stop == nil && s.shouldMove(now, runningUntil, t, r) {
+			s.emit(LogEvent{Message: "run moved", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 			s.stop(now, r)
 		}
 	}
@@ -199,24 +199,24 @@
 // lastKnownRunning returns until when a target's listed runs are known to be running. A polled
 // target reports completions at once. While answers get lost its silence proves nothing: good
 // targets would be suspected for completions that were reported and lost.
-func (s *State) listedUntil(now time.Duration, t *target) time.Duration {
+func (s *State) lastKnownRunning(now time.Duration, t *target) time.Duration {
 	if s.unsettled(now) {
-		return t.heard
+		return t.lastAnswer
 	}
 	return now
 }
 
 // isOverdue reports whether a run should have ended. Lasting tasks never should, and background
 // tasks have no predictable run time.
-func (r *run) overdue(now time.Duration) bool {
-	return !r.task.step.Lasting && !r.task.step.Background && now-r.ordered > time.Duration(overdueFactor*float64(r.patience()))+overdueSlack
+func (r *run) isOverdue(now time.Duration) bool {
+	return !r.task.step.Lasting && !r.task.step.Background && now-r.ordered > time.Duration(overdueFactor*float64(r.allowedTime()))+overdueSlack
 }
 
 // coldFactor is how many times as long a run may take on a cold target.
 const coldFactor = 3
 
 // allowedTime is the expected run time, longer where the target was cold.
-func (r *run) patience() time.Duration {
+func (r *run) allowedTime() time.Duration {
 	if r.cold {
 		return coldFactor * r.expected
 	}
@@ -225,24 +225,24 @@
 
 // hungFactor covers the longest run times, four times their mean, even where the mean is 1.5 times
 // the declared time.
-const hopelessFactor = 6
+const hungFactor = 6
 
 // isHung reports whether a run has taken so long that it alone makes its target suspect.
-func (r *run) hopeless(now time.Duration) bool {
-	return now-r.ordered > hopelessFactor*r.patience()+overdueSlack
+func (r *run) isHung(now time.Duration) bool {
+	return now-r.ordered > hungFactor*r.allowedTime()+overdueSlack
 }
 
 // minStuckTime is the least time after which a durable job's run counts as stuck. By then the other
 // runs of its target have shown whether the target is at fault.
-const stuckTime = 2 * time.Second
+const minStuckTime = 2 * time.Second
 
 // isStuck reports whether a durable job's run should be stopped and placed again on any target: no
 // caller gives the job up. The limit doubles each time, as the run may just be long.
-func (r *run) stuck(now time.Duration) bool {
+func (r *run) isStuck(now time.Duration) bool {
 	if !r.task.job.kept() {
 		return false
 	}
-	return now-r.ordered > max(hopelessFactor*r.expected, stuckTime)<<min(r.task.restarts, maxDoublings)
+	return now-r.ordered > max(hungFactor*r.expected, minStuckTime)<<min(r.task.restarts, maxDoublings)
 }
 
 // maxDoublings bounds the limit for a stuck run at minutes.
@@ -250,19 +250,19 @@
 
 // shouldMove reports whether a run on a suspected target would end earlier elsewhere, while its
 // answer is still of use.
-func (s *State) worthMoving(now, runningUntil time.Duration, t *target, r *run) bool {
+func (s *State) shouldMove(now, runningUntil time.Duration, t *target, r *run) bool {
 	if r.task.step.Lasting || r.task.step.Gang || r.task.step.Background || r.task.job.dropped {
 		return false
 	}
-	elsewhere := now + s.options.StopTime + r.expected
-	if elsewhere > r.task.job.useful && !r.task.job.kept() || !s.roomElsewhere(t, r.task.step.PerTask) {
+	elsewhere := now + s.options.StopTimeout + r.expected
+	if elsewhere > r.task.job.useful && !r.task.job.kept() || !s.hasCapacityElsewhere(t, r.task.step.PerTask) {
 		return false
 	}
-	if r.ordered > t.health.since {
+	if r.ordered > t.health.suspectedSince {
 		// This run probes whether the target has recovered.
-		return r.overdue(runningUntil)
+		return r.isOverdue(runningUntil)
 	}
 	speed := max(t.health.speed, float64(runningUntil-r.ordered)/float64(r.expected))
 	here := r.ordered + time.Duration(speed*float64(r.expected))
-	return r.overdue(runningUntil) || speed > slowSpeed && here > elsewhere+r.expected/2
+	return r.isOverdue(runningUntil) || speed > slowSpeed && here > elsewhere+r.expected/2
 }
--- a/scheduler/history.go
+++ b/scheduler/history.go
@@ -51,9 +51,9 @@
 
 // logHistory emits the history of a job that has ended, if the job went badly or is in the sample.
 func (s *State) tell(now time.Duration, j *job, outcome work.Outcome) {
-	s.told++
+	s.endedJobs++
 	good := outcome.Result == work.Completed && now <= j.objective
-	if good && s.told%sampleEvery != 0 || outcome.Result == work.Moved {
+	if good && s.endedJobs%sampleEvery != 0 || outcome.Result == work.Moved {
 		return
 	}
 	s.emit(Trail{
--- a/scheduler/isolation.go
+++ b/scheduler/isolation.go
@@ -14,7 +14,7 @@
 	switch {
 	case tk.unsettled():
 		return false
-	case t.emptyBut(st) && (t.trial == tk || t.pool.trials < t.pool.maxTrials()):
+	case t.emptyBut(st) && (t.isolated == tk || t.pool.isolations < t.pool.maxTrials()):
 		return true
 	default:
 		return !tk.job.kept() && len(tk.falls)+tk.excused < crashesToFail
@@ -34,7 +34,7 @@
 // mayUseIsolated reports whether the task may run on a target as far as isolation goes: nobody has
 // the target isolated or reserved, or the task itself or its gang has.
 func (tk *task) joins(t *target) bool {
-	return t.trial == nil || t.trial == tk || tk.step.Gang && t.trial.step == tk.step
+	return t.isolated == nil || t.isolated == tk || tk.step.Gang && t.isolated.step == tk.step
 }
 
 // isolateSuspect marks the target of a starting run as isolated if the run's task is a suspect and
@@ -43,10 +43,10 @@
 	t := r.target
 	s.letRoom(r.task)
 	if r.task.suspect() && t.emptyBut(r.task.step) {
-		r.alone = true
-		t.trial = r.task
-		t.trials++
-		t.pool.trials++
+		r.isolated = true
+		t.isolated = r.task
+		t.isolatedRuns++
+		t.pool.isolations++
 	}
 }
 
@@ -54,31 +54,31 @@
 // the fewest runs takes nothing else until the suspect starts there.
 func (s *State) makeRoom(now time.Duration, tk *task) {
 	p := tk.job.pool
-	if !tk.suspect() || tk.unsettled() || tk.room != nil || tk.step.Gang || p.trials >= p.maxTrials() {
+	if !tk.suspect() || tk.unsettled() || tk.room != nil || tk.step.Gang || p.isolations >= p.maxTrials() {
 		return
 	}
 	var least *target
 	for _, t := range p.targets {
-		if t.open() && t.reserved == nil && tk.step.fitsOn(t) && s.prolongs(now, t) && (least == nil || len(t.runs) < len(least.runs)) {
+		if t.isOpen() && t.reservedFor == nil && tk.step.fitsEmpty(t) && s.canRenewLease(now, t) && (least == nil || len(t.runs) < len(least.runs)) {
 			least = t
 		}
 	}
 	if least == nil {
 		return
 	}
-	tk.room, least.trial = least, tk
-	p.trials++
-	s.touch(least)
+	tk.room, least.isolated = least, tk
+	p.isolations++
+	s.markChanged(least)
 }
 
 // startReservedSuspects starts the suspects of a step whose reserved target can take them now.
 func (s *State) placeInRoom(now time.Duration, j *job, st *step) {
 	st.pending = slices.DeleteFunc(st.pending, func(tk *task) bool {
 		t := tk.room
-		if t == nil || !s.may(now, t, j, st, tk) {
+		if t == nil || !s.canStart(now, t, j, st, tk) {
 			return false
 		}
-		s.start(now, t, tk, s.nextRun(now, j.kept()))
+		s.startRun(now, t, tk, s.nextRunNumber(now, j.kept()))
 		return true
 	})
 }
@@ -90,11 +90,11 @@
 		return
 	}
 	tk.room = nil
-	t.pool.trials--
-	if t.trial == tk {
-		t.trial = nil
+	t.pool.isolations--
+	if t.isolated == tk {
+		t.isolated = nil
 	}
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // maxIsolated is how many targets of the pool may be isolated or reserved for suspects at a time.
@@ -115,8 +115,8 @@
 	}
 	r.task.falls = nil
 	r.endTrial()
-	s.emit(Note{What: "task cleared", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: r.target.ID, Age: now - r.ordered})
-	s.touch(r.target)
+	s.emit(LogEvent{Message: "task cleared", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: r.target.ID, Age: now - r.ordered})
+	s.markChanged(r.target)
 }
 
 // survivorSlack is added to twice the time after which the suspect's targets were lost.
@@ -124,13 +124,13 @@
 
 // endIsolation ends the isolation of the run's target, once the last isolated run there has ended.
 func (r *run) endTrial() {
-	if !r.alone {
+	if !r.isolated {
 		return
 	}
-	r.alone = false
-	r.target.pool.trials--
-	if r.target.trials--; r.target.trials == 0 {
-		r.target.trial = nil
+	r.isolated = false
+	r.target.pool.isolations--
+	if r.target.isolatedRuns--; r.target.isolatedRuns == 0 {
+		r.target.isolated = nil
 	}
 }
 
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -146,10 +146,10 @@
 
 // estimateOf returns the estimate of a queue, a new one if there is none yet.
 func (s *State) kindOf(queue string) *kind {
-	k := s.kinds[queue]
+	k := s.estimates[queue]
 	if k == nil {
 		k = &kind{ratio: 1}
-		s.kinds[queue] = k
+		s.estimates[queue] = k
 	}
 	return k
 }
@@ -222,7 +222,7 @@
 	if declared.MaxPerTarget > 0 {
 		st.on = map[string]int{}
 	}
-	st.share()
+	st.excludeBackgroundCPU()
 	st.name = fmt.Sprintf("%s.%d.%d", j.sub.Job.ID, occurrence, index)
 	if j.sub.Queue.RequiresAdvice {
 		st.advice = newAdvice()
@@ -339,10 +339,10 @@
 	}
 	j.ended = true
 	delete(s.jobs, j.sub.Ref)
-	delete(s.byID, j.sub.key())
-	delete(s.repeated, j)
+	delete(s.jobsByKey, j.sub.key())
+	delete(s.recurringJobs, j)
 	s.unreserveAll(j)
-	s.withdraw(now, j)
+	s.withdrawParts(now, j)
 	s.leaveSuspects(now, j)
 	if j.stored {
 		s.endKept(now, j, outcome)
@@ -366,7 +366,7 @@
 func (s *State) stopRuns(now time.Duration, j *job) {
 	for _, t := range j.tasks {
 		if t.run != nil {
-			s.settling[j.sub.Job.ID]++
+			s.stoppingRuns[j.sub.Job.ID]++
 			s.stop(now, t.run)
 		}
 	}
@@ -386,12 +386,12 @@
 	case j.ended:
 	case j.kept():
 		s.delay(now, j)
-	case !s.vouched(now, j):
+	case !s.hasKeepalive(now, j):
 		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: vouched until %v ago",
-			(now-s.entries[j.sub.Entry]).Round(time.Millisecond))))
+			(now-s.keepalives[j.sub.Entry]).Round(time.Millisecond))))
 	case j.deadline > 0 && now >= j.deadline:
 		s.finish(now, j, j.giveUp("the caller's deadline has passed"))
-	case j.sub.Part != nil && !j.started() && now-j.submitted > partPatience:
+	case j.sub.Part != nil && !j.started() && now-j.submitted > partStartTimeout:
 		s.finish(now, j, work.Outcome{Result: work.Refused, Reason: "no room for a part"})
 	case !j.started() && now > j.useful-j.chain():
 		s.finish(now, j, j.giveUp("it can't be done while it is of use"))
@@ -414,7 +414,7 @@
 		j.late = true
 		j.mark(now, "late", "", "", "no capacity in time; queued behind jobs that can be on time")
 		s.reorder(j)
-		s.turnAway(now, j)
+		s.refuseLate(now, j)
 	}
 }
 
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -84,7 +84,7 @@
 // HandleJobStored takes the result of storing a job. If here is set the job runs here, otherwise
 // this owner forgets it.
 func (s *State) Stored(now time.Duration, id string, outcome work.Outcome, here bool) {
-	j := s.byID[id]
+	j := s.jobsByKey[id]
 	if j == nil || j.stored {
 		return
 	}
@@ -102,7 +102,7 @@
 // HandleJobStoreUncertain says that the store doesn't tell whether it has a job. The caller is
 // answered so; the job itself waits for HandleJobStored.
 func (s *State) Doubted(id string) {
-	if j := s.byID[id]; j != nil && !j.stored {
+	if j := s.jobsByKey[id]; j != nil && !j.stored {
 		s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the store doesn't tell whether it has the job"})
 	}
 }
@@ -110,7 +110,7 @@
 // CancelDurable cancels a durable job for good, and reports whether it was here to be cancelled.
 // JobEnded reports its end.
 func (s *State) CancelKept(now time.Duration, id string) bool {
-	j := s.byID[id]
+	j := s.jobsByKey[id]
 	if j == nil || !j.stored {
 		return false
 	}
@@ -121,7 +121,7 @@
 
 // HasStarted reports whether a task of a durable job is known to have started.
 func (s *State) Begun(id string) bool {
-	j := s.byID[id]
+	j := s.jobsByKey[id]
 	return j != nil && j.touched()
 }
 
@@ -142,19 +142,19 @@
 
 // HandleCompletionStored says that the store has a completion: it may be acknowledged.
 func (s *State) Noted(ref EndRef) {
-	s.unnoted--
-	if t := s.targets[ref.Target]; t != nil && t.lives == ref.Life {
-		delete(t.unnoted, ref.Number)
-		s.touch(t)
+	s.pendingWrites--
+	if t := s.targets[ref.Target]; t != nil && t.incarnations == ref.Life {
+		delete(t.unrecorded, ref.Number)
+		s.markChanged(t)
 	}
 }
 
 // HandleJobEndStored says that the store has the end of a job, and with it the completions of all
 // its runs.
 func (s *State) EndNoted(job string) {
-	s.unnoted--
-	waiting := s.ending[job]
-	delete(s.ending, job)
+	s.pendingWrites--
+	waiting := s.lateCompletions[job]
+	delete(s.lateCompletions, job)
 	for _, ref := range waiting {
 		s.Noted(ref)
 	}
@@ -167,19 +167,19 @@
 	if !j.kept() {
 		return
 	}
-	waiting, ending := s.ending[j.sub.Job.ID]
+	waiting, ending := s.lateCompletions[j.sub.Job.ID]
 	if j.ended && !ending && !j.dropped {
 		return
 	}
-	t.unnoted[number] = true
+	t.unrecorded[number] = true
 	if j.dropped {
 		// The owner that continues the job is to record it.
 		return
 	}
-	s.unnoted++
-	ref := t.endRef(number)
+	s.pendingWrites++
+	ref := t.completionRef(number)
 	if ending {
-		s.ending[j.sub.Job.ID] = append(waiting, ref)
+		s.lateCompletions[j.sub.Job.ID] = append(waiting, ref)
 		return
 	}
 	if failed {
@@ -192,8 +192,8 @@
 // acknowledgeable returns the newest completion that may be acknowledged together with all
 // before it.
 func (t *target) ackable() int64 {
-	newest := t.seen
-	for number := range t.unnoted {
+	newest := t.lastCompletion
+	for number := range t.unrecorded {
 		newest = min(newest, number-1)
 	}
 	return newest
@@ -213,8 +213,8 @@
 	case outcome.Result == work.Completed:
 		state = work.StateCompleted
 	}
-	s.unnoted++
-	s.ending[j.sub.Job.ID] = nil
+	s.pendingWrites++
+	s.lateCompletions[j.sub.Job.ID] = nil
 	s.emit(JobEnded{Job: j.sub.Job.ID, State: state, Times: j.times(now)})
 }
 
@@ -223,8 +223,8 @@
 func (s *State) drop(j *job) {
 	j.ended, j.dropped = true, true
 	delete(s.jobs, j.sub.Ref)
-	delete(s.byID, j.sub.key())
-	delete(s.repeated, j)
+	delete(s.jobsByKey, j.sub.key())
+	delete(s.recurringJobs, j)
 	s.unreserveAll(j)
 }
 
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -12,7 +12,7 @@
 const maxFails = 2
 
 // durableJob returns the submission of a durable job with one step of this many tasks.
-func (b *bench) keptJob(id string, tasks int) Submission {
+func (b *harness) keptJob(id string, tasks int) Submission {
 	b.ref++
 	return Submission{
 		Ref: b.ref,
@@ -24,16 +24,16 @@
 }
 
 // startDurableJob has a durable job of one task stored and started at target a.
-func runKept(b *bench) work.RunID {
+func runKept(b *harness) work.RunID {
 	b.s.Resumed(b.now)
 	b.usable("a", 4)
-	b.do()
+	b.effects()
 	b.s.Submit(b.now, b.keptJob("j", 1))
-	b.do()
+	b.effects()
 	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
-	start := pickEffects[StartRun](b.do())[0]
+	start := pickEffects[StartRun](b.effects())[0]
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
-	b.do()
+	b.effects()
 	return start.Run
 }
 
@@ -45,26 +45,26 @@
 // newestAcknowledged returns the newest completion that polls have acknowledged.
 func seen(effects []Effect) int64 {
 	newest := int64(0)
-	for _, look := range pickEffects[Look](effects) {
-		newest = max(newest, look.Seen)
+	for _, look := range pickEffects[Poll](effects) {
+		newest = max(newest, look.AckUpTo)
 	}
 	return newest
 }
 
 // Nothing of a durable job starts before the store has it; then its caller is answered.
 func TestKeptJobsAreStoredFirst(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
-	b.do()
+	b.effects()
 	b.s.Submit(b.now, b.keptJob("j", 1))
-	effects := b.do()
+	effects := b.effects()
 	must.SliceLen(t, 1, pickEffects[Keep](effects))
 	must.SliceEmpty(t, pickEffects[Answer](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, 0, b.s.Pending()["k"])
 	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 	must.Eq(t, 1, b.s.Pending()["k"])
-	effects = b.do()
+	effects = b.effects()
 	must.Eq(t, work.Accepted, pickEffects[Answer](effects)[0].Outcome.Result)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
 	must.Eq(t, 0, b.s.Pending()["k"])
@@ -73,29 +73,29 @@
 // A job that the store didn't take, or that another owner has, is not run.
 func TestWhatIsNotStoredHereIsNotRun(t *testing.T) {
 	for _, outcome := range []work.Outcome{{Result: work.Refused}, {Result: work.Accepted}, {Result: work.Unknown}} {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.usable("a", 4)
 		b.s.Submit(b.now, b.keptJob("j", 1))
-		b.do()
+		b.effects()
 		b.s.Stored(b.now, "j", outcome, false)
-		effects := b.pass(time.Second)
+		effects := b.advance(time.Second)
 		must.Eq(t, outcome, pickEffects[Answer](effects)[0].Outcome)
 		must.SliceEmpty(t, pickEffects[StartRun](effects))
-		must.True(t, b.s.AtRest())
+		must.True(t, b.s.IsIdle())
 	}
 }
 
 // A job that is handed in several times runs once, and each request gets an answer.
 func TestKeptJobsHandedInAgain(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	first, second, third := b.keptJob("j", 1), b.keptJob("j", 1), b.keptJob("j", 1)
 	b.s.Submit(b.now, first)
 	b.s.Submit(b.now, second)
-	must.Eq(t, []Answer{{Ref: first.Ref, Outcome: work.Outcome{Result: work.Unknown, Reason: "the job was sent again"}}}, pickEffects[Answer](b.do()))
+	must.Eq(t, []Answer{{Ref: first.Ref, Outcome: work.Outcome{Result: work.Unknown, Reason: "the job was sent again"}}}, pickEffects[Answer](b.effects()))
 	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 	b.s.Submit(b.now, third)
-	effects := b.do()
+	effects := b.effects()
 	must.Eq(t, []Answer{
 		{Ref: second.Ref, Outcome: work.Outcome{Result: work.Accepted}}, {Ref: third.Ref, Outcome: work.Outcome{Result: work.Accepted}},
 	}, pickEffects[Answer](effects))
@@ -104,35 +104,35 @@
 
 // A completion is acknowledged only once the store has it.
 func TestEndsAreAcknowledgedOnceNoted(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	run := runKept(b)
-	b.look("a", ended(1, run, work.CompletionDone))
-	effects := append(b.do(), b.pass(200*ms)...)
+	b.answerPoll("a", ended(1, run, work.CompletionDone))
+	effects := append(b.effects(), b.advance(200*ms)...)
 	must.Eq(t, 0, seen(effects))
 	done := pickEffects[TaskDone](effects)
 	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, done)
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](effects))
-	must.False(t, b.s.AtRest())
-	b.look("a", ended(1, run, work.CompletionDone))
+	must.False(t, b.s.IsIdle())
+	b.answerPoll("a", ended(1, run, work.CompletionDone))
 	b.s.Noted(done[0].End)
 	b.s.EndNoted("j")
-	must.Eq(t, 1, seen(b.pass(200*ms)))
-	must.True(t, b.s.AtRest())
+	must.Eq(t, 1, seen(b.advance(200*ms)))
+	must.True(t, b.s.IsIdle())
 }
 
 // A completion that comes after the job's end is acknowledged once the store has the end.
 func TestEndsAfterTheJobsEndWaitForIt(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	run := runKept(b)
 	must.True(t, b.s.CancelKept(b.now, "j"))
-	effects := b.do()
+	effects := b.effects()
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCancelled}}, pickEffects[JobEnded](effects))
 	must.SliceLen(t, 1, pickEffects[StopRun](effects))
-	b.look("a", ended(1, run, work.CompletionDone))
-	must.Eq(t, 0, seen(b.pass(200*ms)))
-	b.look("a", ended(1, run, work.CompletionDone))
+	b.answerPoll("a", ended(1, run, work.CompletionDone))
+	must.Eq(t, 0, seen(b.advance(200*ms)))
+	b.answerPoll("a", ended(1, run, work.CompletionDone))
 	b.s.EndNoted("j")
-	must.Eq(t, 1, seen(b.pass(200*ms)))
+	must.Eq(t, 1, seen(b.advance(200*ms)))
 	must.False(t, b.s.CancelKept(b.now, "j"))
 }
 
@@ -140,15 +140,15 @@
 func TestAnOwnerWithoutItsPlaceAcknowledgesNothing(t *testing.T) {
 	for name, unknown := range map[string]bool{"its own run": false, "a run it does not know": true} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			run := runKept(b)
 			if unknown {
 				run.Number += 2
 			}
 			b.s.Abandon(b.now)
-			b.do()
-			b.look("a", ended(1, run, work.CompletionDone))
-			effects := append(b.do(), b.pass(time.Second)...)
+			b.effects()
+			b.answerPoll("a", ended(1, run, work.CompletionDone))
+			effects := append(b.effects(), b.advance(time.Second)...)
 			must.Eq(t, 0, seen(effects))
 			must.SliceEmpty(t, pickEffects[TaskDone](effects))
 		})
@@ -160,28 +160,28 @@
 func TestAStoppedRunMayHaveBeenDone(t *testing.T) {
 	for name, done := range map[string]bool{"run completed": true, "run never started": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.s.Resumed(b.now)
 			b.usable("a", 4)
-			b.do()
+			b.effects()
 			b.s.Submit(b.now, b.keptJob("j", 1))
-			b.do()
+			b.effects()
 			b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
-			run := pickEffects[StartRun](b.do())[0].Run
+			run := pickEffects[StartRun](b.effects())[0].Run
 			b.now += 100 * ms
 			b.s.Started(b.now, "a", run, work.OrderAnswer{})
-			must.SliceLen(t, 1, pickEffects[StopRun](b.do()))
+			must.SliceLen(t, 1, pickEffects[StopRun](b.effects()))
 			b.s.Stopped(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5100})
-			must.SliceEmpty(t, pickEffects[StartRun](b.pass(200*ms)))
+			must.SliceEmpty(t, pickEffects[StartRun](b.advance(200*ms)))
 			// The poll that was on its way all the while says nothing of the stop.
-			b.look("a", work.PollAnswer{ClockMS: 5200})
-			must.SliceEmpty(t, pickEffects[StartRun](b.pass(40*ms)))
+			b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
+			must.SliceEmpty(t, pickEffects[StartRun](b.advance(40*ms)))
 			if done {
-				b.look("a", ended(1, run, work.CompletionDone))
+				b.answerPoll("a", ended(1, run, work.CompletionDone))
 			} else {
-				b.look("a", work.PollAnswer{ClockMS: 5300})
+				b.answerPoll("a", work.PollAnswer{ClockMS: 5300})
 			}
-			effects := append(b.do(), b.pass(100*ms)...)
+			effects := append(b.effects(), b.advance(100*ms)...)
 			must.Eq(t, done, len(pickEffects[JobEnded](effects)) == 1)
 			must.Eq(t, done, len(pickEffects[StartRun](effects)) == 0)
 		})
@@ -190,19 +190,19 @@
 
 // A job that is taken over continues from its stored progress.
 func TestResumedJobs(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 4)
-	b.do()
+	b.effects()
 	b.s.Resume(b.now, b.keptJob("j", 3), Progress{Done: []int{1}, Fails: map[int]int{2: 1}})
 	b.s.Resumed(b.now)
-	starts := pickEffects[StartRun](b.do())
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
 	must.Eq(t, "j.0.0.0", starts[0].Run.Task)
 	must.Eq(t, "j.0.0.2", starts[1].Run.Task)
 	must.True(t, b.s.Begun("j"))
 	// With the failure before the takeover, the task has now failed too often.
-	b.look("a", ended(1, starts[1].Run, work.CompletionFailed))
-	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.do()))
+	b.answerPoll("a", ended(1, starts[1].Run, work.CompletionFailed))
+	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
 
 // A job whose tasks had all ended, or failed too often, ends when it is taken over.
@@ -216,10 +216,10 @@
 		"failed": {[]int{0}, map[int]int{1: maxFails}, work.StateFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.usable("a", 4)
 			b.s.Resume(b.now, b.keptJob("j", 2), Progress{Done: test.done, Fails: test.fails})
-			effects := b.do()
+			effects := b.effects()
 			must.Eq(t, []JobEnded{{Job: "j", State: test.want}}, pickEffects[JobEnded](effects))
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
 		})
@@ -229,25 +229,25 @@
 // The unrecorded completions of a previous owner are stored with their job, and acknowledged at
 // once if that job no longer exists.
 func TestEndsOfAFormerOwner(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.target("a", 4)
-	b.do()
-	b.look("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
+	b.effects()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
 		{Number: 1, Run: work.RunID{Task: "j.0.0.0", Number: 31}, Kind: work.CompletionDone},
 		{Number: 2, Run: work.RunID{Task: "gone.0.0.0", Number: 33}, Kind: work.CompletionDone},
 		{Number: 3, Run: work.RunID{Task: "other.0.0.0", Number: 34}, Kind: work.CompletionDone},
 	}})
-	must.Eq(t, 0, seen(b.pass(100*ms)))
+	must.Eq(t, 0, seen(b.advance(100*ms)))
 	b.s.Resume(b.now, b.keptJob("j", 2), Progress{})
 	b.s.Resumed(b.now)
-	effects := b.do()
+	effects := b.effects()
 	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, pickEffects[TaskDone](effects))
 	must.Eq(t, "j.0.0.1", pickEffects[StartRun](effects)[0].Run.Task)
-	b.look("a", work.PollAnswer{ClockMS: 5100})
-	must.Eq(t, 0, seen(b.pass(100*ms)))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5100})
+	must.Eq(t, 0, seen(b.advance(100*ms)))
 	b.s.Noted(EndRef{Target: "a", Number: 1})
-	b.look("a", work.PollAnswer{ClockMS: 5200})
-	must.Eq(t, 3, seen(b.pass(100*ms)))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
+	must.Eq(t, 3, seen(b.advance(100*ms)))
 }
 
 // A job that is taken over counts as pending until something shows that it has started.
@@ -265,15 +265,15 @@
 		"a completion is listed": {Progress{}, work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{{Number: 1, Run: work.RunID{Task: "j.0.0.0", Number: 31}, Kind: work.CompletionDone}}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.target("a", 4)
-			b.do()
-			b.look("a", test.held)
+			b.effects()
+			b.answerPoll("a", test.held)
 			b.s.Resume(b.now, b.keptJob("j", 2), test.progress)
 			b.s.Resumed(b.now)
 			must.Eq(t, test.pending, int(b.s.Pending()["k"]))
 			must.Eq(t, test.pending == 0, b.s.Begun("j"))
-			must.SliceEmpty(t, pickEffects[JobEnded](b.do()))
+			must.SliceEmpty(t, pickEffects[JobEnded](b.effects()))
 			must.Eq(t, 0, b.s.Pending()["k"])
 		})
 	}
@@ -286,17 +286,17 @@
 		ended bool
 	}{"the stored one": {31, false}, "another one": {29, true}} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.target("a", 4)
-			b.do()
-			b.look("a", ended(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
+			b.effects()
+			b.answerPoll("a", ended(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
 			b.s.Resume(b.now, b.keptJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.noted}})
 			b.s.Resumed(b.now)
-			effects := b.do()
+			effects := b.effects()
 			must.Eq(t, test.ended, len(pickEffects[JobEnded](effects)) == 1)
 			must.Eq(t, test.ended, len(pickEffects[TaskFailed](effects)) == 1)
 			must.Eq(t, !test.ended, len(pickEffects[StartRun](effects)) == 1)
-			must.SliceEmpty(t, b.s.orphans["j.0.0.0"])
+			must.SliceEmpty(t, b.s.unrecordedCompletions["j.0.0.0"])
 		})
 	}
 }
@@ -305,66 +305,66 @@
 // stopped and their completions aren't acknowledged. Their leases are extended only for as long as
 // the successor waits for a target that it can't reach.
 func TestLeavingOwnersHandKeptJobsBack(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	run := runKept(b)
 	b.s.Submit(b.now, b.keptJob("late", 1))
-	b.do()
+	b.effects()
 	b.s.Leave(b.now)
-	must.Eq(t, []string{"a"}, b.s.Idle())
+	must.Eq(t, []string{"a"}, b.s.IdleTargets())
 	b.s.Stored(b.now, "late", work.Outcome{Result: work.Accepted}, true)
-	effects := b.do()
+	effects := b.effects()
 	must.Eq(t, work.Accepted, pickEffects[Answer](effects)[0].Outcome.Result)
-	effects = append(effects, b.pass(100*ms)...)
+	effects = append(effects, b.advance(100*ms)...)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.Eq(t, 0, b.s.Jobs())
-	b.look("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
-	must.Positive(t, pickEffects[Look](b.do())[0].Until)
-	b.pass(leavingLease)
-	b.look("a", ended(1, run, work.CompletionDone))
-	effects = append(b.do(), b.pass(time.Second)...)
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
+	must.Positive(t, pickEffects[Poll](b.effects())[0].LeaseUntil)
+	b.advance(leavingLease)
+	b.answerPoll("a", ended(1, run, work.CompletionDone))
+	effects = append(b.effects(), b.advance(time.Second)...)
 	must.Eq(t, 0, seen(effects))
 	must.SliceEmpty(t, pickEffects[TaskDone](effects))
-	must.True(t, b.s.AtRest())
+	must.True(t, b.s.IsIdle())
 }
 
 // A deposed owner extends no lease of a run that its successor may start again.
 func TestAnOwnerWithoutItsPlaceProlongsNothing(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	run := runKept(b)
 	b.s.Abandon(b.now)
-	b.pass(20 * ms)
-	b.look("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
-	effects := b.do()
+	b.advance(20 * ms)
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
-	must.Eq(t, 0, pickEffects[Look](effects)[0].Until)
+	must.Eq(t, 0, pickEffects[Poll](effects)[0].LeaseUntil)
 }
 
 // A job that was taken over too late to be of use runs after a job that can be on time, but it does
 // run.
 func TestUselessBacklogGoesBehind(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
-	b.listed(work.Target{ID: "x", Capacity: work.Resources{CPU: 1}, Draining: true})
+	b.listTarget(work.Target{ID: "x", Capacity: work.Resources{CPU: 1}, Draining: true})
 	old := b.keptJob("old", 1)
 	old.Age = 8 * time.Second
 	b.s.Resume(b.now, old, Progress{})
 	b.s.Submit(b.now, b.keptJob("new", 1))
-	b.do()
+	b.effects()
 	b.s.Stored(b.now, "new", work.Outcome{Result: work.Accepted}, true)
-	b.pass(40 * ms)
+	b.advance(40 * ms)
 	b.usable("a", 1)
-	first := pickEffects[StartRun](b.do())
+	first := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, first)
 	must.Eq(t, "new.0.0.0", first[0].Run.Task)
 	b.begun(first)
-	b.look("a", ended(1, first[0].Run, work.CompletionDone))
-	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.do())[0].Run.Task)
+	b.answerPoll("a", ended(1, first[0].Run, work.CompletionDone))
+	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.effects())[0].Run.Task)
 }
 
 // A durable job is done however late it is and whether or not anybody waits.
 func TestKeptJobsAreNeverGivenUp(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	sub := b.keptJob("j", 1)
 	sub.Entry, sub.Wait = "e", time.Second
@@ -373,31 +373,31 @@
 	b.s.Cancel(b.now, sub.Ref)
 	b.s.GiveUp(b.now, "e", "j")
 	b.now += time.Minute
-	effects := b.pass(time.Second)
+	effects := b.advance(time.Second)
 	must.SliceEmpty(t, pickEffects[JobEnded](effects))
 	b.usable("b", 1)
-	must.SliceLen(t, 1, pickEffects[StartRun](b.do()))
+	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 }
 
 // A run that doesn't end is stopped and started again; each time the timeout grows.
 func TestStuckRunsBeginAnew(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	run := runKept(b)
 	listed := func() {
-		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(run)})
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(run)})
 	}
 	var stopped []time.Duration
 	for range 60 {
 		listed()
-		effects := b.pass(100 * ms)
+		effects := b.advance(100 * ms)
 		if len(pickEffects[StopRun](effects)) > 0 {
 			stopped = append(stopped, b.now)
-			b.look("a", ended(int64(len(stopped)), run, work.CompletionStopped))
-			run = pickEffects[StartRun](b.do())[0].Run
+			b.answerPoll("a", ended(int64(len(stopped)), run, work.CompletionStopped))
+			run = pickEffects[StartRun](b.effects())[0].Run
 			b.s.Started(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
-			b.do()
+			b.effects()
 		}
 	}
 	must.SliceLen(t, 1, stopped)
-	must.Between(t, stuckTime, stopped[0]-10*time.Second, stuckTime+300*ms)
+	must.Between(t, minStuckTime, stopped[0]-10*time.Second, minStuckTime+300*ms)
 }
--- a/scheduler/kept_world_test.go
+++ b/scheduler/kept_world_test.go
@@ -46,12 +46,12 @@
 func (w *world) note(o *fakeOwner, write func(), confirm func()) {
 	w.after(time.Duration(1+w.random.IntN(noteDelay))*ms, func() {
 		switch {
-		case w.kept.holder != o:
-		case w.kept.away:
+		case w.durableStore.holder != o:
+		case w.durableStore.away:
 			w.note(o, write, confirm)
 		default:
 			write()
-			w.after(ms, func() { w.hear(o, confirm) })
+			w.after(ms, func() { w.deliver(o, confirm) })
 		}
 	})
 }
@@ -59,16 +59,16 @@
 // takeOverJobs has an owner take the store's fence and the jobs, once it has fenced other owners
 // off the targets or has waited for 2.5 s.
 func (w *world) takeOverJobs(o *fakeOwner, began time.Duration) {
-	if o.dead || w.kept.holder != nil && w.kept.holder.token > o.token {
+	if o.dead || w.durableStore.holder != nil && w.durableStore.holder.token > o.token {
 		return
 	}
-	if o.frozen || w.kept.away || !o.state.Adopted() && w.now-began < 2500*ms {
+	if o.frozen || w.durableStore.away || !o.state.Adopted() && w.now-began < 2500*ms {
 		w.after(20*ms, func() { w.takeOverJobs(o, began) })
 		return
 	}
-	w.kept.holder = o
-	for _, id := range slices.Sorted(maps.Keys(w.kept.jobs)) {
-		r := w.kept.jobs[id]
+	w.durableStore.holder = o
+	for _, id := range slices.Sorted(maps.Keys(w.durableStore.jobs)) {
+		r := w.durableStore.jobs[id]
 		if r.state.IsFinal() {
 			continue
 		}
@@ -79,7 +79,7 @@
 	}
 	o.state.Resumed(w.now)
 	o.accepting = true
-	w.carryOut(o)
+	w.applyEffects(o)
 }
 
 // carryOutStoreEffect carries out the effects of an owner that write to the store or ask the
@@ -89,36 +89,36 @@
 	case Keep:
 		id := e.Submission.Job.ID
 		w.note(o, func() {
-			if w.kept.jobs[id] == nil {
-				w.kept.jobs[id] = &keptRecord{sub: e.Submission, done: map[int]bool{}, fails: map[int]int{}, saved: map[int]string{}, lastFailed: map[int]int64{}, crashed: map[int][]Crash{}, state: work.StateQueued}
+			if w.durableStore.jobs[id] == nil {
+				w.durableStore.jobs[id] = &keptRecord{sub: e.Submission, done: map[int]bool{}, fails: map[int]int{}, saved: map[int]string{}, lastFailed: map[int]int64{}, crashed: map[int][]Crash{}, state: work.StateQueued}
 			}
 		}, func() { o.state.Stored(w.now, id, work.Outcome{Result: work.Accepted}, true) })
 	case TaskDone:
-		w.note(o, func() { w.kept.jobs[e.Job].done[e.Task] = true }, func() { o.state.Noted(e.End) })
+		w.note(o, func() { w.durableStore.jobs[e.Job].done[e.Task] = true }, func() { o.state.Noted(e.End) })
 	case TaskFailed:
 		// An owner writes all that it knows of a job. So a write that is stored before an older one
 		// includes that one, and an older write never hides a newer one.
 		if o.fails[e.Job] == nil {
-			o.fails[e.Job] = maps.Clone(w.kept.jobs[e.Job].fails)
+			o.fails[e.Job] = maps.Clone(w.durableStore.jobs[e.Job].fails)
 		}
 		o.fails[e.Job][e.Task]++
 		count := o.fails[e.Job][e.Task]
 		w.note(o, func() {
-			stored := w.kept.jobs[e.Job]
+			stored := w.durableStore.jobs[e.Job]
 			stored.fails[e.Task] = max(stored.fails[e.Task], count)
 			stored.lastFailed[e.Task] = max(stored.lastFailed[e.Task], e.Run)
 		}, func() { o.state.Noted(e.End) })
-	case Ask:
+	case AskAdviser:
 		w.advise(o, e)
 	case TaskSaved:
-		w.note(o, func() { w.kept.jobs[e.Job].saved[e.Task] = e.Saved }, func() {})
+		w.note(o, func() { w.durableStore.jobs[e.Job].saved[e.Task] = e.Saved }, func() {})
 	case TaskCrashed:
 		w.note(o, func() {
-			w.kept.jobs[e.Job].crashed[e.Task] = append(w.kept.jobs[e.Job].crashed[e.Task], e.Crash)
+			w.durableStore.jobs[e.Job].crashed[e.Task] = append(w.durableStore.jobs[e.Job].crashed[e.Task], e.Crash)
 		}, func() {})
 	case JobEnded:
 		w.note(o, func() {
-			r := w.kept.jobs[e.Job]
+			r := w.durableStore.jobs[e.Job]
 			if e.State == work.StateCancelled && !r.asked {
 				w.violations = append(w.violations, e.Job+" was cancelled but no caller asked for it")
 			}
@@ -147,17 +147,17 @@
 		Ref: w.refs, Job: job,
 		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: 3, Stretch: 10, Allowance: 500 * ms, RequiresAdvice: advised},
 	})
-	w.carryOut(o)
+	w.applyEffects(o)
 }
 
 // cancelDurable has a caller cancel the first durable job that hasn't ended.
 func (w *world) cancelKept() {
 	o := w.owner()
-	for _, id := range slices.Sorted(maps.Keys(w.kept.jobs)) {
-		if r := w.kept.jobs[id]; !r.state.IsFinal() && !o.dead && !o.frozen && !o.cut {
+	for _, id := range slices.Sorted(maps.Keys(w.durableStore.jobs)) {
+		if r := w.durableStore.jobs[id]; !r.state.IsFinal() && !o.dead && !o.frozen && !o.cut {
 			r.asked = true
 			o.state.CancelKept(w.now, id)
-			w.carryOut(o)
+			w.applyEffects(o)
 			return
 		}
 	}
@@ -173,7 +173,7 @@
 	if !strings.HasPrefix(id, "kept") {
 		return
 	}
-	if w.kept.jobs[id] == nil {
+	if w.durableStore.jobs[id] == nil {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts but is not stored", w.now, task))
 		return
 	}
@@ -183,7 +183,7 @@
 // unendedJobs lists the stored jobs that haven't ended, except lasting ones that run.
 func (w *world) unended() []string {
 	var open []string
-	for id, r := range w.kept.jobs {
+	for id, r := range w.durableStore.jobs {
 		if !r.state.IsFinal() && !(r.sub.Job.Steps[0].Lasting && w.runsWhole(r)) {
 			open = append(open, id)
 		}
@@ -212,13 +212,13 @@
 				rt.Fatalf("invariants broken: %v", w.violations)
 			}
 		}
-		w.kept.away = false
+		w.durableStore.away = false
 		w.faults = worldFaults{}
 		w.takeOver()
 		w.settleKept()
 		must.SliceEmpty(rt, w.violations, must.Sprint(w.violations))
 		must.SliceEmpty(rt, w.unended(), must.Sprint(w.unended()))
-		for range w.kept.jobs {
+		for range w.durableStore.jobs {
 			w.cancelKept()
 			w.run(2 * noteDelay * ms)
 		}
@@ -233,7 +233,7 @@
 func (w *world) settleKept() {
 	// What is on its way is stored by then, or never.
 	w.run(time.Second)
-	for end := w.now + time.Duration(5+len(w.kept.jobs))*4*time.Second; w.now < end && (len(w.unended()) > 0 || !w.owner().accepting); {
+	for end := w.now + time.Duration(5+len(w.durableStore.jobs))*4*time.Second; w.now < end && (len(w.unended()) > 0 || !w.owner().accepting); {
 		w.run(200 * ms)
 	}
 }
@@ -259,7 +259,7 @@
 	case "cancel":
 		w.cancelKept()
 	case "store":
-		w.kept.away = !w.kept.away
+		w.durableStore.away = !w.durableStore.away
 	case "leave":
 		// A planned stop: the successor waits until the leaving owner is at rest.
 		o := w.owner()
@@ -267,15 +267,15 @@
 			return
 		}
 		o.state.Leave(w.now)
-		w.carryOut(o)
+		w.applyEffects(o)
 		for range 100 {
-			if o.state.AtRest() || o.dead {
+			if o.state.IsIdle() || o.dead {
 				break
 			}
 			w.run(50 * ms)
 		}
 		w.takeOver()
 	case "other":
-		strike(rt, w)
+		injectEvent(rt, w)
 	}
 }
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -10,7 +10,7 @@
 )
 
 // jobOfSteps returns a durable job of these steps.
-func (b *bench) stepsJob(id string, steps ...work.Step) Submission {
+func (b *harness) stepsJob(id string, steps ...work.Step) Submission {
 	sub := b.keptJob(id, 1)
 	for i := range steps {
 		if steps[i].PerTask == (work.Resources{}) {
@@ -25,69 +25,69 @@
 }
 
 // acceptAndStore submits a durable job, reports it as stored, and returns the effects.
-func (b *bench) store(sub Submission) []Effect {
+func (b *harness) store(sub Submission) []Effect {
 	b.s.Submit(b.now, sub)
-	b.do()
+	b.effects()
 	b.s.Stored(b.now, sub.Job.ID, work.Outcome{Result: work.Accepted}, true)
-	return b.do()
+	return b.effects()
 }
 
 // answerStarts answers starts as done.
-func (b *bench) begun(starts []StartRun) {
+func (b *harness) begun(starts []StartRun) {
 	for _, start := range starts {
 		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
-	b.do()
+	b.effects()
 }
 
 // A task continues from the work that its last run had saved, however that run ended.
 func TestTasksGoOnFromWhatTheySaved(t *testing.T) {
-	for name, harm := range map[string]func(b *bench, run work.RunID) []Effect{
-		"listed as it ended": func(b *bench, run work.RunID) []Effect {
-			b.look("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: run, Kind: work.CompletionFailed, SavedState: "c7"}}})
-			return b.do()
+	for name, harm := range map[string]func(b *harness, run work.RunID) []Effect{
+		"listed as it ended": func(b *harness, run work.RunID) []Effect {
+			b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: run, Kind: work.CompletionFailed, SavedState: "c7"}}})
+			return b.effects()
 		},
-		"listed before its target was lost": func(b *bench, run work.RunID) []Effect {
-			b.look("a", work.PollAnswer{ClockMS: 5100, Running: []work.RunningRun{{Run: run, SavedState: "c7"}}})
-			b.do()
-			b.looked("a", work.PollAnswer{}, work.VerdictMisdirected)
-			effects := b.do()
+		"listed before its target was lost": func(b *harness, run work.RunID) []Effect {
+			b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: []work.RunningRun{{Run: run, SavedState: "c7"}}})
+			b.effects()
+			b.answerPollWith("a", work.PollAnswer{}, work.VerdictMisdirected)
+			effects := b.effects()
 			b.usable("b", 1)
-			return append(effects, b.do()...)
+			return append(effects, b.effects()...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			run := runKept(b)
-			effects := append(harm(b, run), b.pass(100*ms)...)
+			effects := append(harm(b, run), b.advance(100*ms)...)
 			must.Eq(t, []TaskSaved{{Job: "j", Task: 0, Saved: "c7"}}, pickEffects[TaskSaved](effects))
 			starts := pickEffects[StartRun](effects)
 			must.SliceLen(t, 1, starts)
 			must.Eq(t, "c7", starts[0].SavedState)
 		})
 	}
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.s.Resume(b.now, b.keptJob("j", 1), Progress{Saved: map[int]string{0: "c9"}})
-	must.Eq(t, "c9", pickEffects[StartRun](b.do())[0].SavedState)
+	must.Eq(t, "c9", pickEffects[StartRun](b.effects())[0].SavedState)
 }
 
 // A lasting task is started again however it ends, after a delay that grows with each short run.
 // Its completions are not stored.
 func TestLastingTasksStartAgain(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
 	run := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))[0].Run
 	var pauses []time.Duration
 	for i, kind := range []work.CompletionKind{work.CompletionDone, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, "lapsed"} {
 		b.begun([]StartRun{{To: work.TargetAddress{ID: "a"}, StartOrder: work.StartOrder{Run: run}}})
-		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Completions: []work.Completion{{Number: int64(i + 1), Run: run, Kind: kind}}})
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Completions: []work.Completion{{Number: int64(i + 1), Run: run, Kind: kind}}})
 		over := b.now
-		effects := b.do()
+		effects := b.effects()
 		for len(pickEffects[StartRun](effects)) == 0 {
-			effects = append(effects, b.pass(20*ms)...)
-			b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
+			effects = append(effects, b.advance(20*ms)...)
+			b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
 		}
 		must.SliceEmpty(t, pickEffects[JobEnded](effects))
 		must.SliceEmpty(t, pickEffects[TaskFailed](effects))
@@ -101,40 +101,40 @@
 	must.Greater(t, 4*firstHurry, pauses[len(pauses)-1])
 	must.LessEq(t, longestHurry+40*ms, pauses[len(pauses)-1])
 	must.True(t, b.s.CancelKept(b.now, "j"))
-	must.SliceLen(t, 1, pickEffects[StopRun](b.do()))
+	must.SliceLen(t, 1, pickEffects[StopRun](b.effects()))
 }
 
 // A lasting task never counts as stuck or slow, and its target doesn't count as one that will give
 // its capacity back.
 func TestLastingTasksAreLeftAlone(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
 	start := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))
 	b.begun(start)
 	for range 100 {
-		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start[0].Run)})
-		must.SliceEmpty(t, pickEffects[StopRun](b.pass(200*ms)))
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start[0].Run)})
+		must.SliceEmpty(t, pickEffects[StopRun](b.advance(200*ms)))
 	}
 	must.Eq(t, 0, b.s.Summary().Suspected)
-	must.Eq(t, 0.0, b.s.pools["s"].flow)
+	must.Eq(t, 0.0, b.s.pools["s"].releaseRate)
 }
 
 // Occurrences start when they are due and may overlap. The job ends with the last one.
 func TestRepeatedJobs(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 4)
 	wall := 1000 * time.Hour
 	b.s.Wall(b.now, wall)
 	sub := b.stepsJob("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, DependsOn: []int{0}})
 	sub.Job.Recurrence = work.Recurrence{Count: 2, FirstDue: wall + 300*ms, Interval: 200 * ms}
-	effects := append(b.store(sub), b.pass(280*ms)...)
+	effects := append(b.store(sub), b.advance(280*ms)...)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	first := pickEffects[StartRun](b.pass(40 * ms))
+	first := pickEffects[StartRun](b.advance(40 * ms))
 	must.SliceLen(t, 1, first)
 	must.Eq(t, "j.0.0.0", first[0].Run.Task)
-	second := pickEffects[StartRun](b.pass(200 * ms))
+	second := pickEffects[StartRun](b.advance(200 * ms))
 	must.SliceLen(t, 1, second)
 	must.Eq(t, "j.1.0.0", second[0].Run.Task)
 	b.begun(append(first, second...))
@@ -145,8 +145,8 @@
 			number++
 			held.Completions = append(held.Completions, work.Completion{Number: number, Run: run, Kind: work.CompletionDone})
 		}
-		b.look("a", held)
-		return b.do()
+		b.answerPoll("a", held)
+		return b.effects()
 	}
 	rest := pickEffects[StartRun](end(first[0].Run, second[0].Run))
 	must.SliceLen(t, 2, rest)
@@ -159,44 +159,44 @@
 // A successor continues the runs of the jobs that it takes over. It extends their leases at once,
 // starts nothing at their targets before it has the jobs, and starts no task twice.
 func TestSuccessorsGoOnWithWhatRuns(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.target("a", 2)
-	b.do()
+	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	gone := work.RunID{Task: "gone.0.0.0", Number: 33}
-	b.look("a", work.PollAnswer{ClockMS: 5000, Running: []work.RunningRun{{Run: on, SavedState: "c1"}, {Run: gone}}})
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: []work.RunningRun{{Run: on, SavedState: "c1"}, {Run: gone}}})
 	b.submit("loose", 1, 1, "")
-	effects := b.do()
+	effects := b.effects()
 	must.True(t, b.s.Adopted())
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	must.Positive(t, pickEffects[Look](effects)[0].Until)
+	must.Positive(t, pickEffects[Poll](effects)[0].LeaseUntil)
 	b.s.Resume(b.now, b.keptJob("j", 1), Progress{})
 	b.s.Resumed(b.now)
-	effects = b.do()
+	effects = b.effects()
 	must.Eq(t, []StopRun{{To: work.TargetAddress{ID: "a"}, Run: gone}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	b.look("a", work.PollAnswer{ClockMS: 5050, Running: listing(on)})
-	effects = b.do()
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5050, Running: listing(on)})
+	effects = b.effects()
 	starts := pickEffects[StartRun](effects)
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "loose.0.0.0", starts[0].Run.Task)
 	b.begun(starts)
-	b.look("a", ended(1, on, work.CompletionDone))
-	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.do()))
+	b.answerPoll("a", ended(1, on, work.CompletionDone))
+	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 }
 
 // An inherited run whose job can't be read is stopped after inheritedRunTimeout, so that its target
 // can do other work.
 func TestGuestsHaveTheirTime(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.target("a", 2)
-	b.do()
+	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	var stops []StopRun
 	for begun := b.now; b.now-begun < guestPatience+200*ms && len(stops) == 0; {
-		b.look("a", work.PollAnswer{ClockMS: 5000 + (b.now - begun).Milliseconds(), Running: listing(on)})
-		stops = pickEffects[StopRun](b.pass(100 * ms))
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - begun).Milliseconds(), Running: listing(on)})
+		stops = pickEffects[StopRun](b.advance(100 * ms))
 	}
 	must.SliceNotEmpty(t, stops)
 	must.Eq(t, on, stops[0].Run)
@@ -205,24 +205,24 @@
 
 // A gang that a successor finds with a member missing is restarted.
 func TestBrokenGangsAreNotTakenOver(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.target("a", 2)
-	b.do()
+	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
-	b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(on)})
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(on)})
 	b.s.Resume(b.now, b.stepsJob("j", gang(2)), Progress{})
 	b.s.Resumed(b.now)
-	effects := b.do()
+	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, on, pickEffects[StopRun](effects)[0].Run)
-	b.look("a", work.PollAnswer{ClockMS: 5050, Completions: []work.Completion{{Number: 1, Run: on, Kind: work.CompletionStopped}}})
-	must.SliceLen(t, 2, pickEffects[StartRun](append(b.do(), b.pass(40*ms)...)))
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5050, Completions: []work.Completion{{Number: 1, Run: on, Kind: work.CompletionStopped}}})
+	must.SliceLen(t, 2, pickEffects[StartRun](append(b.effects(), b.advance(40*ms)...)))
 }
 
 // A step of an advised queue starts only on targets that the adviser names, with each target's
 // ticket and while the ticket is valid. When those targets are full, more targets are asked about.
 func TestAdvisedStepsStartWithTickets(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	for _, id := range []string{"a", "b", "c"} {
 		b.usable(id, 1)
@@ -231,10 +231,10 @@
 	sub.Queue.RequiresAdvice = true
 	effects := b.store(sub)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	asks := pickEffects[Ask](effects)
-	must.Eq(t, []Ask{{Step: "j.0.0", Targets: []string{"a", "b", "c"}}}, asks)
+	asks := pickEffects[AskAdviser](effects)
+	must.Eq(t, []AskAdviser{{Step: "j.0.0", Targets: []string{"a", "b", "c"}}}, asks)
 	b.s.Advised(b.now, asks[0], map[string]string{"a": "ta", "b": "tb"}, time.Second, true)
-	starts := pickEffects[StartRun](b.do())
+	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
 	tickets := map[string]string{}
 	for _, start := range starts {
@@ -244,50 +244,50 @@
 	b.begun(starts)
 	// All named targets are full; another one appears.
 	b.usable("d", 1)
-	asks = pickEffects[Ask](b.pass(askPause + 20*ms))
-	must.Eq(t, []Ask{{Step: "j.0.0", Targets: []string{"d"}}}, asks)
+	asks = pickEffects[AskAdviser](b.advance(adviserRetryInterval + 20*ms))
+	must.Eq(t, []AskAdviser{{Step: "j.0.0", Targets: []string{"d"}}}, asks)
 	b.s.Advised(b.now, asks[0], map[string]string{"d": "td"}, ticketMargin, true)
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 }
 
 // A ticket that its target refuses is asked for again. After a question without an answer the
 // adviser is not asked for askPause.
 func TestTicketsAreAskedForAgain(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
 	sub := b.stepsJob("j", work.Step{Tasks: 1})
 	sub.Queue.RequiresAdvice = true
-	ask := pickEffects[Ask](b.store(sub))[0]
+	ask := pickEffects[AskAdviser](b.store(sub))[0]
 	b.s.Advised(b.now, ask, nil, 0, false)
-	must.SliceEmpty(t, pickEffects[Ask](b.pass(askPause-40*ms)))
-	must.SliceLen(t, 1, pickEffects[Ask](b.pass(80*ms)))
+	must.SliceEmpty(t, pickEffects[AskAdviser](b.advance(adviserRetryInterval-40*ms)))
+	must.SliceLen(t, 1, pickEffects[AskAdviser](b.advance(80*ms)))
 	b.s.Advised(b.now, ask, map[string]string{"a": "t1"}, time.Second, true)
-	start := pickEffects[StartRun](b.do())[0]
+	start := pickEffects[StartRun](b.effects())[0]
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictInvalidTicket, ClockMS: 5000})
-	must.SliceLen(t, 1, pickEffects[Ask](b.do()))
+	must.SliceLen(t, 1, pickEffects[AskAdviser](b.effects()))
 }
 
 // At most maxAsking questions to the adviser are open at a time.
 func TestQuestionsAreBounded(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 1)
-	var asks []Ask
-	for i := range 2 * maxAsking {
+	var asks []AskAdviser
+	for i := range 2 * maxOpenRequests {
 		sub := b.stepsJob("j"+string(rune('a'+i)), work.Step{Tasks: 1})
 		sub.Queue.RequiresAdvice = true
-		asks = append(asks, pickEffects[Ask](b.store(sub))...)
+		asks = append(asks, pickEffects[AskAdviser](b.store(sub))...)
 	}
-	must.SliceLen(t, maxAsking, asks)
+	must.SliceLen(t, maxOpenRequests, asks)
 	b.s.Advised(b.now, asks[0], nil, 0, true)
-	must.SliceLen(t, 1, pickEffects[Ask](b.do()))
+	must.SliceLen(t, 1, pickEffects[AskAdviser](b.effects()))
 }
 
 // Background tasks take no capacity from others, go to the targets with the most free capacity, and
 // don't run beside latency-sensitive tasks: they are stopped to make place for those.
 func TestFillingTasks(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.s.Resumed(b.now)
 	b.usable("a", 4000)
 	b.usable("b", 2000)
@@ -304,19 +304,19 @@
 	effects := b.store(b.stepsJob("s", work.Step{Tasks: 1, LatencySensitive: true, PerTask: work.Resources{CPU: 4000}}))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceLen(t, 2, pickEffects[StopRun](effects))
-	b.look("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
+	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
 		{Number: 1, Run: fill[0].Run, Kind: work.CompletionStopped}, {Number: 2, Run: fill[1].Run, Kind: work.CompletionStopped},
 	}})
-	serving := pickEffects[StartRun](b.do())
+	serving := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, serving)
 	must.Eq(t, "s.0.0.0", serving[0].Run.Task)
 	b.begun(serving)
-	must.SliceEmpty(t, pickEffects[StartRun](b.pass(100*ms)))
-	must.Eq(t, 0, b.s.targets["a"].fillers)
+	must.SliceEmpty(t, pickEffects[StartRun](b.advance(100*ms)))
+	must.Eq(t, 0, b.s.targets["a"].backgroundRuns)
 	// A background task never counts as stuck.
 	for range 20 {
-		b.look("b", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
-		for _, stop := range pickEffects[StopRun](b.pass(500 * ms)) {
+		b.answerPoll("b", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
+		for _, stop := range pickEffects[StopRun](b.advance(500 * ms)) {
 			must.NotEq(t, fill[2].Run, stop.Run)
 		}
 	}
