--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -62,7 +62,7 @@
 // parseTask returns the stored job and the place of a durable job's task; nil for any other task.
 func (w *world) find(task string) (*keptRecord, taskPlace) {
 	parts := strings.Split(task, ".")
-	r := w.kept.jobs[parts[0]]
+	r := w.durableStore.jobs[parts[0]]
 	if r == nil {
 		return nil, taskPlace{}
 	}
@@ -96,7 +96,7 @@
 	if due := r.sub.Job.Recurrence.DueAt(p.occurrence); due > w.now+wallBase {
 		violate("before it is due")
 	}
-	if !step.Lasting && w.failed[task] >= r.sub.Queue.MaxAttempts {
+	if !step.Lasting && w.ackedFailures[task] >= r.sub.Queue.MaxAttempts {
 		violate("though it has failed too often")
 	}
 }
@@ -139,7 +139,7 @@
 	case step.Lasting:
 		w.after(time.Duration(100+w.random.IntN(8000))*ms, func() {
 			if !t.down {
-				t.end(order.Run.Task, r, work.CompletionFailed)
+				t.endRun(order.Run.Task, r, work.CompletionFailed)
 			}
 		})
 		return true
@@ -175,7 +175,7 @@
 		tasks := slices.Sorted(maps.Keys(g.members))
 		for i, task := range tasks {
 			if member := g.members[task]; kind == work.CompletionDone || i == 0 {
-				member.target.end(task, member.run, kind)
+				member.target.endRun(task, member.run, kind)
 			}
 		}
 	})
@@ -191,9 +191,9 @@
 	step := record.sub.Job.Steps[p.step]
 	as := w.savesAs(task)
 	if kind == work.CompletionFailed {
-		w.failedEnds[task]++
+		w.failedRuns[task]++
 		if step.Gang {
-			w.failedEnds[as]++
+			w.failedRuns[as]++
 		}
 	}
 	if kind == work.CompletionDone {
@@ -212,7 +212,7 @@
 	}
 	for _, other := range slices.Sorted(maps.Keys(g.members)) {
 		if member := g.members[other]; member != nil {
-			member.target.end(other, member.run, "broken")
+			member.target.endRun(other, member.run, "broken")
 		}
 	}
 }
@@ -244,7 +244,7 @@
 const ticketTime = 400 * ms
 
 // advise plays the adviser. Its answers are lost as often as a target's.
-func (w *world) advise(o *fakeOwner, e Ask) {
+func (w *world) advise(o *fakeOwner, e AskAdviser) {
 	w.after(time.Duration(1+w.random.IntN(80))*ms, func() {
 		tickets := map[string]string{}
 		first := true
@@ -258,7 +258,7 @@
 			first = false
 		}
 		lost := w.random.Float64() < w.faults.lostAnswers
-		w.after(ms, func() { w.hear(o, func() { o.state.Advised(w.now, e, tickets, ticketTime, !lost) }) })
+		w.after(ms, func() { w.deliver(o, func() { o.state.Advised(w.now, e, tickets, ticketTime, !lost) }) })
 	})
 }
 
@@ -282,7 +282,7 @@
 
 // hasFailed reports whether a task of a job, or a gang, has failed as often as allowed.
 func (w *world) hasFailed(r *keptRecord) bool {
-	for name, fails := range w.failedEnds {
+	for name, fails := range w.failedRuns {
 		if fails >= r.sub.Queue.MaxAttempts && strings.HasPrefix(name, r.sub.Job.ID+".") {
 			return true
 		}
--- a/scheduler/learn_test.go
+++ b/scheduler/learn_test.go
@@ -11,29 +11,29 @@
 )
 
 // Where all declared run times are too short, the targets do not count as slow.
-func TestShortDeclarationsAreLearned(t *testing.T) {
+func TestEstimateLearnsShortDeclarations(t *testing.T) {
 	s := New(Options{})
 	now := time.Duration(0)
 	for i := range 6000 {
 		id := string(rune('a' + i%3))
-		s.TargetSeen(now, work.Target{ID: id, Service: "s", Capacity: work.Resources{CPU: 1000}})
+		s.TargetListed(now, work.Target{ID: id, Service: "s", Capacity: work.Resources{CPU: 1000}})
 		j := s.newJob(now, Submission{
 			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, DeclaredRunTime: 100 * time.Millisecond}}},
 			Queue: work.Queue{Name: "q", Service: "s"},
 		})
 		r := &run{task: j.tasks[0], target: s.targets[id], ordered: now, expected: j.steps[0].expected}
 		now += 400 * time.Millisecond
-		s.praise(now, s.targets[id], r)
+		s.recordSuccess(now, s.targets[id], r)
 		s.Tick(now)
 	}
 	must.Between(t, 3.5, s.kindOf("q").ratio, 4.5)
-	must.False(t, s.targets["a"].slow())
+	must.False(t, s.targets["a"].isSlow())
 }
 
 // Declared run times that are wrong in both directions must not make targets look ever slower.
-func TestLearnedRunTimesDoNotDrift(t *testing.T) {
+func TestEstimatesDoNotDrift(t *testing.T) {
 	s := New(Options{})
-	s.TargetSeen(0, work.Target{ID: "t", Service: "s", Capacity: work.Resources{CPU: 1000}})
+	s.TargetListed(0, work.Target{ID: "t", Service: "s", Capacity: work.Resources{CPU: 1000}})
 	target := s.targets["t"]
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(0)
@@ -46,7 +46,7 @@
 		})
 		r := &run{task: j.tasks[0], target: target, ordered: now, expected: j.steps[0].expected}
 		now += actual
-		s.praise(now, target, r)
+		s.recordSuccess(now, target, r)
 	}
 	must.Between(t, 0.95, s.kindOf("q").ratio, 1.15)
 	must.Less(t, slowSpeed, target.health.speed)
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -14,7 +14,7 @@
 
 // Delegate hands tasks that find no capacity here to another owner that has some; the outcome goes
 // to PartReturned.
-type Lend struct {
+type Delegate struct {
 	Part Part
 	// Owner is the other owner.
 	Owner string
@@ -25,73 +25,75 @@
 // Withdraw gives up a part.
 type Withdraw struct{ Part Part }
 
-func (Lend) effect()     {}
+func (Delegate) effect() {}
 func (Withdraw) effect() {}
 
 // FreeCapacity is the capacity that an owner reports to others.
-type Room struct {
+type FreeCapacity struct {
 	// Tasks is how many typical tasks of each priority could start now or very soon.
-	Places [Priorities]int
+	Tasks [Priorities]int
 }
 
 // capacityReport is another owner's free capacity as of a time.
-type room struct {
-	Room
+type capacityReport struct {
+	FreeCapacity
 	at time.Duration
 }
 
 // capacityKey identifies a service at an owner.
-type roomKey struct{ owner, service string }
+type capacityKey struct{ owner, service string }
 
 // delegatedPart is a part that another owner runs.
-type lent struct {
+type delegatedPart struct {
 	job   *job
 	step  *step
 	tasks []*task
-	to    roomKey
+	to    capacityKey
 }
 
 // Parameters of delegation.
 const (
 	// capacityReportLifetime is how long another owner's reported capacity counts.
-	roomMemory = 100 * time.Millisecond
+	capacityReportLifetime = 100 * time.Millisecond
 	// withdrawTimeout is until withdrawn tasks are certainly stopped: a message, a stop, and the
 	// timeout of an owner that does not hear from this VM.
-	withdrawTime = 500 * time.Millisecond
+	withdrawTimeout = 500 * time.Millisecond
 )
 
 // CapacityReported takes another owner's free capacity for a service.
-func (s *State) RoomAt(now time.Duration, owner, service string, r Room) {
-	s.rooms[roomKey{owner, service}] = room{Room: r, at: now}
+func (s *State) CapacityReported(now time.Duration, owner, service string, r FreeCapacity) {
+	s.reportedCapacity[capacityKey{owner, service}] = capacityReport{FreeCapacity: r, at: now}
 }
 
 // HasTasksToDelegate reports whether delegable jobs wait for targets, so that the free capacity of
 // other owners matters.
-func (s *State) Hungry() bool { return slices.ContainsFunc(s.waiting, (*job).lendable) }
+func (s *State) HasTasksToDelegate() bool { return slices.ContainsFunc(s.waiting, (*job).canDelegate) }
 
 // canDelegate reports whether other owners may run tasks of a job. The progress of a durable job
 // may be written only by its own owner, and the adviser's answers are given to this owner.
-func (j *job) lendable() bool { return j.sub.Part == nil && !j.kept() && !j.sub.Queue.RequiresAdvice }
+func (j *job) canDelegate() bool {
+	return j.sub.Part == nil && !j.kept() && !j.sub.Queue.RequiresAdvice
+}
 
 // delegateStep hands the waiting tasks of a step to other owners that report free capacity.
-func (s *State) lendJob(now time.Duration, j *job, st *step) {
-	if !j.lendable() || st.on != nil || st.Gang || st.Background || st.LatencySensitive || s.leaving {
+func (s *State) delegateStep(now time.Duration, j *job, st *step) {
+	if !j.canDelegate() || st.on != nil || st.Gang || st.Background || st.LatencySensitive || s.leaving {
 		return
 	}
 	priority := priorityOf(j.sub.Queue)
 	for len(st.pending) > 0 {
-		key, r := s.roomiest(now, j.sub.Queue)
-		n := min(r.Places[priority], len(st.pending)-st.suspects())
+		key, r := s.ownerWithMostCapacity(now, j.sub.Queue)
+		n := min(r.Tasks[priority], len(st.pending)-st.suspects())
 		if n == 0 {
 			return
 		}
 		tasks := slices.Clone(st.pending[:n])
 		st.pending = slices.Delete(st.pending, 0, n)
-		for i := range r.Places {
-			r.Places[i] = max(r.Places[i]-n, 0)
+		for i := range r.Tasks {
+			r.Tasks[i] = max(r.Tasks[i]-n, 0)
 		}
-		s.rooms[key] = r
-		s.lend(now, j, st, tasks, key)
+		s.reportedCapacity[key] = r
+		s.delegate(now, j, st, tasks, key)
 	}
 }
 
@@ -99,15 +101,15 @@
 func priorityOf(q work.Queue) int { return min(max(q.Priority, 0), Priorities-1) }
 
 // ownerWithMostCapacity returns the other owner with the most free capacity for a queue.
-func (s *State) roomiest(now time.Duration, q work.Queue) (roomKey, room) {
-	var best roomKey
-	var most room
+func (s *State) ownerWithMostCapacity(now time.Duration, q work.Queue) (capacityKey, capacityReport) {
+	var best capacityKey
+	var most capacityReport
 	priority := priorityOf(q)
-	for key, r := range s.rooms {
-		if key.service != q.Service || now-r.at > roomMemory {
+	for key, r := range s.reportedCapacity {
+		if key.service != q.Service || now-r.at > capacityReportLifetime {
 			continue
 		}
-		tasks, mostTasks := r.Places[priority], most.Places[priority]
+		tasks, mostTasks := r.Tasks[priority], most.Tasks[priority]
 		if tasks > mostTasks || tasks == mostTasks && tasks > 0 && key.owner < best.owner {
 			best, most = key, r
 		}
@@ -115,9 +117,9 @@
 	return best, most
 }
 
-func (s *State) lend(now time.Duration, j *job, st *step, tasks []*task, to roomKey) {
+func (s *State) delegate(now time.Duration, j *job, st *step, tasks []*task, to capacityKey) {
 	s.lastPart++
-	s.parts[s.lastPart] = &lent{job: j, step: st, tasks: tasks, to: to}
+	s.parts[s.lastPart] = &delegatedPart{job: j, step: st, tasks: tasks, to: to}
 	j.begun++
 	names := make([]string, len(tasks))
 	for i, t := range tasks {
@@ -135,11 +137,11 @@
 		sub.Wait = j.deadline - j.arrived
 	}
 	j.mark(now, "lent", names[0], to.owner, fmt.Sprintf("%d tasks", len(names)))
-	s.emit(Lend{Part: s.lastPart, Owner: to.owner, Submission: sub})
+	s.emit(Delegate{Part: s.lastPart, Owner: to.owner, Submission: sub})
 }
 
 // PartReturned takes the outcome of a part.
-func (s *State) Returned(now time.Duration, id Part, outcome work.Outcome) {
+func (s *State) PartReturned(now time.Duration, id Part, outcome work.Outcome) {
 	p := s.parts[id]
 	if p == nil {
 		return
@@ -152,10 +154,10 @@
 	j.mark(now, "part returned", p.tasks[0].name, p.to.owner, outcome.Result.String()+" "+outcome.Reason)
 	switch outcome.Result {
 	case work.Completed:
-		s.partDone(now, p)
+		s.completePart(now, p)
 	case work.Refused, work.Moved:
 		j.begun--
-		s.rooms[p.to] = room{at: now - roomMemory - 1}
+		s.reportedCapacity[p.to] = capacityReport{at: now - capacityReportLifetime - 1}
 		p.step.pending = append(p.step.pending, p.tasks...)
 		s.wait(j)
 	case work.Failed:
@@ -165,7 +167,7 @@
 	}
 }
 
-func (s *State) partDone(now time.Duration, p *lent) {
+func (s *State) completePart(now time.Duration, p *delegatedPart) {
 	for _, t := range p.tasks {
 		p.job.complete(t)
 	}
@@ -179,14 +181,14 @@
 
 // withdrawParts gives up the parts of a job that has ended. They count in stoppingRuns until they
 // are certainly stopped.
-func (s *State) withdraw(now time.Duration, j *job) {
+func (s *State) withdrawParts(now time.Duration, j *job) {
 	for _, id := range slices.Sorted(maps.Keys(s.parts)) {
 		if s.parts[id].job != j {
 			continue
 		}
 		s.emit(Withdraw{Part: id})
-		s.settling[j.sub.Job.ID]++
-		s.withdrawn = append(s.withdrawn, withdrawal{job: j.sub.Job.ID, until: now + withdrawTime})
+		s.stoppingRuns[j.sub.Job.ID]++
+		s.withdrawn = append(s.withdrawn, withdrawal{job: j.sub.Job.ID, until: now + withdrawTimeout})
 	}
 }
 
@@ -196,45 +198,45 @@
 	until time.Duration
 }
 
-func (s *State) settleWithdrawn(now time.Duration) {
+func (s *State) expireWithdrawn(now time.Duration) {
 	for len(s.withdrawn) > 0 && now >= s.withdrawn[0].until {
-		s.settle(s.withdrawn[0].job)
+		s.decrementStoppingRuns(s.withdrawn[0].job)
 		s.withdrawn = s.withdrawn[1:]
 	}
 }
 
 // canTakePart reports whether a part of another owner's job can start here now or very soon.
-func (s *State) takesPart(now time.Duration, j *job) bool {
-	return s.settling[j.sub.Job.ID] == 0 && s.places(now, j.pool)[priorityOf(j.sub.Queue)] > 0
+func (s *State) canTakePart(now time.Duration, j *job) bool {
+	return s.stoppingRuns[j.sub.Job.ID] == 0 && s.acceptableTasks(now, j.pool)[priorityOf(j.sub.Queue)] > 0
 }
 
 // partStartTimeout is how long a part may wait for its first target. It should start at once, and
 // its owner may find it another one.
-const partPatience = 25 * time.Millisecond
+const partStartTimeout = 25 * time.Millisecond
 
 // capacityLookahead is how far ahead processor counts as free that runs will free: about two
 // message delays between failure domains, which a part needs in any case.
-const soon = 10 * time.Millisecond
+const capacityLookahead = 10 * time.Millisecond
 
 // acceptableTasks returns how many typical tasks of each priority other owners may delegate here.
-func (s *State) places(now time.Duration, p *pool) [Priorities]int {
+func (s *State) acceptableTasks(now time.Duration, p *pool) [Priorities]int {
 	var tasks [Priorities]int
-	if s.leaving || p.usualCPU == 0 {
+	if s.leaving || p.typicalCPU == 0 {
 		return tasks
 	}
 	free, rate := int64(0), 0.0
-	each := int64(p.usualCPU)
+	each := int64(p.typicalCPU)
 	free, rate = p.supply(now, each)
-	available := float64(free) + rate*float64(soon/time.Millisecond)
+	available := float64(free) + rate*float64(capacityLookahead/time.Millisecond)
 	var waiting [Priorities]int64
 	for _, j := range s.waiting {
 		if j.pool == p && !j.ended {
-			waiting[priorityOf(j.sub.Queue)] += j.firstNeed().total
+			waiting[priorityOf(j.sub.Queue)] += j.initialNeed().total
 		}
 	}
 	for i := range tasks {
 		available -= float64(waiting[i])
-		tasks[i] = max(int(available/p.usualCPU), 0)
+		tasks[i] = max(int(available/p.typicalCPU), 0)
 	}
 	return tasks
 }
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -14,92 +14,92 @@
 
 // setCapacity updates a target's capacity. Its runs go on; a target with less capacity than its
 // runs use gets nothing new until it has enough again.
-func (s *State) resize(t *target, capacity work.Resources) {
+func (s *State) setCapacity(t *target, capacity work.Resources) {
 	if capacity == t.Capacity {
 		return
 	}
-	s.emit(Note{What: "target capacity changed", Target: t.ID, Detail: fmt.Sprintf("cpu %d to %d, memory %d to %d MB, gpu %d to %d",
+	s.emit(LogEvent{Message: "target capacity changed", Target: t.ID, Detail: fmt.Sprintf("cpu %d to %d, memory %d to %d MB, gpu %d to %d",
 		t.Capacity.CPU, capacity.CPU, t.Capacity.MemoryMB, capacity.MemoryMB, t.Capacity.GPU, capacity.GPU)})
 	t.free = t.free.Add(capacity).Sub(t.Capacity)
 	t.Capacity = capacity
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // minClockStepBack is by how much a clock value must be behind the last known one for the clock to
 // have restarted; answers that overtake each other differ by less.
-const clockRestart = time.Second
+const minClockStepBack = time.Second
 
 // maxAckAge is how recently a target must have answered for a poll to acknowledge completions. A
 // target that has restarted since would apply the numbers to its new completions. It is well below
 // the time that a restart takes.
-const lifeTold = 250 * time.Millisecond
+const maxAckAge = 250 * time.Millisecond
 
 // clockRestarted reports whether an answer's clock value shows that the target's clock restarted.
-func (t *target) restarted(clock int64) bool {
-	return t.Incarnation != 0 && !t.reborn && clock != 0 && t.lease.known && clock+clockRestart.Milliseconds() < t.lease.clock
+func (t *target) clockRestarted(clock int64) bool {
+	return t.Incarnation != 0 && !t.incarnationUnknown && clock != 0 && t.lease.known && clock+minClockStepBack.Milliseconds() < t.lease.clock
 }
 
 // updateClock takes the clock value of an answer to an order, which does not name its incarnation:
 // a late answer may be of a previous one, whose clock was further ahead.
-func (t *target) readClock(now time.Duration, clock int64) {
-	if t.Incarnation != 0 && (!t.lease.known || clock > t.lease.end(now, clockRestart)) {
+func (t *target) updateClock(now time.Duration, clock int64) {
+	if t.Incarnation != 0 && (!t.lease.known || clock > t.lease.endAfter(now, minClockStepBack)) {
 		return
 	}
-	t.lease.read(clock, now)
+	t.lease.update(clock, now)
 }
 
 // acceptIncarnation takes the incarnation that a target's answer or registry entry names, and
 // reports whether it is the present one.
-func (s *State) tellsLife(now time.Duration, t *target, life int64) bool {
+func (s *State) acceptIncarnation(now time.Duration, t *target, life int64) bool {
 	switch {
 	case life == 0 || life == t.Incarnation:
 		return true
 	case life < t.Incarnation:
 		return false
-	case t.Incarnation != 0 && !t.reborn:
-		s.renew(now, t, "it names a later start")
+	case t.Incarnation != 0 && !t.incarnationUnknown:
+		s.beginIncarnation(now, t, "it names a later start")
 	}
-	t.Incarnation, t.reborn = life, false
+	t.Incarnation, t.incarnationUnknown = life, false
 	return true
 }
 
 // beginIncarnation resets a target that has restarted under its ID: it has no state of the previous
 // incarnation, and its clock and completion numbers start again. Listed runs are over. Either
 // incarnation may have started the others; they are stopped in the new one.
-func (s *State) renew(now time.Duration, t *target, why string) {
-	s.emit(Note{What: "target started again", Target: t.ID, Detail: why, Age: now - t.lease.at})
+func (s *State) beginIncarnation(now time.Duration, t *target, why string) {
+	s.emit(LogEvent{Message: "target started again", Target: t.ID, Detail: why, Age: now - t.lease.readAt})
 	s.lifeOver(now, t)
-	t.lives++
-	t.reborn = true
+	t.incarnations++
+	t.incarnationUnknown = true
 	t.lease = lease{}
-	t.seen, t.told, t.asked = 0, 0, 0
-	t.look, t.looking, t.answered, t.heard, t.failedLooks = Look{}, false, 0, 0, 0
-	t.state, t.barred, t.blocked = adopting, false, 0
+	t.lastCompletion, t.ackedCompletion, t.ackSent = 0, 0, 0
+	t.poll, t.pollPending, t.answered, t.lastAnswer, t.failedPolls = Poll{}, false, 0, 0, 0
+	t.state, t.fenced, t.blockedUntil = adopting, false, 0
 	t.health = newHealth()
-	s.comesLater(now, t)
-	clear(t.unnoted)
-	clear(t.strangers)
-	clear(t.guests)
+	s.recordFirstSeen(now, t)
+	clear(t.unrecorded)
+	clear(t.unknownRuns)
+	clear(t.inheritedRuns)
 	for _, r := range t.sortedRuns() {
 		if r.listed {
-			s.lost(now, r, "its target has started again")
+			s.loseRun(now, r, "its target has started again")
 			continue
 		}
 		// No known lease end bounds this run: only its stop ends it.
-		r.state, r.until, r.stop = doubtful, noLease, nil
+		r.state, r.leaseUntil, r.stop = uncertain, noLeaseEnd, nil
 		s.stop(now, r)
 	}
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // noLeaseEnd is the lease end of a run that either of two incarnations may have started: the
 // present one's clock does not tell when it is over.
-const noLease = math.MaxInt64
+const noLeaseEnd = math.MaxInt64
 
 // hasOnlyUnleasedRuns reports whether all runs of a target have no known lease end.
-func (t *target) unleased() bool {
+func (t *target) hasOnlyUnleasedRuns() bool {
 	for _, r := range t.runs {
-		if r.until != noLease {
+		if r.leaseUntil != noLeaseEnd {
 			return false
 		}
 	}
@@ -117,42 +117,42 @@
 func (ConfirmClaim) effect() {}
 
 // claimRetryInterval is the pause between two requests to confirm the claim.
-const confirmPause = 200 * time.Millisecond
+const claimRetryInterval = 200 * time.Millisecond
 
 // ClaimConfirmed reports that the claim was this owner's as of a given time.
 func (s *State) ClaimConfirmed(now, asOf time.Duration) {
-	s.claimed = max(s.claimed, asOf)
-	s.useProven(now)
+	s.claimConfirmedAt = max(s.claimConfirmedAt, asOf)
+	s.retryAwaitingClaim(now)
 }
 
 // ListedAtStart records that a target was listed when this owner started. It obeys a previous
 // owner's token, and any successor reaches it too, however late this owner learns of it.
-func (s *State) ListedEarly(id string) { s.early[id] = true }
+func (s *State) ListedAtStart(id string) { s.listedAtStart[id] = true }
 
 // recordFirstSeen records when an incarnation was first seen, and whether its use needs a later
 // confirmation of the claim.
-func (s *State) comesLater(now time.Duration, t *target) {
-	t.since, t.later = now, t.lives > 0
-	if !s.options.ConfirmClaims || s.early[t.ID] && t.lives == 0 {
-		t.later = false
+func (s *State) recordFirstSeen(now time.Duration, t *target) {
+	t.firstSeen, t.needsClaim = now, t.incarnations > 0
+	if !s.options.ConfirmClaims || s.listedAtStart[t.ID] && t.incarnations == 0 {
+		t.needsClaim = false
 		return
 	}
 	for _, other := range s.targets {
-		t.later = t.later || other != t && other.barred
+		t.needsClaim = t.needsClaim || other != t && other.fenced
 	}
 }
 
 // hasConfirmedClaim reports whether this owner is known to be the only one of a target, and
 // otherwise asks for a confirmation of the claim.
-func (s *State) proven(now time.Duration, t *target) bool {
-	if !t.later || s.claimed >= t.since {
+func (s *State) hasConfirmedClaim(now time.Duration, t *target) bool {
+	if !t.needsClaim || s.claimConfirmedAt >= t.firstSeen {
 		return true
 	}
-	if !slices.Contains(s.unproven, t) {
-		s.unproven = append(s.unproven, t)
+	if !slices.Contains(s.targetsAwaitingClaim, t) {
+		s.targetsAwaitingClaim = append(s.targetsAwaitingClaim, t)
 	}
-	if s.confirming == 0 || now-s.confirming >= confirmPause {
-		s.confirming = now
+	if s.claimAskedAt == 0 || now-s.claimAskedAt >= claimRetryInterval {
+		s.claimAskedAt = now
 		s.emit(ConfirmClaim{})
 	}
 	return false
@@ -160,23 +160,23 @@
 
 // awaitsClaim reports whether a target needs nothing but the confirmed claim to be used.
 func (t *target) awaitsClaim(s *State) bool {
-	return t.state == adopting && t.barred && t.later && s.claimed < t.since && len(t.strangers) == 0 && len(t.guests) == 0
+	return t.state == adopting && t.fenced && t.needsClaim && s.claimConfirmedAt < t.firstSeen && len(t.unknownRuns) == 0 && len(t.inheritedRuns) == 0
 }
 
 // retryAwaitingClaim puts targets into use whose claim is confirmed by now, and asks again for the
 // others.
-func (s *State) useProven(now time.Duration) {
-	waiting := s.unproven
-	s.unproven = nil
+func (s *State) retryAwaitingClaim(now time.Duration) {
+	waiting := s.targetsAwaitingClaim
+	s.targetsAwaitingClaim = nil
 	for _, t := range waiting {
 		if s.targets[t.ID] == t && t.state == adopting {
 			s.use(now, t)
-			s.touch(t)
+			s.markChanged(t)
 		}
 	}
 }
 
 // completionRef identifies a completion of the target's present incarnation.
-func (t *target) endRef(number int64) EndRef {
-	return EndRef{Target: t.ID, Number: number, Life: t.lives}
+func (t *target) completionRef(number int64) EndRef {
+	return EndRef{Target: t.ID, Number: number, Life: t.incarnations}
 }
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -8,20 +8,20 @@
 )
 
 // placeWaiting goes through the waiting jobs in order and starts the tasks that fit.
-func (s *State) place(now time.Duration) {
+func (s *State) placeWaiting(now time.Duration) {
 	if len(s.waiting) == 0 {
 		return
 	}
-	if s.stoodStill(now) {
+	if s.wasPaused(now) {
 		// The failure domain may have been cordoned during the pause; the next tick handles the
 		// rest.
-		s.doubtCordon(now)
+		s.requireCordonConfirmation(now)
 	}
-	failed := misses{}
+	failed := failedPlacements{}
 	remaining := s.waiting[:0]
 	reordered := false
 	for i, j := range s.waiting {
-		if failed.enough() {
+		if failed.limitReached() {
 			remaining = append(remaining, s.waiting[i:]...)
 			break
 		}
@@ -47,33 +47,33 @@
 }
 
 // failedPlacements records, for each pool, the smallest CPU need that found no target in this pass.
-type misses struct {
-	smallest map[*pool]int64
-	count    int
+type failedPlacements struct {
+	smallestNeed map[*pool]int64
+	count        int
 }
 
 // maxFailedPlacements bounds the steps that one pass tries in vain.
-const maxMisses = 24
+const maxFailedPlacements = 24
 
-func (m *misses) enough() bool { return m.count >= maxMisses }
+func (m *failedPlacements) limitReached() bool { return m.count >= maxFailedPlacements }
 
-func (m *misses) hopeless(p *pool, need work.Resources) bool {
-	least, missed := m.smallest[p]
+func (m *failedPlacements) cannotFit(p *pool, need work.Resources) bool {
+	least, missed := m.smallestNeed[p]
 	return missed && need.CPU >= least
 }
 
-func (m *misses) add(p *pool, need work.Resources) {
+func (m *failedPlacements) add(p *pool, need work.Resources) {
 	m.count++
-	if m.smallest == nil {
-		m.smallest = map[*pool]int64{}
+	if m.smallestNeed == nil {
+		m.smallestNeed = map[*pool]int64{}
 	}
-	if least, missed := m.smallest[p]; !missed || need.CPU < least {
-		m.smallest[p] = need.CPU
+	if least, missed := m.smallestNeed[p]; !missed || need.CPU < least {
+		m.smallestNeed[p] = need.CPU
 	}
 }
 
-func (s *State) placeJob(now time.Duration, j *job, failed *misses) {
-	if s.settling[j.sub.Job.ID] > 0 || !s.vouched(now, j) {
+func (s *State) placeJob(now time.Duration, j *job, failed *failedPlacements) {
+	if s.stoppingRuns[j.sub.Job.ID] > 0 || !s.hasKeepalive(now, j) {
 		return
 	}
 	for _, st := range j.current() {
@@ -86,24 +86,24 @@
 			s.placeStep(now, j, st, failed)
 		}
 		if len(st.pending) > 0 {
-			s.seek(now, j, st)
-			s.lendJob(now, j, st)
+			s.askAdviser(now, j, st)
+			s.delegateStep(now, j, st)
 		}
 	}
 }
 
 // placeStep starts tasks of a step until one fits no target.
-func (s *State) placeStep(now time.Duration, j *job, st *step, failed *misses) {
+func (s *State) placeStep(now time.Duration, j *job, st *step, failed *failedPlacements) {
 	unconstrained := st.RequiredLabel == "" && st.on == nil && st.advice == nil && !st.Background && !st.LatencySensitive
 	if st.suspected {
 		s.placeInRoom(now, j, st)
 		st.suspectsLast()
 	}
-	for len(st.pending) > 0 && !(unconstrained && failed.hopeless(j.pool, st.PerTask)) {
+	for len(st.pending) > 0 && !(unconstrained && failed.cannotFit(j.pool, st.PerTask)) {
 		if st.Lasting && !st.bringRipe(now) {
 			return
 		}
-		t := s.pick(now, j, st, st.pending[0])
+		t := s.pickTarget(now, j, st, st.pending[0])
 		if t == nil {
 			if unconstrained && !st.pending[0].suspect() {
 				failed.add(j.pool, st.PerTask)
@@ -112,19 +112,19 @@
 				s.makeRoom(now, st.pending[0])
 			}
 			if st.LatencySensitive {
-				s.clear(now, j, st)
+				s.evictBackground(now, j, st)
 			}
 			return
 		}
-		s.start(now, t, st.pending[0], s.nextRun(now, j.kept()))
-		s.letGo(st)
+		s.startRun(now, t, st.pending[0], s.nextRunNumber(now, j.kept()))
+		s.releaseHeld(st)
 		st.pending = slices.Delete(st.pending, 0, 1)
 	}
 }
 
 // canStart reports whether a task may start on a target now.
-func (s *State) may(now time.Duration, t *target, j *job, st *step, tk *task) bool {
-	if !t.takes() || now < t.blocked || !st.PerTask.FitsIn(t.free) {
+func (s *State) canStart(now time.Duration, t *target, j *job, st *step, tk *task) bool {
+	if !t.acceptsTasks() || now < t.blockedUntil || !st.PerTask.FitsIn(t.free) {
 		return false
 	}
 	if st.RequiredLabel != "" && !slices.Contains(t.Labels, st.RequiredLabel) || !st.advice.allows(now, t.ID) {
@@ -136,10 +136,10 @@
 	if !tk.joins(t) || tk.suspect() && !s.tries(t, st, tk) {
 		return false
 	}
-	if !st.sharesWith(t) || t.runs[tk.name] != nil || t.reserved != nil && t.reserved != st || !s.prolongs(now, t) {
+	if !st.canRunBeside(t) || t.runs[tk.name] != nil || t.reservedFor != nil && t.reservedFor != st || !s.canRenewLease(now, t) {
 		return false
 	}
-	if t.slow() && !t.health.suspected {
+	if t.isSlow() && !t.health.suspected {
 		return now+time.Duration(t.health.speed*float64(st.expected)) <= j.objective || len(t.runs) == 0
 	}
 	return true
@@ -157,35 +157,35 @@
 	if tk.suspect() && !t.emptyBut(st) {
 		rank += 8
 	}
-	if t.health.suspected || t.slow() || len(t.health.strikes) > 0 {
+	if t.health.suspected || t.isSlow() || len(t.health.failures) > 0 {
 		rank++
 	}
-	if t.cold(now) {
+	if t.isCold(now) {
 		rank++
 	}
 	return rank
 }
 
 // startRun orders a run of a task on a target.
-func (s *State) start(now time.Duration, t *target, tk *task, number int64) {
+func (s *State) startRun(now time.Duration, t *target, tk *task, number int64) {
 	j := tk.job
 	r := &run{
-		RunID:    work.RunID{Task: tk.name, Number: number},
-		task:     tk,
-		target:   t,
-		ordered:  now,
-		until:    t.lease.end(now, s.options.Lease),
-		expected: tk.step.expected,
-		cold:     t.cold(now),
+		RunID:      work.RunID{Task: tk.name, Number: number},
+		task:       tk,
+		target:     t,
+		ordered:    now,
+		leaseUntil: t.lease.endAfter(now, s.options.Lease),
+		expected:   tk.step.expected,
+		cold:       t.isCold(now),
 	}
 	j.begun++
 	if j.first == 0 {
 		j.first = now
 	}
-	s.occupy(t, r)
-	t.lease.until = max(t.lease.until, r.until)
+	s.assignRun(t, r)
+	t.lease.until = max(t.lease.until, r.leaseUntil)
 	j.mark(now, "started", tk.name, t.ID, "")
-	r.saves, r.ticket = tk.savedState().value, tk.step.advice.value(t.ID)
+	r.resumeFrom, r.ticket = tk.savedState().value, tk.step.advice.ticketFor(t.ID)
 	s.sendStart(now, r)
 }
 
@@ -193,24 +193,24 @@
 func (s *State) sendStart(now time.Duration, r *run) {
 	r.copies.add(now)
 	s.emit(StartRun{To: r.target.address(), StartOrder: work.StartOrder{
-		Run: r.RunID, Payload: r.task.job.sub.Job.Payload, SavedState: r.saves, Ticket: r.ticket, LeaseUntilMS: r.until,
+		Run: r.RunID, Payload: r.task.job.sub.Job.Payload, SavedState: r.resumeFrom, Ticket: r.ticket, LeaseUntilMS: r.leaseUntil,
 	}})
 }
 
 // assignRun reserves a run's resources on its target.
-func (s *State) occupy(t *target, r *run) {
+func (s *State) assignRun(t *target, r *run) {
 	st := r.task.step
 	r.task.run = r
 	s.tryAlone(r)
 	t.runs[r.Task] = r
 	t.free = t.free.Sub(st.PerTask)
 	if !st.Lasting {
-		r.flow = float64(st.PerTask.CPU) / r.lasts()
+		r.releaseRate = float64(st.PerTask.CPU) / r.expectedMillis()
 	}
-	t.flow += r.flow
-	t.sharing(st, 1)
+	t.releaseRate += r.releaseRate
+	t.countSharing(st, 1)
 	if st.on != nil {
 		st.on[t.ID]++
 	}
-	s.touch(t)
+	s.markChanged(t)
 }
--- a/scheduler/place_bench_test.go
+++ b/scheduler/place_bench_test.go
@@ -20,20 +20,20 @@
 
 func benchmarkTasks(b *testing.B, targets int) {
 	s := New(Options{})
-	s.Listed()
+	s.RegistryRead()
 	now := time.Second
 	for i := range targets {
 		id := fmt.Sprintf("t%05d", i)
-		s.TargetSeen(now, work.Target{ID: id, Service: "s", Address: id, Capacity: work.Resources{CPU: 46000 + int64(i%7)*500}})
+		s.TargetListed(now, work.Target{ID: id, Service: "s", Address: id, Capacity: work.Resources{CPU: 46000 + int64(i%7)*500}})
 	}
 	var running []StartRun
 	completed := map[string]int64{}
 	applyEffects := func() {
 		for _, effect := range s.Effects(now) {
 			switch e := effect.(type) {
-			case Look:
-				if e.Until == 0 && e.Wait == 0 {
-					s.Looked(now, e.To.ID, e.At, work.PollAnswer{ClockMS: now.Milliseconds()}, work.VerdictDone)
+			case Poll:
+				if e.LeaseUntil == 0 && e.Wait == 0 {
+					s.Looked(now, e.To.ID, e.SentAt, work.PollAnswer{ClockMS: now.Milliseconds()}, work.VerdictDone)
 				}
 			case StartRun:
 				s.Started(now, e.To.ID, e.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: now.Milliseconds()})
@@ -65,14 +65,14 @@
 			running = running[1:]
 			completed[e.To.ID]++
 			t := s.targets[e.To.ID]
-			t.looking = true
+			t.pollPending = true
 			held := work.PollAnswer{ClockMS: now.Milliseconds(), Completions: []work.Completion{{Number: completed[e.To.ID], Run: e.Run, Kind: work.CompletionDone}}}
 			for _, r := range t.runs {
 				if r.RunID != e.Run {
 					held.Running = append(held.Running, work.RunningRun{Run: r.RunID})
 				}
 			}
-			s.Looked(now, e.To.ID, t.look.At, held, work.VerdictDone)
+			s.Looked(now, e.To.ID, t.poll.SentAt, held, work.VerdictDone)
 			applyEffects()
 		}
 		submit(next)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -12,30 +12,30 @@
 type pool struct {
 	targets []*target
 	// arrivingCount counts the targets that are being taken over and will take tasks.
-	adopting int
+	arrivingCount int
 	// blocked says that nothing may be started on the targets.
-	barred bool
+	blocked bool
 	// isolations counts isolated runs of suspect tasks and the targets reserved for one.
-	trials int
+	isolations int
 	// suspectTargets are the targets whose health is suspected.
-	suspects []*target
-	buckets  [bucketCount][]*target
+	suspectTargets []*target
+	buckets        [bucketCount][]*target
 	// openCPU is the total processor of open targets; releaseRate is the processor that their runs
 	// free per millisecond.
-	cpu  int64
-	flow float64
+	openCPU     int64
+	releaseRate float64
 	// medianSpeed is the median run time factor of the targets.
-	usual float64
+	medianSpeed float64
 	// typicalCPU is the moving average of a task's need, in thousandths of a core; 0 before the
 	// first.
-	usualCPU float64
+	typicalCPU float64
 	// demand is the recently accepted work by priority, in thousandths of a core times seconds, as
 	// of demandAt.
 	demand   [Priorities]float64
 	demandAt time.Duration
 	// reservedFor is the gang that targets are reserved for since reservedAt; nil for none.
-	reserved   *step
-	reservedAt time.Duration
+	reservedFor *step
+	reservedAt  time.Duration
 }
 
 // Sizes of the index of open targets.
@@ -49,28 +49,28 @@
 func bucketOf(cpu int64) int { return int(min(max(cpu, 0)/bucketWidth, bucketCount-1)) }
 
 // indexEntry is what a pool has recorded of a target, and where.
-type filing struct {
-	open      bool
-	adopting  bool
-	suspected bool
-	bucket    int
-	at        int
-	cpu       int64
-	flow      float64
+type indexEntry struct {
+	open        bool
+	arriving    bool
+	suspected   bool
+	bucket      int
+	position    int
+	cpu         int64
+	releaseRate float64
 }
 
 // isOpen reports whether a target takes new tasks without restriction.
-func (t *target) open() bool {
-	return t.takes() && !t.health.suspected && t.reserved == nil && t.trial == nil
+func (t *target) isOpen() bool {
+	return t.acceptsTasks() && !t.health.suspected && t.reservedFor == nil && t.isolated == nil
 }
 
 // acceptsTasks reports whether a target takes any new tasks at all.
-func (t *target) takes() bool {
-	return t.state == usable && !t.Draining && !t.gone && !t.pool.barred
+func (t *target) acceptsTasks() bool {
+	return t.state == usable && !t.Draining && !t.retired && !t.pool.blocked
 }
 
 // markChanged updates a target's index entry and has the next Effects check whether to poll it.
-func (s *State) touch(t *target) {
+func (s *State) markChanged(t *target) {
 	t.pool.remove(t)
 	if s.targets[t.ID] == t {
 		t.pool.insert(t)
@@ -83,45 +83,45 @@
 
 func (p *pool) insert(t *target) {
 	if t.health.suspected {
-		t.filed.suspected = true
-		p.suspects = append(p.suspects, t)
+		t.indexed.suspected = true
+		p.suspectTargets = append(p.suspectTargets, t)
 	}
-	if t.adopts() {
-		t.filed.adopting = true
-		p.adopting++
+	if t.isArriving() {
+		t.indexed.arriving = true
+		p.arrivingCount++
 	}
-	if !t.open() {
+	if !t.isOpen() {
 		return
 	}
 	bucket := bucketOf(t.free.CPU)
-	t.filed = filing{open: true, bucket: bucket, at: len(p.buckets[bucket]), cpu: t.Capacity.CPU, flow: t.flow}
+	t.indexed = indexEntry{open: true, bucket: bucket, position: len(p.buckets[bucket]), cpu: t.Capacity.CPU, releaseRate: t.releaseRate}
 	p.buckets[bucket] = append(p.buckets[bucket], t)
-	p.cpu += t.filed.cpu
-	p.flow += t.filed.flow
+	p.openCPU += t.indexed.cpu
+	p.releaseRate += t.indexed.releaseRate
 }
 
 func (p *pool) remove(t *target) {
-	if t.filed.suspected {
-		p.suspects = slices.DeleteFunc(p.suspects, func(other *target) bool { return other == t })
+	if t.indexed.suspected {
+		p.suspectTargets = slices.DeleteFunc(p.suspectTargets, func(other *target) bool { return other == t })
 	}
-	if t.filed.adopting {
-		p.adopting--
+	if t.indexed.arriving {
+		p.arrivingCount--
 	}
-	if t.filed.open {
-		list := p.buckets[t.filed.bucket]
+	if t.indexed.open {
+		list := p.buckets[t.indexed.bucket]
 		last := len(list) - 1
-		list[t.filed.at] = list[last]
-		list[t.filed.at].filed.at = t.filed.at
+		list[t.indexed.position] = list[last]
+		list[t.indexed.position].indexed.position = t.indexed.position
 		list[last] = nil
-		p.buckets[t.filed.bucket] = list[:last]
-		p.cpu -= t.filed.cpu
-		p.flow -= t.filed.flow
+		p.buckets[t.indexed.bucket] = list[:last]
+		p.openCPU -= t.indexed.cpu
+		p.releaseRate -= t.indexed.releaseRate
 	}
-	t.filed = filing{}
+	t.indexed = indexEntry{}
 }
 
 // freeCPU returns the free processor of open targets that tasks of a given size can use now.
-func (p *pool) free(each int64) int64 {
+func (p *pool) freeCPU(each int64) int64 {
 	total := int64(0)
 	for bucket := bucketOf(each); bucket < bucketCount; bucket++ {
 		list := p.buckets[bucket]
@@ -130,16 +130,16 @@
 		}
 		if bucket == bucketOf(each) || bucket == bucketCount-1 {
 			for _, t := range list {
-				total += roomFor(t.free.CPU, each)
+				total += cpuForWholeTasks(t.free.CPU, each)
 			}
 			continue
 		}
-		total += int64(len(list)) * roomFor(int64(bucket)*bucketWidth, each)
+		total += int64(len(list)) * cpuForWholeTasks(int64(bucket)*bucketWidth, each)
 	}
 	return total
 }
 
-func roomFor(free, each int64) int64 {
+func cpuForWholeTasks(free, each int64) int64 {
 	if each <= 0 {
 		return free
 	}
@@ -148,11 +148,11 @@
 
 // pickTarget chooses the target with the least free processor that fits a task, so that large tasks
 // find capacity elsewhere. A target with a worse rank is chosen only if no better one fits.
-func (s *State) pick(now time.Duration, j *job, st *step, tk *task) *target {
+func (s *State) pickTarget(now time.Duration, j *job, st *step, tk *task) *target {
 	if st.Background {
-		return s.pickFill(now, j, st, tk)
+		return s.pickBackgroundTarget(now, j, st, tk)
 	}
-	if st.held != nil && s.may(now, st.held, j, st, tk) {
+	if st.held != nil && s.canStart(now, st.held, j, st, tk) {
 		return st.held
 	}
 	if tk.room != nil {
@@ -162,7 +162,7 @@
 	var best *target
 	for bucket := bucketOf(st.PerTask.CPU); bucket < bucketCount; bucket++ {
 		for _, t := range p.buckets[bucket] {
-			if !s.may(now, t, j, st, tk) || best != nil && best.rank(now, st, tk) <= t.rank(now, st, tk) {
+			if !s.canStart(now, t, j, st, tk) || best != nil && best.rank(now, st, tk) <= t.rank(now, st, tk) {
 				continue
 			}
 			if best = t; t.rank(now, st, tk) == 0 {
@@ -173,8 +173,8 @@
 	if best != nil {
 		return best
 	}
-	for _, t := range p.suspects {
-		if t.health.probed(now, t) && tk.fails == 0 && s.may(now, t, j, st, tk) {
+	for _, t := range p.suspectTargets {
+		if t.health.canProbe(now, t) && tk.fails == 0 && s.canStart(now, t, j, st, tk) {
 			return t
 		}
 	}
@@ -182,52 +182,52 @@
 }
 
 // canFit reports whether any target is large enough for a step.
-func (p *pool) holds(st *step) bool {
+func (p *pool) canFit(st *step) bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool {
-		return st.fitsOn(t)
+		return st.fitsEmpty(t)
 	})
 }
 
 // hasUnusableTargets reports whether a target is not usable yet, or not any more.
-func (p *pool) unready() bool {
+func (p *pool) hasUnusableTargets() bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool { return t.state != usable })
 }
 
 // arrivingCPU returns the processor that tasks of a given size will have on targets that are being
 // taken over. A new owner has all of them within a few round trips, and callers refused meanwhile
 // would be refused while targets are free.
-func (p *pool) arriving(each int64) int64 {
-	if p.adopting == 0 {
+func (p *pool) arrivingCPU(each int64) int64 {
+	if p.arrivingCount == 0 {
 		return 0
 	}
 	total := int64(0)
 	for _, t := range p.targets {
-		if t.adopts() {
-			total += roomFor(t.Capacity.CPU, each)
+		if t.isArriving() {
+			total += cpuForWholeTasks(t.Capacity.CPU, each)
 		}
 	}
 	return total
 }
 
 // isArriving reports whether a target is being taken over and will take tasks.
-func (t *target) adopts() bool {
-	return t.state == adopting && t.failedLooks == 0 && !t.Draining && !t.gone && !t.pool.barred
+func (t *target) isArriving() bool {
+	return t.state == adopting && t.failedPolls == 0 && !t.Draining && !t.retired && !t.pool.blocked
 }
 
 // supply returns the processor that tasks of a given size can have now, and the processor that runs
 // free per millisecond.
 func (p *pool) supply(now time.Duration, each int64) (free int64, rate float64) {
-	free = p.free(each)
-	for _, t := range p.suspects {
-		if t.takes() && t.health.probed(now, t) {
+	free = p.freeCPU(each)
+	for _, t := range p.suspectTargets {
+		if t.acceptsTasks() && t.health.canProbe(now, t) {
 			free += min(t.free.CPU, each)
 		}
 	}
-	return free, max(p.flow, 0)
+	return free, max(p.releaseRate, 0)
 }
 
 // hasCapacityElsewhere reports whether another open target has enough free capacity.
-func (s *State) roomElsewhere(t *target, need work.Resources) bool {
+func (s *State) hasCapacityElsewhere(t *target, need work.Resources) bool {
 	for bucket := bucketOf(need.CPU); bucket < bucketCount; bucket++ {
 		for _, other := range t.pool.buckets[bucket] {
 			if other != t && need.FitsIn(other.free) {
--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -51,23 +51,23 @@
 func (s *State) remember(now time.Duration, sub Submission, outcome work.Outcome) {
 	switch {
 	case sub.Entry == "":
-	case len(s.unclaimed) >= maxUnclaimed:
-		s.forgot = now
+	case len(s.recentOutcomes) >= maxUnclaimed:
+		s.outcomeDiscardedAt = now
 	default:
-		s.unclaimed[sub.ref()] = unclaimed{outcome: outcome, at: now}
+		s.recentOutcomes[sub.ref()] = unclaimed{outcome: outcome, at: now}
 	}
 }
 
 // expireOutcomes drops the outcomes and replaced requests that are older than outcomeRetention.
 func (s *State) forgetUnclaimed(now time.Duration) {
-	for job, past := range s.unclaimed {
+	for job, past := range s.recentOutcomes {
 		if now-past.at > unclaimedTime {
-			delete(s.unclaimed, job)
+			delete(s.recentOutcomes, job)
 		}
 	}
-	for job, at := range s.barred {
+	for job, at := range s.superseded {
 		if now-at > unclaimedTime {
-			delete(s.barred, job)
+			delete(s.superseded, job)
 		}
 	}
 }
@@ -78,27 +78,27 @@
 // and begin is set, Rejoin hands the job in. The old request may still be on its way within this
 // process; it doesn't start the job any more. A Forgotten job gets no answer.
 func (s *State) Rejoin(now time.Duration, sub Submission, ago time.Duration, begin bool) Presence {
-	if j := s.byID[sub.key()]; j != nil && !j.kept() && j.sub.Entry == sub.Entry {
+	if j := s.jobsByKey[sub.key()]; j != nil && !j.kept() && j.sub.Entry == sub.Entry {
 		j.mark(now, "asked again", "", "", "its connection broke")
-		s.attach(now, j, sub)
+		s.attachCaller(now, j, sub)
 		return Present
 	}
-	if past, known := s.unclaimed[sub.ref()]; known {
+	if past, known := s.recentOutcomes[sub.ref()]; known {
 		s.answer(sub, past.outcome)
 		return Present
 	}
-	if ago >= unclaimedTime || s.forgot > 0 && now-s.forgot <= unclaimedTime || len(s.barred) >= maxUnclaimed {
+	if ago >= unclaimedTime || s.outcomeDiscardedAt > 0 && now-s.outcomeDiscardedAt <= unclaimedTime || len(s.superseded) >= maxUnclaimed {
 		return Forgotten
 	}
 	if begin {
-		s.barred[sub.ref()] = now
-		s.submit(now, sub)
+		s.superseded[sub.ref()] = now
+		s.admit(now, sub)
 	}
 	return Absent
 }
 
 // isSuperseded reports whether a submission arrives after the request that replaced it.
 func (s *State) bars(now time.Duration, sub Submission) bool {
-	at, asked := s.barred[sub.ref()]
+	at, asked := s.superseded[sub.ref()]
 	return asked && now-at <= unclaimedTime
 }
--- a/scheduler/repeat.go
+++ b/scheduler/repeat.go
@@ -3,7 +3,7 @@
 import "time"
 
 // SetWallClock sets the time since 1970 that corresponds to now.
-func (s *State) Wall(now, wall time.Duration) { s.wall = wall - now }
+func (s *State) Wall(now, wall time.Duration) { s.wallOffset = wall - now }
 
 // countDueSteps counts the steps of the job that belong to occurrences that are due by now.
 func (s *State) dueSteps(now time.Duration, j *job) int {
@@ -12,7 +12,7 @@
 		return len(j.steps)
 	}
 	each, due := len(j.sub.Job.Steps), j.due
-	for due < len(j.steps) && s.wall+now >= repeats.DueAt(due/each) {
+	for due < len(j.steps) && s.wallOffset+now >= repeats.DueAt(due/each) {
 		due += each
 	}
 	return due
@@ -21,21 +21,21 @@
 // watchOccurrences has startDueOccurrences check a stored job if it has occurrences not yet due.
 func (s *State) expectDue(j *job) {
 	if j.due < len(j.steps) {
-		s.repeated[j] = true
+		s.recurringJobs[j] = true
 	}
 }
 
 // startDueOccurrences lets the steps of all occurrences start that are due by now. A job's place
 // among the waiting jobs is that of its newest occurrence.
 func (s *State) callDue(now time.Duration) {
-	for j := range s.repeated {
+	for j := range s.recurringJobs {
 		due := s.dueSteps(now, j)
 		if due == j.due {
 			continue
 		}
 		j.due = due
 		if due == len(j.steps) {
-			delete(s.repeated, j)
+			delete(s.recurringJobs, j)
 		}
 		j.begin(now)
 		s.reorder(j)
--- a/scheduler/resend.go
+++ b/scheduler/resend.go
@@ -194,14 +194,14 @@
 // about the other targets and don't count.
 func (s *State) missAnswer(now time.Duration, t *target) {
 	if t.state == usable {
-		s.disturbed = now
+		s.lastMissedAnswer = now
 		s.resend.missed++
 	}
 }
 
 // resendDueStart sends a start again that has had no answer for resendInterval.
 func (s *State) startAgain(now time.Duration, r *run) {
-	if r.state == ordered && r.stop == nil && !s.startsBarred(now) && s.resend.due(now, &r.copies, 0) {
+	if r.state == ordered && r.stop == nil && !s.startsBlocked(now) && s.resend.due(now, &r.copies, 0) {
 		s.sendStart(now, r)
 		if r.copies.count > 2 {
 			s.missAnswer(now, r.target)
@@ -213,7 +213,7 @@
 // did. No answer to that copy will come, and another copy costs less than to stop the run and start
 // its task elsewhere.
 func (s *State) startAtOnce(now time.Duration, r *run) bool {
-	if r.state != ordered || r.stop != nil || s.startsBarred(now) || r.copies.count >= maxCopies || now-r.ordered >= answerTime || !s.resend.affords() {
+	if r.state != ordered || r.stop != nil || s.startsBlocked(now) || r.copies.count >= maxCopies || now-r.ordered >= answerTime || !s.resend.affords() {
 		return false
 	}
 	s.sendStart(now, r)
@@ -250,11 +250,11 @@
 
 // pollNow sends a copy of the poll that waits at the target; the copy asks for an answer at once.
 func (s *State) askAtOnce(now time.Duration, t *target) {
-	if !t.looking || !s.resend.due(now, &t.lookCopies, 0) {
+	if !t.pollPending || !s.resend.due(now, &t.pollCopies, 0) {
 		return
 	}
-	t.lookCopies.add(now)
-	poll := t.look
+	t.pollCopies.add(now)
+	poll := t.poll
 	poll.Wait = 0
 	s.emit(poll)
 }
@@ -263,17 +263,17 @@
 // once. While answers are being lost, a second poll soon waits beside each first one: if a
 // completion is reported only to a lost poll, that costs a short task its slack.
 func (s *State) lookAgain(now time.Duration, t *target) {
-	c := &t.lookCopies
+	c := &t.pollCopies
 	switch {
-	case !t.looking:
+	case !t.pollPending:
 		return
 	case c.count == 1 && s.looksTwice(now) && s.resend.due(now, c, 0):
-	case s.resend.due(now, c, t.look.Wait):
+	case s.resend.due(now, c, t.poll.Wait):
 		s.missAnswer(now, t)
-		t.look.Wait = 0
+		t.poll.Wait = 0
 	default:
 		return
 	}
 	c.add(now)
-	s.emit(t.look)
+	s.emit(t.poll)
 }
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -11,18 +11,18 @@
 )
 
 // orderedRun returns a bench with two targets and a job of one task, whose start has no answer yet.
-func orderedRun(t *testing.T) (*bench, StartRun) {
-	b := newBench(t, Options{})
+func orderedRun(t *testing.T) (*harness, StartRun) {
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
-	return b, pickEffects[StartRun](b.do())[0]
+	return b, pickEffects[StartRun](b.effects())[0]
 }
 
 // copiesSentWithin counts the copies of a start that are sent within a time.
-func copiesIn(b *bench, start StartRun, d time.Duration) int {
+func copiesIn(b *harness, start StartRun, d time.Duration) int {
 	before := b.starts[start.Run]
-	b.pass(d)
+	b.advance(d)
 	return b.starts[start.Run] - before
 }
 
@@ -32,9 +32,9 @@
 	b, start := orderedRun(t)
 	must.Eq(t, 0, copiesIn(b, start, 10*ms))
 	must.Eq(t, 1, copiesIn(b, start, 20*ms))
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Started(b.now+100*ms, "a", start.Run, work.OrderAnswer{})
-	effects := b.pass(300 * ms)
+	effects := b.advance(300 * ms)
 	must.Eq(t, 2, b.starts[start.Run])
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -43,22 +43,22 @@
 // At most maxCopies are sent. If none is answered, the run is stopped.
 func TestCopiesAreBounded(t *testing.T) {
 	b, start := orderedRun(t)
-	b.pass(120 * ms)
+	b.advance(120 * ms)
 	must.Eq(t, maxCopies, b.starts[start.Run])
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
-	must.Eq(t, start.Run, pickEffects[StopRun](b.do())[0].Run)
+	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
 	must.Eq(t, 0, copiesIn(b, start, 200*ms))
 }
 
 // A copy whose connection breaks doesn't end the wait for the others.
 func TestABrokenCopyLeavesTheOthers(t *testing.T) {
 	b, start := orderedRun(t)
-	b.pass(40 * ms)
+	b.advance(40 * ms)
 	must.Eq(t, 3, b.starts[start.Run])
 	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
-	must.SliceEmpty(t, pickEffects[StopRun](b.do()))
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	must.SliceEmpty(t, pickEffects[StopRun](b.pass(300*ms)))
+	must.SliceEmpty(t, pickEffects[StopRun](b.effects()))
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	must.SliceEmpty(t, pickEffects[StopRun](b.advance(300*ms)))
 }
 
 // A target that refuses one of two copies may have started the run by the other. So the run is over
@@ -68,14 +68,14 @@
 		work.VerdictNoCapacity: true, work.VerdictLeaseExpired: true, work.VerdictUnhealthy: true, work.VerdictInvalid: true, work.VerdictStaleRun: false,
 	} {
 		b, start := orderedRun(t)
-		b.pass(40 * ms)
+		b.advance(40 * ms)
 		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
-		effects := b.do()
+		effects := b.effects()
 		must.Eq(t, stopped, len(pickEffects[StopRun](effects)) > 0, must.Sprint(verdict))
 		must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint(verdict))
 		if !stopped {
-			b.look("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
-			must.Eq(t, work.Completed, pickEffects[Answer](b.do())[0].Outcome.Result)
+			b.answerPoll("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
+			must.Eq(t, work.Completed, pickEffects[Answer](b.effects())[0].Outcome.Result)
 		}
 	}
 }
@@ -84,16 +84,16 @@
 // job counts as started, and its caller is told Unknown.
 func TestACopyThatMeetsAnotherOwnerLeavesTheJobBegun(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictMisdirected} {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
-		start := pickEffects[StartRun](b.do())[0]
-		b.pass(40 * ms)
+		start := pickEffects[StartRun](b.effects())[0]
+		b.advance(40 * ms)
 		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
-		deposed := pickEffects[Deposed](b.do())
+		deposed := pickEffects[Deposed](b.effects())
 		must.Eq(t, verdict == work.VerdictFenced, len(deposed) > 0)
 		b.s.Abandon(b.now)
-		must.Eq(t, work.Unknown, pickEffects[Answer](b.do())[0].Outcome.Result, must.Sprint(verdict))
+		must.Eq(t, work.Unknown, pickEffects[Answer](b.effects())[0].Outcome.Result, must.Sprint(verdict))
 	}
 }
 
@@ -102,7 +102,7 @@
 	b, start := orderedRun(t)
 	b.now += 60 * ms
 	b.s.Tick(b.now)
-	b.do()
+	b.effects()
 	must.Eq(t, 1, b.starts[start.Run])
 	must.Eq(t, 1, copiesIn(b, start, 20*ms))
 }
@@ -111,29 +111,29 @@
 // extended again soon.
 func TestStopsAreSentAgainSoon(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now, "a", start.Run, done(5000))
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, 1)
-	stops := pickEffects[StopRun](b.pass(100 * ms))
+	stops := pickEffects[StopRun](b.advance(100 * ms))
 	must.Greater(t, 3, len(stops))
-	must.SliceEmpty(t, pickEffects[StopRun](b.pass(60*ms)))
+	must.SliceEmpty(t, pickEffects[StopRun](b.advance(60*ms)))
 }
 
 // A poll that should have been answered is sent again and asks for an answer at once. An answer to
 // an earlier poll does not count for a later one: it may miss runs that have started since.
 func TestLooksWithoutAnAnswerAreSentAgain(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now, "a", start.Run, done(5000))
-	first := b.s.targets["a"].look
-	must.Eq(t, DefaultLookWait, first.Wait)
-	must.SliceEmpty(t, pickEffects[Look](b.pass(DefaultLookWait)))
-	again := pickEffects[Look](b.pass(20 * ms))
+	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	first := b.s.targets["a"].poll
+	must.Eq(t, DefaultPollWait, first.Wait)
+	must.SliceEmpty(t, pickEffects[Poll](b.advance(DefaultPollWait)))
+	again := pickEffects[Poll](b.advance(20 * ms))
 	must.SliceLen(t, 1, again)
-	must.Eq(t, Look{To: first.To, At: first.At, Until: first.Until, Seen: first.Seen}, again[0])
-	b.s.Looked(b.now, "a", first.At, work.PollAnswer{ClockMS: 5400, Running: listing(start.Run)}, work.VerdictDone)
-	b.do()
-	b.s.Looked(b.now, "a", first.At, work.PollAnswer{ClockMS: 5400}, work.VerdictDone)
-	must.SliceEmpty(t, pickEffects[StartRun](b.do()))
-	must.True(t, b.s.targets["a"].looking)
+	must.Eq(t, Poll{To: first.To, SentAt: first.SentAt, LeaseUntil: first.LeaseUntil, AckUpTo: first.AckUpTo}, again[0])
+	b.s.Looked(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400, Running: listing(start.Run)}, work.VerdictDone)
+	b.effects()
+	b.s.Looked(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400}, work.VerdictDone)
+	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
+	must.True(t, b.s.targets["a"].pollPending)
 }
 
 // While answers are being lost, a second poll waits beside the first one, so that a completion is
@@ -142,21 +142,21 @@
 	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
 		if lost {
-			b.disturb()
+			b.loseAnswers()
 		}
-		b.s.Started(b.now, "a", start.Run, done(5000))
-		b.look("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
-		b.do()
-		looks := pickEffects[Look](b.pass(40 * ms))
+		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+		b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
+		b.effects()
+		looks := pickEffects[Poll](b.advance(40 * ms))
 		if !lost {
 			must.SliceEmpty(t, looks, must.Sprint(name))
 			continue
 		}
 		must.SliceLen(t, 1, looks)
 		must.Eq(t, disturbedWait, looks[0].Wait)
-		first := b.s.targets["a"].look.At
+		first := b.s.targets["a"].poll.SentAt
 		b.s.Looked(b.now, "a", first, work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}}, work.VerdictDone)
-		must.Eq(t, work.Completed, pickEffects[Answer](b.do())[0].Outcome.Result)
+		must.Eq(t, work.Completed, pickEffects[Answer](b.effects())[0].Outcome.Result)
 	}
 }
 
@@ -168,7 +168,7 @@
 		for i := 2; i < targets; i++ {
 			b.usable(fmt.Sprint("t", i), 1)
 		}
-		b.disturb()
+		b.loseAnswers()
 		must.True(t, b.s.looksTwice(b.now))
 		for range 500 {
 			b.s.Answered(2 * promptAnswer)
@@ -184,21 +184,21 @@
 
 // Ticks that are late again and again show a lack of CPU, even if none is late enough alone.
 func TestNoCopiesWhileTicksComeLate(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	lateTicks := func(n int) {
 		for range n {
 			b.now += stallGap - ms
 			b.s.Tick(b.now)
-			b.do()
+			b.effects()
 		}
 	}
 	lateTicks(8)
 	b.submit("j", 1, 1, "")
-	start := pickEffects[StartRun](b.do())[0]
+	start := pickEffects[StartRun](b.effects())[0]
 	lateTicks(3)
 	must.Eq(t, 1, b.starts[start.Run])
-	b.pass(300 * ms)
+	b.advance(300 * ms)
 	must.Eq(t, maxCopies, b.starts[start.Run])
 }
 
@@ -206,17 +206,17 @@
 // again.
 func TestShortLooksFollowTheProcessor(t *testing.T) {
 	b, _ := orderedRun(t)
-	b.disturb()
+	b.loseAnswers()
 	must.Eq(t, disturbedWait, b.s.lookWait(b.now))
 	for range 500 {
 		b.s.Answered(2 * promptAnswer)
 	}
-	b.pass(100 * ms)
-	must.Eq(t, DefaultLookWait, b.s.lookWait(b.now))
+	b.advance(100 * ms)
+	must.Eq(t, DefaultPollWait, b.s.lookWait(b.now))
 	for range 500 {
 		b.s.Answered(promptAnswer / 4)
 	}
-	b.pass(400 * ms)
+	b.advance(400 * ms)
 	must.Eq(t, disturbedWait, b.s.lookWait(b.now))
 }
 
@@ -233,10 +233,10 @@
 	b.s.missAnswer(b.now, lost)
 	b.s.missAnswer(b.now, lost)
 	must.True(t, b.s.unsettled(b.now))
-	b = newBench(t, Options{})
+	b = newHarness(t, Options{})
 	b.usable("a", 1)
 	b.s.targets["a"].state = silent
-	b.disturb()
+	b.loseAnswers()
 	must.False(t, b.s.unsettled(b.now))
 }
 
@@ -244,7 +244,7 @@
 // before the process lacks the CPU for copies.
 func TestLooksEndBeforeCopies(t *testing.T) {
 	b, _ := orderedRun(t)
-	b.disturb()
+	b.loseAnswers()
 	for range 500 {
 		b.s.Answered(2 * ms)
 	}
@@ -261,18 +261,18 @@
 func TestDueEndsAreAskedFor(t *testing.T) {
 	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
-		b.s.Started(b.now, "a", start.Run, done(5000))
-		b.s.resend.look = DefaultLookWait
-		b.s.options.LookWait = DefaultLookWait
-		b.pass(140 * ms)
+		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+		b.s.resend.look = DefaultPollWait
+		b.s.options.PollWait = DefaultPollWait
+		b.advance(140 * ms)
 		if lost {
-			b.disturb()
+			b.loseAnswers()
 		}
-		looks := pickEffects[Look](b.pass(20 * ms))
+		looks := pickEffects[Poll](b.advance(20 * ms))
 		must.Eq(t, lost, len(looks) > 0, must.Sprint(name))
 		if lost {
 			must.Eq(t, 0, looks[0].Wait)
-			must.Eq(t, b.s.targets["a"].look.At, looks[0].At)
+			must.Eq(t, b.s.targets["a"].poll.SentAt, looks[0].SentAt)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 // A burst of answers, the last of which are read late, doesn't count as a lack of CPU.
 func TestABurstOfAnswersIsNoWantOfProcessor(t *testing.T) {
 	b, _ := orderedRun(t)
-	b.disturb()
+	b.loseAnswers()
 	for range 100 {
 		b.s.Answered(promptAnswer / 4)
 	}
@@ -293,12 +293,12 @@
 // Without any answers, the copies to all targets together are bounded. The copies of a takeover's
 // first polls would otherwise take the CPU that its first answers need.
 func TestCopiesWithoutAnyAnswerAreBounded(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	for i := range 240 {
 		b.target(fmt.Sprint("t", i), 1)
 	}
-	must.SliceLen(t, 240, pickEffects[Look](b.do()))
-	must.SliceLen(t, maxBudget, pickEffects[Look](b.pass(100*ms)))
+	must.SliceLen(t, 240, pickEffects[Poll](b.effects()))
+	must.SliceLen(t, maxBudget, pickEffects[Poll](b.advance(100*ms)))
 }
 
 func TestPauseFollowsTheAnswers(t *testing.T) {
@@ -324,16 +324,16 @@
 	broken := work.OrderAnswer{Verdict: work.VerdictConnectionLost}
 	for copies := 1; copies < maxCopies; copies++ {
 		b.s.Started(b.now, "a", start.Run, broken)
-		must.SliceEmpty(t, b.do())
+		must.SliceEmpty(t, b.effects())
 		must.Eq(t, copies+1, b.starts[start.Run])
 	}
 	b.s.Started(b.now, "a", start.Run, broken)
-	must.Eq(t, start.Run, pickEffects[StopRun](b.do())[0].Run)
+	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
 }
 
 // A start whose connection breaks only when its answer was due is stopped.
 func TestAStartThatBreaksLateIsStopped(t *testing.T) {
 	b, start := orderedRun(t)
 	b.s.Started(b.now+answerTime, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
-	must.Eq(t, start.Run, pickEffects[StopRun](b.do())[0].Run)
+	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
 }
--- a/scheduler/return_test.go
+++ b/scheduler/return_test.go
@@ -11,19 +11,19 @@
 )
 
 // submitWithSlack submits a job of one 100 ms task that has to start within a slack.
-func (b *bench) hurried(id string, slack time.Duration) []Answer {
+func (b *harness) submitWithSlack(id string, slack time.Duration) []Answer {
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref:   b.ref,
 		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: 100 * ms}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: slack, RequestTimeout: time.Second},
 	})
-	return pickEffects[Answer](b.do())
+	return pickEffects[Answer](b.effects())
 }
 
 // A caller that comes back after its answer's useful time is placed behind those that come for the
 // first time. It is served where capacity is free, and refused at once where none is.
-func TestCallersWhoseTimeIsOverGoBehind(t *testing.T) {
+func TestReturningLateCallerIsPlacedBehind(t *testing.T) {
 	for name, test := range map[string]struct {
 		wait     time.Duration
 		accepted bool
@@ -38,24 +38,24 @@
 		"above the queue's timeout": {9 * time.Second, true, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, Options{})
+			b := newHarness(t, Options{})
 			b.usable("t", test.cpu)
-			must.SliceEmpty(t, b.hurried("first", time.Second))
+			must.SliceEmpty(t, b.submitWithSlack("first", time.Second))
 			b.ref++
 			b.s.Submit(b.now, Submission{
 				Ref: b.ref, Wait: test.wait,
 				Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: 100 * ms}}},
 				Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: 400 * ms, RequestTimeout: time.Second},
 			})
-			answers := pickEffects[Answer](b.do())
+			answers := pickEffects[Answer](b.effects())
 			must.Eq(t, test.accepted, len(answers) == 0)
 		})
 	}
 }
 
 // The estimate of how long a caller has waited must not extend the deadline that the caller states.
-func TestCallersThatComeBackKeepTheirDeadline(t *testing.T) {
-	b := newBench(t, Options{})
+func TestReturningCallerKeepsDeadline(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.usable("t", 2000)
 	b.ref++
 	b.s.Submit(b.now, Submission{
@@ -63,27 +63,27 @@
 		Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1000}, DeclaredRunTime: time.Hour}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1, Allowance: time.Second, RequestTimeout: time.Second},
 	})
-	must.SliceEmpty(t, pickEffects[Answer](b.pass(280*ms)))
-	must.SliceLen(t, 1, pickEffects[Answer](b.pass(40*ms)))
+	must.SliceEmpty(t, pickEffects[Answer](b.advance(280*ms)))
+	must.SliceLen(t, 1, pickEffects[Answer](b.advance(40*ms)))
 }
 
 // A new owner counts on all targets that it takes over. Callers are not refused while targets
 // become available in a moment, and no more are accepted than the targets can serve while the
 // answers are of use, which is half a round of their tasks.
-func TestNewOwnersCountOnTheTargetsTheyTakeOver(t *testing.T) {
-	b := newBench(t, Options{})
+func TestNewOwnerCountsArrivingTargets(t *testing.T) {
+	b := newHarness(t, Options{})
 	for i := range 10 {
 		b.target(fmt.Sprint("t", i), 1000)
 	}
-	b.do()
+	b.effects()
 	accepted := 0
 	for i := range 30 {
-		if len(b.hurried(fmt.Sprint("j", i), 50*ms)) == 0 {
+		if len(b.submitWithSlack(fmt.Sprint("j", i), 50*ms)) == 0 {
 			accepted++
 		}
 		if i == 3 {
-			b.look("t0", work.PollAnswer{ClockMS: 5000})
-			b.do()
+			b.answerPoll("t0", work.PollAnswer{ClockMS: 5000})
+			b.effects()
 		}
 	}
 	must.Between(t, 10, accepted, 15)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -54,15 +54,15 @@
 }
 
 // Poll asks a target for its runs and completions; the answer goes to Polled.
-type Look struct {
+type Poll struct {
 	To work.TargetAddress
 	// SentAt is when its first copy was sent; it distinguishes this poll from others of the target.
-	At time.Duration
+	SentAt time.Duration
 	// LeaseUntil extends the target's lease; 0 leaves it unchanged.
-	Until int64
+	LeaseUntil int64
 	// AckUpTo acknowledges all completions up to this number.
-	Seen int64
-	Wait time.Duration
+	AckUpTo int64
+	Wait    time.Duration
 }
 
 // Answer answers a submission.
@@ -80,10 +80,10 @@
 type Deposed struct{ Target string }
 
 // LogEvent is a decision or a change of state, to be logged.
-type Note struct {
+type LogEvent struct {
 	// Failure marks lines that explain why a request failed.
 	Failure bool
-	What    string
+	Message string
 	Job     string
 	Task    string
 	Target  string
@@ -95,21 +95,21 @@
 
 func (StartRun) effect() {}
 func (StopRun) effect()  {}
-func (Look) effect()     {}
+func (Poll) effect()     {}
 func (Answer) effect()   {}
 func (Deposed) effect()  {}
-func (Note) effect()     {}
+func (LogEvent) effect() {}
 
 // Options configures a State; zero values take the defaults.
 type Options struct {
 	// Lease is the length of the leases that the State asks for.
 	Lease time.Duration
 	// PollWait is the longest wait of a poll at a target with work.
-	LookWait time.Duration
+	PollWait time.Duration
 	// StopTimeout bounds how long a target may take to carry out a stop.
-	StopTime time.Duration
+	StopTimeout time.Duration
 	// PauseThreshold is the gap between two ticks that counts as a pause of this process.
-	Pause time.Duration
+	PauseThreshold time.Duration
 	// SendOnce sends each order once and does not shorten polls when answers get lost. It is the
 	// baseline that the resending of orders is compared with.
 	SendOnce bool
@@ -127,19 +127,19 @@
 	// 1.3 s after a broken answer.
 	DefaultLease = 800 * time.Millisecond
 	// DefaultPollWait renews the lease twice within its length.
-	DefaultLookWait = 300 * time.Millisecond
+	DefaultPollWait = 300 * time.Millisecond
 	// DefaultStopTimeout is the platform's bound.
-	DefaultStopTime = 50 * time.Millisecond
+	DefaultStopTimeout = 50 * time.Millisecond
 	// DefaultPauseThreshold is five times the longest stretch without processor under a CPU quota
 	// of 0.4 core per 100 ms, plus a margin.
-	DefaultPause = 400 * time.Millisecond
+	DefaultPauseThreshold = 400 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Lease, DefaultLease)
-	setDefault(&o.LookWait, DefaultLookWait)
-	setDefault(&o.StopTime, DefaultStopTime)
-	setDefault(&o.Pause, DefaultPause)
+	setDefault(&o.PollWait, DefaultPollWait)
+	setDefault(&o.StopTimeout, DefaultStopTimeout)
+	setDefault(&o.PauseThreshold, DefaultPauseThreshold)
 	return o
 }
 
@@ -159,139 +159,139 @@
 	// dirty holds the targets that changed since the last call of Effects.
 	dirty []*target
 	// jobsByKey holds the job without an answer for each Submission.key.
-	byID map[string]*job
+	jobsByKey map[string]*job
 	// stoppingRuns counts, by job ID, the runs and withdrawn parts of ended jobs that may still
 	// execute.
-	settling map[string]int
+	stoppingRuns map[string]int
 	// waiting holds jobs with tasks to place, sorted by compareJobs.
 	waiting []*job
 	// keepalives holds until when each entry VM's callers are presumed to wait; estimates holds the
 	// run time estimate of each queue.
-	entries map[string]time.Duration
-	kinds   map[string]*kind
+	keepalives map[string]time.Duration
+	estimates  map[string]*kind
 	// reportedCapacity is the free capacity that other owners reported; parts holds the tasks
 	// delegated to them.
-	rooms     map[roomKey]room
-	parts     map[Part]*lent
-	lastPart  Part
-	withdrawn []withdrawal
+	reportedCapacity map[capacityKey]capacityReport
+	parts            map[Part]*delegatedPart
+	lastPart         Part
+	withdrawn        []withdrawal
 
 	// endedJobs counts the jobs that have ended.
-	told    int
-	leaving bool
+	endedJobs int
+	leaving   bool
 	// registryRead is set once the whole registry was read.
-	listed bool
-	ticked time.Duration
+	registryRead bool
+	lastTick     time.Duration
 	// claimConfirmedAt is the latest time as of which the claim is known to be this owner's.
 	// claimAskedAt is when a confirmation was last requested; targetsAwaitingClaim wait for one.
-	claimed, confirming time.Duration
+	claimConfirmedAt, claimAskedAt time.Duration
 	// listedAtStart holds the targets that were listed when this owner started.
-	early    map[string]bool
-	unproven []*target
+	listedAtStart        map[string]bool
+	targetsAwaitingClaim []*target
 	// lastMissedAnswer is when an answer was last found missing; 0 before the first.
-	disturbed time.Duration
+	lastMissedAnswer time.Duration
 	// pendingWrites counts the writes to the store that are not confirmed yet.
-	unnoted int
-	resend  resending
-	cordon  cordon
-	crashes crashes
+	pendingWrites int
+	resend        resending
+	cordon        cordon
+	crashes       crashes
 	// lateCompletions holds, for each durable job whose end is being written to the store, the
 	// completions that arrived after its end.
-	ending map[string][]EndRef
+	lateCompletions map[string][]EndRef
 	// unrecordedCompletions holds, by task, the completions that a previous owner did not write to
 	// the store, until allResumed is set.
-	orphans map[string][]orphan
+	unrecordedCompletions map[string][]orphan
 	// inheritedStates is what previous owners' runs of durable jobs had saved, by task.
-	left    map[string]leftover
-	resumed bool
+	inheritedStates map[string]leftover
+	allResumed      bool
 	// dropped is when jobs were last left to another owner. The leases of their runs are renewed
 	// for droppedRenewTime from then on.
-	dropped, prolonging time.Duration
+	dropped, droppedRenewTime time.Duration
 	// wallOffset is the Unix time at the State's time zero.
-	wall time.Duration
+	wallOffset time.Duration
 	// adviserRequests holds the steps with an unanswered request to the adviser, by name; asking is
 	// their number.
-	asked map[string]*step
+	adviserRequests map[string]*step
 	// recentOutcomes holds the outcomes of other VMs' jobs that ended lately.
-	unclaimed map[jobRef]unclaimed
+	recentOutcomes map[jobRef]unclaimed
 	// superseded holds when a repeated request submitted a job in place of an earlier request,
 	// which must not submit it any more.
-	barred map[jobRef]time.Duration
+	superseded map[jobRef]time.Duration
 	// outcomeDiscardedAt is when an outcome was last not remembered for lack of space; 0 before the
 	// first.
-	forgot time.Duration
-	asking int
+	outcomeDiscardedAt time.Duration
+	asking             int
 	// recurringJobs holds the jobs with occurrences that are not due yet.
-	repeated map[*job]bool
-	lastRun  int64
+	recurringJobs map[*job]bool
+	lastRunNumber int64
 	// runClockOffset is the shared clock at the State's time zero; runClockSet is set once
 	// SetRunClock was called.
-	runClock time.Duration
-	clocked  bool
-	effects  []Effect
+	runClockOffset time.Duration
+	runClockSet    bool
+	effects        []Effect
 }
 
 // New makes a State without targets.
 func New(o Options) *State {
 	return &State{
-		options:  o.withDefaults(),
-		targets:  map[string]*target{},
-		pools:    map[string]*pool{},
-		jobs:     map[Ref]*job{},
-		byID:     map[string]*job{},
-		settling: map[string]int{},
-		entries:  map[string]time.Duration{},
-		kinds:    map[string]*kind{},
-		rooms:    map[roomKey]room{},
-		parts:    map[Part]*lent{},
-		orphans:  map[string][]orphan{},
-		ending:   map[string][]EndRef{},
-		left:     map[string]leftover{},
-		repeated: map[*job]bool{},
-		asked:    map[string]*step{},
-		resend:   newResending(o.SendOnce),
-		cordon:   cordon{known: !o.AwaitCordon},
-		crashes:  newCrashes(),
-		early:    map[string]bool{},
-
-		unclaimed: map[jobRef]unclaimed{},
-		barred:    map[jobRef]time.Duration{},
+		options:               o.withDefaults(),
+		targets:               map[string]*target{},
+		pools:                 map[string]*pool{},
+		jobs:                  map[Ref]*job{},
+		jobsByKey:             map[string]*job{},
+		stoppingRuns:          map[string]int{},
+		keepalives:            map[string]time.Duration{},
+		estimates:             map[string]*kind{},
+		reportedCapacity:      map[capacityKey]capacityReport{},
+		parts:                 map[Part]*delegatedPart{},
+		unrecordedCompletions: map[string][]orphan{},
+		lateCompletions:       map[string][]EndRef{},
+		inheritedStates:       map[string]leftover{},
+		recurringJobs:         map[*job]bool{},
+		adviserRequests:       map[string]*step{},
+		resend:                newResending(o.SendOnce),
+		cordon:                cordon{known: !o.AwaitCordon},
+		crashes:               newCrashes(),
+		listedAtStart:         map[string]bool{},
+
+		recentOutcomes: map[jobRef]unclaimed{},
+		superseded:     map[jobRef]time.Duration{},
 	}
 }
 
 // SetRunClock sets the clock that all owners share. Run numbers derive from it, so that later runs
 // of a task get higher numbers. Before the first call they derive from the State's own time.
-func (s *State) RunClock(now, clock time.Duration) {
-	if !s.clocked {
-		s.clocked, s.runClock = true, clock-now
+func (s *State) SetRunClock(now, clock time.Duration) {
+	if !s.runClockSet {
+		s.runClockSet, s.runClockOffset = true, clock-now
 	}
-	s.runClock = max(s.runClock, clock-now)
+	s.runClockOffset = max(s.runClockOffset, clock-now)
 }
 
 // runNumbersPerMilli exceeds the starts that one VM can order in a millisecond, so that run numbers
 // keep rising with the shared clock.
-const runsPerMilli = 32
+const runNumbersPerMilli = 32
 
 // nextRunNumber returns a number higher than that of any run of the same task under an earlier
 // owner, since a job is sent again a second or more later. The numbers of durable jobs' runs are
 // odd, so that a successor knows which completions it has to write to the store.
-func (s *State) nextRun(now time.Duration, durable bool) int64 {
-	s.lastRun = max(s.lastRun+2, (s.runClock+now).Milliseconds()*runsPerMilli) &^ 1
+func (s *State) nextRunNumber(now time.Duration, durable bool) int64 {
+	s.lastRunNumber = max(s.lastRunNumber+2, (s.runClockOffset+now).Milliseconds()*runNumbersPerMilli) &^ 1
 	if durable {
-		return s.lastRun + 1
+		return s.lastRunNumber + 1
 	}
-	return s.lastRun
+	return s.lastRunNumber
 }
 
 // isDurableRun reports whether a run belongs to a durable job, whoever ordered it.
-func keptRun(run work.RunID) bool { return run.Number&1 == 1 }
+func isDurableRun(run work.RunID) bool { return run.Number&1 == 1 }
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
 // Effects places what can be placed and returns all effects since the last call. Call it after each
 // batch of messages.
 func (s *State) Effects(now time.Duration) []Effect {
-	s.place(now)
+	s.placeWaiting(now)
 	for _, t := range s.dirty {
 		t.dirty = false
 		if s.targets[t.ID] == t {
@@ -306,14 +306,14 @@
 }
 
 // EntryKeepalive records that an entry VM's callers still wait, until the given time.
-func (s *State) EntrySeen(entry string, until time.Duration) {
-	s.entries[entry] = max(s.entries[entry], until)
+func (s *State) EntryKeepalive(entry string, until time.Duration) {
+	s.keepalives[entry] = max(s.keepalives[entry], until)
 }
 
 // hasKeepalive reports whether a job's caller is presumed to wait still. Durable jobs and those of
 // this VM need no keepalive.
-func (s *State) vouched(now time.Duration, j *job) bool {
-	return j.kept() || j.sub.Entry == "" || now < s.entries[j.sub.Entry]
+func (s *State) hasKeepalive(now time.Duration, j *job) bool {
+	return j.kept() || j.sub.Entry == "" || now < s.keepalives[j.sub.Entry]
 }
 
 // TickInterval is the time between two calls of Tick: a fraction of the shortest timeout that Tick
@@ -322,32 +322,32 @@
 
 // Tick handles everything that changes by time alone. Call it every TickInterval.
 func (s *State) Tick(now time.Duration) {
-	if s.stoodStill(now) {
-		s.resume(now, now-s.ticked)
+	if s.wasPaused(now) {
+		s.endJobsAfterPause(now, now-s.lastTick)
 	}
-	if s.ticked != 0 {
-		s.resend.tick(now - s.ticked)
+	if s.lastTick != 0 {
+		s.resend.tick(now - s.lastTick)
 	}
 	if s.unsettled(now) {
-		s.resend.pace(s.options.LookWait)
+		s.resend.pace(s.options.PollWait)
 	}
-	s.ticked = now
-	s.trustCordon(now)
+	s.lastTick = now
+	s.expireCordonConfirmation(now)
 	s.callDue(now)
 	for _, j := range s.sortedJobs() {
 		s.expire(now, j)
 	}
-	for entry, until := range s.entries {
-		if now > until+entryMemory {
-			delete(s.entries, entry)
+	for entry, until := range s.keepalives {
+		if now > until+keepaliveRetention {
+			delete(s.keepalives, entry)
 		}
 	}
-	s.settleWithdrawn(now)
+	s.expireWithdrawn(now)
 	s.forgetUnclaimed(now)
 	s.tickCrashes(now)
-	s.useProven(now)
+	s.retryAwaitingClaim(now)
 	for _, p := range s.pools {
-		p.usual = p.usualSpeed()
+		p.medianSpeed = p.computeMedianSpeed()
 	}
 	for _, t := range s.sortedTargets() {
 		s.tickTarget(now, t)
@@ -355,19 +355,19 @@
 }
 
 // wasPaused reports whether this process was paused and has not ticked since.
-func (s *State) stoodStill(now time.Duration) bool {
-	return s.ticked != 0 && now-s.ticked > s.options.Pause
+func (s *State) wasPaused(now time.Duration) bool {
+	return s.lastTick != 0 && now-s.lastTick > s.options.PauseThreshold
 }
 
 // keepaliveRetention keeps an entry VM's last keepalive for as long as a job of it may still
 // arrive.
-const entryMemory = 10 * time.Second
+const keepaliveRetention = 10 * time.Second
 
 // endJobsAfterPause ends all jobs that callers wait for after a pause of this process: their
 // callers may have sent them to other owners meanwhile.
-func (s *State) resume(now, gap time.Duration) {
-	s.emit(Note{Failure: true, What: "process stood still", Age: gap})
-	s.doubtCordon(now)
+func (s *State) endJobsAfterPause(now, gap time.Duration) {
+	s.emit(LogEvent{Failure: true, Message: "process stood still", Age: gap})
+	s.requireCordonConfirmation(now)
 	for _, j := range s.sortedJobs() {
 		if !j.kept() {
 			s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "the VM stood still"})
@@ -379,7 +379,7 @@
 // successor, which continues their runs.
 func (s *State) Leave(now time.Duration) {
 	s.leaving = true
-	s.dropped, s.prolonging = now, leavingLease
+	s.dropped, s.droppedRenewTime = now, leavingLease
 	for _, j := range s.sortedJobs() {
 		switch {
 		case j.kept():
@@ -394,7 +394,7 @@
 // Abandon ends all jobs, since another owner has taken the targets.
 func (s *State) Abandon(now time.Duration) {
 	s.leaving = true
-	s.dropped, s.prolonging = now, 0
+	s.dropped, s.droppedRenewTime = now, 0
 	for _, j := range s.sortedJobs() {
 		if j.stored {
 			s.drop(j)
@@ -415,17 +415,17 @@
 func (s *State) Targets() int { return len(s.targets) }
 
 // PendingWrites returns the number of writes to the store that are not confirmed yet.
-func (s *State) Unnoted() int { return s.unnoted }
+func (s *State) PendingWrites() int { return s.pendingWrites }
 
 // IsIdle reports whether there is no job, no run of this owner, no delegated part and no pending
 // write left.
-func (s *State) AtRest() bool {
+func (s *State) IsIdle() bool {
 	for _, t := range s.targets {
-		if !t.idle() {
+		if !t.isIdle() {
 			return false
 		}
 	}
-	return len(s.jobs) == 0 && len(s.parts) == 0 && s.unnoted == 0
+	return len(s.jobs) == 0 && len(s.parts) == 0 && s.pendingWrites == 0
 }
 
 // Load is what other VMs need to know to choose an owner.
@@ -437,7 +437,7 @@
 	// CPU is the total processor of usable targets, in thousandths of a core.
 	CPU int64
 	// FreeCapacity is what other owners may delegate here.
-	Room Room
+	FreeCapacity FreeCapacity
 	// Cordoned says that nothing may be started on the targets.
 	Cordoned bool
 }
@@ -446,13 +446,13 @@
 const Priorities = 3
 
 // IdleTargets lists the targets with no runs; it is empty while a started job needs targets.
-func (s *State) Idle() []string {
-	if s.pendingStarted() {
+func (s *State) IdleTargets() []string {
+	if s.hasStartedJobWaiting() {
 		return nil
 	}
 	var idle []string
 	for _, t := range s.sortedTargets() {
-		if t.idle() && t.state != adopting {
+		if t.isIdle() && t.state != adopting {
 			idle = append(idle, t.ID)
 		}
 	}
@@ -460,7 +460,7 @@
 }
 
 // hasStartedJobWaiting reports whether a job that has started still has tasks to place.
-func (s *State) pendingStarted() bool {
+func (s *State) hasStartedJobWaiting() bool {
 	for _, j := range s.waiting {
 		if j.started() && !j.ended {
 			return true
@@ -470,10 +470,10 @@
 }
 
 // ReleaseTargets removes idle targets that another owner takes over.
-func (s *State) Release(ids []string) {
+func (s *State) ReleaseTargets(ids []string) {
 	for _, id := range ids {
-		if t := s.targets[id]; t != nil && t.idle() {
-			s.forget(t)
+		if t := s.targets[id]; t != nil && t.isIdle() {
+			s.removeTarget(t)
 		}
 	}
 }
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -8,39 +8,39 @@
 
 // excludeBackgroundCPU removes the processor that background tasks want from what they reserve on
 // their target.
-func (st *step) share() {
+func (st *step) excludeBackgroundCPU() {
 	if st.Background {
 		st.filling, st.PerTask.CPU = st.PerTask.CPU, 0
 	}
 }
 
 // canRunBeside reports whether tasks of a step may run beside the runs of a target.
-func (st *step) sharesWith(t *target) bool {
+func (st *step) canRunBeside(t *target) bool {
 	switch {
 	case st.Background:
-		return t.serving == 0 && t.filled+st.filling <= t.Capacity.CPU
+		return t.latencySensitiveRuns == 0 && t.backgroundCPU+st.filling <= t.Capacity.CPU
 	case st.LatencySensitive:
-		return t.fillers == 0
+		return t.backgroundRuns == 0
 	}
 	return true
 }
 
 // countSharing counts a run of a step that starts or ends.
-func (t *target) sharing(st *step, by int) {
+func (t *target) countSharing(st *step, by int) {
 	if st.Background {
-		t.fillers += by
-		t.filled += int64(by) * st.filling
+		t.backgroundRuns += by
+		t.backgroundCPU += int64(by) * st.filling
 	}
 	if st.LatencySensitive {
-		t.serving += by
+		t.latencySensitiveRuns += by
 	}
 }
 
 // pickBackgroundTarget chooses the target with the most free processor for a background task.
-func (s *State) pickFill(now time.Duration, j *job, st *step, tk *task) *target {
+func (s *State) pickBackgroundTarget(now time.Duration, j *job, st *step, tk *task) *target {
 	for bucket := bucketCount - 1; bucket >= 0; bucket-- {
 		for _, t := range j.pool.buckets[bucket] {
-			if s.may(now, t, j, st, tk) {
+			if s.canStart(now, t, j, st, tk) {
 				return t
 			}
 		}
@@ -50,17 +50,17 @@
 
 // evictBackground stops the background tasks of a target that a latency-sensitive step could use
 // and reserves the target for it.
-func (s *State) clear(now time.Duration, j *job, st *step) {
-	if st.held != nil && now < st.cleared+clearPause {
+func (s *State) evictBackground(now time.Duration, j *job, st *step) {
+	if st.held != nil && now < st.cleared+evictionTimeout {
 		return
 	}
-	s.letGo(st)
+	s.releaseHeld(st)
 	for _, t := range j.pool.targets {
-		if t.fillers == 0 || !t.open() || t.reserved != nil || !st.PerTask.FitsIn(t.free) || !st.fitsOn(t) || !st.advice.allows(now, t.ID) {
+		if t.backgroundRuns == 0 || !t.isOpen() || t.reservedFor != nil || !st.PerTask.FitsIn(t.free) || !st.fitsEmpty(t) || !st.advice.allows(now, t.ID) {
 			continue
 		}
-		st.held, st.cleared, t.reserved = t, now, st
-		s.touch(t)
+		st.held, st.cleared, t.reservedFor = t, now, st
+		s.markChanged(t)
 		for _, r := range t.sortedRuns() {
 			if r.task.step.Background {
 				s.stop(now, r)
@@ -71,15 +71,15 @@
 }
 
 // releaseHeld ends the reservation of a target for a latency-sensitive step.
-func (s *State) letGo(st *step) {
+func (s *State) releaseHeld(st *step) {
 	if st.held == nil {
 		return
 	}
-	st.held.reserved = nil
-	s.touch(st.held)
+	st.held.reservedFor = nil
+	s.markChanged(st.held)
 	st.held = nil
 }
 
 // evictionTimeout is the longest that the stops take, with the listing of their completions. A
 // target that takes longer is released and another one is tried.
-const clearPause = 300 * time.Millisecond
+const evictionTimeout = 300 * time.Millisecond
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -14,7 +14,7 @@
 	// moving averages. Both grow when this process is short of processor.
 	TickLate, AnswerTime time.Duration
 	// PollWait is how long polls wait now; Copies counts the orders that were sent again.
-	LookWait time.Duration
+	PollWait time.Duration
 	Copies   int
 	// Cordoned says that nothing may be started on the targets.
 	Cordoned bool
@@ -24,8 +24,8 @@
 func (s *State) Summary() Summary {
 	sum := Summary{
 		Jobs: len(s.jobs), Waiting: len(s.waiting), Targets: len(s.targets),
-		TickLate: s.resend.late, AnswerTime: s.resend.usual, LookWait: s.lookWait(s.ticked), Copies: s.resend.sent,
-		Cordoned: s.cordon.bars(),
+		TickLate: s.resend.late, AnswerTime: s.resend.usual, PollWait: s.lookWait(s.lastTick), Copies: s.resend.sent,
+		Cordoned: s.cordon.blocksStarts(),
 	}
 	for _, t := range s.targets {
 		sum.Runs += len(t.runs)
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -49,7 +49,7 @@
 // owners but inherited runs.
 func (s *State) Adopted() bool {
 	for _, t := range s.targets {
-		if !t.barred || t.state == adopting && len(t.strangers) > 0 {
+		if !t.fenced || t.state == adopting && len(t.unknownRuns) > 0 {
 			return false
 		}
 	}
@@ -59,10 +59,10 @@
 // continueListedRun takes a run of a previous owner that a target lists, and reports whether it
 // may continue.
 func (s *State) goesOn(now time.Duration, t *target, listed work.RunningRun) bool {
-	if !keptRun(listed.Run) || t.strangers[listed.Run] != nil || s.leaving {
+	if !isDurableRun(listed.Run) || t.unknownRuns[listed.Run] != nil || s.leaving {
 		return false
 	}
-	if s.resumed {
+	if s.allResumed {
 		tk := s.pendingTask(listed.Run.Task)
 		if tk == nil || tk.step.Gang {
 			return false
@@ -70,16 +70,16 @@
 		s.adoptRun(now, t, tk, listed)
 		return true
 	}
-	g, known := t.guests[listed.Run]
+	g, known := t.inheritedRuns[listed.Run]
 	if !known {
 		g.since = now
 	}
 	if now-g.since > guestPatience {
-		delete(t.guests, listed.Run)
+		delete(t.inheritedRuns, listed.Run)
 		return false
 	}
 	g.saved = listed.SavedState
-	t.guests[listed.Run] = g
+	t.inheritedRuns[listed.Run] = g
 	return true
 }
 
@@ -87,7 +87,7 @@
 // otherwise.
 func (s *State) pendingTask(name string) *task {
 	id, _, _ := strings.Cut(name, ".")
-	j := s.byID[id]
+	j := s.jobsByKey[id]
 	if j == nil || !j.stored {
 		return nil
 	}
@@ -102,34 +102,34 @@
 func (s *State) adoptRun(now time.Duration, t *target, tk *task, listed work.RunningRun) {
 	st := tk.step
 	st.pending = slices.DeleteFunc(st.pending, func(other *task) bool { return other == tk })
-	s.emit(Note{What: "run goes on", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID})
+	s.emit(LogEvent{Message: "run goes on", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID})
 	tk.job.mark(now, "goes on", tk.name, t.ID, "")
 	tk.job.traced = true
-	s.occupy(t, &run{
-		RunID: listed.Run, task: tk, target: t, state: running, ordered: now, until: t.lease.until,
+	s.assignRun(t, &run{
+		RunID: listed.Run, task: tk, target: t, state: running, ordered: now, leaseUntil: t.lease.until,
 		expected: st.expected, saved: listed.SavedState, adopted: true, listed: true,
 	})
 }
 
 // ResumeJob takes a stored job over from a previous owner.
 func (s *State) Resume(now time.Duration, sub Submission, progress Progress) {
-	if s.byID[sub.Job.ID] != nil {
+	if s.jobsByKey[sub.Job.ID] != nil {
 		return
 	}
 	j := s.newJob(now, sub)
 	j.stored = true
 	j.mark(now, "resumed", "", "", "")
 	s.jobs[sub.Ref] = j
-	s.byID[sub.Job.ID] = j
+	s.jobsByKey[sub.Job.ID] = j
 	s.recall(now, j, progress)
 	for _, t := range j.tasks {
-		for _, o := range s.orphans[t.name] {
+		for _, o := range s.unrecordedCompletions[t.name] {
 			s.adopt(t, o)
 		}
-		delete(s.orphans, t.name)
-		if inherited, ok := s.left[t.name]; ok {
+		delete(s.unrecordedCompletions, t.name)
+		if inherited, ok := s.inheritedStates[t.name]; ok {
 			s.keepSaved(t, inherited.number, inherited.saved)
-			delete(s.left, t.name)
+			delete(s.inheritedStates, t.name)
 		}
 	}
 	// Previous owners may have run any part of it. So it is never refused, and goes first.
@@ -204,31 +204,31 @@
 // durable job, the completion is not acknowledged until the job was taken over and the store has
 // the completion.
 func (s *State) orphaned(now time.Duration, t *target, end work.Completion) {
-	if !keptRun(end.Run) {
+	if !isDurableRun(end.Run) {
 		return
 	}
 	s.inherit(end)
 	if end.Kind != work.CompletionDone && end.Kind != work.CompletionFailed {
 		return
 	}
-	o := orphan{end: t.endRef(end.Number), run: end.Run.Number, failed: end.Kind == work.CompletionFailed}
-	if !s.resumed {
-		t.unnoted[end.Number] = true
-		s.orphans[end.Run.Task] = append(s.orphans[end.Run.Task], o)
+	o := orphan{end: t.completionRef(end.Number), run: end.Run.Number, failed: end.Kind == work.CompletionFailed}
+	if !s.allResumed {
+		t.unrecorded[end.Number] = true
+		s.unrecordedCompletions[end.Run.Task] = append(s.unrecordedCompletions[end.Run.Task], o)
 		return
 	}
 	id, _, _ := strings.Cut(end.Run.Task, ".")
-	j := s.byID[id]
+	j := s.jobsByKey[id]
 	if j == nil || !j.stored {
 		if s.leaving {
 			// The job may belong to another owner by now.
-			t.unnoted[end.Number] = true
+			t.unrecorded[end.Number] = true
 		}
 		return
 	}
 	for _, task := range j.tasks {
 		if task.name == end.Run.Task && task.run == nil {
-			t.unnoted[end.Number] = true
+			t.unrecorded[end.Number] = true
 			s.adopt(task, o)
 			s.over(now, j)
 			return
@@ -238,21 +238,21 @@
 
 // inheritSaved takes the work that a previous owner's run has saved.
 func (s *State) inherit(end work.Completion) {
-	switch inherited := s.left[end.Run.Task]; {
+	switch inherited := s.inheritedStates[end.Run.Task]; {
 	case end.SavedState == "" || end.Run.Number < inherited.number:
-	case s.resumed:
+	case s.allResumed:
 		if tk := s.pendingTask(end.Run.Task); tk != nil {
 			s.keepSaved(tk, end.Run.Number, end.SavedState)
 		}
 	default:
-		s.left[end.Run.Task] = leftover{number: end.Run.Number, saved: end.SavedState}
+		s.inheritedStates[end.Run.Task] = leftover{number: end.Run.Number, saved: end.SavedState}
 	}
 }
 
 // applyCompletion takes the unrecorded completion of a task that isn't running, and has it
 // written to the store.
 func (s *State) adopt(t *task, o orphan) {
-	s.unnoted++
+	s.pendingWrites++
 	t.job.traced = true
 	switch {
 	case t.complete || t.step.Lasting || o.failed && o.run <= t.lastFailed:
@@ -270,15 +270,15 @@
 // FinishResume says that all jobs of previous owners were taken over. Completions that belong to
 // none of them may be acknowledged. Inherited runs are now assigned to their tasks or stopped.
 func (s *State) Resumed(now time.Duration) {
-	s.resumed = true
-	for task, completions := range s.orphans {
+	s.allResumed = true
+	for task, completions := range s.unrecordedCompletions {
 		for _, o := range completions {
-			s.unnoted++
+			s.pendingWrites++
 			s.Noted(o.end)
 		}
-		delete(s.orphans, task)
+		delete(s.unrecordedCompletions, task)
 	}
-	clear(s.left)
+	clear(s.inheritedStates)
 	for _, t := range s.sortedTargets() {
 		s.seat(now, t)
 	}
@@ -295,8 +295,8 @@
 // have none.
 func (s *State) seat(now time.Duration, t *target) {
 	for _, inherited := range t.sortedGuests() {
-		saved := t.guests[inherited].saved
-		delete(t.guests, inherited)
+		saved := t.inheritedRuns[inherited].saved
+		delete(t.inheritedRuns, inherited)
 		if tk := s.pendingTask(inherited.Task); tk != nil && t.runs[inherited.Task] == nil {
 			s.adoptRun(now, t, tk, work.RunningRun{Run: inherited, SavedState: saved})
 		} else {
@@ -304,13 +304,13 @@
 		}
 	}
 	s.use(now, t)
-	s.touch(t)
+	s.markChanged(t)
 }
 
 // sortedInheritedRuns returns the target's inherited runs, sorted by task.
 func (t *target) sortedGuests() []work.RunID {
-	runs := make([]work.RunID, 0, len(t.guests))
-	for inherited := range t.guests {
+	runs := make([]work.RunID, 0, len(t.inheritedRuns))
+	for inherited := range t.inheritedRuns {
 		runs = append(runs, inherited)
 	}
 	slices.SortFunc(runs, func(a, b work.RunID) int { return strings.Compare(a.Task, b.Task) })
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -35,9 +35,9 @@
 	// longest bounds the run time of tasks, in milliseconds.
 	longest int
 	// otherOwner has targets of its own and takes parts, unless the link to it is cut.
-	other   *fakeOwner
-	linkCut bool
-	kept    keptStore
+	otherOwner   *fakeOwner
+	linkCut      bool
+	durableStore keptStore
 	// acknowledged holds the tasks whose successful completion was acknowledged.
 	acknowledged map[string]bool
 	// acknowledgedBy says how the completion of a task was acknowledged.
@@ -45,9 +45,9 @@
 	// startedAt is when each task was last started.
 	startedAt map[string]time.Duration
 	// ackedFailures counts the acknowledged failed completions, by task.
-	failed map[string]int
+	ackedFailures map[string]int
 	// failedRuns counts all failed runs, by task and by gang.
-	failedEnds map[string]int
+	failedRuns map[string]int
 	// done holds the completed tasks of durable jobs; saved is everything that tasks and gangs have
 	// ever saved; gangs holds those with a running member.
 	done  map[string]bool
@@ -55,19 +55,19 @@
 	gangs map[string]*fakeGang
 	// tickets is until when each ticket is valid; ticketRefusals counts starts refused for lack of
 	// one.
-	tickets    map[string]time.Duration
-	unticketed int
+	tickets        map[string]time.Duration
+	ticketRefusals int
 	// cordons is the operator's setting for the owners' failure domain; nil if the test has none.
 	cordons *fakeCordons
 	// lasting is set once a lasting job was submitted.
 	lasting bool
 	// poisonJobs are the jobs whose tasks crash their targets; crashed counts the targets that each
 	// task crashed; lostUnder holds the tasks under which a target crashed by itself.
-	culprits map[string]bool
-	crashed  map[string]int
-	struck   map[string]bool
+	poisonJobs map[string]bool
+	crashed    map[string]int
+	lostUnder  map[string]bool
 	// singleOwner ends the previous owner when another takes over.
-	alone bool
+	singleOwner bool
 	// restarts makes targets restart under their ID, and report their incarnation and capacity.
 	restarts bool
 }
@@ -117,19 +117,19 @@
 	frozen, cut, dead bool
 	refs              map[Ref]*caller
 	// name is the owner's name at the other owner; partReplies answer the other owner's parts.
-	name    string
-	lenders map[Ref]func(work.Outcome)
-	lent    map[Part]*lentPart
+	name        string
+	partReplies map[Ref]func(work.Outcome)
+	delegated   map[Part]*sentPart
 	// accepting is set once the owner has taken over the durable jobs.
 	accepting bool
 	// fails is what it knows of the failed runs of durable jobs, by job and task.
 	fails map[string]map[int]int
 	// cordon is what it was told of the cordon.
-	cordon toldCordon
+	cordon knownCordon
 }
 
 // sentPart is a part on its way to the other owner or there.
-type lentPart struct {
+type sentPart struct {
 	ref      Ref
 	returned bool
 }
@@ -139,30 +139,30 @@
 	world *world
 	id    string
 	// clockRate is the speed of its clock.
-	rate float64
-	free int64
+	clockRate float64
+	free      int64
 	// capacity is its total capacity since resized; overcommits makes it start runs that do not
 	// fit.
-	capacity int64
-	resized  time.Duration
-	careless bool
+	capacity    int64
+	resized     time.Duration
+	overcommits bool
 	// life is when it started, in milliseconds; 0 if it does not report it.
-	life    int64
-	fence   int64
-	runs    map[string]*fakeRun
-	highest map[string]int64
-	ended   []work.Completion
-	number  int64
-	until   int64
-	down    bool
-	hung    bool
-	silent  bool
-	poll    func()
+	life       int64
+	fence      int64
+	runs       map[string]*fakeRun
+	highest    map[string]int64
+	ended      []work.Completion
+	number     int64
+	until      int64
+	down       bool
+	hung       bool
+	silent     bool
+	answerPoll func()
 	// ofOtherOwner marks the targets of the other owner.
-	others bool
+	ofOtherOwner bool
 	// leaseLapsed is when the lease was last over; endedAt is when each run ended.
-	lapsed  time.Duration
-	endedAt map[int64]time.Duration
+	leaseLapsed time.Duration
+	endedAt     map[int64]time.Duration
 }
 
 type fakeRun struct {
@@ -177,11 +177,11 @@
 	w := &world{
 		now: time.Second, random: rand.New(rand.NewPCG(seed, 7)), targets: map[string]*fakeTarget{},
 		callers: map[string]*caller{}, running: map[string]int{}, started: map[string]bool{}, faults: faults, longest: 100,
-		kept: keptStore{jobs: map[string]*keptRecord{}}, acknowledged: map[string]bool{}, startedAt: map[string]time.Duration{},
-		failed: map[string]int{}, failedEnds: map[string]int{}, done: map[string]bool{}, saved: map[string]map[string]bool{}, gangs: map[string]*fakeGang{}, tickets: map[string]time.Duration{},
+		durableStore: keptStore{jobs: map[string]*keptRecord{}}, acknowledged: map[string]bool{}, startedAt: map[string]time.Duration{},
+		ackedFailures: map[string]int{}, failedRuns: map[string]int{}, done: map[string]bool{}, saved: map[string]map[string]bool{}, gangs: map[string]*fakeGang{}, tickets: map[string]time.Duration{},
 	}
 	w.acknowledgedBy = map[string]string{}
-	w.culprits, w.crashed, w.struck = map[string]bool{}, map[string]int{}, map[string]bool{}
+	w.poisonJobs, w.crashed, w.lostUnder = map[string]bool{}, map[string]int{}, map[string]bool{}
 	for range targets {
 		w.addTarget()
 	}
@@ -190,7 +190,7 @@
 
 func (w *world) addTarget() *fakeTarget {
 	t := &fakeTarget{
-		world: w, id: fmt.Sprintf("t%02d", len(w.targets)), rate: 0.98 + 0.02*w.random.Float64(),
+		world: w, id: fmt.Sprintf("t%02d", len(w.targets)), clockRate: 0.98 + 0.02*w.random.Float64(),
 		free: fakeCPU, capacity: fakeCPU, endedAt: map[int64]time.Duration{}, runs: map[string]*fakeRun{}, highest: map[string]int64{},
 	}
 	w.targets[t.id] = t
@@ -198,7 +198,7 @@
 		t.life = w.now.Milliseconds()
 	}
 	for _, o := range w.owners {
-		o.state.TargetSeen(w.now, t.listed())
+		o.state.TargetListed(w.now, t.listed())
 	}
 	w.after(ms, t.lapse)
 	return t
@@ -209,7 +209,7 @@
 }
 
 func (t *fakeTarget) clock() int64 {
-	return 100 + int64(float64(t.world.now.Milliseconds()-t.life)*t.rate)
+	return 100 + int64(float64(t.world.now.Milliseconds()-t.life)*t.clockRate)
 }
 
 func (w *world) after(d time.Duration, do func()) {
@@ -237,22 +237,22 @@
 	o := &fakeOwner{
 		fails: map[string]map[int]int{},
 		state: New(Options{AwaitCordon: w.cordons != nil, ConfirmClaims: true}), token: w.token, refs: map[Ref]*caller{},
-		name: fmt.Sprintf("o%d", w.token), lent: map[Part]*lentPart{},
+		name: fmt.Sprintf("o%d", w.token), delegated: map[Part]*sentPart{},
 	}
 	for _, id := range w.targetIDs() {
-		if t := w.targets[id]; !t.down && !t.others {
-			o.state.TargetSeen(w.now, t.listed())
+		if t := w.targets[id]; !t.down && !t.ofOtherOwner {
+			o.state.TargetListed(w.now, t.listed())
 		}
 	}
-	o.state.Listed()
+	o.state.RegistryRead()
 	w.owners = append(w.owners, o)
-	if w.alone {
+	if w.singleOwner {
 		w.endFormer()
 	}
 	w.tick(o)
-	w.vouch(o)
+	w.sendKeepalives(o)
 	w.takeOverJobs(o, w.now)
-	w.tellCordon(o)
+	w.reportCordon(o)
 	return o
 }
 
@@ -267,7 +267,7 @@
 
 // raiseToken gives the newest owner a higher token, as happens when a claim that was handed over to
 // it is written.
-func (w *world) raise() {
+func (w *world) raiseToken() {
 	w.token++
 	w.owner().token = w.token
 }
@@ -281,36 +281,36 @@
 	if !o.frozen {
 		o.state.Wall(w.now, w.now+wallBase)
 		o.state.Tick(w.now)
-		w.carryOut(o)
+		w.applyEffects(o)
 	}
 	w.after(20*ms, func() { w.tick(o) })
 }
 
 // keepaliveTime and silenceTimeout are the bounds of the heartbeat.
 const (
-	entryVouch   = 320 * ms
-	entrySilence = 420 * ms
+	keepaliveTime  = 320 * ms
+	silenceTimeout = 420 * ms
 )
 
 // sendKeepalives simulates the heartbeats of one entry VM.
-func (w *world) vouch(o *fakeOwner) {
+func (w *world) sendKeepalives(o *fakeOwner) {
 	if o.dead {
 		return
 	}
 	if !o.frozen && !o.cut {
-		o.state.EntrySeen("e", w.now+entryVouch)
+		o.state.EntryKeepalive("e", w.now+keepaliveTime)
 	}
-	w.after(50*ms, func() { w.vouch(o) })
+	w.after(50*ms, func() { w.sendKeepalives(o) })
 }
 
 // dropCallers disconnects an owner's callers after a time: their entry VM has heard nothing for too
 // long, or the connection broke.
-func (w *world) lose(o *fakeOwner, after time.Duration) {
+func (w *world) dropCallers(o *fakeOwner, after time.Duration) {
 	w.after(after, func() {
 		for _, ref := range sortedRefs(o.refs) {
 			c := o.refs[ref]
 			delete(o.refs, ref)
-			w.again(c)
+			w.retryLater(c)
 		}
 	})
 }
@@ -324,30 +324,30 @@
 	return sorted
 }
 
-func (w *world) carryOut(o *fakeOwner) {
+func (w *world) applyEffects(o *fakeOwner) {
 	for _, effect := range o.state.Effects(w.now) {
 		switch e := effect.(type) {
 		case Answer:
-			w.answered(o, e)
-		case Lend:
-			w.lend(o, e)
+			w.handleAnswer(o, e)
+		case Delegate:
+			w.delegate(o, e)
 		case Withdraw:
 			w.withdraw(o, e)
 		case ConfirmClaim:
 			w.confirmClaim(o)
 		case ConfirmCordon:
-			o.cordon.known, o.cordon.doubted = false, w.now
-			w.tellCordon(o)
+			o.cordon.known, o.cordon.unconfirmedSince = false, w.now
+			w.reportCordon(o)
 		case StartRun:
 			w.checkCordon(o, e)
 			w.checkRoom(o, e)
-			w.order(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].start(token, e) },
+			w.deliverOrder(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].start(token, e) },
 				func(a work.OrderAnswer) { o.state.Started(w.now, e.To.ID, e.Run, a) })
 		case StopRun:
-			w.order(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].stop(token, e.Run) },
+			w.deliverOrder(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].stop(token, e.Run) },
 				func(a work.OrderAnswer) { o.state.Stopped(w.now, e.To.ID, e.Run, a) })
-		case Look:
-			w.look(o, e)
+		case Poll:
+			w.poll(o, e)
 		case Deposed:
 			o.state.Abandon(w.now)
 		default:
@@ -356,9 +356,9 @@
 	}
 }
 
-func (w *world) answered(o *fakeOwner, e Answer) {
-	if reply := o.lenders[e.Ref]; reply != nil {
-		delete(o.lenders, e.Ref)
+func (w *world) handleAnswer(o *fakeOwner, e Answer) {
+	if reply := o.partReplies[e.Ref]; reply != nil {
+		delete(o.partReplies, e.Ref)
 		reply(e.Outcome)
 		return
 	}
@@ -376,16 +376,16 @@
 		c.answered = true
 	case work.Refused, work.Moved:
 		c.answered, c.refused = true, true
-		if c.tries == 1 && w.started[c.id] {
+		if c.attempts == 1 && w.started[c.id] {
 			w.violations = append(w.violations, c.id+" was refused, though it had started")
 		}
 	default:
-		w.again(c)
+		w.retryLater(c)
 	}
 }
 
 // deliverOrder simulates an order's way to a target and back.
-func (w *world) order(o *fakeOwner, target string, carryOut func(token int64) work.OrderAnswer, back func(work.OrderAnswer)) {
+func (w *world) deliverOrder(o *fakeOwner, target string, carryOut func(token int64) work.OrderAnswer, back func(work.OrderAnswer)) {
 	token, life := o.token, w.targets[target].life
 	do := func() work.OrderAnswer { return carryOut(token) }
 	late := func() {
@@ -396,7 +396,7 @@
 	}
 	reply := func(a work.OrderAnswer, after time.Duration) {
 		w.after(after, func() {
-			w.hear(o, func() {
+			w.deliver(o, func() {
 				a.Verdict = Settle(a.Verdict, token, o.token)
 				back(a)
 			})
@@ -405,10 +405,10 @@
 	unknown := work.OrderAnswer{}
 	switch draw := w.random.Float64(); {
 	case draw < w.faults.lostOrders:
-		reply(unknown, unansweredTime)
+		reply(unknown, orderTimeout)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, late)
-		reply(unknown, unansweredTime)
+		reply(unknown, orderTimeout)
 	case draw > 1-w.faults.broken:
 		if w.random.IntN(2) == 0 {
 			w.after(ms, func() { do() })
@@ -416,13 +416,13 @@
 		reply(work.OrderAnswer{Verdict: work.VerdictConnectionLost}, ms+time.Duration(w.random.IntN(4))*ms)
 	case draw < w.faults.lostOrders+w.faults.lateOrders+w.faults.lostAnswers:
 		w.after(ms, func() { do() })
-		reply(unknown, unansweredTime)
+		reply(unknown, orderTimeout)
 	default:
 		// Orders on their way overtake each other.
 		w.after(ms+time.Duration(w.random.IntN(3))*ms, func() {
 			answer := do()
 			if answer.Verdict == work.VerdictUnknown {
-				reply(answer, unansweredTime)
+				reply(answer, orderTimeout)
 				return
 			}
 			reply(answer, ms+time.Duration(w.random.IntN(3))*ms)
@@ -431,33 +431,35 @@
 }
 
 // deliver hands a message to an owner, after it has thawed.
-func (w *world) hear(o *fakeOwner, take func()) {
+func (w *world) deliver(o *fakeOwner, take func()) {
 	switch {
 	case o.dead:
 	case o.frozen:
-		w.after(10*ms, func() { w.hear(o, take) })
+		w.after(10*ms, func() { w.deliver(o, take) })
 	default:
 		take()
-		w.carryOut(o)
+		w.applyEffects(o)
 	}
 }
 
-func (w *world) look(o *fakeOwner, e Look) {
+func (w *world) poll(o *fakeOwner, e Poll) {
 	token := o.token
 	t := w.targets[e.To.ID]
 	life := t.life
 	reply := func(after time.Duration, held work.PollAnswer, verdict work.Verdict) {
-		w.after(after, func() { w.hear(o, func() { o.state.Looked(w.now, t.id, e.At, held, Settle(verdict, token, o.token)) }) })
+		w.after(after, func() {
+			w.deliver(o, func() { o.state.Looked(w.now, t.id, e.SentAt, held, Settle(verdict, token, o.token)) })
+		})
 	}
 	ignore := func(work.PollAnswer, work.Verdict) {}
-	timeout := e.Wait + unansweredTime
+	timeout := e.Wait + orderTimeout
 	switch draw := w.random.Float64(); {
 	case draw < w.faults.lostOrders:
 		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, func() {
 			if t.life == life {
-				t.look(token, e, ignore)
+				t.servePoll(token, e, ignore)
 			}
 		})
 		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
@@ -465,15 +467,15 @@
 		// The answer takes long, and others overtake it.
 		sent := w.now
 		w.after(ms, func() {
-			t.look(token, e, func(held work.PollAnswer, verdict work.Verdict) {
+			t.servePoll(token, e, func(held work.PollAnswer, verdict work.Verdict) {
 				reply(max(sent+timeout-ms-w.now, 0), held, verdict)
 			})
 		})
 	default:
 		w.after(ms, func() {
-			t.look(token, e, func(held work.PollAnswer, verdict work.Verdict) {
+			t.servePoll(token, e, func(held work.PollAnswer, verdict work.Verdict) {
 				if verdict == work.VerdictUnknown {
-					reply(unansweredTime, held, verdict)
+					reply(orderTimeout, held, verdict)
 					return
 				}
 				reply(ms, held, verdict)
@@ -483,12 +485,12 @@
 }
 
 // orderTimeout is how long an order waits for its answer.
-const unansweredTime = 120 * ms
+const orderTimeout = 120 * ms
 
 // runStarted and runEnded count the executing runs for the checks.
-func (w *world) begins(task string) {
+func (w *world) runStarted(task string) {
 	id := strings.SplitN(task, ".", 2)[0]
-	if c := w.callers[id]; c != nil && c.refused && c.tries == 1 {
+	if c := w.callers[id]; c != nil && c.refused && c.attempts == 1 {
 		w.violations = append(w.violations, id+" starts, though it was refused")
 	}
 	w.started[id] = true
@@ -498,4 +500,4 @@
 	}
 }
 
-func (w *world) ends(task string) { w.running[task]-- }
+func (w *world) runEnded(task string) { w.running[task]-- }
