--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -121,8 +121,8 @@
 		t.begin(e.Run, a, need)
 	}
 	t.reply(o, func(now time.Duration) {
-		o.state.Answered(now - sent)
-		o.state.Started(now, t.ID, e.Run, answer)
+		o.state.RecordAnswerTime(now - sent)
+		o.state.HandleStartAnswer(now, t.ID, e.Run, answer)
 	})
 }
 
@@ -186,8 +186,8 @@
 	}
 	answer := work.OrderAnswer{ClockMS: t.clock(), Verdict: work.VerdictDone}
 	t.reply(o, func(now time.Duration) {
-		o.state.Answered(now - sent)
-		o.state.Stopped(now, t.ID, e.Run, answer)
+		o.state.RecordAnswerTime(now - sent)
+		o.state.HandleStopAnswer(now, t.ID, e.Run, answer)
 	})
 }
 
@@ -209,9 +209,9 @@
 		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
 		t.reply(o, func(now time.Duration) {
 			if e.Wait == 0 {
-				o.state.Answered(now - sent)
+				o.state.RecordAnswerTime(now - sent)
 			}
-			o.state.Looked(now, t.ID, e.SentAt, held, work.VerdictDone)
+			o.state.HandlePollAnswer(now, t.ID, e.SentAt, held, work.VerdictDone)
 		})
 	}
 	if len(t.ended) > 0 || e.Wait == 0 {
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -371,17 +371,17 @@
 		case scheduler.StartRun:
 			sent := w.now
 			w.call(o, e.To.ID, func(t *targetSim) { t.start(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, orderTime, func() { o.state.Started(w.now, t.ID, e.Run, work.OrderAnswer{}) })
+				t.unanswered(o, orderTime, func() { o.state.HandleStartAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
 			})
 		case scheduler.StopRun:
 			sent := w.now
 			w.call(o, e.To.ID, func(t *targetSim) { t.stop(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, orderTime, func() { o.state.Stopped(w.now, t.ID, e.Run, work.OrderAnswer{}) })
+				t.unanswered(o, orderTime, func() { o.state.HandleStopAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
 			})
 		case scheduler.Poll:
 			sent := w.now
 			w.call(o, e.To.ID, func(t *targetSim) { t.look(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, e.Wait+orderTime, func() { o.state.Looked(w.now, t.ID, e.SentAt, work.PollAnswer{}, work.VerdictUnknown) })
+				t.unanswered(o, e.Wait+orderTime, func() { o.state.HandlePollAnswer(w.now, t.ID, e.SentAt, work.PollAnswer{}, work.VerdictUnknown) })
 			})
 		}
 	}
--- a/owner/durable.go
+++ b/owner/durable.go
@@ -56,7 +56,7 @@
 	if o.durable.registryReadAt == 0 {
 		o.durable.registryReadAt = now
 	}
-	return o.state.Adopted() || now-o.durable.registryReadAt > takeOverTimeout
+	return o.state.TargetsFenced() || now-o.durable.registryReadAt > takeOverTimeout
 }
 
 // takeOverJobs reads the durable jobs of the group from the store once canTakeOverJobs holds.
@@ -95,14 +95,14 @@
 	clock, _ := o.options.StoreClock()
 	for _, job := range jobs {
 		o.lastRef++
-		o.state.Resume(now, scheduler.Submission{
+		o.state.ResumeJob(now, scheduler.Submission{
 			Ref: o.lastRef, Job: job.Job, Queue: job.Queue, Age: max(clock-job.Arrived, 0),
 		}, scheduler.Progress{
 			Done: job.Progress.Done, Fails: job.Progress.Fails, LastFailed: job.Progress.LastFailed, Saved: job.Progress.Saved,
 			Crashed: schedulerCrashes(job.Progress.Crashed),
 		})
 	}
-	o.state.Resumed(now)
+	o.state.FinishResume(now)
 }
 
 // schedulerCrashes converts the stored target losses, by task, to the scheduler's type.
@@ -132,15 +132,15 @@
 // record writes an effect of a durable job to the store.
 func (o *Owner) record(ctx context.Context, effect scheduler.Effect) {
 	switch e := effect.(type) {
-	case scheduler.Keep:
+	case scheduler.StoreJob:
 		job := e.Submission.Job
 		o.options.Jobs.Accept(job, e.Submission.Queue, e.Submission.Age, func(r jobstore.Result) {
 			o.post(ctx, func(now time.Duration) { o.jobStored(now, job.ID, r) })
 		})
 	case scheduler.TaskDone:
-		o.options.Jobs.TaskDone(e.Job, e.Task, func() { o.completionRecorded(ctx, e.End) })
+		o.options.Jobs.TaskDone(e.Job, e.Task, func() { o.completionRecorded(ctx, e.Completion) })
 	case scheduler.TaskFailed:
-		o.options.Jobs.TaskFailed(e.Job, e.Task, e.Run, func() { o.completionRecorded(ctx, e.End) })
+		o.options.Jobs.TaskFailed(e.Job, e.Task, e.Run, func() { o.completionRecorded(ctx, e.Completion) })
 	case scheduler.TaskCrashed:
 		o.options.Jobs.TaskCrashed(e.Job, e.Task, jobstore.Crash(e.Crash))
 	case scheduler.TaskSaved:
@@ -159,15 +159,15 @@
 func (o *Owner) jobStored(now time.Duration, id string, r jobstore.Result) {
 	o.options.Count("acceptances", r.String())
 	if r == jobstore.Doubtful {
-		o.state.Doubted(id)
+		o.state.HandleJobStoreUncertain(id)
 		return
 	}
-	o.state.Stored(now, id, storeOutcome(r), r == jobstore.Stored)
+	o.state.HandleJobStored(now, id, storeOutcome(r), r == jobstore.Stored)
 }
 
 // completionRecorded tells the State that a completion is in the store and may be acknowledged.
-func (o *Owner) completionRecorded(ctx context.Context, end scheduler.EndRef) {
-	o.post(ctx, func(time.Duration) { o.state.Noted(end) })
+func (o *Owner) completionRecorded(ctx context.Context, end scheduler.CompletionRef) {
+	o.post(ctx, func(time.Duration) { o.state.HandleCompletionStored(end) })
 }
 
 // storeOutcome returns the outcome that the caller gets for the result of storing its job.
@@ -184,7 +184,7 @@
 
 // jobEndRecorded wakes those who wait until the end of a job is in the store.
 func (o *Owner) jobEndRecorded(id string) {
-	o.state.EndNoted(id)
+	o.state.HandleJobEndStored(id)
 	delete(o.durable.ending, id)
 	for _, recorded := range o.durable.endWaiters[id] {
 		close(recorded)
@@ -223,7 +223,7 @@
 	recorded := make(chan struct{})
 	started := make(chan bool, 1)
 	o.post(ctx, func(time.Duration) {
-		running := o.durable.ending[id] || o.state.Begun(id)
+		running := o.durable.ending[id] || o.state.HasStarted(id)
 		if running {
 			o.addEndWaiter(id, recorded)
 		}
@@ -257,7 +257,7 @@
 	}
 	recorded := make(chan struct{})
 	o.post(ctx, func(now time.Duration) {
-		if o.state.CancelKept(now, id) || o.durable.ending[id] {
+		if o.state.CancelDurable(now, id) || o.durable.ending[id] {
 			o.addEndWaiter(id, recorded)
 			return
 		}
@@ -283,7 +283,7 @@
 		return
 	}
 	o.durable.pendingCountedAt = now
-	pending := o.state.Pending()
+	pending := o.state.PendingDurable()
 	o.durable.pending.Store(&pending)
 }
 
--- a/owner/keepalives_test.go
+++ b/owner/keepalives_test.go
@@ -17,7 +17,7 @@
 	o.state.RegistryRead()
 	o.state.TargetListed(0, work.Target{ID: "a", Service: "s", Capacity: work.Resources{CPU: 4}})
 	o.state.Effects(0)
-	o.state.Looked(0, "a", 0, work.PollAnswer{ClockMS: 5000}, work.VerdictDone)
+	o.state.HandlePollAnswer(0, "a", 0, work.PollAnswer{ClockMS: 5000}, work.VerdictDone)
 	o.RecordKeepalive("e", time.Second, nil)
 	o.RecordKeepalive("e", 500*time.Millisecond, nil)
 	o.RecordKeepalive("e", time.Second, []string{"j"})
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -177,7 +177,7 @@
 	}
 	owner.token.Store(o.Token)
 	if o.Jobs == nil {
-		owner.state.Resumed(bootclock.Now())
+		owner.state.FinishResume(bootclock.Now())
 	}
 	return owner
 }
@@ -285,7 +285,7 @@
 
 // readClocks gives the State the time of day and the store's clock.
 func (o *Owner) readClocks(now time.Duration) {
-	o.state.Wall(now, time.Duration(time.Now().UnixNano()))
+	o.state.SetWallClock(now, time.Duration(time.Now().UnixNano()))
 	if clock, known := o.options.StoreClock(); known {
 		o.state.SetRunClock(now, clock)
 	}
@@ -375,11 +375,11 @@
 			o.giveUpPart(e)
 		case scheduler.Answer:
 			o.answerCaller(e)
-		case scheduler.Keep, scheduler.TaskDone, scheduler.TaskFailed, scheduler.TaskCrashed, scheduler.TaskSaved, scheduler.JobEnded:
+		case scheduler.StoreJob, scheduler.TaskDone, scheduler.TaskFailed, scheduler.TaskCrashed, scheduler.TaskSaved, scheduler.JobEnded:
 			o.record(ctx, e)
 		case scheduler.LogEvent:
 			o.logEvent(e)
-		case scheduler.Trail:
+		case scheduler.JobHistory:
 			o.logHistory(e)
 		case scheduler.Deposed:
 			o.stepDown(e)
@@ -398,12 +398,12 @@
 	if began-decided <= maxStartAge {
 		answer = o.targets.Start(ctx, e.To, e.StartOrder, token)
 	}
-	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
+	answer.Verdict = scheduler.ResolveVerdict(answer.Verdict, token, o.token.Load())
 	o.options.Count("starts", answer.Verdict.String())
 	o.options.Observe("start_answer", bootclock.Now()-began)
 	o.post(ctx, func(now time.Duration) {
 		o.recordAnswerTime(answer.Verdict, now-decided)
-		o.state.Started(now, e.To.ID, e.Run, answer)
+		o.state.HandleStartAnswer(now, e.To.ID, e.Run, answer)
 	})
 }
 
@@ -411,11 +411,11 @@
 func (o *Owner) sendStop(ctx context.Context, e scheduler.StopRun, decided time.Duration) {
 	token := o.token.Load()
 	answer := o.targets.Stop(ctx, e.To, e.Run, token)
-	answer.Verdict = scheduler.Settle(answer.Verdict, token, o.token.Load())
+	answer.Verdict = scheduler.ResolveVerdict(answer.Verdict, token, o.token.Load())
 	o.options.Count("stops", answer.Verdict.String())
 	o.post(ctx, func(now time.Duration) {
 		o.recordAnswerTime(answer.Verdict, now-decided)
-		o.state.Stopped(now, e.To.ID, e.Run, answer)
+		o.state.HandleStopAnswer(now, e.To.ID, e.Run, answer)
 	})
 }
 
@@ -423,14 +423,14 @@
 func (o *Owner) poll(ctx context.Context, e scheduler.Poll, decided time.Duration) {
 	token := o.token.Load()
 	answer, verdict := o.targets.Poll(ctx, e.To, token, e.LeaseUntil, e.AckUpTo, e.Wait)
-	verdict = scheduler.Settle(verdict, token, o.token.Load())
+	verdict = scheduler.ResolveVerdict(verdict, token, o.token.Load())
 	o.options.Count("looks", verdict.String())
 	o.post(ctx, func(now time.Duration) {
 		// A long poll waits at the target, so its time says nothing about this process.
 		if e.Wait == 0 {
 			o.recordAnswerTime(verdict, now-decided)
 		}
-		o.state.Looked(now, e.To.ID, e.SentAt, answer, verdict)
+		o.state.HandlePollAnswer(now, e.To.ID, e.SentAt, answer, verdict)
 	})
 }
 
@@ -440,7 +440,7 @@
 	switch verdict {
 	case work.VerdictUnknown, work.VerdictConnectionLost, work.VerdictUnsent:
 	default:
-		o.state.Answered(took)
+		o.state.RecordAnswerTime(took)
 	}
 }
 
@@ -490,7 +490,7 @@
 
 // logHistory logs what happened to a job, in a single log line so that the log's limit drops
 // all of it or nothing.
-func (o *Owner) logHistory(e scheduler.Trail) {
+func (o *Owner) logHistory(e scheduler.JobHistory) {
 	level := slog.LevelWarn
 	if e.Result == work.Completed && e.Took <= e.Objective {
 		level = slog.LevelInfo
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -11,7 +11,7 @@
 
 // Submit accepts a job, or answers at once why it is not run.
 func (s *State) Submit(now time.Duration, sub Submission) {
-	if s.bars(now, sub) {
+	if s.isSuperseded(now, sub) {
 		s.answer(sub, work.Outcome{Result: work.Unknown, Reason: "the job was asked for again"})
 		return
 	}
@@ -24,14 +24,14 @@
 		return
 	}
 	if j := s.jobsByKey[sub.key()]; j != nil {
-		if j.kept() {
-			s.attachKept(j, sub)
+		if j.isDurable() {
+			s.attachDurable(j, sub)
 		} else {
 			s.attachCaller(now, j, sub)
 		}
 		return
 	}
-	if reason, poisoned := s.condemnedJob(sub); poisoned {
+	if reason, poisoned := s.poisonedReason(sub); poisoned {
 		s.answer(sub, work.Outcome{Result: work.Failed, Reason: reason})
 		return
 	}
@@ -54,17 +54,17 @@
 		return
 	}
 	j.pool.recordDemand(now, j)
-	j.mark(now, "taken", "", "", s.describeLoad(j))
+	j.record(now, "taken", "", "", s.describeLoad(j))
 	s.jobs[sub.Ref] = j
 	s.jobsByKey[sub.key()] = j
-	if s.recallFalls(now, j); j.ended {
+	if s.restoreLosses(now, j); j.ended {
 		return
 	}
-	if j.kept() {
-		s.keep(j)
+	if j.isDurable() {
+		s.store(j)
 		return
 	}
-	s.wait(j)
+	s.enqueue(j)
 }
 
 // unservableRetryAfter is told to callers where only a change of targets helps.
@@ -90,7 +90,7 @@
 		j.deadline = now - sub.Age + sub.Wait
 	}
 	s.jobs[sub.Ref] = j
-	s.wait(j)
+	s.enqueue(j)
 }
 
 // RegistryRead records that the whole registry was read: a target not known now does not exist.
@@ -108,7 +108,7 @@
 		if !j.pool.canFit(st) {
 			return "no target can hold one of its tasks: ask for less"
 		}
-		if st.Gang && !j.pool.holdsGang(st) {
+		if st.Gang && !j.pool.canHoldGang(st) {
 			return "the targets can't hold all tasks of a gang at once: ask for less"
 		}
 	}
@@ -121,10 +121,10 @@
 }
 
 func (s *State) refuse(now time.Duration, j *job, wait time.Duration) {
-	j.mark(now, "refused", "", "", fmt.Sprintf("forecast wait %v, slack %v, %s",
-		wait.Round(time.Millisecond), (j.latest-now).Round(time.Millisecond), s.describeLoad(j)))
+	j.record(now, "refused", "", "", fmt.Sprintf("forecast wait %v, slack %v, %s",
+		wait.Round(time.Millisecond), (j.latestStart-now).Round(time.Millisecond), s.describeLoad(j)))
 	outcome := work.Outcome{Result: work.Refused, Reason: "too much work waits", RetryAfter: wait}
-	s.tell(now, j, outcome)
+	s.logHistory(now, j, outcome)
 	s.answer(j.sub, outcome)
 }
 
@@ -147,10 +147,10 @@
 		return 0, true
 	}
 	// Tasks that start at once free their processor again when they end.
-	rate += float64(free+arriving) / max(float64(j.chain())/float64(time.Millisecond), 1)
+	rate += float64(free+arriving) / max(float64(j.expectedRuntime())/float64(time.Millisecond), 1)
 	rate *= j.pool.shareLeft(now, priorityOf(j.sub.Queue))
 	wait := drainTime(s.cpuAhead(j)+shortfall-arriving, rate)
-	slack := j.latest - now - time.Duration(startMarginShare*float64(j.objective-j.arrived))
+	slack := j.latestStart - now - time.Duration(startMarginShare*float64(j.objective-j.arrived))
 	return wait, wait <= slack
 }
 
@@ -174,7 +174,7 @@
 // refuseLate refuses a late job that, behind all jobs that can still be on time, would not start
 // while its answer is of any use. Its caller learns so now instead of at the end of that time.
 func (s *State) refuseLate(now time.Duration, j *job) {
-	if j.kept() || j.sub.Part != nil {
+	if j.isDurable() || j.sub.Part != nil {
 		return
 	}
 	need := j.initialNeed()
@@ -184,10 +184,10 @@
 	}
 	// The job itself is among the waiting ones that cpuAhead counts.
 	wait := drainTime(s.cpuAhead(j)-free-j.pool.arrivingCPU(need.each), rate*j.pool.shareLeft(now, Priorities))
-	if wait <= j.useful-j.chain()-now {
+	if wait <= j.usefulUntil-j.expectedRuntime()-now {
 		return
 	}
-	outcome := j.giveUp("late, and too much work goes first")
+	outcome := j.giveUpOutcome("late, and too much work goes first")
 	outcome.RetryAfter = wait
 	s.finish(now, j, outcome)
 }
@@ -222,7 +222,7 @@
 	p.typicalCPU += typicalWeight * (cpu - p.typicalCPU)
 	p.decayDemand(now)
 	for _, st := range j.steps[:len(j.sub.Job.Steps)] {
-		p.demand[priorityOf(j.sub.Queue)] += float64(st.PerTask.CPU) * float64(st.Tasks) * st.expected.Seconds()
+		p.demand[priorityOf(j.sub.Queue)] += float64(st.PerTask.CPU) * float64(st.Tasks) * st.expectedRuntime.Seconds()
 	}
 }
 
@@ -254,8 +254,8 @@
 
 func (j *job) initialNeed() need {
 	var n need
-	for _, st := range j.current() {
-		if j.ready(st) {
+	for _, st := range j.currentSteps() {
+		if j.isReady(st) {
 			n.each = max(n.each, st.PerTask.CPU)
 			n.total += st.PerTask.CPU * int64(len(st.pending))
 		}
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -87,7 +87,7 @@
 	a.asking = true
 	s.asking++
 	s.adviserRequests[st.name] = st
-	j.mark(now, "adviser asked", "", "", "")
+	j.record(now, "adviser asked", "", "", "")
 	s.emit(AskAdviser{Step: st.name, Targets: targets})
 }
 
@@ -114,7 +114,7 @@
 
 // fitsEmpty reports whether a target with no runs could hold a task of the step.
 func (st *step) fitsEmpty(t *target) bool {
-	return st.PerTask.FitsIn(t.Capacity) && st.filling <= t.Capacity.CPU && (st.RequiredLabel == "" || slices.Contains(t.Labels, st.RequiredLabel))
+	return st.PerTask.FitsIn(t.Capacity) && st.backgroundCPU <= t.Capacity.CPU && (st.RequiredLabel == "" || slices.Contains(t.Labels, st.RequiredLabel))
 }
 
 // Advised takes the adviser's answer on the targets that an AskAdviser named. Without an answer
@@ -141,7 +141,7 @@
 		a.tickets[id] = ticket{value: value, until: now + valid - ticketMargin}
 	}
 	if !st.job.ended {
-		s.wait(st.job)
+		s.enqueue(st.job)
 	}
 }
 
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -10,7 +10,7 @@
 // that another owner's token refuses. sent is the token of the order. current is the owner's
 // token when the answer came. The token rises when the owner writes a claim that it was handed
 // over by message, while orders under the old token are still on their way.
-func Settle(verdict work.Verdict, sent, current int64) work.Verdict {
+func ResolveVerdict(verdict work.Verdict, sent, current int64) work.Verdict {
 	if verdict == work.VerdictFenced && sent < current {
 		return work.VerdictStaleToken
 	}
@@ -18,8 +18,8 @@
 }
 
 // HandleStartAnswer takes a target's answer to a StartRun.
-func (s *State) Started(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
-	s.resend.heard(answer.Verdict)
+func (s *State) HandleStartAnswer(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
+	s.resend.countAnswer(answer.Verdict)
 	t := s.targets[id]
 	if t == nil {
 		return
@@ -30,57 +30,57 @@
 	t.updateClock(now, answer.ClockMS)
 	r := t.runs[order.Task]
 	if r == nil || r.RunID != order {
-		s.answeredElsewhere(now, t, answer.Verdict)
+		s.handleTargetVerdict(now, t, answer.Verdict)
 		return
 	}
-	r.copies.waiting--
+	r.copies.unanswered--
 	switch verdict := answer.Verdict; {
 	case verdict == work.VerdictDone:
-		s.began(r)
-	case verdict == work.VerdictConnectionLost && s.startAtOnce(now, r):
-	case unanswered(verdict):
-		if r.copies.waiting <= 0 || now-r.ordered >= answerTime {
-			s.unanswered(now, t, r)
+		s.markRunning(r)
+	case verdict == work.VerdictConnectionLost && s.resendBrokenStart(now, r):
+	case isUnanswered(verdict):
+		if r.copies.unanswered <= 0 || now-r.ordered >= answerTimeout {
+			s.stopUnanswered(now, t, r)
 		}
 	case r.copies.count > 1:
-		s.copyRefused(now, t, r, verdict)
+		s.handleCopyRefusal(now, t, r, verdict)
 	default:
-		s.notBegun(now, t, r, verdict)
+		s.handleStartRefused(now, t, r, verdict)
 	}
 }
 
 // isUnanswered reports whether an order may have been carried out although no answer came.
-func unanswered(verdict work.Verdict) bool {
+func isUnanswered(verdict work.Verdict) bool {
 	return verdict == work.VerdictUnknown || verdict == work.VerdictConnectionLost
 }
 
 // handleCopyRefusal takes the refusal of one of several copies of a start. The refusal tells
 // nothing about the others: if the run has already ended, another copy started it, and the
 // target lists its completion.
-func (s *State) copyRefused(now time.Duration, t *target, r *run, verdict work.Verdict) {
+func (s *State) handleCopyRefusal(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	switch {
 	case verdict == work.VerdictMisdirected || verdict == work.VerdictFenced:
 		// Another copy may have started the run in the previous incarnation or under the
 		// previous token: the job still counts as started.
-		s.answeredElsewhere(now, t, verdict)
+		s.handleTargetVerdict(now, t, verdict)
 	case r.state != ordered:
 	case verdict == work.VerdictStaleRun && r.stop == nil:
-		s.began(r)
-	case verdict == work.VerdictUnsent && r.copies.waiting > 0:
+		s.markRunning(r)
+	case verdict == work.VerdictUnsent && r.copies.unanswered > 0:
 	default:
-		s.unanswered(now, t, r)
+		s.stopUnanswered(now, t, r)
 	}
 }
 
 // handleTargetVerdict takes what an answer says of the target itself: that another incarnation
 // answers, or that the target obeys another owner.
-func (s *State) answeredElsewhere(now time.Duration, t *target, verdict work.Verdict) {
+func (s *State) handleTargetVerdict(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
 	case work.VerdictMisdirected:
 		s.loseTarget(now, t, "another incarnation answers at its address")
 	case work.VerdictFenced:
-		if s.foreign(t) {
-			s.leaveTo(now, t)
+		if s.mayBelongToOtherGroup(t) {
+			s.leaveToOtherOwner(now, t)
 			return
 		}
 		s.emit(Deposed{Target: t.ID})
@@ -90,7 +90,7 @@
 // mayBelongToOtherGroup reports whether a target that obeys another owner may be in another
 // group, so that its answer doesn't depose this owner. That holds if its registry entry is
 // gone from the group, or if it has never obeyed this owner while other targets do.
-func (s *State) foreign(t *target) bool {
+func (s *State) mayBelongToOtherGroup(t *target) bool {
 	if t.unlistedSince != 0 {
 		return true
 	}
@@ -108,15 +108,15 @@
 // leaveToOtherOwner takes a target out of use that obeys the owner of another group. What this
 // owner started there ends with its lease: the other owner extends the lease only after it has
 // stopped those runs.
-func (s *State) leaveTo(now time.Duration, t *target) {
+func (s *State) leaveToOtherOwner(now time.Duration, t *target) {
 	s.emit(LogEvent{Message: "target obeys another owner", Target: t.ID, Age: now - t.lease.readAt})
-	t.failedPolls = silentLooks
-	s.silence(now, t, "it obeys another owner")
+	t.failedPolls = silentPolls
+	s.markSilent(now, t, "it obeys another owner")
 	s.markChanged(t)
 }
 
 // markRunning notes that a run has certainly started.
-func (s *State) began(r *run) {
+func (s *State) markRunning(r *run) {
 	if r.state != running {
 		r.state = running
 	}
@@ -124,59 +124,59 @@
 
 // stopUnanswered stops a run whose start has no answer. The stop also keeps the target from
 // starting the run later.
-func (s *State) unanswered(now time.Duration, t *target, r *run) {
+func (s *State) stopUnanswered(now time.Duration, t *target, r *run) {
 	if r.state != ordered {
 		return
 	}
 	r.state = uncertain
-	s.missAnswer(now, t)
-	r.task.job.mark(now, "start unanswered", r.Task, t.ID, "")
+	s.recordMissedAnswer(now, t)
+	r.task.job.record(now, "start unanswered", r.Task, t.ID, "")
 	s.emit(LogEvent{Message: "start unanswered", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
 	s.stop(now, r)
 	if r.task.step.Gang {
-		s.disband(now, r.task.step)
+		s.stopGang(now, r.task.step)
 	}
 }
 
 // handleStartRefused takes back a run that the target certainly did not start.
-func (s *State) notBegun(now time.Duration, t *target, r *run, verdict work.Verdict) {
+func (s *State) handleStartRefused(now time.Duration, t *target, r *run, verdict work.Verdict) {
 	j := r.task.job
 	s.emit(LogEvent{Message: "start refused", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Detail: verdict.String(), Age: now - r.ordered})
-	j.mark(now, "start refused", r.Task, t.ID, verdict.String())
-	j.begun--
+	j.record(now, "start refused", r.Task, t.ID, verdict.String())
+	j.possibleStarts--
 	if verdict == work.VerdictInvalidTicket {
 		r.task.step.dropTicket(t.ID)
 	}
 	s.releaseRun(r)
-	if !j.ended && !r.task.complete {
+	if !j.ended && !r.task.done {
 		s.requeue(now, r)
 	}
-	s.blame(now, t, verdict)
+	s.applyRefusal(now, t, verdict)
 }
 
 // applyRefusal updates the state of a target after it refused an order.
-func (s *State) blame(now time.Duration, t *target, verdict work.Verdict) {
+func (s *State) applyRefusal(now time.Duration, t *target, verdict work.Verdict) {
 	switch verdict {
 	case work.VerdictMisdirected, work.VerdictFenced:
-		s.answeredElsewhere(now, t, verdict)
+		s.handleTargetVerdict(now, t, verdict)
 	case work.VerdictUnsent:
-		s.silence(now, t, "no connection")
+		s.markSilent(now, t, "no connection")
 	case work.VerdictUnhealthy, work.VerdictInvalid:
 		t.health.markSuspected(now)
 		s.markChanged(t)
 	case work.VerdictStaleToken, work.VerdictInvalidTicket:
 	default:
-		t.blockedUntil = now + roomPause
+		t.blockedUntil = now + refusalPause
 	}
 }
 
 // refusalPause blocks starts at a target that had less free capacity than assumed. By then
 // the next poll reports what has ended there.
-const roomPause = 30 * time.Millisecond
+const refusalPause = 30 * time.Millisecond
 
 // HandleStopAnswer takes a target's answer to a StopRun.
-func (s *State) Stopped(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
-	s.resend.heard(answer.Verdict)
+func (s *State) HandleStopAnswer(now time.Duration, id string, order work.RunID, answer work.OrderAnswer) {
+	s.resend.countAnswer(answer.Verdict)
 	t := s.targets[id]
 	if t == nil {
 		return
@@ -195,60 +195,60 @@
 	if answer.Verdict == work.VerdictStaleToken {
 		s.emit(StopRun{To: t.address(), Run: order})
 	}
-	s.answeredElsewhere(now, t, answer.Verdict)
+	s.handleTargetVerdict(now, t, answer.Verdict)
 }
 
 // markSilent takes a target out of use until it answers a poll.
-func (s *State) silence(now time.Duration, t *target, why string) {
+func (s *State) markSilent(now time.Duration, t *target, why string) {
 	if t.state == usable {
 		s.emit(LogEvent{Message: "target is silent", Target: t.ID, Detail: why, Age: now - t.lease.readAt})
 		t.state = silent
-		s.fallsSilent(now, t)
+		s.recordTargetLoss(now, t)
 		s.markChanged(t)
 	}
 }
 
 // HandlePollAnswer takes a target's answer to the poll that was first sent at the given time.
-func (s *State) Looked(now time.Duration, id string, at time.Duration, held work.PollAnswer, verdict work.Verdict) {
-	s.resend.heard(verdict)
+func (s *State) HandlePollAnswer(now time.Duration, id string, at time.Duration, held work.PollAnswer, verdict work.Verdict) {
+	s.resend.countAnswer(verdict)
 	t := s.targets[id]
 	if t == nil || !t.pollPending || at != t.poll.SentAt {
 		return
 	}
-	t.pollCopies.waiting--
-	if unanswered(verdict) && t.pollCopies.waiting > 0 && now-at < t.firstPollWait+answerTime {
+	t.pollCopies.unanswered--
+	if isUnanswered(verdict) && t.pollCopies.unanswered > 0 && now-at < t.firstPollWait+answerTimeout {
 		return
 	}
 	t.pollPending = false
 	s.markChanged(t)
 	switch verdict {
 	case work.VerdictDone:
-		s.held(now, t, held)
+		s.applyPoll(now, t, held)
 	case work.VerdictMisdirected, work.VerdictFenced:
-		s.answeredElsewhere(now, t, verdict)
+		s.handleTargetVerdict(now, t, verdict)
 	case work.VerdictStaleToken:
 	default:
-		s.missAnswer(now, t)
-		if t.failedPolls++; t.failedPolls >= silentLooks {
-			s.silence(now, t, "polls failed: "+verdict.String())
+		s.recordMissedAnswer(now, t)
+		if t.failedPolls++; t.failedPolls >= silentPolls {
+			s.markSilent(now, t, "polls failed: "+verdict.String())
 		}
 	}
 }
 
 // silentPolls is how many polls in a row must fail before a target counts as silent. One may
 // be lost on its way; the next one asks for an answer at once.
-const silentLooks = 2
+const silentPolls = 2
 
 // applyPoll takes what a target reports in a poll's answer: its incarnation and capacity, new
 // completions, and the runs in progress.
-func (s *State) held(now time.Duration, t *target, held work.PollAnswer) {
+func (s *State) applyPoll(now time.Duration, t *target, held work.PollAnswer) {
 	if !s.acceptIncarnation(now, t, held.Incarnation) {
 		return
 	}
 	if held.Capacity != nil {
 		s.setCapacity(t, *held.Capacity)
 	}
-	s.answersAgain(t)
+	s.clearTargetLoss(t)
 	t.failedPolls = 0
 	t.fenced = true
 	t.ackedCompletion = t.ackSent
@@ -257,15 +257,15 @@
 	for _, end := range held.Completions {
 		if end.Number > t.lastCompletion {
 			t.lastCompletion = end.Number
-			s.runEnded(now, t, end)
+			s.handleCompletion(now, t, end)
 		}
 	}
 	listed := make(map[work.RunID]bool, len(held.Running))
 	for _, entry := range held.Running {
 		listed[entry.Run] = true
-		s.seenRunning(now, t, entry)
+		s.handleListedRun(now, t, entry)
 	}
-	s.missed(now, t, listed)
+	s.endUnlistedRuns(now, t, listed)
 	for unknown := range t.unknownRuns {
 		if !listed[unknown] {
 			delete(t.unknownRuns, unknown)
@@ -277,13 +277,13 @@
 		}
 	}
 	t.lastAnswer = now
-	s.use(now, t)
+	s.useIfReady(now, t)
 	s.markChanged(t)
 }
 
 // useIfReady takes a target into use once it obeys this owner, nothing runs there that isn't
 // this owner's, and it is known that nobody else owns the targets.
-func (s *State) use(now time.Duration, t *target) {
+func (s *State) useIfReady(now time.Duration, t *target) {
 	if t.state != usable && t.fenced && len(t.unknownRuns) == 0 && len(t.inheritedRuns) == 0 && s.hasConfirmedClaim(now, t) {
 		s.emit(LogEvent{Message: "target is usable", Target: t.ID})
 		t.state = usable
@@ -291,27 +291,27 @@
 }
 
 // handleListedRun takes a run that the target lists as running.
-func (s *State) seenRunning(now time.Duration, t *target, listed work.RunningRun) {
+func (s *State) handleListedRun(now time.Duration, t *target, listed work.RunningRun) {
 	if r := t.runs[listed.Run.Task]; r != nil && r.RunID == listed.Run {
 		r.listed = true
 		if listed.SavedState != "" {
 			r.saved = listed.SavedState
 		}
 		if r.state != running && r.stop == nil {
-			s.began(r)
+			s.markRunning(r)
 		} else if r.state == uncertain {
 			// Its stop is on the way; the target will list its completion.
 			r.state = running
 		}
 		return
 	}
-	if !s.goesOn(now, t, listed) {
-		s.stopStranger(now, t, listed.Run)
+	if !s.continueListedRun(now, t, listed) {
+		s.stopUnknownRun(now, t, listed.Run)
 	}
 }
 
 // stopUnknownRun stops a run whose owner or job this owner does not know.
-func (s *State) stopStranger(now time.Duration, t *target, unknown work.RunID) {
+func (s *State) stopUnknownRun(now time.Duration, t *target, unknown work.RunID) {
 	if t.unknownRuns[unknown] == nil {
 		s.emit(LogEvent{Message: "stranger stopped", Task: unknown.Task, Target: t.ID})
 		t.unknownRuns[unknown] = &stopTry{first: now, last: now}
@@ -321,13 +321,13 @@
 
 // endUnlistedRuns ends the runs that the target should list and doesn't: their completions
 // were lost, or they never started and can't start any more.
-func (s *State) missed(now time.Duration, t *target, listed map[work.RunID]bool) {
+func (s *State) endUnlistedRuns(now time.Duration, t *target, listed map[work.RunID]bool) {
 	for _, r := range t.sortedRuns() {
 		if listed[r.RunID] {
 			continue
 		}
 		switch {
-		case r.state == running && r.ordered+lookAfterStart < t.poll.SentAt:
+		case r.state == running && r.ordered+pollAfterStart < t.poll.SentAt:
 			s.loseRun(now, r, "its target doesn't list it")
 		case r.state == uncertain && t.lease.hasLapsed(t.poll.SentAt, r.leaseUntil):
 			s.loseRun(now, r, "it can't begin any more")
@@ -337,13 +337,13 @@
 
 // pollAfterStart is how much later than a start a poll must have been sent to show that the
 // run is missing: the longest wait for the start's answer.
-const lookAfterStart = 300 * time.Millisecond
+const pollAfterStart = 300 * time.Millisecond
 
 // handleCompletion takes a completion that a target reports.
-func (s *State) runEnded(now time.Duration, t *target, end work.Completion) {
+func (s *State) handleCompletion(now time.Duration, t *target, end work.Completion) {
 	r := t.runs[end.Run.Task]
 	if r == nil || r.RunID != end.Run {
-		s.orphaned(now, t, end)
+		s.handleUnknownCompletion(now, t, end)
 		return
 	}
 	if end.SavedState != "" {
@@ -353,49 +353,49 @@
 	case r.task.step.Lasting:
 		s.loseRun(now, r, "it ended: "+string(end.Kind))
 	case end.Kind == work.CompletionDone:
-		s.note(t, r, end.Number, false)
-		s.done(now, t, r)
+		s.recordCompletion(t, r, end.Number, false)
+		s.completeRun(now, t, r)
 	case end.Kind == work.CompletionFailed:
-		s.note(t, r, end.Number, true)
-		s.failed(now, t, r)
+		s.recordCompletion(t, r, end.Number, true)
+		s.failRun(now, t, r)
 	default:
 		s.loseRun(now, r, string(end.Kind))
 	}
 }
 
 // completeRun takes the completion of a run that did its task's work.
-func (s *State) done(now time.Duration, t *target, r *run) {
+func (s *State) completeRun(now time.Duration, t *target, r *run) {
 	s.releaseRun(r)
 	s.recordSuccess(now, t, r)
 	j := r.task.job
-	if j.ended || r.task.complete {
+	if j.ended || r.task.done {
 		return
 	}
-	j.mark(now, "done", r.Task, t.ID, "")
-	j.complete(r.task)
+	j.record(now, "done", r.Task, t.ID, "")
+	j.markDone(r.task)
 	switch {
-	case j.open == 0:
+	case j.openTasks == 0:
 		s.finish(now, j, work.Outcome{Result: work.Completed})
-	case r.task.step.open == 0:
-		s.wait(j)
+	case r.task.step.openTasks == 0:
+		s.enqueue(j)
 	}
 }
 
 // failRun takes the completion of a run that failed. It fails the job once the task has failed as
 // often as its queue allows, and otherwise has the task run again.
-func (s *State) failed(now time.Duration, t *target, r *run) {
+func (s *State) failRun(now time.Duration, t *target, r *run) {
 	j := r.task.job
 	s.releaseRun(r)
 	s.emit(LogEvent{Message: "run failed", Job: j.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
-	j.mark(now, "failed", r.Task, t.ID, "")
+	j.record(now, "failed", r.Task, t.ID, "")
 	s.recordFailedRun(now, t, j)
-	if j.ended || r.task.complete {
+	if j.ended || r.task.done {
 		return
 	}
-	s.keepSaved(r.task, r.Number, r.saved)
+	s.recordSaved(r.task, r.Number, r.saved)
 	r.task.fails++
-	r.task.lastFailed = r.Number
-	if r.task.step.fails(r.task) >= j.sub.Queue.MaxAttempts {
+	r.task.lastFailedRun = r.Number
+	if r.task.step.failedRuns(r.task) >= j.sub.Queue.MaxAttempts {
 		s.finish(now, j, work.Outcome{Result: work.Failed, Reason: "a task failed as often as its queue allows"})
 		return
 	}
@@ -403,18 +403,18 @@
 }
 
 // pollIfNeeded sends a target the poll that it needs, if any and if none is on its way.
-func (s *State) pump(now time.Duration, t *target) {
-	if t.pollPending || t.failedPolls >= silentLooks && now < t.poll.SentAt+lookPause {
+func (s *State) pollIfNeeded(now time.Duration, t *target) {
+	if t.pollPending || t.failedPolls >= silentPolls && now < t.poll.SentAt+silentPollInterval {
 		return
 	}
 	if t.awaitsClaim(s) && now < t.poll.SentAt+claimRetryInterval {
 		return
 	}
 	unrecorded := len(t.unrecorded) > 0
-	if unrecorded && now < t.poll.SentAt+unnotedPause {
+	if unrecorded && now < t.poll.SentAt+unrecordedPollInterval {
 		return
 	}
-	poll := Poll{To: t.address(), SentAt: now, AckUpTo: t.ackable()}
+	poll := Poll{To: t.address(), SentAt: now, AckUpTo: t.acknowledgeable()}
 	if t.Incarnation != 0 && (t.failedPolls > 0 || now-t.lease.readAt > maxAckAge) {
 		poll.AckUpTo = 0
 	}
@@ -425,14 +425,14 @@
 		poll.Wait = s.options.StopTimeout
 	case len(t.inheritedRuns) > 0:
 		poll.Wait = s.options.StopTimeout
-		s.prolong(now, t, &poll)
+		s.renewLease(now, t, &poll)
 	case t.state == adopting:
 	case len(t.runs) > 0:
 		if t.failedPolls == 0 && !unrecorded {
-			poll.Wait = s.lookWait(now)
+			poll.Wait = s.pollWait(now)
 		}
 		if s.canRenewLease(now, t) {
-			s.prolong(now, t, &poll)
+			s.renewLease(now, t, &poll)
 		}
 	case t.ackedCompletion < poll.AckUpTo:
 	default:
@@ -441,13 +441,13 @@
 	t.pollPending = true
 	t.ackSent = poll.AckUpTo
 	t.poll, t.firstPollWait = poll, poll.Wait
-	t.pollCopies = copies{}
+	t.pollCopies = orderCopies{}
 	t.pollCopies.add(now)
 	s.emit(poll)
 }
 
 // renewLease has a poll extend the lease of all that runs at its target.
-func (s *State) prolong(now time.Duration, t *target, poll *Poll) {
+func (s *State) renewLease(now time.Duration, t *target, poll *Poll) {
 	poll.LeaseUntil = t.lease.endAfter(now, s.options.Lease)
 	t.lease.until = max(t.lease.until, poll.LeaseUntil)
 }
@@ -455,26 +455,26 @@
 // Parameters of polls while answers are being lost.
 const (
 	// lossPeriod is how long after a lost answer more losses are expected.
-	disturbedTime = 2 * time.Second
+	lossPeriod = 2 * time.Second
 	// shortPollWait bounds how long a completion stays unknown when a poll is lost, if this
 	// process has CPU to spare.
-	disturbedWait = 60 * time.Millisecond
+	shortPollWait = 60 * time.Millisecond
 )
 
 // pollWait returns how long a poll may wait at its target. It is short while answers are being
 // lost, as far as this process has CPU for more polls: a lost poll shows only after its wait.
-func (s *State) lookWait(now time.Duration) time.Duration {
-	if s.unsettled(now) && !s.resend.once {
-		return s.resend.look
+func (s *State) pollWait(now time.Duration) time.Duration {
+	if s.losesAnswers(now) && !s.resend.noCopies {
+		return s.resend.pollWait
 	}
 	return s.options.PollWait
 }
 
 // losesAnswers reports whether so many answers were lost lately that more losses are expected.
-func (s *State) unsettled(now time.Duration) bool {
+func (s *State) losesAnswers(now time.Duration) bool {
 	r := &s.resend
-	return s.lastMissedAnswer > 0 && now-s.lastMissedAnswer < disturbedTime && r.missed >= doubtShare*(r.missed+r.answered)
+	return s.lastMissedAnswer > 0 && now-s.lastMissedAnswer < lossPeriod && r.missed >= lossShare*(r.missed+r.answered)
 }
 
 // silentPollInterval is the least time between two polls of a target that doesn't answer.
-const lookPause = 100 * time.Millisecond
+const silentPollInterval = 100 * time.Millisecond
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -22,14 +22,14 @@
 	b.submit("cold", 1, 1000, "")
 	second := pickEffects[StartRun](b.effects())
 	must.Eq(t, "a", second[0].To.ID)
-	b.begun(second)
-	ratio := b.s.kindOf("q").ratio
+	b.answerStarts(second)
+	ratio := b.s.estimateOf("q").runtimeRatio
 	b.advance(700 * ms)
 	must.False(t, b.s.targets["a"].health.suspected)
 	must.MapEmpty(t, b.s.targets["a"].health.failures)
-	b.answerPoll("a", ended(1, second[0].Run, work.CompletionDone))
+	b.answerPoll("a", heldWithCompletion(1, second[0].Run, work.CompletionDone))
 	must.Eq(t, 1, b.s.targets["a"].health.speed)
-	must.Eq(t, ratio, b.s.kindOf("q").ratio)
+	must.Eq(t, ratio, b.s.estimateOf("q").runtimeRatio)
 	b.now += 10 * time.Second
 	must.False(t, b.s.targets["a"].isCold(b.now))
 }
--- a/scheduler/cordon.go
+++ b/scheduler/cordon.go
@@ -99,11 +99,11 @@
 		}
 	}
 	for _, j := range s.sortedJobs() {
-		for _, st := range j.current() {
+		for _, st := range j.currentSteps() {
 			s.releaseHeld(st)
 		}
 		switch {
-		case j.kept() || j.started():
+		case j.isDurable() || j.mayHaveStarted():
 		case j.sub.Part != nil:
 			s.finish(now, j, work.Outcome{Result: work.Refused, Reason: cordonedReason, RetryAfter: cordonedRetryAfter})
 		default:
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -56,7 +56,7 @@
 	b.submit("begun", 2, 3000, "")
 	first := b.startsNow()
 	must.SliceLen(t, 1, first)
-	b.begun(first)
+	b.answerStarts(first)
 	waiting := b.submit("waiting", 1, 3000, "")
 	must.SliceEmpty(t, b.startsNow())
 	b.s.CordonReported(b.now, true)
@@ -70,7 +70,7 @@
 	delegated := pickEffects[Delegate](effects)
 	must.SliceLen(t, 1, delegated)
 	b.s.PartReturned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
-	b.answerPoll("a", ended(1, first[0].Run, work.CompletionDone))
+	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionDone))
 	answers = pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
@@ -81,10 +81,10 @@
 	b := cordonedHarness(t)
 	b.submit("j", 1, 1000, "")
 	first := b.startsNow()
-	b.begun(first)
+	b.answerStarts(first)
 	b.usable("b", 4000)
 	b.s.CordonReported(b.now, true)
-	b.answerPoll("a", ended(1, first[0].Run, work.CompletionFailed))
+	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionFailed))
 	must.SliceEmpty(t, b.startsNow())
 	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
@@ -99,7 +99,7 @@
 		order := b.startsNow()[0]
 		b.s.CordonReported(b.now, true)
 		if broken {
-			b.s.Started(b.now, "a", order.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
+			b.s.HandleStartAnswer(b.now, "a", order.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
 		}
 		b.advance(100 * ms)
 		must.Eq(t, 1, b.starts[order.Run], must.Sprint("broken connection: ", broken))
@@ -110,7 +110,7 @@
 func TestCordonedDomainReportsNoCapacity(t *testing.T) {
 	b := cordonedHarness(t)
 	b.submit("j", 1, 1000, "")
-	b.begun(b.startsNow())
+	b.answerStarts(b.startsNow())
 	must.Positive(t, b.s.Load(b.now, "s").FreeCapacity.Tasks[0])
 	b.s.CordonReported(b.now, true)
 	load := b.s.Load(b.now, "s")
@@ -127,7 +127,7 @@
 	b := cordonedHarness(t)
 	b.usable("b", 4000)
 	b.submit("small", 1, 3000, "")
-	b.begun(b.startsNow())
+	b.answerStarts(b.startsNow())
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref:   b.ref,
@@ -143,9 +143,9 @@
 // Durable jobs wait for the end of the cordon, and start then.
 func TestDurableJobsWaitForEndOfCordon(t *testing.T) {
 	b := cordonedHarness(t)
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.s.CordonReported(b.now, true)
-	b.s.Resume(b.now, b.keptJob("j", 1), Progress{})
+	b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{})
 	must.SliceEmpty(t, pickEffects[StartRun](b.advance(time.Second)))
 	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -11,17 +11,17 @@
 )
 
 // newRackBench returns a bench with usable targets, two in each rack.
-func crashBench(t *testing.T, targets int) *harness {
+func newRackBench(t *testing.T, targets int) *harness {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	for i := range targets {
-		b.rackTarget(i)
+		b.addRackTarget(i)
 	}
 	return b
 }
 
 // addRackTarget adds a usable target; two successive indexes share a rack.
-func (b *harness) rackTarget(i int) {
+func (b *harness) addRackTarget(i int) {
 	id, rack := fmt.Sprintf("t%02d", i), fmt.Sprintf("r%d", i/2)
 	b.listTarget(work.Target{ID: id, Rack: rack, Labels: []string{"kind", rack}, Capacity: work.Resources{CPU: 4}})
 	b.effects()
@@ -29,17 +29,17 @@
 }
 
 // confirmStarts answers starts as done.
-func (b *harness) begin(starts []StartRun) {
+func (b *harness) confirmStarts(starts []StartRun) {
 	for _, start := range starts {
-		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
+		b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
 	b.effects()
 }
 
 // loseTargets loses targets at the same time, and returns the effects of the 20 ms after that.
-func (b *harness) falls(ids ...string) []Effect {
+func (b *harness) loseTargets(ids ...string) []Effect {
 	for _, id := range ids {
-		b.s.fallsSilent(b.now, b.s.targets[id])
+		b.s.recordTargetLoss(b.now, b.s.targets[id])
 	}
 	for _, id := range ids {
 		b.s.loseTarget(b.now, b.s.targets[id], "another incarnation answers at its address")
@@ -48,24 +48,24 @@
 }
 
 // startStoredJob has a durable job stored and returns its first starts.
-func (b *harness) storedJob(id string, tasks int) []StartRun {
-	b.s.Submit(b.now, b.keptJob(id, tasks))
+func (b *harness) startStoredJob(id string, tasks int) []StartRun {
+	b.s.Submit(b.now, b.durableJob(id, tasks))
 	b.effects()
-	b.s.Stored(b.now, id, work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, id, work.Outcome{Result: work.Accepted}, true)
 	return pickEffects[StartRun](b.effects())
 }
 
-func TestATaskThatCrashesTwoTargetsIsGivenUp(t *testing.T) {
-	b := crashBench(t, 8)
-	starts := b.storedJob("j", 1)
+func TestTaskFailsAfterCrashingTwoTargets(t *testing.T) {
+	b := newRackBench(t, 8)
+	starts := b.startStoredJob("j", 1)
 	must.SliceLen(t, 1, starts)
-	b.begin(starts)
-	effects := b.falls(starts[0].To.ID)
+	b.confirmStarts(starts)
+	effects := b.loseTargets(starts[0].To.ID)
 	must.SliceLen(t, 1, pickEffects[TaskCrashed](effects))
 	starts = pickEffects[StartRun](effects)
 	must.SliceLen(t, 1, starts)
-	b.begin(starts)
-	effects = b.falls(starts[0].To.ID)
+	b.confirmStarts(starts)
+	effects = b.loseTargets(starts[0].To.ID)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	ends := pickEffects[JobEnded](effects)
 	must.SliceLen(t, 1, ends)
@@ -74,8 +74,8 @@
 }
 
 // A caller that sends a poisoned job again gets the failure again, and nothing is started.
-func TestAJobThatCrashesTargetsIsNotTakenAgain(t *testing.T) {
-	b := crashBench(t, 8)
+func TestPoisonedJobIsNotAcceptedAgain(t *testing.T) {
+	b := newRackBench(t, 8)
 	b.submit("j", 1, 1, "")
 	for range 2 {
 		starts := pickEffects[StartRun](b.effects())
@@ -83,8 +83,8 @@
 			starts = pickEffects[StartRun](b.advance(20 * ms))
 		}
 		must.SliceLen(t, 1, starts)
-		b.begin(starts)
-		b.s.fallsSilent(b.now, b.s.targets[starts[0].To.ID])
+		b.confirmStarts(starts)
+		b.s.recordTargetLoss(b.now, b.s.targets[starts[0].To.ID])
 		b.s.loseTarget(b.now, b.s.targets[starts[0].To.ID], "gone")
 	}
 	b.effects()
@@ -99,16 +99,16 @@
 
 // Tasks that ran beside a poison task run isolated. Completing there clears them, and nothing else
 // runs beside them.
-func TestInnocentTasksAreToldApart(t *testing.T) {
-	b := crashBench(t, 1)
-	starts := append(b.storedJob("crasher", 1), b.storedJob("neighbour", 2)...)
+func TestIsolatedRunsClearTasksBesidePoisonTask(t *testing.T) {
+	b := newRackBench(t, 1)
+	starts := append(b.startStoredJob("crasher", 1), b.startStoredJob("neighbour", 2)...)
 	for i := range 8 {
-		b.rackTarget(2 + i)
+		b.addRackTarget(2 + i)
 	}
 	must.SliceLen(t, 3, starts)
-	b.begin(starts)
+	b.confirmStarts(starts)
 	must.Eq(t, starts[0].To.ID, starts[1].To.ID)
-	again := pickEffects[StartRun](b.falls(starts[0].To.ID))
+	again := pickEffects[StartRun](b.loseTargets(starts[0].To.ID))
 	must.SliceNotEmpty(t, again)
 	on := map[string]int{}
 	for _, start := range again {
@@ -117,24 +117,24 @@
 	for id, runs := range on {
 		must.Eq(t, 1, runs, must.Sprint(id))
 	}
-	b.begin(again)
-	other := b.storedJob("other", 1)
+	b.confirmStarts(again)
+	other := b.startStoredJob("other", 1)
 	must.SliceLen(t, 1, other)
 	must.MapNotContainsKey(t, on, other[0].To.ID)
 	for _, start := range again {
 		if start.Run.Task == "crasher.0.0.0" {
-			must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(start.To.ID)))
+			must.SliceLen(t, 1, pickEffects[JobEnded](b.loseTargets(start.To.ID)))
 			continue
 		}
-		b.answerPoll(start.To.ID, ended(1, start.Run, work.CompletionDone))
+		b.answerPoll(start.To.ID, heldWithCompletion(1, start.Run, work.CompletionDone))
 	}
 	var ends []JobEnded
 	for range 4 {
 		effects := b.advance(100 * ms)
 		ends = append(ends, pickEffects[JobEnded](effects)...)
 		for _, start := range pickEffects[StartRun](effects) {
-			b.begin([]StartRun{start})
-			b.answerPoll(start.To.ID, ended(2, start.Run, work.CompletionDone))
+			b.confirmStarts([]StartRun{start})
+			b.answerPoll(start.To.ID, heldWithCompletion(2, start.Run, work.CompletionDone))
 		}
 	}
 	must.SliceLen(t, 1, ends)
@@ -143,9 +143,9 @@
 }
 
 // A target that is lost with others of its rack doesn't count against the tasks that ran there.
-func TestTargetsThatFallTogetherBlameNoTask(t *testing.T) {
+func TestCorrelatedLossesDoNotCount(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	for i := range 4 {
 		id := fmt.Sprintf("t%02d", i)
 		b.listTarget(work.Target{ID: id, Rack: "r", Labels: []string{"kind", "r"}, Capacity: work.Resources{CPU: 4}})
@@ -153,38 +153,38 @@
 		b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 	}
 	for i := range 4 {
-		b.rackTarget(10 + i)
+		b.addRackTarget(10 + i)
 	}
-	starts := b.storedJob("j", 1)
-	b.begin(starts)
+	starts := b.startStoredJob("j", 1)
+	b.confirmStarts(starts)
 	b.s.targets[starts[0].To.ID].Rack = "r"
-	b.falls("t00", "t01", "t02", "t03")
-	must.SliceEmpty(t, b.s.jobsByKey["j"].tasks[0].fallen())
+	b.loseTargets("t00", "t01", "t02", "t03")
+	must.SliceEmpty(t, b.s.jobsByKey["j"].tasks[0].currentLosses())
 }
 
-func TestASilentTargetThatAnswersAgainClearsItsTasks(t *testing.T) {
-	b := crashBench(t, 8)
-	starts := b.storedJob("j", 1)
-	b.begin(starts)
+func TestSilentTargetThatAnswersAgainClearsLosses(t *testing.T) {
+	b := newRackBench(t, 8)
+	starts := b.startStoredJob("j", 1)
+	b.confirmStarts(starts)
 	id := starts[0].To.ID
-	for range silentLooks {
+	for range silentPolls {
 		b.answerPollWith(id, work.PollAnswer{}, work.VerdictUnknown)
 		b.advance(120 * ms)
 	}
 	b.advance(1500 * ms)
 	task := b.s.jobsByKey["j"].tasks[0]
-	must.SliceLen(t, 1, task.fallen())
+	must.SliceLen(t, 1, task.currentLosses())
 	b.answerPoll(id, work.PollAnswer{ClockMS: 9000})
-	must.SliceEmpty(t, task.fallen())
+	must.SliceEmpty(t, task.currentLosses())
 }
 
 // A job of many poison tasks first loses all targets that run it. After that its suspects run
 // isolated, on at most a quarter of the service's targets at a time.
-func TestSuspectsTakeABoundedShareOfTheTargets(t *testing.T) {
-	b := crashBench(t, 40)
-	starts := b.storedJob("j", 32)
+func TestIsolatedSuspectsTakeBoundedShareOfTargets(t *testing.T) {
+	b := newRackBench(t, 40)
+	starts := b.startStoredJob("j", 32)
 	must.SliceLen(t, 32, starts)
-	b.begin(starts)
+	b.confirmStarts(starts)
 	fallen := map[string]bool{}
 	for _, start := range starts {
 		fallen[start.To.ID] = true
@@ -194,22 +194,22 @@
 	for id := range fallen {
 		ids = append(ids, id)
 	}
-	again := pickEffects[StartRun](b.falls(ids...))
-	must.LessEq(t, int(trialShare*32), len(again))
+	again := pickEffects[StartRun](b.loseTargets(ids...))
+	must.LessEq(t, int(isolationShare*32), len(again))
 	must.SliceNotEmpty(t, again)
-	b.begin(again)
-	must.SliceLen(t, 1, pickEffects[JobEnded](b.falls(again[0].To.ID)))
+	b.confirmStarts(again)
+	must.SliceLen(t, 1, pickEffects[JobEnded](b.loseTargets(again[0].To.ID)))
 }
 
 // A target whose capacity shrinks below what runs there takes nothing until that fits. A target
 // without any capacity is not faulty. New capacity is used at once.
-func TestCapacityThatShrinksAndGrows(t *testing.T) {
+func TestStartsFollowCapacityChanges(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	b.submit("j", 4, 1, "")
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 4, starts)
-	b.begin(starts)
+	b.confirmStarts(starts)
 	b.target("a", 2)
 	b.submit("k", 1, 1, "")
 	effects := b.effects()
@@ -229,7 +229,7 @@
 
 // A target that restarts under its ID counts as another one: its runs are over, its completions are
 // numbered from the start, and a late entry or answer of the old incarnation changes nothing.
-func TestATargetThatStartsAgainUnderItsID(t *testing.T) {
+func TestRestartedTargetCountsAsNewIncarnation(t *testing.T) {
 	b := newHarness(t, Options{})
 	listed := work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Incarnation: 100}
 	b.listTarget(listed)
@@ -237,7 +237,7 @@
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Incarnation: 100})
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.effects()
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5010, Incarnation: 100, Running: listing(start.Run), Completions: []work.Completion{{Number: 7, Run: work.RunID{Task: "x", Number: 2}, Kind: work.CompletionDone}}})
 	b.effects()
@@ -248,7 +248,7 @@
 	must.Eq(t, 0, b.s.targets["a"].lastCompletion)
 	b.listTarget(listed)
 	must.Eq(t, int64(200), b.s.targets["a"].Incarnation)
-	b.s.Started(b.now, "a", again[0].Run, doneAnswer(30))
+	b.s.HandleStartAnswer(b.now, "a", again[0].Run, doneAnswer(30))
 	b.effects()
 	b.answerPoll("a", work.PollAnswer{ClockMS: 60, Incarnation: 200, Completions: []work.Completion{{Number: 1, Run: again[0].Run, Kind: work.CompletionDone}}})
 	must.SliceLen(t, 1, pickEffects[Answer](b.effects()))
@@ -256,7 +256,7 @@
 
 // A target that was listed when the owner began knows the previous owner's token, so that it needs
 // no confirmed claim even if it is seen late.
-func TestATargetThatIsGivenLateDoesNotWaitForTheClaim(t *testing.T) {
+func TestTargetListedEarlyNeedsNoClaimConfirmation(t *testing.T) {
 	b := newHarness(t, Options{ConfirmClaims: true})
 	b.s.ListedAtStart("a")
 	b.s.ListedAtStart("b")
@@ -267,7 +267,7 @@
 }
 
 // A target that comes later is used only once the claim was confirmed since.
-func TestALaterTargetWaitsForTheClaim(t *testing.T) {
+func TestLaterTargetWaitsForClaimConfirmation(t *testing.T) {
 	b := newHarness(t, Options{ConfirmClaims: true})
 	b.usable("a", 1)
 	must.Eq(t, usable, b.s.targets["a"].state)
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -15,7 +15,7 @@
 )
 
 // scheduleCrash has a run crash its target after a while if its job is a poison job.
-func (w *world) beginsCulprit(t *fakeTarget, task string, r *fakeRun) {
+func (w *world) scheduleCrash(t *fakeTarget, task string, r *fakeRun) {
 	id, _, _ := strings.Cut(task, ".")
 	if !w.poisonJobs[id] {
 		return
@@ -28,7 +28,7 @@
 		// One lost target may be a correlated loss. One that is lost while its owner dies, before
 		// the loss is stored, isn't counted. The platform refuses the third start after three lost
 		// targets.
-		if most := mostCrashes + 1 + w.allowance(id); w.crashed[task] > most {
+		if most := maxLosses + 1 + w.extraCrashes(id); w.crashed[task] > most {
 			w.violations = append(w.violations, fmt.Sprintf("%v: %s crashes target %d, beyond %d", w.now, task, w.crashed[task], most))
 		}
 		if w.restarts && w.random.IntN(2) == 0 {
@@ -43,16 +43,16 @@
 // owner knows the losses of callers' jobs. For a durable job, a loss that isn't stored yet may be
 // lost with its owner while the store is away, and a target may be lost under the previous owner
 // beside one under the successor.
-func (w *world) allowance(id string) int {
+func (w *world) extraCrashes(id string) int {
 	if strings.HasPrefix(id, "kept") {
 		return 2 * (len(w.owners) - 1)
 	}
-	return (mostCrashes + 1) * (len(w.owners) - 1)
+	return (maxLosses + 1) * (len(w.owners) - 1)
 }
 
 // markBystanders remembers the jobs that run on a target which is lost for another reason than
 // their tasks.
-func (t *fakeTarget) fallsByItself() {
+func (t *fakeTarget) markBystanders() {
 	for task := range t.runs {
 		id, _, _ := strings.Cut(task, ".")
 		t.world.lostUnder[id] = true
@@ -61,11 +61,11 @@
 
 // mayBePoisoned reports whether a job may fail as poisoned: its tasks crash targets, or targets
 // were lost under them for other reasons.
-func (w *world) mayBlame(id string) bool { return w.poisonJobs[id] || w.lostUnder[id] }
+func (w *world) mayBePoisoned(id string) bool { return w.poisonJobs[id] || w.lostUnder[id] }
 
 // checkPoisoned notes a violation if a job that failed as poisoned may not do so.
-func (w *world) blamed(id string) {
-	if !w.mayBlame(id) {
+func (w *world) checkPoisoned(id string) {
+	if !w.mayBePoisoned(id) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s fails as poisoned, but other jobs crashed its targets", w.now, id))
 	}
 }
@@ -75,7 +75,7 @@
 func (w *world) confirmClaim(o *fakeOwner) {
 	asOf := w.now
 	w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
-		if o != w.owner() || w.durableStore.away {
+		if o != w.owner() || w.durableStore.unavailable {
 			return
 		}
 		w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
@@ -86,7 +86,7 @@
 
 // endPredecessors kills the owners before the newest one in worlds where targets restart. What a
 // previous owner that lives on does at a target that has restarted unnoticed is tested separately.
-func (w *world) endFormer() {
+func (w *world) endPredecessors() {
 	for _, o := range w.owners[:len(w.owners)-1] {
 		o.dead = true
 	}
@@ -103,7 +103,7 @@
 		if r := t.runs[task]; r != nil {
 			delete(t.runs, task)
 			w.runEnded(task)
-			w.endKept(task, r, "crashed")
+			w.recordDurableEnd(task, r, "crashed")
 		}
 	}
 	w.after(time.Duration(300+w.random.IntN(3000))*ms, func() {
@@ -112,12 +112,12 @@
 		t.free, t.fence, t.until, t.number, t.ended = t.capacity, 0, 0, 0, nil
 		t.highest, t.endedAt = map[string]int64{}, map[int64]time.Duration{}
 		w.after(ms, t.lapse)
-		t.tell(time.Duration(w.random.IntN(1500)) * ms)
+		t.announce(time.Duration(w.random.IntN(1500)) * ms)
 	})
 }
 
 // announce has the owners read the target's entry, as it is by then, after a delay.
-func (t *fakeTarget) tell(delay time.Duration) {
+func (t *fakeTarget) announce(delay time.Duration) {
 	w := t.world
 	for _, o := range w.owners {
 		w.after(delay, func() {
@@ -134,28 +134,28 @@
 func (t *fakeTarget) resize(capacity int64) {
 	t.free += capacity - t.capacity
 	t.capacity, t.resized = capacity, t.world.now
-	t.tell(time.Duration(t.world.random.IntN(800)) * ms)
+	t.announce(time.Duration(t.world.random.IntN(800)) * ms)
 }
 
 // maxEntryDelay is the longest time for which an order is on its way, plus the time until an owner
 // has read a changed entry.
-const lateLimit = 5 * time.Second
+const maxEntryDelay = 5 * time.Second
 
 // checkStartFits checks a start at a target that doesn't guard its own capacity.
-func (w *world) checkLimit(t *fakeTarget) {
-	if int64(len(t.runs)) >= t.capacity && w.now-t.resized > lateLimit {
+func (w *world) checkStartFits(t *fakeTarget) {
+	if int64(len(t.runs)) >= t.capacity && w.now-t.resized > maxEntryDelay {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s has capacity for %d runs and starts one more", w.now, t.id, t.capacity))
 	}
 }
 
 // checkOrderFits checks a start that an owner orders: the runs of its target and the new one must
 // fit once the owner may know the target's capacity.
-func (w *world) checkRoom(o *fakeOwner, e StartRun) {
+func (w *world) checkOrderFits(o *fakeOwner, e StartRun) {
 	t := w.targets[e.To.ID]
 	if o.token < t.fence {
 		return
 	}
-	if t.runs[e.Run.Task] == nil && int64(len(t.runs)) >= t.capacity && w.now-t.resized > lateLimit {
+	if t.runs[e.Run.Task] == nil && int64(len(t.runs)) >= t.capacity && w.now-t.resized > maxEntryDelay {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s is to start on %s, which has %d runs of %d", w.now, e.Run.Task, t.id, len(t.runs), t.capacity))
 	}
 }
@@ -165,7 +165,7 @@
 // stops, lost connections, delegated parts, gangs, repeats, cancels and jobs handed in again. No
 // harmless job may fail as poisoned, and all other invariants hold.
 func TestFuzzCrashingTasks(t *testing.T) {
-	checks(t, 100)
+	setChecks(t, 100)
 	crashes, poisoned := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		w := playCrashing(rt, true)
@@ -200,36 +200,36 @@
 	w.takeOver()
 	w.run(200 * ms)
 	for range rapid.IntRange(5, 50).Draw(rt, "steps") {
-		strikeCrashing(rt, w)
+		injectCrashingStep(rt, w)
 		w.run(time.Duration(rapid.IntRange(0, 400).Draw(rt, "pause")) * ms)
 		if len(w.violations) > 0 {
-			rt.Fatalf("invariants broken: %v%s", w.violations, w.trails())
+			rt.Fatalf("invariants broken: %v%s", w.violations, w.describeOpenJobs())
 		}
 	}
-	w.durableStore.away, w.faults = false, worldFaults{}
+	w.durableStore.unavailable, w.faults = false, worldFaults{}
 	for _, id := range w.targetIDs() {
 		w.targets[id].resize(fakeCPU)
 	}
 	w.takeOver()
-	w.settleKept()
+	w.runUntilJobsEnd()
 	// Suspects take turns, and each may need two isolated runs.
-	for end := w.now + time.Duration(1+len(w.durableStore.jobs))*30*time.Second; w.now < end && len(w.unended()) > 0; {
+	for end := w.now + time.Duration(1+len(w.durableStore.jobs))*30*time.Second; w.now < end && len(w.unendedJobs()) > 0; {
 		w.run(time.Second)
 	}
 	w.run(10 * time.Second)
 	// A lasting task may be between two runs.
-	for tries := 0; tries < 20 && len(w.unended()) > 0; tries++ {
+	for tries := 0; tries < 20 && len(w.unendedJobs()) > 0; tries++ {
 		w.run(200 * ms)
 	}
-	must.SliceEmpty(rt, w.violations, must.Sprint(w.violations, w.trails()))
-	must.SliceEmpty(rt, w.unended(), must.Sprint(w.unended(), w.trails()))
+	must.SliceEmpty(rt, w.violations, must.Sprint(w.violations, w.describeOpenJobs()))
+	must.SliceEmpty(rt, w.unendedJobs(), must.Sprint(w.unendedJobs(), w.describeOpenJobs()))
 	return w
 }
 
 // A previous owner that doesn't know of its successor may use an idle target that has restarted
 // unnoticed, before the successor knows of that target. No task may run at both.
-func TestRestartsBesideAFormerOwner(t *testing.T) {
-	checks(t, 1)
+func TestTargetRestartsBesidePreviousOwner(t *testing.T) {
+	setChecks(t, 1)
 	must.NoError(t, flag.Set("rapid.seed", "129"))
 	defer func() { _ = flag.Set("rapid.seed", "1") }()
 	rapid.Check(t, func(rt *rapid.T) { playCrashing(rt, false) })
@@ -237,9 +237,9 @@
 
 // describeOpenJobs returns the histories of the jobs that haven't ended or broke an invariant, and
 // the state of all targets.
-func (w *world) trails() string {
+func (w *world) describeOpenJobs() string {
 	var text strings.Builder
-	ids := w.unended()
+	ids := w.unendedJobs()
 	for _, violation := range w.violations {
 		for id := range w.durableStore.jobs {
 			if strings.Contains(violation, id+".") && !slices.Contains(ids, id) {
@@ -256,11 +256,11 @@
 				continue
 			}
 			fmt.Fprintf(&text, "\n%s at %s, arrived %v, dead %v frozen %v", id, o.name, j.arrived, o.dead, o.frozen)
-			for _, e := range j.trail {
+			for _, e := range j.history {
 				fmt.Fprintf(&text, "\n%s %v %s %s %s %s", id, e.At, e.What, e.Task, e.Target, e.Detail)
 			}
 			for _, tk := range j.tasks {
-				fmt.Fprintf(&text, "\n%s has %d losses, unresolved %v, reserved %v", tk.name, len(tk.falls), tk.unsettled(), tk.room != nil)
+				fmt.Fprintf(&text, "\n%s has %d losses, unresolved %v, reserved %v", tk.name, len(tk.losses), tk.hasUnresolvedLoss(), tk.reservedTarget != nil)
 				if tk.run != nil {
 					t := tk.run.target
 					fmt.Fprintf(&text, ", runs on %s, state %v, down %v, failed polls %d, missing %v, stop %+v, run %v", t.ID, t.state, w.targets[t.ID].down, t.failedPolls, t.unlistedSince, tk.run.stop, tk.run.state)
@@ -275,7 +275,7 @@
 }
 
 // injectCrashingStep plays one random event: a job is submitted, or a fault occurs.
-func strikeCrashing(rt *rapid.T, w *world) {
+func injectCrashingStep(rt *rapid.T, w *world) {
 	target := w.targets[rapid.SampledFrom(w.targetIDs()).Draw(rt, "target")]
 	switch rapid.SampledFrom([]string{"poison", "durable poison", "harmless", "harmless", "durable", "loss", "resize", "other"}).Draw(rt, "what") {
 	case "poison":
@@ -285,13 +285,13 @@
 		w.submit(c)
 	case "durable poison":
 		w.poisonJobs[fmt.Sprintf("kept%d", w.refs+1)] = true
-		w.handIn(w.drawJob(rt), false)
+		w.submitDurable(w.drawJob(rt), false)
 	case "harmless":
 		w.addCaller(rapid.IntRange(1, 4).Draw(rt, "tasks"))
 	case "durable":
-		w.handIn(w.drawJob(rt), false)
+		w.submitDurable(w.drawJob(rt), false)
 	case "loss":
-		target.fallsByItself()
+		target.markBystanders()
 		if w.restarts {
 			target.restart()
 		} else {
@@ -302,7 +302,7 @@
 	case "other":
 		for _, at := range w.targets {
 			// Targets that fall silent or hang may look like lost ones.
-			at.fallsByItself()
+			at.markBystanders()
 		}
 		injectEvent(rt, w)
 	}
@@ -311,7 +311,7 @@
 // TestFuzzCapacity plays targets that don't guard their capacity while it shrinks, even to nothing,
 // and grows. Nothing is started that doesn't fit, and all durable jobs end.
 func TestFuzzCapacity(t *testing.T) {
-	checks(t, 300)
+	setChecks(t, 300)
 	rapid.Check(t, func(rt *rapid.T) {
 		share := func(name string) float64 { return float64(rapid.IntRange(0, 6).Draw(rt, name)) / 100 }
 		w := newWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 5).Draw(rt, "targets"), worldFaults{
@@ -330,12 +330,12 @@
 			case "call":
 				w.addCaller(rapid.IntRange(1, 6).Draw(rt, "tasks"))
 			case "durable":
-				w.handIn(w.drawJob(rt), false)
+				w.submitDurable(w.drawJob(rt), false)
 			case "resize":
 				target.resize(int64(rapid.IntRange(0, fakeCPU+2).Draw(rt, "capacity")))
 			case "other":
 				for _, at := range w.targets {
-					at.fallsByItself()
+					at.markBystanders()
 				}
 				injectEvent(rt, w)
 			}
@@ -347,10 +347,10 @@
 		for _, id := range w.targetIDs() {
 			w.targets[id].resize(fakeCPU)
 		}
-		w.durableStore.away, w.faults = false, worldFaults{}
+		w.durableStore.unavailable, w.faults = false, worldFaults{}
 		w.takeOver()
-		w.settleKept()
+		w.runUntilJobsEnd()
 		must.SliceEmpty(rt, w.violations, must.Sprint(w.violations))
-		must.SliceEmpty(rt, w.unended(), must.Sprint(w.unended()))
+		must.SliceEmpty(rt, w.unendedJobs(), must.Sprint(w.unendedJobs()))
 	})
 }
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -38,14 +38,14 @@
 	if e.Run.Number <= t.highest[e.Run.Task] {
 		return t.reply(work.VerdictStaleRun)
 	}
-	if !t.world.admits(t, e.StartOrder) {
+	if !t.world.acceptsTicket(t, e.StartOrder) {
 		t.world.ticketRefusals++
 		return t.reply(work.VerdictInvalidTicket)
 	}
 	if t.free < 1 && !t.overcommits || t.runs[e.Run.Task] != nil {
 		return t.reply(work.VerdictNoCapacity)
 	}
-	t.world.checkLimit(t)
+	t.world.checkStartFits(t)
 	t.startRun(e.StartOrder)
 	return t.reply(work.VerdictDone)
 }
@@ -56,8 +56,8 @@
 	t.runs[run.Task] = r
 	t.free--
 	t.world.runStarted(run.Task)
-	t.world.beginsCulprit(t, run.Task, r)
-	if t.world.beginKept(t, r, order) {
+	t.world.scheduleCrash(t, run.Task, r)
+	if t.world.playDurableRun(t, r, order) {
 		return
 	}
 	kind := work.CompletionDone
@@ -83,7 +83,7 @@
 	t.number++
 	t.endedAt[t.number] = t.world.now
 	t.ended = append(t.ended, work.Completion{Number: t.number, Run: work.RunID{Task: task, Number: r.number}, Kind: kind, SavedState: r.saved})
-	t.world.endKept(task, r, kind)
+	t.world.recordDurableEnd(task, r, kind)
 	if t.answerPoll != nil {
 		t.answerPoll()
 	}
@@ -206,7 +206,7 @@
 		if r := t.runs[task]; r != nil {
 			delete(t.runs, task)
 			t.world.runEnded(task)
-			t.world.endKept(task, r, "crashed")
+			t.world.recordDurableEnd(task, r, "crashed")
 		}
 	}
 	for _, o := range append(slices.Clone(t.world.owners), t.world.otherOwner) {
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -15,13 +15,13 @@
 const (
 	// gangReserveDelay is how long a gang waits for capacity to become free by itself. Then as
 	// many targets as it needs are reserved for it.
-	gangPatience = 100 * time.Millisecond
+	gangReserveDelay = 100 * time.Millisecond
 	// maxReservation bounds how long targets are reserved: a target that hangs frees nothing.
-	reservedTime = 3 * time.Second
+	maxReservation = 3 * time.Second
 )
 
 // failedRuns counts the failed runs of a task, or of all tasks of its gang.
-func (st *step) fails(t *task) int {
+func (st *step) failedRuns(t *task) int {
 	if !st.Gang {
 		return t.fails
 	}
@@ -38,18 +38,18 @@
 		// Some run of the last try has not ended yet.
 		return
 	}
-	if st.tried == 0 {
-		st.tried = now
+	if st.waitingSince == 0 {
+		st.waitingSince = now
 	}
-	places := s.gather(now, j, st)
+	places := s.findPlaces(now, j, st)
 	if places == nil {
 		full.count++
-		s.reserve(now, j, st)
+		s.reserveForGang(now, j, st)
 		return
 	}
 	s.unreserve(j.pool, st)
-	st.tried = 0
-	number := s.nextRunNumber(now, j.kept())
+	st.waitingSince = 0
+	number := s.nextRunNumber(now, j.isDurable())
 	for i, tk := range st.pending {
 		s.startRun(now, places[i], tk, number)
 	}
@@ -58,26 +58,26 @@
 
 // findPlaces returns a target for each pending task of a gang; nil if there is not enough capacity
 // for all. A gang that wants one rack gets targets of one rack, unless no rack is large enough.
-func (s *State) gather(now time.Duration, j *job, st *step) []*target {
+func (s *State) findPlaces(now time.Duration, j *job, st *step) []*target {
 	if st.PreferOneRack {
 		for _, rack := range j.pool.racks() {
-			if places := s.gatherOn(now, j, st, j.pool.onRack(rack)); places != nil {
+			if places := s.findPlacesOn(now, j, st, j.pool.onRack(rack)); places != nil {
 				return places
 			}
 		}
-		if j.pool.rackHolds(st) {
+		if j.pool.rackCanHoldGang(st) {
 			return nil
 		}
 	}
-	return s.gatherOn(now, j, st, j.pool.targets)
+	return s.findPlacesOn(now, j, st, j.pool.targets)
 }
 
 // findPlacesOn is findPlaces among the given targets.
-func (s *State) gatherOn(now time.Duration, j *job, st *step, among []*target) []*target {
+func (s *State) findPlacesOn(now time.Duration, j *job, st *step, among []*target) []*target {
 	taken := map[*target]int{}
 	var places []*target
 	for _, tk := range st.pending {
-		t := s.tightest(now, j, st, tk, among, taken)
+		t := s.bestFit(now, j, st, tk, among, taken)
 		if t == nil {
 			return nil
 		}
@@ -89,13 +89,13 @@
 
 // bestFit returns the target that one more task of a gang fits most tightly; nil if there is none.
 // taken counts the gang's tasks that are to run on each target.
-func (s *State) tightest(now time.Duration, j *job, st *step, tk *task, among []*target, taken map[*target]int) *target {
+func (s *State) bestFit(now time.Duration, j *job, st *step, tk *task, among []*target, taken map[*target]int) *target {
 	var best *target
 	for _, t := range among {
 		if t.health.suspected || !st.fitsBeside(t, t.free, taken[t]) || !s.canStart(now, t, j, st, tk) {
 			continue
 		}
-		if best == nil || better(now, t, best, st, tk) {
+		if best == nil || fitsBetter(now, t, best, st, tk) {
 			best = t
 		}
 	}
@@ -104,7 +104,7 @@
 
 // fitsBetter reports whether target t suits the task better than another one: first by rank, then
 // by the tighter fit.
-func better(now time.Duration, t, than *target, st *step, tk *task) bool {
+func fitsBetter(now time.Duration, t, than *target, st *step, tk *task) bool {
 	if a, b := t.rank(now, st, tk), than.rank(now, st, tk); a != b {
 		return a < b
 	}
@@ -114,7 +114,7 @@
 // fitsBeside reports whether one more task fits into the given capacity of a target, beside some
 // others of its step.
 func (st *step) fitsBeside(t *target, capacity work.Resources, others int) bool {
-	if st.MaxPerTarget > 0 && st.on[t.ID]+others >= st.MaxPerTarget {
+	if st.MaxPerTarget > 0 && st.runsOn[t.ID]+others >= st.MaxPerTarget {
 		return false
 	}
 	for range others {
@@ -124,10 +124,10 @@
 }
 
 // canHoldGang reports whether the pool's targets could hold a gang if nothing else ran there.
-func (p *pool) holdsGang(st *step) bool { return capacityFor(st, p.targets) >= len(st.members) }
+func (p *pool) canHoldGang(st *step) bool { return capacityFor(st, p.targets) >= len(st.members) }
 
 // rackCanHoldGang reports whether a single rack could hold a gang if nothing else ran there.
-func (p *pool) rackHolds(st *step) bool {
+func (p *pool) rackCanHoldGang(st *step) bool {
 	return slices.ContainsFunc(p.racks(), func(rack string) bool {
 		return capacityFor(st, p.onRack(rack)) >= len(st.members)
 	})
@@ -183,20 +183,20 @@
 // reserveForGang reserves targets for a gang that has waited for gangReserveDelay. Otherwise small
 // tasks would take each place as it becomes free. One gang of a pool has targets reserved at a
 // time.
-func (s *State) reserve(now time.Duration, j *job, st *step) {
+func (s *State) reserveForGang(now time.Duration, j *job, st *step) {
 	p := j.pool
-	if p.reservedFor != nil && now-p.reservedAt > reservedTime {
+	if p.reservedFor != nil && now-p.reservedAt > maxReservation {
 		s.unreserve(p, p.reservedFor)
 	}
-	if p.reservedFor != nil || now-st.tried < gangPatience {
+	if p.reservedFor != nil || now-st.waitingSince < gangReserveDelay {
 		return
 	}
-	chosen := s.roomFor(now, j, st)
+	chosen := s.chooseTargets(now, j, st)
 	if chosen == nil {
 		return
 	}
 	// If this doesn't succeed, others get their turn before the next attempt.
-	st.tried = now + reservedTime
+	st.waitingSince = now + maxReservation
 	p.reservedFor, p.reservedAt = st, now
 	for _, t := range chosen {
 		t.reservedFor = st
@@ -207,17 +207,17 @@
 // chooseTargets returns the targets to reserve for a gang: those with the most free CPU, of one
 // rack if the gang wants that and a rack can hold it. It returns nil if no choice can hold the
 // gang.
-func (s *State) roomFor(now time.Duration, j *job, st *step) []*target {
+func (s *State) chooseTargets(now time.Duration, j *job, st *step) []*target {
 	among := j.pool.targets
 	if st.PreferOneRack {
 		for _, rack := range j.pool.racks() {
-			if on := j.pool.onRack(rack); capacityFor(st, s.takers(now, on)) >= len(st.members) {
+			if on := j.pool.onRack(rack); capacityFor(st, s.availableTargets(now, on)) >= len(st.members) {
 				among = on
 				break
 			}
 		}
 	}
-	available := s.takers(now, among)
+	available := s.availableTargets(now, among)
 	slices.SortStableFunc(available, func(a, b *target) int { return int(b.free.CPU - a.free.CPU) })
 	for n := range available {
 		if capacityFor(st, available[:n+1]) >= len(st.members) {
@@ -229,7 +229,7 @@
 
 // availableTargets returns those of the given targets that take new tasks, are neither isolated nor
 // suspected, and may have their lease extended.
-func (s *State) takers(now time.Duration, among []*target) []*target {
+func (s *State) availableTargets(now time.Duration, among []*target) []*target {
 	var available []*target
 	for _, t := range among {
 		if t.acceptsTasks() && t.isolated == nil && !t.health.suspected && s.canRenewLease(now, t) {
@@ -254,19 +254,19 @@
 }
 
 // unreserveJob frees all targets that are reserved for a job's steps.
-func (s *State) unreserveAll(j *job) {
+func (s *State) unreserveJob(j *job) {
 	if st := j.pool.reservedFor; st != nil && st.job == j {
 		s.unreserve(j.pool, st)
 	}
-	for _, st := range j.current() {
+	for _, st := range j.currentSteps() {
 		s.releaseHeld(st)
 	}
 }
 
 // stopGang stops the remaining runs of a gang after it lost a member.
-func (s *State) disband(now time.Duration, st *step) {
+func (s *State) stopGang(now time.Duration, st *step) {
 	for _, member := range st.members {
-		if member.run != nil && !member.complete {
+		if member.run != nil && !member.done {
 			s.stop(now, member.run)
 		}
 	}
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -10,16 +10,16 @@
 )
 
 // gangStep returns a gang step of this many tasks.
-func gang(tasks int) work.Step { return work.Step{Tasks: tasks, Gang: true} }
+func gangStep(tasks int) work.Step { return work.Step{Tasks: tasks, Gang: true} }
 
 // A gang starts under one run number once there is capacity for all of it.
-func TestGangsBeginTogether(t *testing.T) {
+func TestGangStartsTogether(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 2)
 	b.target("b", 2)
 	b.effects()
-	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", gang(3)))))
+	must.SliceEmpty(t, pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(3)))))
 	b.answerPoll("b", work.PollAnswer{ClockMS: 5000})
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 3, starts)
@@ -29,10 +29,10 @@
 }
 
 // A gang that the targets can't hold is refused at once.
-func TestGangsThatFitNowhereAreRefused(t *testing.T) {
+func TestGangThatFitsNowhereIsRefused(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 2)
-	b.s.Submit(b.now, b.stepsJob("j", gang(3)))
+	b.s.Submit(b.now, b.jobOfSteps("j", gangStep(3)))
 	answers := pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Refused, answers[0].Outcome.Result)
@@ -40,26 +40,26 @@
 
 // If a member can't start or fails, the other members are stopped. All members start again together
 // once the last run has ended.
-func TestGangsBeginAnewTogether(t *testing.T) {
+func TestGangRestartsTogether(t *testing.T) {
 	for name, harm := range map[string]func(b *harness, start StartRun){
 		"refused": func(b *harness, start StartRun) {
-			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
+			b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 		},
 		"unanswered": func(b *harness, start StartRun) {
-			b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
+			b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 		},
 		"failed": func(b *harness, start StartRun) {
-			b.answerPoll(start.To.ID, ended(1, start.Run, work.CompletionFailed))
+			b.answerPoll(start.To.ID, heldWithCompletion(1, start.Run, work.CompletionFailed))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.s.Resumed(b.now)
+			b.s.FinishResume(b.now)
 			b.usable("a", 1)
 			b.usable("b", 1)
-			starts := pickEffects[StartRun](b.store(b.stepsJob("j", gang(2))))
+			starts := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(2))))
 			must.SliceLen(t, 2, starts)
-			b.begun(starts[1:])
+			b.answerStarts(starts[1:])
 			harm(b, starts[0])
 			effects := b.effects()
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -79,32 +79,32 @@
 }
 
 // One member's completion completes the gang. The failed runs of all members count together.
-func TestGangsEndTogether(t *testing.T) {
+func TestGangEndsTogether(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 1)
 	b.usable("b", 1)
-	starts := pickEffects[StartRun](b.store(b.stepsJob("j", gang(2))))
-	b.begun(starts)
-	b.answerPoll(starts[0].To.ID, ended(1, starts[0].Run, work.CompletionDone))
+	starts := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(2))))
+	b.answerStarts(starts)
+	b.answerPoll(starts[0].To.ID, heldWithCompletion(1, starts[0].Run, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 
 	b = newHarness(t, Options{})
 	b.usable("a", 2)
-	b.s.Resume(b.now, b.stepsJob("j", gang(2)), Progress{Fails: map[int]int{0: 1, 1: maxFails - 1}})
+	b.s.ResumeJob(b.now, b.jobOfSteps("j", gangStep(2)), Progress{Fails: map[int]int{0: 1, 1: maxAttempts - 1}})
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
 
 // A steady stream of small tasks doesn't starve a gang.
-func TestGangsGetTheirRoom(t *testing.T) {
+func TestGangIsNotStarvedBySmallTasks(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 2)
 	var small []StartRun
 	b.submit("s0", 1, 1, "")
 	small = append(small, pickEffects[StartRun](b.effects())...)
-	b.begun(small)
-	b.store(b.stepsJob("j", gang(2)))
+	b.answerStarts(small)
+	b.acceptAndStore(b.jobOfSteps("j", gangStep(2)))
 	for i := range 10 {
 		b.submit("s"+string(rune('1'+i)), 1, 1, "")
 		starts := pickEffects[StartRun](b.advance(40 * ms))
@@ -113,7 +113,7 @@
 				return
 			}
 		}
-		b.begun(starts)
+		b.answerStarts(starts)
 		small = append(small, starts...)
 		// The oldest small task ends.
 		b.answerPoll("a", work.PollAnswer{
@@ -140,7 +140,7 @@
 }
 
 // A gang that wants one rack gets one if a rack can hold it, and is spread over racks otherwise.
-func TestGangsOnOneRack(t *testing.T) {
+func TestGangPrefersOneRack(t *testing.T) {
 	for name, test := range map[string]struct {
 		tasks int
 		racks []string
@@ -150,17 +150,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.s.Resumed(b.now)
+			b.s.FinishResume(b.now)
 			racks := map[string]string{"a": "r1", "b": "r2", "c": "r2"}
 			for _, id := range []string{"a", "b", "c"} {
 				b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", racks[id]}, Rack: racks[id]})
 				b.effects()
 				b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 			}
-			step := gang(test.tasks)
+			step := gangStep(test.tasks)
 			step.PreferOneRack = true
 			var used []string
-			for _, start := range pickEffects[StartRun](b.store(b.stepsJob("j", step))) {
+			for _, start := range pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", step))) {
 				used = append(used, racks[start.To.ID])
 			}
 			must.SliceContainsAll(t, test.racks, used)
@@ -169,22 +169,22 @@
 }
 
 // A gang that wants one rack waits for capacity there while the rack could hold it.
-func TestGangsWaitForTheirRack(t *testing.T) {
+func TestGangWaitsForItsRack(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	for id, rack := range map[string]string{"a": "r1", "b": "r2", "c": "r2"} {
 		b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: 1}, Labels: []string{"k", rack}, Rack: rack})
 		b.effects()
 		b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 	}
-	small := b.keptJob("small", 1)
+	small := b.durableJob("small", 1)
 	small.Job.Steps[0].RequiredLabel = "r2"
-	busy := pickEffects[StartRun](b.store(small))
+	busy := pickEffects[StartRun](b.acceptAndStore(small))
 	must.SliceLen(t, 1, busy)
-	b.begun(busy)
-	step := gang(2)
+	b.answerStarts(busy)
+	step := gangStep(2)
 	step.PreferOneRack = true
-	must.SliceEmpty(t, pickEffects[StartRun](b.store(b.stepsJob("j", step))))
-	b.answerPoll(busy[0].To.ID, ended(1, busy[0].Run, work.CompletionDone))
+	must.SliceEmpty(t, pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", step))))
+	b.answerPoll(busy[0].To.ID, heldWithCompletion(1, busy[0].Run, work.CompletionDone))
 	must.SliceLen(t, 2, pickEffects[StartRun](b.effects()))
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -49,8 +49,8 @@
 // answerPollWith answers the poll that is on its way, and its copies.
 func (b *harness) answerPollWith(id string, held work.PollAnswer, verdict work.Verdict) {
 	t := b.s.targets[id]
-	for range max(t.pollCopies.waiting, 1) {
-		b.s.Looked(b.now, id, t.poll.SentAt, held, verdict)
+	for range max(t.pollCopies.unanswered, 1) {
+		b.s.HandlePollAnswer(b.now, id, t.poll.SentAt, held, verdict)
 	}
 }
 
@@ -82,7 +82,7 @@
 // loseAnswers makes an answer of each target get lost.
 func (b *harness) loseAnswers() {
 	for _, t := range b.s.targets {
-		b.s.missAnswer(b.now, t)
+		b.s.recordMissedAnswer(b.now, t)
 	}
 }
 
@@ -152,7 +152,7 @@
 	b.usable("a", 4)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5001, Running: listing(start.Run, work.RunID{Task: "old.0.0.0", Number: 8})})
 	b.submit("k", 1, 1, "")
 	effects := b.effects()
@@ -166,11 +166,11 @@
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{})
 	effects := b.advance(60 * ms)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
-	b.s.Stopped(b.now, "a", start.Run, doneAnswer(5100))
+	b.s.HandleStopAnswer(b.now, "a", start.Run, doneAnswer(5100))
 	effects = b.advance(120 * ms)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
 	must.Eq(t, "b", pickEffects[StartRun](effects)[0].To.ID)
@@ -183,15 +183,15 @@
 	b.usable("a", 2)
 	b.submit("j", 1, 1, "")
 	other := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", other.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", other.Run, doneAnswer(5000))
 	ref := b.submit("k", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
 	b.advance(200 * ms)
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5200, Running: listing(other.Run, start.Run)})
 	must.Eq(t, 0, pickEffects[Poll](b.effects())[0].LeaseUntil)
-	b.s.Stopped(b.now, "a", start.Run, doneAnswer(5201))
+	b.s.HandleStopAnswer(b.now, "a", start.Run, doneAnswer(5201))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5201, Running: listing(other.Run), Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
 	must.Positive(t, pickEffects[Poll](b.effects())[0].LeaseUntil)
 }
@@ -204,7 +204,7 @@
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictUnknown)
 	must.Eq(t, []Poll{{To: work.TargetAddress{ID: "a"}, SentAt: b.now}}, pickEffects[Poll](b.effects()))
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictUnknown)
@@ -224,7 +224,7 @@
 	b.s.EntryKeepalive("e", b.now+300*ms)
 	ref := b.submit("j", 1, 1, "e")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	effects := b.advance(340 * ms)
 	must.Eq(t, start.Run, pickEffects[StopRun](effects)[0].Run)
 	must.Eq(t, ref, pickEffects[Answer](effects)[0].Ref)
@@ -259,7 +259,7 @@
 	b.usable("b", 1)
 	ref := b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
 	b.submit("j", 1, 1, "")
 	effects := b.advance(40 * ms)
@@ -275,7 +275,7 @@
 	b.usable("a", 1)
 	first := b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	second := b.submit("j", 1, 1, "")
 	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -292,7 +292,7 @@
 	ref := b.submit("j", 2, 1, "")
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
-	b.s.Started(b.now, "a", starts[0].Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", starts[0].Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
 	must.SliceLen(t, 2, pickEffects[StopRun](b.effects()))
 }
@@ -328,7 +328,7 @@
 	b.s.EntryKeepalive("e", b.now+10*time.Minute)
 	ref := b.submit("j", 2, 1, "e")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Leave(b.now)
 	must.SliceEmpty(t, pickEffects[Answer](b.effects()))
 	b.s.Abandon(b.now)
@@ -343,7 +343,7 @@
 	b.usable("a", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
 	b.s.Leave(b.now)
 	must.Eq(t, work.Moved, pickEffects[Answer](b.effects())[0].Outcome.Result)
 }
@@ -359,20 +359,20 @@
 		must.Eq(t, DefaultPollWait, poll.Wait)
 	}
 	start := pickEffects[StartRun](effects)[0]
-	b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{})
+	b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
 	polls := pickEffects[Poll](b.effects())
 	must.SliceNotEmpty(t, polls)
-	must.Eq(t, disturbedWait, polls[0].Wait)
+	must.Eq(t, shortPollWait, polls[0].Wait)
 	other := pickEffects[StartRun](effects)[1]
-	b.s.Started(b.now, other.To.ID, other.Run, doneAnswer(5000))
-	for end := b.now + disturbedTime + 20*ms; b.now < end; {
+	b.s.HandleStartAnswer(b.now, other.To.ID, other.Run, doneAnswer(5000))
+	for end := b.now + lossPeriod + 20*ms; b.now < end; {
 		b.advance(20 * ms)
 		for id := range b.s.targets {
 			b.answerPoll(id, work.PollAnswer{ClockMS: 5000, Running: listing(start.Run, other.Run)})
 		}
 	}
-	must.Eq(t, DefaultPollWait, b.s.lookWait(b.now))
+	must.Eq(t, DefaultPollWait, b.s.pollWait(b.now))
 }
 
 // A target that answers but stays unlisted may only be cut off from the registry. It takes nothing
@@ -385,7 +385,7 @@
 			b.usable("a", 2)
 			b.submit("j", 1, 1, "")
 			start := pickEffects[StartRun](b.effects())[0]
-			b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+			b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 			// The run may take as long as the test, so that it does not count as a failure.
 			b.s.targets["a"].runs[start.Run.Task].expected = 5 * time.Second
 			b.effects()
@@ -425,7 +425,7 @@
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
 		start := pickEffects[StartRun](b.effects())[0]
-		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+		b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 		if lost {
 			b.loseAnswers()
 		}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -87,9 +87,9 @@
 
 // recordFailedRun counts a failed run against its target, unless the job fails on several targets.
 func (s *State) recordFailedRun(now time.Duration, t *target, j *job) {
-	j.blamed[t.ID] = true
-	if len(j.blamed) >= minFailedJobs {
-		for id := range j.blamed {
+	j.failedTargets[t.ID] = true
+	if len(j.failedTargets) >= minFailedJobs {
+		for id := range j.failedTargets {
 			if other := s.targets[id]; other != nil {
 				delete(other.health.failures, j.sub.Job.ID)
 			}
@@ -113,7 +113,7 @@
 		return
 	}
 	took := now - r.ordered
-	if s.unsettled(now) && now-t.pollCopies.sent < promptPollTime {
+	if s.losesAnswers(now) && now-t.pollCopies.lastSent < promptPollTime {
 		// The run had ended before the poll, at some time since it was last listed. Assume the
 		// expected time where that is possible.
 		took = min(took, max(t.lastAnswer-r.ordered, r.expected))
@@ -121,7 +121,7 @@
 	speed := float64(took) / float64(r.expected)
 	h.speed += speedWeight * (min(speed, maxSampleSpeed) - h.speed)
 	if !h.suspected && !t.isSlow() {
-		r.task.job.kind.learn(took, r.task.step.DeclaredRunTime)
+		r.task.job.estimate.observe(took, r.task.step.DeclaredRunTime)
 	}
 	if speed > overdueFactor {
 		return
@@ -181,7 +181,7 @@
 		}
 		if r.isStuck(runningUntil) {
 			s.emit(LogEvent{Message: "run takes too long", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: t.ID, Age: now - r.ordered})
-			r.task.restarts++
+			r.task.stuckRuns++
 			s.stop(now, r)
 		}
 	}
@@ -200,7 +200,7 @@
 // target reports completions at once. While answers get lost its silence proves nothing: good
 // targets would be suspected for completions that were reported and lost.
 func (s *State) lastKnownRunning(now time.Duration, t *target) time.Duration {
-	if s.unsettled(now) {
+	if s.losesAnswers(now) {
 		return t.lastAnswer
 	}
 	return now
@@ -239,10 +239,10 @@
 // isStuck reports whether a durable job's run should be stopped and placed again on any target: no
 // caller gives the job up. The limit doubles each time, as the run may just be long.
 func (r *run) isStuck(now time.Duration) bool {
-	if !r.task.job.kept() {
+	if !r.task.job.isDurable() {
 		return false
 	}
-	return now-r.ordered > max(hungFactor*r.expected, minStuckTime)<<min(r.task.restarts, maxDoublings)
+	return now-r.ordered > max(hungFactor*r.expected, minStuckTime)<<min(r.task.stuckRuns, maxDoublings)
 }
 
 // maxDoublings bounds the limit for a stuck run at minutes.
@@ -255,7 +255,7 @@
 		return false
 	}
 	elsewhere := now + s.options.StopTimeout + r.expected
-	if elsewhere > r.task.job.useful && !r.task.job.kept() || !s.hasCapacityElsewhere(t, r.task.step.PerTask) {
+	if elsewhere > r.task.job.usefulUntil && !r.task.job.isDurable() || !s.hasCapacityElsewhere(t, r.task.step.PerTask) {
 		return false
 	}
 	if r.ordered > t.health.suspectedSince {
--- a/scheduler/history.go
+++ b/scheduler/history.go
@@ -8,20 +8,20 @@
 
 // JobHistory lists the events of one job. It is logged when a job ends badly or late, and for a
 // sample of the others: the log has no line for each decision about the many jobs that go well.
-type Trail struct {
+type JobHistory struct {
 	Job    string
 	Queue  string
 	Result work.Result
 	Reason string
 	// Took is the time since the caller sent the job. Objective is what it should have been.
 	Took, Objective time.Duration
-	Entries         []TrailEntry
+	Entries         []HistoryEntry
 	// Dropped counts the entries beyond maxHistory.
 	Dropped int
 }
 
 // HistoryEntry is one decision or event.
-type TrailEntry struct {
+type HistoryEntry struct {
 	// At is the time since the caller sent the job.
 	At     time.Duration
 	What   string
@@ -30,34 +30,34 @@
 	Detail string
 }
 
-func (Trail) effect() {}
+func (JobHistory) effect() {}
 
 // Parameters of job histories.
 const (
 	// maxHistory bounds the entries of a job: four for each task of a usual one.
-	maxTrail = 40
+	maxHistory = 40
 	// sampleEvery is how many jobs end well and on time for each one whose history is logged.
 	sampleEvery = 100
 )
 
 // record adds an entry to the job's history.
-func (j *job) mark(now time.Duration, what, task, target, detail string) {
-	if len(j.trail) >= maxTrail {
-		j.trailDropped++
+func (j *job) record(now time.Duration, what, task, target, detail string) {
+	if len(j.history) >= maxHistory {
+		j.historyDropped++
 		return
 	}
-	j.trail = append(j.trail, TrailEntry{At: now - j.arrived, What: what, Task: task, Target: target, Detail: detail})
+	j.history = append(j.history, HistoryEntry{At: now - j.arrived, What: what, Task: task, Target: target, Detail: detail})
 }
 
 // logHistory emits the history of a job that has ended, if the job went badly or is in the sample.
-func (s *State) tell(now time.Duration, j *job, outcome work.Outcome) {
+func (s *State) logHistory(now time.Duration, j *job, outcome work.Outcome) {
 	s.endedJobs++
 	good := outcome.Result == work.Completed && now <= j.objective
 	if good && s.endedJobs%sampleEvery != 0 || outcome.Result == work.Moved {
 		return
 	}
-	s.emit(Trail{
+	s.emit(JobHistory{
 		Job: j.sub.Job.ID, Queue: j.sub.Queue.Name, Result: outcome.Result, Reason: outcome.Reason,
-		Took: now - j.arrived, Objective: j.objective - j.arrived, Entries: j.trail, Dropped: j.trailDropped,
+		Took: now - j.arrived, Objective: j.objective - j.arrived, Entries: j.history, Dropped: j.historyDropped,
 	})
 }
--- a/scheduler/isolation.go
+++ b/scheduler/isolation.go
@@ -10,19 +10,19 @@
 
 // canStartSuspect reports whether a suspect may start on a target: isolated, or beside other runs
 // if callers wait for its job and it has lost only one target so far.
-func (s *State) tries(t *target, st *step, tk *task) bool {
+func (s *State) canStartSuspect(t *target, st *step, tk *task) bool {
 	switch {
-	case tk.unsettled():
+	case tk.hasUnresolvedLoss():
 		return false
-	case t.emptyBut(st) && (t.isolated == tk || t.pool.isolations < t.pool.maxTrials()):
+	case t.emptyExceptGang(st) && (t.isolated == tk || t.pool.isolations < t.pool.maxIsolated()):
 		return true
 	default:
-		return !tk.job.kept() && len(tk.falls)+tk.excused < crashesToFail
+		return !tk.job.isDurable() && len(tk.losses)+tk.correlatedLosses < lossesToFail
 	}
 }
 
 // emptyExceptGang reports whether nothing runs on the target but members of st, if st is a gang.
-func (t *target) emptyBut(st *step) bool {
+func (t *target) emptyExceptGang(st *step) bool {
 	for _, r := range t.runs {
 		if !st.Gang || r.task.step != st {
 			return false
@@ -33,16 +33,16 @@
 
 // mayUseIsolated reports whether the task may run on a target as far as isolation goes: nobody has
 // the target isolated or reserved, or the task itself or its gang has.
-func (tk *task) joins(t *target) bool {
+func (tk *task) mayUseIsolated(t *target) bool {
 	return t.isolated == nil || t.isolated == tk || tk.step.Gang && t.isolated.step == tk.step
 }
 
 // isolateSuspect marks the target of a starting run as isolated if the run's task is a suspect and
 // nothing else runs there.
-func (s *State) tryAlone(r *run) {
+func (s *State) isolateSuspect(r *run) {
 	t := r.target
-	s.letRoom(r.task)
-	if r.task.suspect() && t.emptyBut(r.task.step) {
+	s.unreserveForSuspect(r.task)
+	if r.task.isSuspect() && t.emptyExceptGang(r.task.step) {
 		r.isolated = true
 		t.isolated = r.task
 		t.isolatedRuns++
@@ -52,9 +52,9 @@
 
 // reserveForSuspect reserves a target for a suspect that needs an empty one: the open target with
 // the fewest runs takes nothing else until the suspect starts there.
-func (s *State) makeRoom(now time.Duration, tk *task) {
+func (s *State) reserveForSuspect(now time.Duration, tk *task) {
 	p := tk.job.pool
-	if !tk.suspect() || tk.unsettled() || tk.room != nil || tk.step.Gang || p.isolations >= p.maxTrials() {
+	if !tk.isSuspect() || tk.hasUnresolvedLoss() || tk.reservedTarget != nil || tk.step.Gang || p.isolations >= p.maxIsolated() {
 		return
 	}
 	var least *target
@@ -66,30 +66,30 @@
 	if least == nil {
 		return
 	}
-	tk.room, least.isolated = least, tk
+	tk.reservedTarget, least.isolated = least, tk
 	p.isolations++
 	s.markChanged(least)
 }
 
 // startReservedSuspects starts the suspects of a step whose reserved target can take them now.
-func (s *State) placeInRoom(now time.Duration, j *job, st *step) {
+func (s *State) startReservedSuspects(now time.Duration, j *job, st *step) {
 	st.pending = slices.DeleteFunc(st.pending, func(tk *task) bool {
-		t := tk.room
+		t := tk.reservedTarget
 		if t == nil || !s.canStart(now, t, j, st, tk) {
 			return false
 		}
-		s.startRun(now, t, tk, s.nextRunNumber(now, j.kept()))
+		s.startRun(now, t, tk, s.nextRunNumber(now, j.isDurable()))
 		return true
 	})
 }
 
 // unreserveForSuspect frees the target that is reserved for a suspect.
-func (s *State) letRoom(tk *task) {
-	t := tk.room
+func (s *State) unreserveForSuspect(tk *task) {
+	t := tk.reservedTarget
 	if t == nil {
 		return
 	}
-	tk.room = nil
+	tk.reservedTarget = nil
 	t.pool.isolations--
 	if t.isolated == tk {
 		t.isolated = nil
@@ -98,23 +98,23 @@
 }
 
 // maxIsolated is how many targets of the pool may be isolated or reserved for suspects at a time.
-func (p *pool) maxTrials() int { return max(int(trialShare*float64(len(p.targets))), 1) }
+func (p *pool) maxIsolated() int { return max(int(isolationShare*float64(len(p.targets))), 1) }
 
 // clearLongRun clears a suspect whose run has lasted much longer than the runs under which its
 // targets were lost.
-func (s *State) clearSurvivor(now time.Duration, r *run) {
-	if !r.task.suspect() || !r.listed {
+func (s *State) clearLongRun(now time.Duration, r *run) {
+	if !r.task.isSuspect() || !r.listed {
 		return
 	}
 	longest := time.Duration(0)
-	for _, loss := range r.task.falls {
+	for _, loss := range r.task.losses {
 		longest = max(longest, loss.after)
 	}
 	if now-r.ordered <= 2*longest+survivorSlack {
 		return
 	}
-	r.task.falls = nil
-	r.endTrial()
+	r.task.losses = nil
+	r.endIsolation()
 	s.emit(LogEvent{Message: "task cleared", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: r.target.ID, Age: now - r.ordered})
 	s.markChanged(r.target)
 }
@@ -123,7 +123,7 @@
 const survivorSlack = time.Second
 
 // endIsolation ends the isolation of the run's target, once the last isolated run there has ended.
-func (r *run) endTrial() {
+func (r *run) endIsolation() {
 	if !r.isolated {
 		return
 	}
@@ -135,24 +135,24 @@
 }
 
 // sortSuspectsLast moves the suspects among a step's pending tasks behind the others.
-func (st *step) suspectsLast() {
-	slices.SortStableFunc(st.pending, func(a, b *task) int { return boolRank(a.suspect()) - boolRank(b.suspect()) })
+func (st *step) sortSuspectsLast() {
+	slices.SortStableFunc(st.pending, func(a, b *task) int { return boolToInt(a.isSuspect()) - boolToInt(b.isSuspect()) })
 }
 
 // countSuspects counts the suspects among a step's pending tasks. They are not delegated, because
 // only this owner knows of the losses that count against them.
-func (st *step) suspects() int {
-	if !st.suspected {
+func (st *step) countSuspects() int {
+	if !st.hasSuspects {
 		return 0
 	}
 	n := 0
 	for _, tk := range st.pending {
-		n += boolRank(tk.suspect())
+		n += boolToInt(tk.isSuspect())
 	}
 	return n
 }
 
-func boolRank(is bool) int {
+func boolToInt(is bool) int {
 	if is {
 		return 1
 	}
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -11,21 +11,21 @@
 
 // job is a submission that has no answer yet.
 type job struct {
-	sub  Submission
-	kind *kind
-	pool *pool
+	sub      Submission
+	estimate *queueEstimate
+	pool     *pool
 	// objective is when the answer is due. latestStart is when the first task has to start to
 	// meet it. After usefulUntil the answer is worth nothing to the caller.
-	objective, latest, useful time.Duration
+	objective, latestStart, usefulUntil time.Duration
 	// deadline is when the caller stops waiting; 0 means never.
 	deadline time.Duration
 	// arrived is when the caller sent the job, or when its newest occurrence became due.
 	arrived time.Duration
 	// submitted is when this owner took the job. firstOrdered is when it first ordered a run of
 	// it; 0 before.
-	submitted, first time.Duration
+	submitted, firstOrdered time.Duration
 	// sortKey orders the waiting jobs: the smallest is placed first.
-	key time.Duration
+	sortKey time.Duration
 	// late jobs can't meet their objective any more.
 	late bool
 	// useless jobs are past usefulUntil. Only durable jobs get here: they run all the same.
@@ -37,21 +37,21 @@
 	queued                     bool
 	// steps lists the steps of all occurrences in order. The first stepsDone of them are over.
 	// Those from index stepsDue on belong to occurrences that aren't due yet.
-	steps       []*step
-	passed, due int
-	tasks       []*task
+	steps               []*step
+	stepsDone, stepsDue int
+	tasks               []*task
 	// possibleStarts counts the orders that may have started a run. assumedStarts of them are
 	// orders that previous owners may have given. seenStarted is set once it is known that a
 	// previous owner did start something.
-	begun, assumed int
-	traced         bool
+	possibleStarts, assumedStarts int
+	seenStarted                   bool
 	// openTasks counts the tasks that are not done.
-	open  int
-	trail []TrailEntry
+	openTasks int
+	history   []HistoryEntry
 	// historyDropped counts the history entries beyond maxHistory.
-	trailDropped int
+	historyDropped int
 	// failedTargets holds the targets on which a task of this job failed.
-	blamed map[string]bool
+	failedTargets map[string]bool
 }
 
 // step is one step of one occurrence of a job.
@@ -59,20 +59,20 @@
 	work.Step
 	job *job
 	// index is the step's index in job.steps. members are its tasks.
-	place    int
-	members  []*task
-	expected time.Duration
-	pending  []*task
+	index           int
+	members         []*task
+	expectedRuntime time.Duration
+	pending         []*task
 	// openTasks counts the step's tasks that are not done.
-	open int
+	openTasks int
 	// runsOn counts the step's runs by target; nil unless the step bounds its spread.
-	on map[string]int
+	runsOn map[string]int
 	// hasSuspects is set once a target was lost under a task of the step.
-	suspected bool
+	hasSuspects bool
 	// saved is the work that a gang has saved.
 	saved savedState
 	// waitingSince is when a gang was first tried without success; 0 before.
-	tried time.Duration
+	waitingSince time.Duration
 	// name identifies the step to the adviser. advice is what the adviser answered; nil if the
 	// queue has no adviser.
 	name   string
@@ -80,9 +80,9 @@
 	// backgroundCPU is what a background task wants of its target's processor, in thousandths
 	// of a core. clearedTarget is the target whose background tasks were stopped at clearedAt to
 	// make room for this latency-sensitive step.
-	filling int64
-	held    *target
-	cleared time.Duration
+	backgroundCPU int64
+	clearedTarget *target
+	clearedAt     time.Duration
 }
 
 // task is one task of a job. At most one run of it may be in progress.
@@ -91,35 +91,35 @@
 	job  *job
 	step *step
 	// index is the task's index in job.tasks.
-	place int
+	index int
 	run   *run
 	fails int
 	// lastFailedRun is the number of the last failed run.
-	lastFailed int64
+	lastFailedRun int64
 	// done is set once the task's work is done.
-	complete bool
+	done bool
 	// saved is the work that the task has saved.
 	saved savedState
 	// notBefore is when a lasting task may start again. shortRuns counts its consecutive runs
 	// that were shorter than shortRun, up to maxRestartDoublings.
-	ripe    time.Duration
-	hurried int
+	notBefore time.Duration
+	shortRuns int
 	// stuckRuns counts the runs that were stopped because they took too long.
-	restarts int
+	stuckRuns int
 	// avoidTarget is the target of the last run that failed or was lost.
-	avoid string
+	avoidTarget string
 	// losses are the target losses that count against the task. correlatedLosses counts those
 	// that don't, because other targets were lost at the same time.
-	falls   []*fall
-	excused int
+	losses           []*targetLoss
+	correlatedLosses int
 	// reservedTarget is the target that is reserved for the task to run alone; nil for none.
-	room *target
+	reservedTarget *target
 }
 
 // queueEstimate estimates the run times of a queue's tasks from the runs seen so far.
-type kind struct {
+type queueEstimate struct {
 	// runtimeRatio is the moving average of actual run time divided by declared run time.
-	ratio float64
+	runtimeRatio float64
 }
 
 // Weight and bounds of queueEstimate.runtimeRatio.
@@ -131,24 +131,24 @@
 )
 
 // observe updates the ratio with the run time of a run that has finished.
-func (k *kind) learn(actual, declared time.Duration) {
+func (k *queueEstimate) observe(actual, declared time.Duration) {
 	if declared <= 0 {
 		return
 	}
 	ratio := min(max(float64(actual)/float64(declared), minRatio), maxRatio)
-	k.ratio += ratioWeight * (ratio - k.ratio)
+	k.runtimeRatio += ratioWeight * (ratio - k.runtimeRatio)
 }
 
 // expectedRuntime returns the run time to expect of a task with this declared run time.
-func (k *kind) expect(declared time.Duration) time.Duration {
-	return max(time.Duration(k.ratio*float64(declared)), time.Millisecond)
+func (k *queueEstimate) expectedRuntime(declared time.Duration) time.Duration {
+	return max(time.Duration(k.runtimeRatio*float64(declared)), time.Millisecond)
 }
 
 // estimateOf returns the estimate of a queue, a new one if there is none yet.
-func (s *State) kindOf(queue string) *kind {
+func (s *State) estimateOf(queue string) *queueEstimate {
 	k := s.estimates[queue]
 	if k == nil {
-		k = &kind{ratio: 1}
+		k = &queueEstimate{runtimeRatio: 1}
 		s.estimates[queue] = k
 	}
 	return k
@@ -178,28 +178,28 @@
 		sub.Wait += before
 	}
 	j := &job{
-		sub:     sub,
-		kind:    s.kindOf(sub.Queue.Name),
-		pool:    s.poolOf(sub.Queue.Service),
-		arrived: now - sub.Age, submitted: now,
-		open:   sub.Job.TaskCount() * sub.Job.Occurrences(),
-		blamed: map[string]bool{},
+		sub:      sub,
+		estimate: s.estimateOf(sub.Queue.Name),
+		pool:     s.poolOf(sub.Queue.Service),
+		arrived:  now - sub.Age, submitted: now,
+		openTasks:     sub.Job.TaskCount() * sub.Job.Occurrences(),
+		failedTargets: map[string]bool{},
 	}
 	for occurrence := range sub.Job.Occurrences() {
 		for i, declared := range sub.Job.Steps {
 			j.addStep(occurrence, i, declared)
 		}
 	}
-	j.due = s.dueSteps(now, j)
-	chain := j.kind.expect(sub.Job.CriticalPath())
+	j.stepsDue = s.countDueSteps(now, j)
+	chain := j.estimate.expectedRuntime(sub.Job.CriticalPath())
 	objective := sub.Queue.Objective(chain)
 	j.objective = j.arrived + objective
-	j.latest = j.objective - chain
-	j.useful = j.arrived + usefulFactor*objective
+	j.latestStart = j.objective - chain
+	j.usefulUntil = j.arrived + usefulFactor*objective
 	if sub.Wait > 0 {
 		j.deadline = j.arrived + sub.Wait
 	}
-	j.order()
+	j.updateSortKey()
 	return j
 }
 
@@ -217,10 +217,10 @@
 // addStep appends a step of an occurrence, and its tasks, to the job.
 func (j *job) addStep(occurrence, index int, declared work.Step) {
 	st := &step{
-		Step: declared, job: j, place: len(j.steps), open: declared.Tasks, expected: j.kind.expect(declared.DeclaredRunTime),
+		Step: declared, job: j, index: len(j.steps), openTasks: declared.Tasks, expectedRuntime: j.estimate.expectedRuntime(declared.DeclaredRunTime),
 	}
 	if declared.MaxPerTarget > 0 {
-		st.on = map[string]int{}
+		st.runsOn = map[string]int{}
 	}
 	st.excludeBackgroundCPU()
 	st.name = fmt.Sprintf("%s.%d.%d", j.sub.Job.ID, occurrence, index)
@@ -232,7 +232,7 @@
 		if j.sub.Part != nil {
 			name = j.sub.Part[i]
 		}
-		t := &task{name: name, job: j, step: st, place: len(j.tasks)}
+		t := &task{name: name, job: j, step: st, index: len(j.tasks)}
 		st.members = append(st.members, t)
 		j.tasks = append(j.tasks, t)
 	}
@@ -241,29 +241,29 @@
 }
 
 // updateSortKey recomputes sortKey from the job's state.
-func (j *job) order() {
-	j.key = j.latest + time.Duration(j.sub.Queue.Priority)*priorityStep
+func (j *job) updateSortKey() {
+	j.sortKey = j.latestStart + time.Duration(j.sub.Queue.Priority)*priorityStep
 	switch {
 	case j.useless:
-		j.key += lateBand
-	case j.started():
-		j.key -= startedBonus
+		j.sortKey += lateBand
+	case j.mayHaveStarted():
+		j.sortKey -= startedBonus
 	case j.late:
-		j.key += lateBand
+		j.sortKey += lateBand
 	}
 }
 
 // currentSteps returns the steps that are due and not over.
-func (j *job) current() []*step { return j.steps[j.passed:max(j.due, j.passed)] }
+func (j *job) currentSteps() []*step { return j.steps[j.stepsDone:max(j.stepsDue, j.stepsDone)] }
 
 // isReady reports whether a step is due and all steps that must come before it are done.
-func (j *job) ready(st *step) bool {
-	if st.place >= j.due {
+func (j *job) isReady(st *step) bool {
+	if st.index >= j.stepsDue {
 		return false
 	}
-	first := st.place - st.place%len(j.sub.Job.Steps)
+	first := st.index - st.index%len(j.sub.Job.Steps)
 	for _, before := range st.DependsOn {
-		if j.steps[first+before].open > 0 {
+		if j.steps[first+before].openTasks > 0 {
 			return false
 		}
 	}
@@ -272,32 +272,32 @@
 
 // markDone counts a task as done and takes it off the pending ones. When one task of a gang is
 // done, all of the gang's tasks are.
-func (j *job) complete(t *task) {
-	if t.complete {
+func (j *job) markDone(t *task) {
+	if t.done {
 		return
 	}
-	t.complete = true
+	t.done = true
 	if at := slices.Index(t.step.pending, t); at >= 0 {
 		t.step.pending = slices.Delete(t.step.pending, at, at+1)
 	}
-	t.step.open--
-	j.open--
+	t.step.openTasks--
+	j.openTasks--
 	if t.step.Gang {
 		for _, other := range t.step.members {
-			j.complete(other)
+			j.markDone(other)
 		}
 	}
-	for j.passed < len(j.steps) && j.steps[j.passed].open == 0 {
-		j.passed++
+	for j.stepsDone < len(j.steps) && j.steps[j.stepsDone].openTasks == 0 {
+		j.stepsDone++
 	}
 }
 
 // mayHaveStarted reports whether anything of the job may have run.
-func (j *job) started() bool { return j.begun > 0 }
+func (j *job) mayHaveStarted() bool { return j.possibleStarts > 0 }
 
 // hasPendingTasks reports whether a task of a current step waits for a target.
-func (j *job) pending() bool {
-	for _, st := range j.current() {
+func (j *job) hasPendingTasks() bool {
+	for _, st := range j.currentSteps() {
 		if len(st.pending) > 0 {
 			return true
 		}
@@ -306,7 +306,7 @@
 }
 
 // enqueue inserts a job into the ordered list of waiting jobs, unless it is there or has ended.
-func (s *State) wait(j *job) {
+func (s *State) enqueue(j *job) {
 	if j.queued || j.ended {
 		return
 	}
@@ -317,7 +317,7 @@
 
 // compareJobs orders waiting jobs by their sort key.
 func compareJobs(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.sub.Ref, b.sub.Ref))
+	return cmp.Or(cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.sub.Ref, b.sub.Ref))
 }
 
 // reorder updates a job's sort key and moves the job to its new place among the waiting ones.
@@ -327,8 +327,8 @@
 		s.waiting = slices.Delete(s.waiting, at, at+1)
 		j.queued = false
 	}
-	j.order()
-	s.wait(j)
+	j.updateSortKey()
+	s.enqueue(j)
 }
 
 // finish ends a job: it answers the caller, or reports the end of a durable job to the store,
@@ -341,25 +341,25 @@
 	delete(s.jobs, j.sub.Ref)
 	delete(s.jobsByKey, j.sub.key())
 	delete(s.recurringJobs, j)
-	s.unreserveAll(j)
+	s.unreserveJob(j)
 	s.withdrawParts(now, j)
-	s.leaveSuspects(now, j)
+	s.releaseSuspects(now, j)
 	if j.stored {
-		s.endKept(now, j, outcome)
+		s.endDurable(now, j, outcome)
 	} else {
-		s.remember(now, j.sub, outcome)
+		s.rememberOutcome(now, j.sub, outcome)
 		s.emit(Answer{Ref: j.sub.Ref, Outcome: outcome, Times: j.times(now)})
 	}
-	s.tell(now, j, outcome)
+	s.logHistory(now, j, outcome)
 	s.stopRuns(now, j)
 }
 
 // times returns how long the job waited and ran; zero if nothing of it was ordered here.
 func (j *job) times(now time.Duration) Times {
-	if j.first == 0 {
+	if j.firstOrdered == 0 {
 		return Times{}
 	}
-	return Times{Wait: j.first - j.submitted, Run: now - j.first}
+	return Times{Wait: j.firstOrdered - j.submitted, Run: now - j.firstOrdered}
 }
 
 // stopRuns stops the runs of a job that has ended.
@@ -374,57 +374,57 @@
 
 // Cancel gives up a submission whose caller has left. Durable jobs go on.
 func (s *State) Cancel(now time.Duration, ref Ref) {
-	if j := s.jobs[ref]; j != nil && !j.kept() {
+	if j := s.jobs[ref]; j != nil && !j.isDurable() {
 		s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "the caller left"})
 	}
 }
 
 // expireJob gives up a job whose caller or entry VM no longer waits, or whose answer can't be
 // of use any more. Durable jobs are never given up, only moved behind others.
-func (s *State) expire(now time.Duration, j *job) {
+func (s *State) expireJob(now time.Duration, j *job) {
 	switch {
 	case j.ended:
-	case j.kept():
-		s.delay(now, j)
+	case j.isDurable():
+		s.demoteIfLate(now, j)
 	case !s.hasKeepalive(now, j):
-		s.finish(now, j, j.giveUp(fmt.Sprintf("its entry VM is silent: vouched until %v ago",
+		s.finish(now, j, j.giveUpOutcome(fmt.Sprintf("its entry VM is silent: vouched until %v ago",
 			(now-s.keepalives[j.sub.Entry]).Round(time.Millisecond))))
 	case j.deadline > 0 && now >= j.deadline:
-		s.finish(now, j, j.giveUp("the caller's deadline has passed"))
-	case j.sub.Part != nil && !j.started() && now-j.submitted > partStartTimeout:
+		s.finish(now, j, j.giveUpOutcome("the caller's deadline has passed"))
+	case j.sub.Part != nil && !j.mayHaveStarted() && now-j.submitted > partStartTimeout:
 		s.finish(now, j, work.Outcome{Result: work.Refused, Reason: "no room for a part"})
-	case !j.started() && now > j.useful-j.chain():
-		s.finish(now, j, j.giveUp("it can't be done while it is of use"))
+	case !j.mayHaveStarted() && now > j.usefulUntil-j.expectedRuntime():
+		s.finish(now, j, j.giveUpOutcome("it can't be done while it is of use"))
 	default:
-		s.delay(now, j)
+		s.demoteIfLate(now, j)
 	}
 }
 
 // demoteIfLate moves a job behind others once it can't be on time. A durable job also moves
 // once its completion is of no use any more, even if it has started: after a takeover, a
 // backlog of such jobs would otherwise make all new work late.
-func (s *State) delay(now time.Duration, j *job) {
+func (s *State) demoteIfLate(now time.Duration, j *job) {
 	switch {
 	case !j.queued:
-	case j.kept() && !j.useless && now > j.useful:
+	case j.isDurable() && !j.useless && now > j.usefulUntil:
 		j.useless = true
-		j.mark(now, "useless", "", "", "its answer comes too late to be of use; queued behind jobs that can be on time")
+		j.record(now, "useless", "", "", "its answer comes too late to be of use; queued behind jobs that can be on time")
 		s.reorder(j)
-	case !j.started() && !j.late && now > j.latest:
+	case !j.mayHaveStarted() && !j.late && now > j.latestStart:
 		j.late = true
-		j.mark(now, "late", "", "", "no capacity in time; queued behind jobs that can be on time")
+		j.record(now, "late", "", "", "no capacity in time; queued behind jobs that can be on time")
 		s.reorder(j)
 		s.refuseLate(now, j)
 	}
 }
 
 // expectedRuntime returns the expected run time of the job's chain of steps.
-func (j *job) chain() time.Duration { return j.objective - j.latest }
+func (j *job) expectedRuntime() time.Duration { return j.objective - j.latestStart }
 
 // giveUpOutcome returns the outcome of a job that is given up. Once anything of it may have run,
 // that is Unknown; before, the job is Refused and can safely be sent again.
-func (j *job) giveUp(why string) work.Outcome {
-	if j.started() {
+func (j *job) giveUpOutcome(why string) work.Outcome {
+	if j.mayHaveStarted() {
 		return work.Outcome{Result: work.Unknown, Reason: why}
 	}
 	return work.Outcome{Result: work.Refused, Reason: why, RetryAfter: time.Second}
@@ -444,7 +444,7 @@
 func (s *State) GiveUp(now time.Duration, entry, id string) {
 	var matching []*job
 	for _, j := range s.jobs {
-		if j.sub.Job.ID == id && j.sub.Entry == entry && !j.kept() {
+		if j.sub.Job.ID == id && j.sub.Entry == entry && !j.isDurable() {
 			matching = append(matching, j)
 		}
 	}
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -12,14 +12,14 @@
 // store, knows of every completion that the targets no longer list.
 
 // StoreJob has a job stored; the result goes to HandleJobStored.
-type Keep struct{ Submission Submission }
+type StoreJob struct{ Submission Submission }
 
 // TaskDone has the store record that a task is done; HandleCompletionStored then confirms it.
 type TaskDone struct {
 	Job string
 	// Task is the task's index in the job.
-	Task int
-	End  EndRef
+	Task       int
+	Completion CompletionRef
 }
 
 // TaskFailed has the store record a failed run; HandleCompletionStored then confirms it.
@@ -28,8 +28,8 @@
 	Task int
 	// Run is the run's number: a successor that finds both the record and the completion counts
 	// the failure once.
-	Run int64
-	End EndRef
+	Run        int64
+	Completion CompletionRef
 }
 
 // TaskSaved has the store record the work that a task has saved.
@@ -47,14 +47,14 @@
 }
 
 // CompletionRef names a completion at a target.
-type EndRef struct {
+type CompletionRef struct {
 	Target string
 	Number int64
 	// Life counts the target's incarnations under its ID, as this owner has seen them.
 	Life int
 }
 
-func (Keep) effect()       {}
+func (StoreJob) effect()   {}
 func (TaskDone) effect()   {}
 func (TaskFailed) effect() {}
 func (TaskSaved) effect()  {}
@@ -62,15 +62,15 @@
 
 // isDurable reports whether the job is stored before it is accepted, and then runs whether or not
 // anybody waits for it.
-func (j *job) kept() bool { return j.sub.Job.Durable }
+func (j *job) isDurable() bool { return j.sub.Job.Durable }
 
 // store has an admitted job stored before anything of it starts.
-func (s *State) keep(j *job) {
-	s.emit(Keep{Submission: j.sub})
+func (s *State) store(j *job) {
+	s.emit(StoreJob{Submission: j.sub})
 }
 
 // attachDurable answers a durable job that is handed in again.
-func (s *State) attachKept(j *job, sub Submission) {
+func (s *State) attachDurable(j *job, sub Submission) {
 	if j.stored {
 		s.answer(sub, work.Outcome{Result: work.Accepted})
 		return
@@ -83,25 +83,25 @@
 
 // HandleJobStored takes the result of storing a job. If here is set the job runs here, otherwise
 // this owner forgets it.
-func (s *State) Stored(now time.Duration, id string, outcome work.Outcome, here bool) {
+func (s *State) HandleJobStored(now time.Duration, id string, outcome work.Outcome, here bool) {
 	j := s.jobsByKey[id]
 	if j == nil || j.stored {
 		return
 	}
-	j.mark(now, "stored", "", "", outcome.Result.String()+" "+outcome.Reason)
+	j.record(now, "stored", "", "", outcome.Result.String()+" "+outcome.Reason)
 	s.answer(j.sub, outcome)
 	if !here || s.leaving {
 		s.drop(j)
 		return
 	}
 	j.stored = true
-	s.expectDue(j)
-	s.wait(j)
+	s.watchOccurrences(j)
+	s.enqueue(j)
 }
 
 // HandleJobStoreUncertain says that the store doesn't tell whether it has a job. The caller is
 // answered so; the job itself waits for HandleJobStored.
-func (s *State) Doubted(id string) {
+func (s *State) HandleJobStoreUncertain(id string) {
 	if j := s.jobsByKey[id]; j != nil && !j.stored {
 		s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the store doesn't tell whether it has the job"})
 	}
@@ -109,7 +109,7 @@
 
 // CancelDurable cancels a durable job for good, and reports whether it was here to be cancelled.
 // JobEnded reports its end.
-func (s *State) CancelKept(now time.Duration, id string) bool {
+func (s *State) CancelDurable(now time.Duration, id string) bool {
 	j := s.jobsByKey[id]
 	if j == nil || !j.stored {
 		return false
@@ -120,16 +120,16 @@
 }
 
 // HasStarted reports whether a task of a durable job is known to have started.
-func (s *State) Begun(id string) bool {
+func (s *State) HasStarted(id string) bool {
 	j := s.jobsByKey[id]
-	return j != nil && j.touched()
+	return j != nil && j.hasStarted()
 }
 
 // PendingDurable counts the durable jobs of which nothing is known to have started, by queue.
-func (s *State) Pending() map[string]int32 {
+func (s *State) PendingDurable() map[string]int32 {
 	pending := map[string]int32{}
 	for _, j := range s.jobs {
-		if j.stored && !j.touched() {
+		if j.stored && !j.hasStarted() {
 			pending[j.sub.Queue.Name]++
 		}
 	}
@@ -138,10 +138,10 @@
 
 // hasStarted reports whether a task of the job is known to have started. Runs that previous owners
 // may have ordered don't count until something shows them; still the job can't be refused.
-func (j *job) touched() bool { return j.begun > j.assumed || j.traced }
+func (j *job) hasStarted() bool { return j.possibleStarts > j.assumedStarts || j.seenStarted }
 
 // HandleCompletionStored says that the store has a completion: it may be acknowledged.
-func (s *State) Noted(ref EndRef) {
+func (s *State) HandleCompletionStored(ref CompletionRef) {
 	s.pendingWrites--
 	if t := s.targets[ref.Target]; t != nil && t.incarnations == ref.Life {
 		delete(t.unrecorded, ref.Number)
@@ -151,20 +151,20 @@
 
 // HandleJobEndStored says that the store has the end of a job, and with it the completions of all
 // its runs.
-func (s *State) EndNoted(job string) {
+func (s *State) HandleJobEndStored(job string) {
 	s.pendingWrites--
 	waiting := s.lateCompletions[job]
 	delete(s.lateCompletions, job)
 	for _, ref := range waiting {
-		s.Noted(ref)
+		s.HandleCompletionStored(ref)
 	}
 }
 
 // recordCompletion has the store record the completion of a durable job's run before it is
 // acknowledged.
-func (s *State) note(t *target, r *run, number int64, failed bool) {
+func (s *State) recordCompletion(t *target, r *run, number int64, failed bool) {
 	j := r.task.job
-	if !j.kept() {
+	if !j.isDurable() {
 		return
 	}
 	waiting, ending := s.lateCompletions[j.sub.Job.ID]
@@ -183,15 +183,15 @@
 		return
 	}
 	if failed {
-		s.emit(TaskFailed{Job: j.sub.Job.ID, Task: r.task.place, Run: r.Number, End: ref})
+		s.emit(TaskFailed{Job: j.sub.Job.ID, Task: r.task.index, Run: r.Number, Completion: ref})
 		return
 	}
-	s.emit(TaskDone{Job: j.sub.Job.ID, Task: r.task.place, End: ref})
+	s.emit(TaskDone{Job: j.sub.Job.ID, Task: r.task.index, Completion: ref})
 }
 
 // acknowledgeable returns the newest completion that may be acknowledged together with all
 // before it.
-func (t *target) ackable() int64 {
+func (t *target) acknowledgeable() int64 {
 	newest := t.lastCompletion
 	for number := range t.unrecorded {
 		newest = min(newest, number-1)
@@ -201,11 +201,11 @@
 
 // unrecordedPollInterval is the least time between two polls of a target with completions that the
 // store doesn't have yet: the target lists them again at once.
-const unnotedPause = 20 * time.Millisecond
+const unrecordedPollInterval = 20 * time.Millisecond
 
 // endDurable has the store record the end of a durable job. Its caller was answered when the job
 // was stored.
-func (s *State) endKept(now time.Duration, j *job, outcome work.Outcome) {
+func (s *State) endDurable(now time.Duration, j *job, outcome work.Outcome) {
 	state := work.StateFailed
 	switch {
 	case j.cancelled:
@@ -225,11 +225,11 @@
 	delete(s.jobs, j.sub.Ref)
 	delete(s.jobsByKey, j.sub.key())
 	delete(s.recurringJobs, j)
-	s.unreserveAll(j)
+	s.unreserveJob(j)
 }
 
 // handOver leaves a durable job to another owner.
-func (s *State) handBack(j *job) {
+func (s *State) handOver(j *job) {
 	if j.stored {
 		s.drop(j)
 	}
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -9,41 +9,41 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-const maxFails = 2
+const maxAttempts = 2
 
 // durableJob returns the submission of a durable job with one step of this many tasks.
-func (b *harness) keptJob(id string, tasks int) Submission {
+func (b *harness) durableJob(id string, tasks int) Submission {
 	b.ref++
 	return Submission{
 		Ref: b.ref,
 		Job: work.Job{ID: id, Durable: true, Steps: []work.Step{{
 			Tasks: tasks, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 100 * ms,
 		}}},
-		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: maxFails, Stretch: 2, Allowance: time.Second},
+		Queue: work.Queue{Name: "k", Service: "s", MaxAttempts: maxAttempts, Stretch: 2, Allowance: time.Second},
 	}
 }
 
 // startDurableJob has a durable job of one task stored and started at target a.
-func runKept(b *harness) work.RunID {
-	b.s.Resumed(b.now)
+func startDurableJob(b *harness) work.RunID {
+	b.s.FinishResume(b.now)
 	b.usable("a", 4)
 	b.effects()
-	b.s.Submit(b.now, b.keptJob("j", 1))
+	b.s.Submit(b.now, b.durableJob("j", 1))
 	b.effects()
-	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	b.effects()
 	return start.Run
 }
 
 // heldWithCompletion returns a poll's answer that lists one completion and no runs.
-func ended(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
+func heldWithCompletion(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
 	return work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: number, Run: run, Kind: kind}}}
 }
 
 // newestAcknowledged returns the newest completion that polls have acknowledged.
-func seen(effects []Effect) int64 {
+func newestAcknowledged(effects []Effect) int64 {
 	newest := int64(0)
 	for _, look := range pickEffects[Poll](effects) {
 		newest = max(newest, look.AckUpTo)
@@ -52,32 +52,32 @@
 }
 
 // Nothing of a durable job starts before the store has it; then its caller is answered.
-func TestKeptJobsAreStoredFirst(t *testing.T) {
+func TestDurableJobIsStoredBeforeItStarts(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	b.effects()
-	b.s.Submit(b.now, b.keptJob("j", 1))
+	b.s.Submit(b.now, b.durableJob("j", 1))
 	effects := b.effects()
-	must.SliceLen(t, 1, pickEffects[Keep](effects))
+	must.SliceLen(t, 1, pickEffects[StoreJob](effects))
 	must.SliceEmpty(t, pickEffects[Answer](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
-	must.Eq(t, 0, b.s.Pending()["k"])
-	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
-	must.Eq(t, 1, b.s.Pending()["k"])
+	must.Eq(t, 0, b.s.PendingDurable()["k"])
+	b.s.HandleJobStored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
+	must.Eq(t, 1, b.s.PendingDurable()["k"])
 	effects = b.effects()
 	must.Eq(t, work.Accepted, pickEffects[Answer](effects)[0].Outcome.Result)
 	must.SliceLen(t, 1, pickEffects[StartRun](effects))
-	must.Eq(t, 0, b.s.Pending()["k"])
+	must.Eq(t, 0, b.s.PendingDurable()["k"])
 }
 
 // A job that the store didn't take, or that another owner has, is not run.
-func TestWhatIsNotStoredHereIsNotRun(t *testing.T) {
+func TestJobNotStoredHereDoesNotRun(t *testing.T) {
 	for _, outcome := range []work.Outcome{{Result: work.Refused}, {Result: work.Accepted}, {Result: work.Unknown}} {
 		b := newHarness(t, Options{})
 		b.usable("a", 4)
-		b.s.Submit(b.now, b.keptJob("j", 1))
+		b.s.Submit(b.now, b.durableJob("j", 1))
 		b.effects()
-		b.s.Stored(b.now, "j", outcome, false)
+		b.s.HandleJobStored(b.now, "j", outcome, false)
 		effects := b.advance(time.Second)
 		must.Eq(t, outcome, pickEffects[Answer](effects)[0].Outcome)
 		must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -86,14 +86,14 @@
 }
 
 // A job that is handed in several times runs once, and each request gets an answer.
-func TestKeptJobsHandedInAgain(t *testing.T) {
+func TestDurableJobHandedInAgainRunsOnce(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 4)
-	first, second, third := b.keptJob("j", 1), b.keptJob("j", 1), b.keptJob("j", 1)
+	first, second, third := b.durableJob("j", 1), b.durableJob("j", 1), b.durableJob("j", 1)
 	b.s.Submit(b.now, first)
 	b.s.Submit(b.now, second)
 	must.Eq(t, []Answer{{Ref: first.Ref, Outcome: work.Outcome{Result: work.Unknown, Reason: "the job was sent again"}}}, pickEffects[Answer](b.effects()))
-	b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 	b.s.Submit(b.now, third)
 	effects := b.effects()
 	must.Eq(t, []Answer{
@@ -103,53 +103,53 @@
 }
 
 // A completion is acknowledged only once the store has it.
-func TestEndsAreAcknowledgedOnceNoted(t *testing.T) {
+func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	b := newHarness(t, Options{})
-	run := runKept(b)
-	b.answerPoll("a", ended(1, run, work.CompletionDone))
+	run := startDurableJob(b)
+	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
 	effects := append(b.effects(), b.advance(200*ms)...)
-	must.Eq(t, 0, seen(effects))
+	must.Eq(t, 0, newestAcknowledged(effects))
 	done := pickEffects[TaskDone](effects)
-	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, done)
+	must.Eq(t, []TaskDone{{Job: "j", Task: 0, Completion: CompletionRef{Target: "a", Number: 1}}}, done)
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](effects))
 	must.False(t, b.s.IsIdle())
-	b.answerPoll("a", ended(1, run, work.CompletionDone))
-	b.s.Noted(done[0].End)
-	b.s.EndNoted("j")
-	must.Eq(t, 1, seen(b.advance(200*ms)))
+	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.s.HandleCompletionStored(done[0].Completion)
+	b.s.HandleJobEndStored("j")
+	must.Eq(t, 1, newestAcknowledged(b.advance(200*ms)))
 	must.True(t, b.s.IsIdle())
 }
 
 // A completion that comes after the job's end is acknowledged once the store has the end.
-func TestEndsAfterTheJobsEndWaitForIt(t *testing.T) {
+func TestCompletionAfterJobEndWaitsForItsRecord(t *testing.T) {
 	b := newHarness(t, Options{})
-	run := runKept(b)
-	must.True(t, b.s.CancelKept(b.now, "j"))
+	run := startDurableJob(b)
+	must.True(t, b.s.CancelDurable(b.now, "j"))
 	effects := b.effects()
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCancelled}}, pickEffects[JobEnded](effects))
 	must.SliceLen(t, 1, pickEffects[StopRun](effects))
-	b.answerPoll("a", ended(1, run, work.CompletionDone))
-	must.Eq(t, 0, seen(b.advance(200*ms)))
-	b.answerPoll("a", ended(1, run, work.CompletionDone))
-	b.s.EndNoted("j")
-	must.Eq(t, 1, seen(b.advance(200*ms)))
-	must.False(t, b.s.CancelKept(b.now, "j"))
+	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	must.Eq(t, 0, newestAcknowledged(b.advance(200*ms)))
+	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.s.HandleJobEndStored("j")
+	must.Eq(t, 1, newestAcknowledged(b.advance(200*ms)))
+	must.False(t, b.s.CancelDurable(b.now, "j"))
 }
 
 // A deposed owner acknowledges no completions of durable jobs: its successor needs them listed.
-func TestAnOwnerWithoutItsPlaceAcknowledgesNothing(t *testing.T) {
+func TestDeposedOwnerAcknowledgesNothing(t *testing.T) {
 	for name, unknown := range map[string]bool{"its own run": false, "a run it does not know": true} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			run := runKept(b)
+			run := startDurableJob(b)
 			if unknown {
 				run.Number += 2
 			}
 			b.s.Abandon(b.now)
 			b.effects()
-			b.answerPoll("a", ended(1, run, work.CompletionDone))
+			b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
 			effects := append(b.effects(), b.advance(time.Second)...)
-			must.Eq(t, 0, seen(effects))
+			must.Eq(t, 0, newestAcknowledged(effects))
 			must.SliceEmpty(t, pickEffects[TaskDone](effects))
 		})
 	}
@@ -157,27 +157,27 @@
 
 // A run whose start has no answer may have completed before it was stopped. Only a poll sent after
 // the stop shows that.
-func TestAStoppedRunMayHaveBeenDone(t *testing.T) {
+func TestStoppedRunMayHaveCompleted(t *testing.T) {
 	for name, done := range map[string]bool{"run completed": true, "run never started": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.s.Resumed(b.now)
+			b.s.FinishResume(b.now)
 			b.usable("a", 4)
 			b.effects()
-			b.s.Submit(b.now, b.keptJob("j", 1))
+			b.s.Submit(b.now, b.durableJob("j", 1))
 			b.effects()
-			b.s.Stored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
+			b.s.HandleJobStored(b.now, "j", work.Outcome{Result: work.Accepted}, true)
 			run := pickEffects[StartRun](b.effects())[0].Run
 			b.now += 100 * ms
-			b.s.Started(b.now, "a", run, work.OrderAnswer{})
+			b.s.HandleStartAnswer(b.now, "a", run, work.OrderAnswer{})
 			must.SliceLen(t, 1, pickEffects[StopRun](b.effects()))
-			b.s.Stopped(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5100})
+			b.s.HandleStopAnswer(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5100})
 			must.SliceEmpty(t, pickEffects[StartRun](b.advance(200*ms)))
 			// The poll that was on its way all the while says nothing of the stop.
 			b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
 			must.SliceEmpty(t, pickEffects[StartRun](b.advance(40*ms)))
 			if done {
-				b.answerPoll("a", ended(1, run, work.CompletionDone))
+				b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
 			} else {
 				b.answerPoll("a", work.PollAnswer{ClockMS: 5300})
 			}
@@ -189,36 +189,36 @@
 }
 
 // A job that is taken over continues from its stored progress.
-func TestResumedJobs(t *testing.T) {
+func TestResumedJobContinuesFromProgress(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	b.effects()
-	b.s.Resume(b.now, b.keptJob("j", 3), Progress{Done: []int{1}, Fails: map[int]int{2: 1}})
-	b.s.Resumed(b.now)
+	b.s.ResumeJob(b.now, b.durableJob("j", 3), Progress{Done: []int{1}, Fails: map[int]int{2: 1}})
+	b.s.FinishResume(b.now)
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
 	must.Eq(t, "j.0.0.0", starts[0].Run.Task)
 	must.Eq(t, "j.0.0.2", starts[1].Run.Task)
-	must.True(t, b.s.Begun("j"))
+	must.True(t, b.s.HasStarted("j"))
 	// With the failure before the takeover, the task has now failed too often.
-	b.answerPoll("a", ended(1, starts[1].Run, work.CompletionFailed))
+	b.answerPoll("a", heldWithCompletion(1, starts[1].Run, work.CompletionFailed))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
 
 // A job whose tasks had all ended, or failed too often, ends when it is taken over.
-func TestResumedJobsThatAreOver(t *testing.T) {
+func TestResumedJobThatIsOverEnds(t *testing.T) {
 	for name, test := range map[string]struct {
 		done  []int
 		fails map[int]int
 		want  work.JobState
 	}{
 		"done":   {[]int{0, 1}, nil, work.StateCompleted},
-		"failed": {[]int{0}, map[int]int{1: maxFails}, work.StateFailed},
+		"failed": {[]int{0}, map[int]int{1: maxAttempts}, work.StateFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.usable("a", 4)
-			b.s.Resume(b.now, b.keptJob("j", 2), Progress{Done: test.done, Fails: test.fails})
+			b.s.ResumeJob(b.now, b.durableJob("j", 2), Progress{Done: test.done, Fails: test.fails})
 			effects := b.effects()
 			must.Eq(t, []JobEnded{{Job: "j", State: test.want}}, pickEffects[JobEnded](effects))
 			must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -228,7 +228,7 @@
 
 // The unrecorded completions of a previous owner are stored with their job, and acknowledged at
 // once if that job no longer exists.
-func TestEndsOfAFormerOwner(t *testing.T) {
+func TestUnrecordedCompletionsOfPreviousOwnerAreStored(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.target("a", 4)
 	b.effects()
@@ -237,21 +237,21 @@
 		{Number: 2, Run: work.RunID{Task: "gone.0.0.0", Number: 33}, Kind: work.CompletionDone},
 		{Number: 3, Run: work.RunID{Task: "other.0.0.0", Number: 34}, Kind: work.CompletionDone},
 	}})
-	must.Eq(t, 0, seen(b.advance(100*ms)))
-	b.s.Resume(b.now, b.keptJob("j", 2), Progress{})
-	b.s.Resumed(b.now)
+	must.Eq(t, 0, newestAcknowledged(b.advance(100*ms)))
+	b.s.ResumeJob(b.now, b.durableJob("j", 2), Progress{})
+	b.s.FinishResume(b.now)
 	effects := b.effects()
-	must.Eq(t, []TaskDone{{Job: "j", Task: 0, End: EndRef{Target: "a", Number: 1}}}, pickEffects[TaskDone](effects))
+	must.Eq(t, []TaskDone{{Job: "j", Task: 0, Completion: CompletionRef{Target: "a", Number: 1}}}, pickEffects[TaskDone](effects))
 	must.Eq(t, "j.0.0.1", pickEffects[StartRun](effects)[0].Run.Task)
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5100})
-	must.Eq(t, 0, seen(b.advance(100*ms)))
-	b.s.Noted(EndRef{Target: "a", Number: 1})
+	must.Eq(t, 0, newestAcknowledged(b.advance(100*ms)))
+	b.s.HandleCompletionStored(CompletionRef{Target: "a", Number: 1})
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
-	must.Eq(t, 3, seen(b.advance(100*ms)))
+	must.Eq(t, 3, newestAcknowledged(b.advance(100*ms)))
 }
 
 // A job that is taken over counts as pending until something shows that it has started.
-func TestResumedJobsMayBePending(t *testing.T) {
+func TestResumedJobIsPendingUntilSeenStarted(t *testing.T) {
 	for name, test := range map[string]struct {
 		progress Progress
 		held     work.PollAnswer
@@ -269,18 +269,18 @@
 			b.target("a", 4)
 			b.effects()
 			b.answerPoll("a", test.held)
-			b.s.Resume(b.now, b.keptJob("j", 2), test.progress)
-			b.s.Resumed(b.now)
-			must.Eq(t, test.pending, int(b.s.Pending()["k"]))
-			must.Eq(t, test.pending == 0, b.s.Begun("j"))
+			b.s.ResumeJob(b.now, b.durableJob("j", 2), test.progress)
+			b.s.FinishResume(b.now)
+			must.Eq(t, test.pending, int(b.s.PendingDurable()["k"]))
+			must.Eq(t, test.pending == 0, b.s.HasStarted("j"))
 			must.SliceEmpty(t, pickEffects[JobEnded](b.effects()))
-			must.Eq(t, 0, b.s.Pending()["k"])
+			must.Eq(t, 0, b.s.PendingDurable()["k"])
 		})
 	}
 }
 
 // A failed run counts once if the previous owner stored it but didn't acknowledge it.
-func TestFailedRunsAreCountedOnce(t *testing.T) {
+func TestStoredFailureCountsOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		noted int64
 		ended bool
@@ -289,9 +289,9 @@
 			b := newHarness(t, Options{})
 			b.target("a", 4)
 			b.effects()
-			b.answerPoll("a", ended(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
-			b.s.Resume(b.now, b.keptJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.noted}})
-			b.s.Resumed(b.now)
+			b.answerPoll("a", heldWithCompletion(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
+			b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.noted}})
+			b.s.FinishResume(b.now)
 			effects := b.effects()
 			must.Eq(t, test.ended, len(pickEffects[JobEnded](effects)) == 1)
 			must.Eq(t, test.ended, len(pickEffects[TaskFailed](effects)) == 1)
@@ -304,14 +304,14 @@
 // A leaving owner hands over all durable jobs. Their runs continue for the successor: they aren't
 // stopped and their completions aren't acknowledged. Their leases are extended only for as long as
 // the successor waits for a target that it can't reach.
-func TestLeavingOwnersHandKeptJobsBack(t *testing.T) {
+func TestLeavingOwnerHandsOverDurableJobs(t *testing.T) {
 	b := newHarness(t, Options{})
-	run := runKept(b)
-	b.s.Submit(b.now, b.keptJob("late", 1))
+	run := startDurableJob(b)
+	b.s.Submit(b.now, b.durableJob("late", 1))
 	b.effects()
 	b.s.Leave(b.now)
 	must.Eq(t, []string{"a"}, b.s.IdleTargets())
-	b.s.Stored(b.now, "late", work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, "late", work.Outcome{Result: work.Accepted}, true)
 	effects := b.effects()
 	must.Eq(t, work.Accepted, pickEffects[Answer](effects)[0].Outcome.Result)
 	effects = append(effects, b.advance(100*ms)...)
@@ -320,18 +320,18 @@
 	must.Eq(t, 0, b.s.Jobs())
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
 	must.Positive(t, pickEffects[Poll](b.effects())[0].LeaseUntil)
-	b.advance(leavingLease)
-	b.answerPoll("a", ended(1, run, work.CompletionDone))
+	b.advance(handoverLease)
+	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
 	effects = append(b.effects(), b.advance(time.Second)...)
-	must.Eq(t, 0, seen(effects))
+	must.Eq(t, 0, newestAcknowledged(effects))
 	must.SliceEmpty(t, pickEffects[TaskDone](effects))
 	must.True(t, b.s.IsIdle())
 }
 
 // A deposed owner extends no lease of a run that its successor may start again.
-func TestAnOwnerWithoutItsPlaceProlongsNothing(t *testing.T) {
+func TestDeposedOwnerRenewsNoLease(t *testing.T) {
 	b := newHarness(t, Options{})
-	run := runKept(b)
+	run := startDurableJob(b)
 	b.s.Abandon(b.now)
 	b.advance(20 * ms)
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
@@ -342,34 +342,34 @@
 
 // A job that was taken over too late to be of use runs after a job that can be on time, but it does
 // run.
-func TestUselessBacklogGoesBehind(t *testing.T) {
+func TestUselessBacklogRunsLast(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.listTarget(work.Target{ID: "x", Capacity: work.Resources{CPU: 1}, Draining: true})
-	old := b.keptJob("old", 1)
+	old := b.durableJob("old", 1)
 	old.Age = 8 * time.Second
-	b.s.Resume(b.now, old, Progress{})
-	b.s.Submit(b.now, b.keptJob("new", 1))
+	b.s.ResumeJob(b.now, old, Progress{})
+	b.s.Submit(b.now, b.durableJob("new", 1))
 	b.effects()
-	b.s.Stored(b.now, "new", work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, "new", work.Outcome{Result: work.Accepted}, true)
 	b.advance(40 * ms)
 	b.usable("a", 1)
 	first := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, first)
 	must.Eq(t, "new.0.0.0", first[0].Run.Task)
-	b.begun(first)
-	b.answerPoll("a", ended(1, first[0].Run, work.CompletionDone))
+	b.answerStarts(first)
+	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionDone))
 	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.effects())[0].Run.Task)
 }
 
 // A durable job is done however late it is and whether or not anybody waits.
-func TestKeptJobsAreNeverGivenUp(t *testing.T) {
+func TestDurableJobIsNeverGivenUp(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
-	sub := b.keptJob("j", 1)
+	b.s.FinishResume(b.now)
+	sub := b.durableJob("j", 1)
 	sub.Entry, sub.Wait = "e", time.Second
 	b.usable("a", 0)
-	b.s.Resume(b.now, sub, Progress{})
+	b.s.ResumeJob(b.now, sub, Progress{})
 	b.s.Cancel(b.now, sub.Ref)
 	b.s.GiveUp(b.now, "e", "j")
 	b.now += time.Minute
@@ -380,9 +380,9 @@
 }
 
 // A run that doesn't end is stopped and started again; each time the timeout grows.
-func TestStuckRunsBeginAnew(t *testing.T) {
+func TestStuckRunIsRestartedWithGrowingTimeout(t *testing.T) {
 	b := newHarness(t, Options{})
-	run := runKept(b)
+	run := startDurableJob(b)
 	listed := func() {
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(run)})
 	}
@@ -392,9 +392,9 @@
 		effects := b.advance(100 * ms)
 		if len(pickEffects[StopRun](effects)) > 0 {
 			stopped = append(stopped, b.now)
-			b.answerPoll("a", ended(int64(len(stopped)), run, work.CompletionStopped))
+			b.answerPoll("a", heldWithCompletion(int64(len(stopped)), run, work.CompletionStopped))
 			run = pickEffects[StartRun](b.effects())[0].Run
-			b.s.Started(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
+			b.s.HandleStartAnswer(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
 			b.effects()
 		}
 	}
--- a/scheduler/kept_world_test.go
+++ b/scheduler/kept_world_test.go
@@ -18,14 +18,14 @@
 
 // fakeJobStore is the store of durable jobs. Only the owner that holds the store's fence writes to
 // it.
-type keptStore struct {
-	holder *fakeOwner
-	jobs   map[string]*keptRecord
-	away   bool
+type fakeJobStore struct {
+	holder      *fakeOwner
+	jobs        map[string]*jobRecord
+	unavailable bool
 }
 
 // jobRecord is a durable job in the store.
-type keptRecord struct {
+type jobRecord struct {
 	sub   Submission
 	done  map[int]bool
 	fails map[int]int
@@ -35,20 +35,20 @@
 	crashed    map[int][]Crash
 	state      work.JobState
 	// cancelRequested is set once a caller has cancelled the job.
-	asked bool
+	cancelRequested bool
 }
 
 // maxStoreDelay bounds the time in ms until the store has a record.
-const noteDelay = 60
+const maxStoreDelay = 60
 
 // writeLater carries out a write of an owner after a while if the owner still holds the fence, and
 // then calls confirm. While the store is away it tries again.
-func (w *world) note(o *fakeOwner, write func(), confirm func()) {
-	w.after(time.Duration(1+w.random.IntN(noteDelay))*ms, func() {
+func (w *world) writeLater(o *fakeOwner, write func(), confirm func()) {
+	w.after(time.Duration(1+w.random.IntN(maxStoreDelay))*ms, func() {
 		switch {
 		case w.durableStore.holder != o:
-		case w.durableStore.away:
-			w.note(o, write, confirm)
+		case w.durableStore.unavailable:
+			w.writeLater(o, write, confirm)
 		default:
 			write()
 			w.after(ms, func() { w.deliver(o, confirm) })
@@ -62,7 +62,7 @@
 	if o.dead || w.durableStore.holder != nil && w.durableStore.holder.token > o.token {
 		return
 	}
-	if o.frozen || w.durableStore.away || !o.state.Adopted() && w.now-began < 2500*ms {
+	if o.frozen || w.durableStore.unavailable || !o.state.TargetsFenced() && w.now-began < 2500*ms {
 		w.after(20*ms, func() { w.takeOverJobs(o, began) })
 		return
 	}
@@ -75,26 +75,26 @@
 		w.refs++
 		sub := r.sub
 		sub.Ref = w.refs
-		o.state.Resume(w.now, sub, Progress{Done: slices.Sorted(maps.Keys(r.done)), Fails: maps.Clone(r.fails), LastFailed: maps.Clone(r.lastFailed), Saved: maps.Clone(r.saved), Crashed: maps.Clone(r.crashed)})
+		o.state.ResumeJob(w.now, sub, Progress{Done: slices.Sorted(maps.Keys(r.done)), Fails: maps.Clone(r.fails), LastFailed: maps.Clone(r.lastFailed), Saved: maps.Clone(r.saved), Crashed: maps.Clone(r.crashed)})
 	}
-	o.state.Resumed(w.now)
+	o.state.FinishResume(w.now)
 	o.accepting = true
 	w.applyEffects(o)
 }
 
 // carryOutStoreEffect carries out the effects of an owner that write to the store or ask the
 // adviser.
-func (w *world) carryOutKept(o *fakeOwner, effect Effect) {
+func (w *world) carryOutStoreEffect(o *fakeOwner, effect Effect) {
 	switch e := effect.(type) {
-	case Keep:
+	case StoreJob:
 		id := e.Submission.Job.ID
-		w.note(o, func() {
+		w.writeLater(o, func() {
 			if w.durableStore.jobs[id] == nil {
-				w.durableStore.jobs[id] = &keptRecord{sub: e.Submission, done: map[int]bool{}, fails: map[int]int{}, saved: map[int]string{}, lastFailed: map[int]int64{}, crashed: map[int][]Crash{}, state: work.StateQueued}
+				w.durableStore.jobs[id] = &jobRecord{sub: e.Submission, done: map[int]bool{}, fails: map[int]int{}, saved: map[int]string{}, lastFailed: map[int]int64{}, crashed: map[int][]Crash{}, state: work.StateQueued}
 			}
-		}, func() { o.state.Stored(w.now, id, work.Outcome{Result: work.Accepted}, true) })
+		}, func() { o.state.HandleJobStored(w.now, id, work.Outcome{Result: work.Accepted}, true) })
 	case TaskDone:
-		w.note(o, func() { w.durableStore.jobs[e.Job].done[e.Task] = true }, func() { o.state.Noted(e.End) })
+		w.writeLater(o, func() { w.durableStore.jobs[e.Job].done[e.Task] = true }, func() { o.state.HandleCompletionStored(e.Completion) })
 	case TaskFailed:
 		// An owner writes all that it knows of a job. So a write that is stored before an older one
 		// includes that one, and an older write never hides a newer one.
@@ -103,44 +103,44 @@
 		}
 		o.fails[e.Job][e.Task]++
 		count := o.fails[e.Job][e.Task]
-		w.note(o, func() {
+		w.writeLater(o, func() {
 			stored := w.durableStore.jobs[e.Job]
 			stored.fails[e.Task] = max(stored.fails[e.Task], count)
 			stored.lastFailed[e.Task] = max(stored.lastFailed[e.Task], e.Run)
-		}, func() { o.state.Noted(e.End) })
+		}, func() { o.state.HandleCompletionStored(e.Completion) })
 	case AskAdviser:
 		w.advise(o, e)
 	case TaskSaved:
-		w.note(o, func() { w.durableStore.jobs[e.Job].saved[e.Task] = e.Saved }, func() {})
+		w.writeLater(o, func() { w.durableStore.jobs[e.Job].saved[e.Task] = e.Saved }, func() {})
 	case TaskCrashed:
-		w.note(o, func() {
+		w.writeLater(o, func() {
 			w.durableStore.jobs[e.Job].crashed[e.Task] = append(w.durableStore.jobs[e.Job].crashed[e.Task], e.Crash)
 		}, func() {})
 	case JobEnded:
-		w.note(o, func() {
+		w.writeLater(o, func() {
 			r := w.durableStore.jobs[e.Job]
-			if e.State == work.StateCancelled && !r.asked {
+			if e.State == work.StateCancelled && !r.cancelRequested {
 				w.violations = append(w.violations, e.Job+" was cancelled but no caller asked for it")
 			}
-			if e.State == work.StateFailed && !w.hasFailed(r) && !w.mayBlame(e.Job) {
+			if e.State == work.StateFailed && !w.hasFailed(r) && !w.mayBePoisoned(e.Job) {
 				w.violations = append(w.violations, e.Job+" is stored as failed, but no task failed that often")
 			}
 			r.state = e.State
-		}, func() { o.state.EndNoted(e.Job) })
+		}, func() { o.state.HandleJobEndStored(e.Job) })
 	}
 }
 
 // submitDurable has a caller submit a durable job to the current owner.
-func (w *world) handIn(job work.Job, advised bool) {
+func (w *world) submitDurable(job work.Job, advised bool) {
 	o := w.owner()
 	if o.dead || o.frozen || o.cut || !o.accepting {
 		return
 	}
-	w.handInTo(o, job, advised)
+	w.submitDurableTo(o, job, advised)
 }
 
 // submitDurableTo submits a durable job to the given owner.
-func (w *world) handInTo(o *fakeOwner, job work.Job, advised bool) {
+func (w *world) submitDurableTo(o *fakeOwner, job work.Job, advised bool) {
 	w.refs++
 	job.ID, job.Durable = fmt.Sprintf("kept%d", w.refs), true
 	o.state.Submit(w.now, Submission{
@@ -151,12 +151,12 @@
 }
 
 // cancelDurable has a caller cancel the first durable job that hasn't ended.
-func (w *world) cancelKept() {
+func (w *world) cancelDurable() {
 	o := w.owner()
 	for _, id := range slices.Sorted(maps.Keys(w.durableStore.jobs)) {
 		if r := w.durableStore.jobs[id]; !r.state.IsFinal() && !o.dead && !o.frozen && !o.cut {
-			r.asked = true
-			o.state.CancelKept(w.now, id)
+			r.cancelRequested = true
+			o.state.CancelDurable(w.now, id)
 			w.applyEffects(o)
 			return
 		}
@@ -164,7 +164,7 @@
 }
 
 // checkDurableStart checks the start of a durable job's task.
-func (w *world) startsKept(task string) {
+func (w *world) checkDurableStart(task string) {
 	w.startedAt[task] = w.now
 	if w.acknowledged[task] {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts after its completion was acknowledged: %s", w.now, task, w.acknowledgedBy[task]))
@@ -177,14 +177,14 @@
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts but is not stored", w.now, task))
 		return
 	}
-	w.startsInOrder(task)
+	w.checkStartOrder(task)
 }
 
 // unendedJobs lists the stored jobs that haven't ended, except lasting ones that run.
-func (w *world) unended() []string {
+func (w *world) unendedJobs() []string {
 	var open []string
 	for id, r := range w.durableStore.jobs {
-		if !r.state.IsFinal() && !(r.sub.Job.Steps[0].Lasting && w.runsWhole(r)) {
+		if !r.state.IsFinal() && !(r.sub.Job.Steps[0].Lasting && w.allTasksRun(r)) {
 			open = append(open, id)
 		}
 	}
@@ -195,8 +195,8 @@
 // Whatever faults owners, targets, orders and the store have: no task of a durable job has two runs
 // at a time, or a run after its completion was acknowledged; nothing runs of a job that isn't
 // stored; and every stored job ends once the faults are over.
-func TestFuzzKeptJobs(t *testing.T) {
-	checks(t, 600)
+func TestFuzzDurableJobs(t *testing.T) {
+	setChecks(t, 600)
 	rapid.Check(t, func(rt *rapid.T) {
 		share := func(name string) float64 { return float64(rapid.IntRange(0, 6).Draw(rt, name)) / 100 }
 		w := newWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 4).Draw(rt, "targets"), worldFaults{
@@ -206,40 +206,40 @@
 		w.takeOver()
 		w.run(200 * ms)
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
-			strikeKept(rt, w)
+			injectDurableStep(rt, w)
 			w.run(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * ms)
 			if len(w.violations) > 0 {
 				rt.Fatalf("invariants broken: %v", w.violations)
 			}
 		}
-		w.durableStore.away = false
+		w.durableStore.unavailable = false
 		w.faults = worldFaults{}
 		w.takeOver()
-		w.settleKept()
+		w.runUntilJobsEnd()
 		must.SliceEmpty(rt, w.violations, must.Sprint(w.violations))
-		must.SliceEmpty(rt, w.unended(), must.Sprint(w.unended()))
+		must.SliceEmpty(rt, w.unendedJobs(), must.Sprint(w.unendedJobs()))
 		for range w.durableStore.jobs {
-			w.cancelKept()
-			w.run(2 * noteDelay * ms)
+			w.cancelDurable()
+			w.run(2 * maxStoreDelay * ms)
 		}
 		w.run(time.Second)
-		must.SliceEmpty(rt, w.runningKept(), must.Sprint(w.runningKept()))
+		must.SliceEmpty(rt, w.runningDurable(), must.Sprint(w.runningDurable()))
 		must.SliceEmpty(rt, w.violations, must.Sprint(w.violations))
 	})
 }
 
 // runUntilJobsEnd lets time pass until all stored jobs have ended: up to 4 s for each job, and the
 // time for a target that doesn't answer.
-func (w *world) settleKept() {
+func (w *world) runUntilJobsEnd() {
 	// What is on its way is stored by then, or never.
 	w.run(time.Second)
-	for end := w.now + time.Duration(5+len(w.durableStore.jobs))*4*time.Second; w.now < end && (len(w.unended()) > 0 || !w.owner().accepting); {
+	for end := w.now + time.Duration(5+len(w.durableStore.jobs))*4*time.Second; w.now < end && (len(w.unendedJobs()) > 0 || !w.owner().accepting); {
 		w.run(200 * ms)
 	}
 }
 
 // setChecks sets how many histories the test plays, unless the command line does.
-func checks(t *testing.T, count int) {
+func setChecks(t *testing.T, count int) {
 	t.Helper()
 	asked := false
 	flag.Visit(func(f *flag.Flag) { asked = asked || f.Name == "rapid.checks" })
@@ -252,14 +252,14 @@
 
 // injectDurableStep plays one random event: a durable job is submitted or cancelled, or a fault
 // occurs.
-func strikeKept(rt *rapid.T, w *world) {
+func injectDurableStep(rt *rapid.T, w *world) {
 	switch rapid.SampledFrom([]string{"submit", "submit", "submit", "submit", "cancel", "store", "leave", "other"}).Draw(rt, "action") {
 	case "submit":
-		w.handIn(w.drawJob(rt), rapid.IntRange(0, 3).Draw(rt, "advised") == 0)
+		w.submitDurable(w.drawJob(rt), rapid.IntRange(0, 3).Draw(rt, "advised") == 0)
 	case "cancel":
-		w.cancelKept()
+		w.cancelDurable()
 	case "store":
-		w.durableStore.away = !w.durableStore.away
+		w.durableStore.unavailable = !w.durableStore.unavailable
 	case "leave":
 		// A planned stop: the successor waits until the leaving owner is at rest.
 		o := w.owner()
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -10,8 +10,8 @@
 )
 
 // jobOfSteps returns a durable job of these steps.
-func (b *harness) stepsJob(id string, steps ...work.Step) Submission {
-	sub := b.keptJob(id, 1)
+func (b *harness) jobOfSteps(id string, steps ...work.Step) Submission {
+	sub := b.durableJob(id, 1)
 	for i := range steps {
 		if steps[i].PerTask == (work.Resources{}) {
 			steps[i].PerTask = work.Resources{CPU: 1}
@@ -25,23 +25,23 @@
 }
 
 // acceptAndStore submits a durable job, reports it as stored, and returns the effects.
-func (b *harness) store(sub Submission) []Effect {
+func (b *harness) acceptAndStore(sub Submission) []Effect {
 	b.s.Submit(b.now, sub)
 	b.effects()
-	b.s.Stored(b.now, sub.Job.ID, work.Outcome{Result: work.Accepted}, true)
+	b.s.HandleJobStored(b.now, sub.Job.ID, work.Outcome{Result: work.Accepted}, true)
 	return b.effects()
 }
 
 // answerStarts answers starts as done.
-func (b *harness) begun(starts []StartRun) {
+func (b *harness) answerStarts(starts []StartRun) {
 	for _, start := range starts {
-		b.s.Started(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
+		b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000})
 	}
 	b.effects()
 }
 
 // A task continues from the work that its last run had saved, however that run ended.
-func TestTasksGoOnFromWhatTheySaved(t *testing.T) {
+func TestTaskContinuesFromSavedWork(t *testing.T) {
 	for name, harm := range map[string]func(b *harness, run work.RunID) []Effect{
 		"listed as it ended": func(b *harness, run work.RunID) []Effect {
 			b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: run, Kind: work.CompletionFailed, SavedState: "c7"}}})
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			run := runKept(b)
+			run := startDurableJob(b)
 			effects := append(harm(b, run), b.advance(100*ms)...)
 			must.Eq(t, []TaskSaved{{Job: "j", Task: 0, Saved: "c7"}}, pickEffects[TaskSaved](effects))
 			starts := pickEffects[StartRun](effects)
@@ -68,20 +68,20 @@
 	}
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
-	b.s.Resume(b.now, b.keptJob("j", 1), Progress{Saved: map[int]string{0: "c9"}})
+	b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Saved: map[int]string{0: "c9"}})
 	must.Eq(t, "c9", pickEffects[StartRun](b.effects())[0].SavedState)
 }
 
 // A lasting task is started again however it ends, after a delay that grows with each short run.
 // Its completions are not stored.
-func TestLastingTasksStartAgain(t *testing.T) {
+func TestLastingTaskRestartsWithBackoff(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 1)
-	run := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))[0].Run
+	run := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", work.Step{Tasks: 1, Lasting: true})))[0].Run
 	var pauses []time.Duration
 	for i, kind := range []work.CompletionKind{work.CompletionDone, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, "lapsed"} {
-		b.begun([]StartRun{{To: work.TargetAddress{ID: "a"}, StartOrder: work.StartOrder{Run: run}}})
+		b.answerStarts([]StartRun{{To: work.TargetAddress{ID: "a"}, StartOrder: work.StartOrder{Run: run}}})
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Completions: []work.Completion{{Number: int64(i + 1), Run: run, Kind: kind}}})
 		over := b.now
 		effects := b.effects()
@@ -98,20 +98,20 @@
 	for i := 1; i < len(pauses); i++ {
 		must.GreaterEq(t, pauses[i-1], pauses[i])
 	}
-	must.Greater(t, 4*firstHurry, pauses[len(pauses)-1])
-	must.LessEq(t, longestHurry+40*ms, pauses[len(pauses)-1])
-	must.True(t, b.s.CancelKept(b.now, "j"))
+	must.Greater(t, 4*minRestartDelay, pauses[len(pauses)-1])
+	must.LessEq(t, maxRestartDelay+40*ms, pauses[len(pauses)-1])
+	must.True(t, b.s.CancelDurable(b.now, "j"))
 	must.SliceLen(t, 1, pickEffects[StopRun](b.effects()))
 }
 
 // A lasting task never counts as stuck or slow, and its target doesn't count as one that will give
 // its capacity back.
-func TestLastingTasksAreLeftAlone(t *testing.T) {
+func TestLastingTaskIsNeverStuck(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 1)
-	start := pickEffects[StartRun](b.store(b.stepsJob("j", work.Step{Tasks: 1, Lasting: true})))
-	b.begun(start)
+	start := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", work.Step{Tasks: 1, Lasting: true})))
+	b.answerStarts(start)
 	for range 100 {
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start[0].Run)})
 		must.SliceEmpty(t, pickEffects[StopRun](b.advance(200*ms)))
@@ -121,15 +121,15 @@
 }
 
 // Occurrences start when they are due and may overlap. The job ends with the last one.
-func TestRepeatedJobs(t *testing.T) {
+func TestOccurrencesStartWhenDue(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 4)
 	wall := 1000 * time.Hour
-	b.s.Wall(b.now, wall)
-	sub := b.stepsJob("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, DependsOn: []int{0}})
+	b.s.SetWallClock(b.now, wall)
+	sub := b.jobOfSteps("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, DependsOn: []int{0}})
 	sub.Job.Recurrence = work.Recurrence{Count: 2, FirstDue: wall + 300*ms, Interval: 200 * ms}
-	effects := append(b.store(sub), b.advance(280*ms)...)
+	effects := append(b.acceptAndStore(sub), b.advance(280*ms)...)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	first := pickEffects[StartRun](b.advance(40 * ms))
 	must.SliceLen(t, 1, first)
@@ -137,7 +137,7 @@
 	second := pickEffects[StartRun](b.advance(200 * ms))
 	must.SliceLen(t, 1, second)
 	must.Eq(t, "j.1.0.0", second[0].Run.Task)
-	b.begun(append(first, second...))
+	b.answerStarts(append(first, second...))
 	number := int64(0)
 	end := func(runs ...work.RunID) []Effect {
 		held := work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()}
@@ -152,13 +152,13 @@
 	must.SliceLen(t, 2, rest)
 	must.Eq(t, "j.0.1.0", rest[0].Run.Task)
 	must.Eq(t, "j.1.1.0", rest[1].Run.Task)
-	b.begun(rest)
+	b.answerStarts(rest)
 	must.SliceLen(t, 1, pickEffects[JobEnded](end(runsOf(rest)...)))
 }
 
 // A successor continues the runs of the jobs that it takes over. It extends their leases at once,
 // starts nothing at their targets before it has the jobs, and starts no task twice.
-func TestSuccessorsGoOnWithWhatRuns(t *testing.T) {
+func TestSuccessorContinuesInheritedRuns(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.target("a", 2)
 	b.effects()
@@ -167,12 +167,12 @@
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: []work.RunningRun{{Run: on, SavedState: "c1"}, {Run: gone}}})
 	b.submit("loose", 1, 1, "")
 	effects := b.effects()
-	must.True(t, b.s.Adopted())
+	must.True(t, b.s.TargetsFenced())
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Positive(t, pickEffects[Poll](effects)[0].LeaseUntil)
-	b.s.Resume(b.now, b.keptJob("j", 1), Progress{})
-	b.s.Resumed(b.now)
+	b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{})
+	b.s.FinishResume(b.now)
 	effects = b.effects()
 	must.Eq(t, []StopRun{{To: work.TargetAddress{ID: "a"}, Run: gone}}, pickEffects[StopRun](effects))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -181,37 +181,37 @@
 	starts := pickEffects[StartRun](effects)
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "loose.0.0.0", starts[0].Run.Task)
-	b.begun(starts)
-	b.answerPoll("a", ended(1, on, work.CompletionDone))
+	b.answerStarts(starts)
+	b.answerPoll("a", heldWithCompletion(1, on, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 }
 
 // An inherited run whose job can't be read is stopped after inheritedRunTimeout, so that its target
 // can do other work.
-func TestGuestsHaveTheirTime(t *testing.T) {
+func TestInheritedRunTimesOut(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.target("a", 2)
 	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	var stops []StopRun
-	for begun := b.now; b.now-begun < guestPatience+200*ms && len(stops) == 0; {
+	for begun := b.now; b.now-begun < inheritedRunTimeout+200*ms && len(stops) == 0; {
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - begun).Milliseconds(), Running: listing(on)})
 		stops = pickEffects[StopRun](b.advance(100 * ms))
 	}
 	must.SliceNotEmpty(t, stops)
 	must.Eq(t, on, stops[0].Run)
-	must.False(t, b.s.Adopted())
+	must.False(t, b.s.TargetsFenced())
 }
 
 // A gang that a successor finds with a member missing is restarted.
-func TestBrokenGangsAreNotTakenOver(t *testing.T) {
+func TestIncompleteGangRestartsAfterTakeover(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.target("a", 2)
 	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(on)})
-	b.s.Resume(b.now, b.stepsJob("j", gang(2)), Progress{})
-	b.s.Resumed(b.now)
+	b.s.ResumeJob(b.now, b.jobOfSteps("j", gangStep(2)), Progress{})
+	b.s.FinishResume(b.now)
 	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.Eq(t, on, pickEffects[StopRun](effects)[0].Run)
@@ -223,13 +223,13 @@
 // ticket and while the ticket is valid. When those targets are full, more targets are asked about.
 func TestAdvisedStepsStartWithTickets(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	for _, id := range []string{"a", "b", "c"} {
 		b.usable(id, 1)
 	}
-	sub := b.stepsJob("j", work.Step{Tasks: 3})
+	sub := b.jobOfSteps("j", work.Step{Tasks: 3})
 	sub.Queue.RequiresAdvice = true
-	effects := b.store(sub)
+	effects := b.acceptAndStore(sub)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	asks := pickEffects[AskAdviser](effects)
 	must.Eq(t, []AskAdviser{{Step: "j.0.0", Targets: []string{"a", "b", "c"}}}, asks)
@@ -241,7 +241,7 @@
 		tickets[start.To.ID] = start.Ticket
 	}
 	must.Eq(t, map[string]string{"a": "ta", "b": "tb"}, tickets)
-	b.begun(starts)
+	b.answerStarts(starts)
 	// All named targets are full; another one appears.
 	b.usable("d", 1)
 	asks = pickEffects[AskAdviser](b.advance(adviserRetryInterval + 20*ms))
@@ -252,32 +252,32 @@
 
 // A ticket that its target refuses is asked for again. After a question without an answer the
 // adviser is not asked for askPause.
-func TestTicketsAreAskedForAgain(t *testing.T) {
+func TestRefusedTicketIsAskedForAgain(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 1)
-	sub := b.stepsJob("j", work.Step{Tasks: 1})
+	sub := b.jobOfSteps("j", work.Step{Tasks: 1})
 	sub.Queue.RequiresAdvice = true
-	ask := pickEffects[AskAdviser](b.store(sub))[0]
+	ask := pickEffects[AskAdviser](b.acceptAndStore(sub))[0]
 	b.s.Advised(b.now, ask, nil, 0, false)
 	must.SliceEmpty(t, pickEffects[AskAdviser](b.advance(adviserRetryInterval-40*ms)))
 	must.SliceLen(t, 1, pickEffects[AskAdviser](b.advance(80*ms)))
 	b.s.Advised(b.now, ask, map[string]string{"a": "t1"}, time.Second, true)
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictInvalidTicket, ClockMS: 5000})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictInvalidTicket, ClockMS: 5000})
 	must.SliceLen(t, 1, pickEffects[AskAdviser](b.effects()))
 }
 
 // At most maxAsking questions to the adviser are open at a time.
-func TestQuestionsAreBounded(t *testing.T) {
+func TestQuestionsToAdviserAreBounded(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 1)
 	var asks []AskAdviser
 	for i := range 2 * maxOpenRequests {
-		sub := b.stepsJob("j"+string(rune('a'+i)), work.Step{Tasks: 1})
+		sub := b.jobOfSteps("j"+string(rune('a'+i)), work.Step{Tasks: 1})
 		sub.Queue.RequiresAdvice = true
-		asks = append(asks, pickEffects[AskAdviser](b.store(sub))...)
+		asks = append(asks, pickEffects[AskAdviser](b.acceptAndStore(sub))...)
 	}
 	must.SliceLen(t, maxOpenRequests, asks)
 	b.s.Advised(b.now, asks[0], nil, 0, true)
@@ -286,22 +286,22 @@
 
 // Background tasks take no capacity from others, go to the targets with the most free capacity, and
 // don't run beside latency-sensitive tasks: they are stopped to make place for those.
-func TestFillingTasks(t *testing.T) {
+func TestBackgroundTasksYieldToLatencySensitiveOnes(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.s.Resumed(b.now)
+	b.s.FinishResume(b.now)
 	b.usable("a", 4000)
 	b.usable("b", 2000)
-	fill := pickEffects[StartRun](b.store(b.stepsJob("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
+	fill := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 3, fill)
 	must.Eq(t, "a", fill[0].To.ID)
 	must.Eq(t, "a", fill[1].To.ID)
 	must.Eq(t, "b", fill[2].To.ID)
-	b.begun(fill)
-	plain := pickEffects[StartRun](b.store(b.stepsJob("p", work.Step{Tasks: 1, PerTask: work.Resources{CPU: 2000}})))
+	b.answerStarts(fill)
+	plain := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("p", work.Step{Tasks: 1, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 1, plain)
 	must.Eq(t, "b", plain[0].To.ID)
-	b.begun(plain)
-	effects := b.store(b.stepsJob("s", work.Step{Tasks: 1, LatencySensitive: true, PerTask: work.Resources{CPU: 4000}}))
+	b.answerStarts(plain)
+	effects := b.acceptAndStore(b.jobOfSteps("s", work.Step{Tasks: 1, LatencySensitive: true, PerTask: work.Resources{CPU: 4000}}))
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceLen(t, 2, pickEffects[StopRun](effects))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
@@ -310,7 +310,7 @@
 	serving := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, serving)
 	must.Eq(t, "s.0.0.0", serving[0].Run.Task)
-	b.begun(serving)
+	b.answerStarts(serving)
 	must.SliceEmpty(t, pickEffects[StartRun](b.advance(100*ms)))
 	must.Eq(t, 0, b.s.targets["a"].backgroundRuns)
 	// A background task never counts as stuck.
--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -60,7 +60,7 @@
 type taskPlace struct{ occurrence, step, index int }
 
 // parseTask returns the stored job and the place of a durable job's task; nil for any other task.
-func (w *world) find(task string) (*keptRecord, taskPlace) {
+func (w *world) parseTask(task string) (*jobRecord, taskPlace) {
 	parts := strings.Split(task, ".")
 	r := w.durableStore.jobs[parts[0]]
 	if r == nil {
@@ -74,14 +74,14 @@
 }
 
 func (w *world) isLasting(task string) bool {
-	r, p := w.find(task)
+	r, p := w.parseTask(task)
 	return r != nil && r.sub.Job.Steps[p.step].Lasting
 }
 
 // checkStartOrder checks that a durable task starts after the steps before it, when it is due, and
 // not after too many failures.
-func (w *world) startsInOrder(task string) {
-	r, p := w.find(task)
+func (w *world) checkStartOrder(task string) {
+	r, p := w.parseTask(task)
 	step := r.sub.Job.Steps[p.step]
 	violate := func(what string) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts %s", w.now, task, what))
@@ -102,8 +102,8 @@
 }
 
 // saveKey names who shares a task's saved work: its gang, or the task alone.
-func (w *world) savesAs(task string) string {
-	if r, p := w.find(task); r != nil && r.sub.Job.Steps[p.step].Gang {
+func (w *world) saveKey(task string) string {
+	if r, p := w.parseTask(task); r != nil && r.sub.Job.Steps[p.step].Gang {
 		return task[:strings.LastIndex(task, ".")]
 	}
 	return task
@@ -111,12 +111,12 @@
 
 // playDurableRun plays what a durable task saves, and the work of gangs and lasting tasks. It
 // reports whether it also plays the end of the run.
-func (w *world) beginKept(t *fakeTarget, r *fakeRun, order work.StartOrder) bool {
-	record, p := w.find(order.Run.Task)
+func (w *world) playDurableRun(t *fakeTarget, r *fakeRun, order work.StartOrder) bool {
+	record, p := w.parseTask(order.Run.Task)
 	if record == nil {
 		return false
 	}
-	as := w.savesAs(order.Run.Task)
+	as := w.saveKey(order.Run.Task)
 	if order.SavedState != "" && !w.saved[as][order.SavedState] {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s starts from %q, which it never saved", w.now, order.Run.Task, order.SavedState))
 	}
@@ -151,7 +151,7 @@
 
 // joinGang has a member of a gang wait for the others and then work with them.
 func (w *world) joinGang(t *fakeTarget, r *fakeRun, order work.StartOrder, step work.Step) {
-	key := gangKey(w.savesAs(order.Run.Task), r.number)
+	key := gangKey(w.saveKey(order.Run.Task), r.number)
 	g := w.gangs[key]
 	if g == nil {
 		g = &fakeGang{members: map[string]*gangMember{}, saved: order.SavedState}
@@ -183,13 +183,13 @@
 
 // recordDurableEnd records how a durable run ended. If a gang's member ends without completing, the
 // other members end as broken.
-func (w *world) endKept(task string, r *fakeRun, kind work.CompletionKind) {
-	record, p := w.find(task)
+func (w *world) recordDurableEnd(task string, r *fakeRun, kind work.CompletionKind) {
+	record, p := w.parseTask(task)
 	if record == nil {
 		return
 	}
 	step := record.sub.Job.Steps[p.step]
-	as := w.savesAs(task)
+	as := w.saveKey(task)
 	if kind == work.CompletionFailed {
 		w.failedRuns[task]++
 		if step.Gang {
@@ -218,7 +218,7 @@
 }
 
 // allTasksRun reports whether every task of a lasting job runs.
-func (w *world) runsWhole(r *keptRecord) bool {
+func (w *world) allTasksRun(r *jobRecord) bool {
 	for i := range r.sub.Job.Steps[0].Tasks {
 		task := fmt.Sprintf("%s.0.0.%d", r.sub.Job.ID, i)
 		if w.running[task] == 0 {
@@ -229,7 +229,7 @@
 }
 
 // runningDurable lists the tasks of durable jobs that run.
-func (w *world) runningKept() []string {
+func (w *world) runningDurable() []string {
 	var tasks []string
 	for task, n := range w.running {
 		if n > 0 && strings.HasPrefix(task, "kept") {
@@ -241,7 +241,7 @@
 }
 
 // ticketValidity is how long the adviser's tickets are valid.
-const ticketTime = 400 * ms
+const ticketValidity = 400 * ms
 
 // advise plays the adviser. Its answers are lost as often as a target's.
 func (w *world) advise(o *fakeOwner, e AskAdviser) {
@@ -253,26 +253,26 @@
 				continue
 			}
 			if slices.Contains(e.Targets, id) && (first || (len(e.Step)+len(id)+int(id[len(id)-1]))%3 > 0) {
-				tickets[id] = w.ticket(e.Step, id)
+				tickets[id] = w.issueTicket(e.Step, id)
 			}
 			first = false
 		}
 		lost := w.random.Float64() < w.faults.lostAnswers
-		w.after(ms, func() { w.deliver(o, func() { o.state.Advised(w.now, e, tickets, ticketTime, !lost) }) })
+		w.after(ms, func() { w.deliver(o, func() { o.state.Advised(w.now, e, tickets, ticketValidity, !lost) }) })
 	})
 }
 
 // issueTicket makes a ticket and remembers until when it is valid.
-func (w *world) ticket(step, target string) string {
+func (w *world) issueTicket(step, target string) string {
 	ticket := fmt.Sprintf("%s on %s at %v", step, target, w.now)
-	w.tickets[ticket] = w.now + ticketTime
+	w.tickets[ticket] = w.now + ticketValidity
 	return ticket
 }
 
 // acceptsTicket reports whether a target accepts a start. If the job's queue is advised, the start
 // needs a valid ticket for the step and the target.
-func (w *world) admits(t *fakeTarget, order work.StartOrder) bool {
-	r, _ := w.find(order.Run.Task)
+func (w *world) acceptsTicket(t *fakeTarget, order work.StartOrder) bool {
+	r, _ := w.parseTask(order.Run.Task)
 	if r == nil || !r.sub.Queue.RequiresAdvice {
 		return true
 	}
@@ -281,7 +281,7 @@
 }
 
 // hasFailed reports whether a task of a job, or a gang, has failed as often as allowed.
-func (w *world) hasFailed(r *keptRecord) bool {
+func (w *world) hasFailed(r *jobRecord) bool {
 	for name, fails := range w.failedRuns {
 		if fails >= r.sub.Queue.MaxAttempts && strings.HasPrefix(name, r.sub.Job.ID+".") {
 			return true
--- a/scheduler/lasting.go
+++ b/scheduler/lasting.go
@@ -14,26 +14,26 @@
 	shortRun = time.Second
 	// minRestartDelay and maxRestartDelay bound the delay. A lasting task has to run again
 	// within 6 s.
-	firstHurry   = 50 * time.Millisecond
-	longestHurry = 2 * time.Second
+	minRestartDelay = 50 * time.Millisecond
+	maxRestartDelay = 2 * time.Second
 	// maxRestartDoublings is how many times the delay doubles.
-	maxHurried = 6
+	maxRestartDoublings = 6
 )
 
 // delayRestart sets when a lasting task whose run is over may start again.
-func (t *task) pace(now time.Duration, r *run) {
+func (t *task) delayRestart(now time.Duration, r *run) {
 	if now-r.ordered >= shortRun {
-		t.hurried, t.ripe = 0, now
+		t.shortRuns, t.notBefore = 0, now
 		return
 	}
-	t.ripe = now + min(firstHurry<<t.hurried, longestHurry)
-	t.hurried = min(t.hurried+1, maxHurried)
+	t.notBefore = now + min(minRestartDelay<<t.shortRuns, maxRestartDelay)
+	t.shortRuns = min(t.shortRuns+1, maxRestartDoublings)
 }
 
 // moveDueFirst moves a pending task that may start now to the front, and reports whether there is
 // one.
-func (st *step) bringRipe(now time.Duration) bool {
-	at := slices.IndexFunc(st.pending, func(t *task) bool { return now >= t.ripe })
+func (st *step) moveDueFirst(now time.Duration) bool {
+	at := slices.IndexFunc(st.pending, func(t *task) bool { return now >= t.notBefore })
 	if at > 0 {
 		st.pending[0], st.pending[at] = st.pending[at], st.pending[0]
 	}
--- a/scheduler/learn_test.go
+++ b/scheduler/learn_test.go
@@ -21,12 +21,12 @@
 			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, DeclaredRunTime: 100 * time.Millisecond}}},
 			Queue: work.Queue{Name: "q", Service: "s"},
 		})
-		r := &run{task: j.tasks[0], target: s.targets[id], ordered: now, expected: j.steps[0].expected}
+		r := &run{task: j.tasks[0], target: s.targets[id], ordered: now, expected: j.steps[0].expectedRuntime}
 		now += 400 * time.Millisecond
 		s.recordSuccess(now, s.targets[id], r)
 		s.Tick(now)
 	}
-	must.Between(t, 3.5, s.kindOf("q").ratio, 4.5)
+	must.Between(t, 3.5, s.estimateOf("q").runtimeRatio, 4.5)
 	must.False(t, s.targets["a"].isSlow())
 }
 
@@ -44,10 +44,10 @@
 			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: declared}}},
 			Queue: work.Queue{Name: "q", Service: "s"},
 		})
-		r := &run{task: j.tasks[0], target: target, ordered: now, expected: j.steps[0].expected}
+		r := &run{task: j.tasks[0], target: target, ordered: now, expected: j.steps[0].expectedRuntime}
 		now += actual
 		s.recordSuccess(now, target, r)
 	}
-	must.Between(t, 0.95, s.kindOf("q").ratio, 1.15)
+	must.Between(t, 0.95, s.estimateOf("q").runtimeRatio, 1.15)
 	must.Less(t, slowSpeed, target.health.speed)
 }
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -72,18 +72,18 @@
 // canDelegate reports whether other owners may run tasks of a job. The progress of a durable job
 // may be written only by its own owner, and the adviser's answers are given to this owner.
 func (j *job) canDelegate() bool {
-	return j.sub.Part == nil && !j.kept() && !j.sub.Queue.RequiresAdvice
+	return j.sub.Part == nil && !j.isDurable() && !j.sub.Queue.RequiresAdvice
 }
 
 // delegateStep hands the waiting tasks of a step to other owners that report free capacity.
 func (s *State) delegateStep(now time.Duration, j *job, st *step) {
-	if !j.canDelegate() || st.on != nil || st.Gang || st.Background || st.LatencySensitive || s.leaving {
+	if !j.canDelegate() || st.runsOn != nil || st.Gang || st.Background || st.LatencySensitive || s.leaving {
 		return
 	}
 	priority := priorityOf(j.sub.Queue)
 	for len(st.pending) > 0 {
 		key, r := s.ownerWithMostCapacity(now, j.sub.Queue)
-		n := min(r.Tasks[priority], len(st.pending)-st.suspects())
+		n := min(r.Tasks[priority], len(st.pending)-st.countSuspects())
 		if n == 0 {
 			return
 		}
@@ -120,7 +120,7 @@
 func (s *State) delegate(now time.Duration, j *job, st *step, tasks []*task, to capacityKey) {
 	s.lastPart++
 	s.parts[s.lastPart] = &delegatedPart{job: j, step: st, tasks: tasks, to: to}
-	j.begun++
+	j.possibleStarts++
 	names := make([]string, len(tasks))
 	for i, t := range tasks {
 		names[i] = t.name
@@ -136,7 +136,7 @@
 	if j.deadline > 0 {
 		sub.Wait = j.deadline - j.arrived
 	}
-	j.mark(now, "lent", names[0], to.owner, fmt.Sprintf("%d tasks", len(names)))
+	j.record(now, "lent", names[0], to.owner, fmt.Sprintf("%d tasks", len(names)))
 	s.emit(Delegate{Part: s.lastPart, Owner: to.owner, Submission: sub})
 }
 
@@ -151,15 +151,15 @@
 	if j.ended {
 		return
 	}
-	j.mark(now, "part returned", p.tasks[0].name, p.to.owner, outcome.Result.String()+" "+outcome.Reason)
+	j.record(now, "part returned", p.tasks[0].name, p.to.owner, outcome.Result.String()+" "+outcome.Reason)
 	switch outcome.Result {
 	case work.Completed:
 		s.completePart(now, p)
 	case work.Refused, work.Moved:
-		j.begun--
+		j.possibleStarts--
 		s.reportedCapacity[p.to] = capacityReport{at: now - capacityReportLifetime - 1}
 		p.step.pending = append(p.step.pending, p.tasks...)
-		s.wait(j)
+		s.enqueue(j)
 	case work.Failed:
 		s.finish(now, j, outcome)
 	default:
@@ -169,13 +169,13 @@
 
 func (s *State) completePart(now time.Duration, p *delegatedPart) {
 	for _, t := range p.tasks {
-		p.job.complete(t)
+		p.job.markDone(t)
 	}
 	switch {
-	case p.job.open == 0:
+	case p.job.openTasks == 0:
 		s.finish(now, p.job, work.Outcome{Result: work.Completed})
-	case p.step.open == 0:
-		s.wait(p.job)
+	case p.step.openTasks == 0:
+		s.enqueue(p.job)
 	}
 }
 
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -68,7 +68,7 @@
 // incarnation may have started the others; they are stopped in the new one.
 func (s *State) beginIncarnation(now time.Duration, t *target, why string) {
 	s.emit(LogEvent{Message: "target started again", Target: t.ID, Detail: why, Age: now - t.lease.readAt})
-	s.lifeOver(now, t)
+	s.endIncarnation(now, t)
 	t.incarnations++
 	t.incarnationUnknown = true
 	t.lease = lease{}
@@ -170,13 +170,13 @@
 	s.targetsAwaitingClaim = nil
 	for _, t := range waiting {
 		if s.targets[t.ID] == t && t.state == adopting {
-			s.use(now, t)
+			s.useIfReady(now, t)
 			s.markChanged(t)
 		}
 	}
 }
 
 // completionRef identifies a completion of the target's present incarnation.
-func (t *target) completionRef(number int64) EndRef {
-	return EndRef{Target: t.ID, Number: number, Life: t.incarnations}
+func (t *target) completionRef(number int64) CompletionRef {
+	return CompletionRef{Target: t.ID, Number: number, Life: t.incarnations}
 }
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -134,7 +134,7 @@
 			starts := pickEffects[StartRun](b.effects())
 			must.SliceLen(t, 2, starts)
 			for _, start := range starts {
-				b.s.Started(b.now, start.To.ID, start.Run, doneAnswer(5000))
+				b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, doneAnswer(5000))
 			}
 			if lost {
 				for _, id := range []string{"a", "b"} {
@@ -165,11 +165,11 @@
 	b.usable("b", 1)
 	ref := b.submit("j", 1, 1, "")
 	first := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, first.To.ID, first.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, first.To.ID, first.Run, doneAnswer(5000))
 	b.answerPoll(first.To.ID, work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: first.Run, Kind: work.CompletionFailed}}})
 	second := pickEffects[StartRun](b.effects())[0]
 	must.NotEq(t, first.To.ID, second.To.ID)
-	b.s.Started(b.now, second.To.ID, second.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, second.To.ID, second.Run, doneAnswer(5000))
 	b.answerPoll(second.To.ID, work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: second.Run, Kind: work.CompletionFailed}}})
 	answer := pickEffects[Answer](b.effects())[0]
 	must.Eq(t, ref, answer.Ref)
@@ -207,7 +207,7 @@
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.targets["b"].Draining = false
 	must.SliceEmpty(t, pickEffects[StopRun](b.advance(100*ms)))
 }
@@ -229,7 +229,7 @@
 	again := pickEffects[Delegate](b.effects())
 	must.SliceLen(t, 1, again)
 	b.s.PartReturned(b.now, again[0].Part, work.Outcome{Result: work.Completed})
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	answer := pickEffects[Answer](b.effects())[0]
 	must.Eq(t, ref, answer.Ref)
@@ -244,7 +244,7 @@
 	b.s.CapacityReported(b.now, "other", "s", FreeCapacity{Tasks: [Priorities]int{2, 2, 2}})
 	effects := b.effects()
 	start, delegated := pickEffects[StartRun](effects)[0], pickEffects[Delegate](effects)[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, ref)
 	must.Eq(t, delegated.Part, pickEffects[Withdraw](b.effects())[0].Part)
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionStopped}}})
@@ -291,7 +291,7 @@
 	})
 	first := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, first)
-	b.s.Started(b.now, "a", first[0].Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", first[0].Run, doneAnswer(5000))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5010, Completions: []work.Completion{{Number: 1, Run: first[0].Run, Kind: work.CompletionDone}}})
 	must.SliceLen(t, 2, pickEffects[StartRun](b.effects()))
 }
@@ -330,12 +330,12 @@
 			b.submit("j", 1, 1, "")
 			starts := pickEffects[StartRun](b.effects())
 			must.SliceLen(t, 1, starts)
-			b.s.Started(b.now, "a", starts[0].Run, doneAnswer(5000))
+			b.s.HandleStartAnswer(b.now, "a", starts[0].Run, doneAnswer(5000))
 			b.effects()
 			if silent {
-				for range silentLooks {
+				for range silentPolls {
 					b.answerPollWith("a", work.PollAnswer{}, work.VerdictUnknown)
-					b.advance(lookPause)
+					b.advance(silentPollInterval)
 				}
 			} else {
 				b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}}})
@@ -378,7 +378,7 @@
 	b.usable("a", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.usable("b", 1)
 	b.s.TargetUnlisted(b.now, "a")
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictFenced)
@@ -396,7 +396,7 @@
 	b.usable("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictMisdirected)
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, starts)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -29,11 +29,11 @@
 			j.queued = false
 			continue
 		}
-		before := j.key
+		before := j.sortKey
 		s.placeJob(now, j, &failed)
-		if j.pending() {
-			j.order()
-			reordered = reordered || j.key != before
+		if j.hasPendingTasks() {
+			j.updateSortKey()
+			reordered = reordered || j.sortKey != before
 			remaining = append(remaining, j)
 		} else {
 			j.queued = false
@@ -76,8 +76,8 @@
 	if s.stoppingRuns[j.sub.Job.ID] > 0 || !s.hasKeepalive(now, j) {
 		return
 	}
-	for _, st := range j.current() {
-		if len(st.pending) == 0 || !j.ready(st) {
+	for _, st := range j.currentSteps() {
+		if len(st.pending) == 0 || !j.isReady(st) {
 			continue
 		}
 		if st.Gang {
@@ -94,29 +94,29 @@
 
 // placeStep starts tasks of a step until one fits no target.
 func (s *State) placeStep(now time.Duration, j *job, st *step, failed *failedPlacements) {
-	unconstrained := st.RequiredLabel == "" && st.on == nil && st.advice == nil && !st.Background && !st.LatencySensitive
-	if st.suspected {
-		s.placeInRoom(now, j, st)
-		st.suspectsLast()
+	unconstrained := st.RequiredLabel == "" && st.runsOn == nil && st.advice == nil && !st.Background && !st.LatencySensitive
+	if st.hasSuspects {
+		s.startReservedSuspects(now, j, st)
+		st.sortSuspectsLast()
 	}
 	for len(st.pending) > 0 && !(unconstrained && failed.cannotFit(j.pool, st.PerTask)) {
-		if st.Lasting && !st.bringRipe(now) {
+		if st.Lasting && !st.moveDueFirst(now) {
 			return
 		}
 		t := s.pickTarget(now, j, st, st.pending[0])
 		if t == nil {
-			if unconstrained && !st.pending[0].suspect() {
+			if unconstrained && !st.pending[0].isSuspect() {
 				failed.add(j.pool, st.PerTask)
 			}
-			if st.suspected && j.kept() {
-				s.makeRoom(now, st.pending[0])
+			if st.hasSuspects && j.isDurable() {
+				s.reserveForSuspect(now, st.pending[0])
 			}
 			if st.LatencySensitive {
 				s.evictBackground(now, j, st)
 			}
 			return
 		}
-		s.startRun(now, t, st.pending[0], s.nextRunNumber(now, j.kept()))
+		s.startRun(now, t, st.pending[0], s.nextRunNumber(now, j.isDurable()))
 		s.releaseHeld(st)
 		st.pending = slices.Delete(st.pending, 0, 1)
 	}
@@ -130,17 +130,17 @@
 	if st.RequiredLabel != "" && !slices.Contains(t.Labels, st.RequiredLabel) || !st.advice.allows(now, t.ID) {
 		return false
 	}
-	if st.on != nil && st.on[t.ID] >= st.MaxPerTarget {
+	if st.runsOn != nil && st.runsOn[t.ID] >= st.MaxPerTarget {
 		return false
 	}
-	if !tk.joins(t) || tk.suspect() && !s.tries(t, st, tk) {
+	if !tk.mayUseIsolated(t) || tk.isSuspect() && !s.canStartSuspect(t, st, tk) {
 		return false
 	}
 	if !st.canRunBeside(t) || t.runs[tk.name] != nil || t.reservedFor != nil && t.reservedFor != st || !s.canRenewLease(now, t) {
 		return false
 	}
 	if t.isSlow() && !t.health.suspected {
-		return now+time.Duration(t.health.speed*float64(st.expected)) <= j.objective || len(t.runs) == 0
+		return now+time.Duration(t.health.speed*float64(st.expectedRuntime)) <= j.objective || len(t.runs) == 0
 	}
 	return true
 }
@@ -151,10 +151,10 @@
 	if st.PreferredRack != "" && !slices.Contains(t.Labels, st.PreferredRack) {
 		rank += 4
 	}
-	if t.ID == tk.avoid {
+	if t.ID == tk.avoidTarget {
 		rank += 2
 	}
-	if tk.suspect() && !t.emptyBut(st) {
+	if tk.isSuspect() && !t.emptyExceptGang(st) {
 		rank += 8
 	}
 	if t.health.suspected || t.isSlow() || len(t.health.failures) > 0 {
@@ -175,16 +175,16 @@
 		target:     t,
 		ordered:    now,
 		leaseUntil: t.lease.endAfter(now, s.options.Lease),
-		expected:   tk.step.expected,
+		expected:   tk.step.expectedRuntime,
 		cold:       t.isCold(now),
 	}
-	j.begun++
-	if j.first == 0 {
-		j.first = now
+	j.possibleStarts++
+	if j.firstOrdered == 0 {
+		j.firstOrdered = now
 	}
 	s.assignRun(t, r)
 	t.lease.until = max(t.lease.until, r.leaseUntil)
-	j.mark(now, "started", tk.name, t.ID, "")
+	j.record(now, "started", tk.name, t.ID, "")
 	r.resumeFrom, r.ticket = tk.savedState().value, tk.step.advice.ticketFor(t.ID)
 	s.sendStart(now, r)
 }
@@ -201,7 +201,7 @@
 func (s *State) assignRun(t *target, r *run) {
 	st := r.task.step
 	r.task.run = r
-	s.tryAlone(r)
+	s.isolateSuspect(r)
 	t.runs[r.Task] = r
 	t.free = t.free.Sub(st.PerTask)
 	if !st.Lasting {
@@ -209,8 +209,8 @@
 	}
 	t.releaseRate += r.releaseRate
 	t.countSharing(st, 1)
-	if st.on != nil {
-		st.on[t.ID]++
+	if st.runsOn != nil {
+		st.runsOn[t.ID]++
 	}
 	s.markChanged(t)
 }
--- a/scheduler/place_bench_test.go
+++ b/scheduler/place_bench_test.go
@@ -33,10 +33,10 @@
 			switch e := effect.(type) {
 			case Poll:
 				if e.LeaseUntil == 0 && e.Wait == 0 {
-					s.Looked(now, e.To.ID, e.SentAt, work.PollAnswer{ClockMS: now.Milliseconds()}, work.VerdictDone)
+					s.HandlePollAnswer(now, e.To.ID, e.SentAt, work.PollAnswer{ClockMS: now.Milliseconds()}, work.VerdictDone)
 				}
 			case StartRun:
-				s.Started(now, e.To.ID, e.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: now.Milliseconds()})
+				s.HandleStartAnswer(now, e.To.ID, e.Run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: now.Milliseconds()})
 				running = append(running, e)
 			}
 		}
@@ -72,7 +72,7 @@
 					held.Running = append(held.Running, work.RunningRun{Run: r.RunID})
 				}
 			}
-			s.Looked(now, e.To.ID, t.poll.SentAt, held, work.VerdictDone)
+			s.HandlePollAnswer(now, e.To.ID, t.poll.SentAt, held, work.VerdictDone)
 			applyEffects()
 		}
 		submit(next)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -152,10 +152,10 @@
 	if st.Background {
 		return s.pickBackgroundTarget(now, j, st, tk)
 	}
-	if st.held != nil && s.canStart(now, st.held, j, st, tk) {
-		return st.held
+	if st.clearedTarget != nil && s.canStart(now, st.clearedTarget, j, st, tk) {
+		return st.clearedTarget
 	}
-	if tk.room != nil {
+	if tk.reservedTarget != nil {
 		return nil
 	}
 	p := j.pool
--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -13,10 +13,10 @@
 const (
 	// outcomeRetention is how long an outcome is remembered. Its answer may be lost with the
 	// connection, and the entry VM asks for it as soon as it notices.
-	unclaimedTime = time.Second
+	outcomeRetention = time.Second
 	// maxRecentOutcomes bounds the outcomes that are remembered: several times the jobs of a large
 	// failure domain within outcomeRetention.
-	maxUnclaimed = 4096
+	maxRecentOutcomes = 4096
 )
 
 // jobRef identifies a job, or a part of one, of an entry VM.
@@ -26,7 +26,7 @@
 func (sub Submission) ref() jobRef { return jobRef{entry: sub.Entry, key: sub.key()} }
 
 // recentOutcome is the outcome of a job that its entry VM may not have received.
-type unclaimed struct {
+type recentOutcome struct {
 	outcome work.Outcome
 	at      time.Duration
 }
@@ -48,25 +48,25 @@
 
 // rememberOutcome keeps the outcome of another VM's job for a while. If too many are kept already,
 // it notes instead that one was dropped.
-func (s *State) remember(now time.Duration, sub Submission, outcome work.Outcome) {
+func (s *State) rememberOutcome(now time.Duration, sub Submission, outcome work.Outcome) {
 	switch {
 	case sub.Entry == "":
-	case len(s.recentOutcomes) >= maxUnclaimed:
+	case len(s.recentOutcomes) >= maxRecentOutcomes:
 		s.outcomeDiscardedAt = now
 	default:
-		s.recentOutcomes[sub.ref()] = unclaimed{outcome: outcome, at: now}
+		s.recentOutcomes[sub.ref()] = recentOutcome{outcome: outcome, at: now}
 	}
 }
 
 // expireOutcomes drops the outcomes and replaced requests that are older than outcomeRetention.
-func (s *State) forgetUnclaimed(now time.Duration) {
+func (s *State) expireOutcomes(now time.Duration) {
 	for job, past := range s.recentOutcomes {
-		if now-past.at > unclaimedTime {
+		if now-past.at > outcomeRetention {
 			delete(s.recentOutcomes, job)
 		}
 	}
 	for job, at := range s.superseded {
-		if now-at > unclaimedTime {
+		if now-at > outcomeRetention {
 			delete(s.superseded, job)
 		}
 	}
@@ -78,8 +78,8 @@
 // and begin is set, Rejoin hands the job in. The old request may still be on its way within this
 // process; it doesn't start the job any more. A Forgotten job gets no answer.
 func (s *State) Rejoin(now time.Duration, sub Submission, ago time.Duration, begin bool) Presence {
-	if j := s.jobsByKey[sub.key()]; j != nil && !j.kept() && j.sub.Entry == sub.Entry {
-		j.mark(now, "asked again", "", "", "its connection broke")
+	if j := s.jobsByKey[sub.key()]; j != nil && !j.isDurable() && j.sub.Entry == sub.Entry {
+		j.record(now, "asked again", "", "", "its connection broke")
 		s.attachCaller(now, j, sub)
 		return Present
 	}
@@ -87,7 +87,7 @@
 		s.answer(sub, past.outcome)
 		return Present
 	}
-	if ago >= unclaimedTime || s.outcomeDiscardedAt > 0 && now-s.outcomeDiscardedAt <= unclaimedTime || len(s.superseded) >= maxUnclaimed {
+	if ago >= outcomeRetention || s.outcomeDiscardedAt > 0 && now-s.outcomeDiscardedAt <= outcomeRetention || len(s.superseded) >= maxRecentOutcomes {
 		return Forgotten
 	}
 	if begin {
@@ -98,7 +98,7 @@
 }
 
 // isSuperseded reports whether a submission arrives after the request that replaced it.
-func (s *State) bars(now time.Duration, sub Submission) bool {
+func (s *State) isSuperseded(now time.Duration, sub Submission) bool {
 	at, asked := s.superseded[sub.ref()]
-	return asked && now-at <= unclaimedTime
+	return asked && now-at <= outcomeRetention
 }
