--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -11,33 +11,33 @@
 )
 
 // submitFrom submits a job of one task for an entry VM.
-func (b *harness) remote(id, entry string) Submission {
+func (b *harness) submitFrom(id, entry string) Submission {
 	b.s.EntryKeepalive(entry, b.now+time.Hour)
 	ref := b.submit(id, 1, 1, entry)
 	return b.s.jobs[ref].sub
 }
 
 // askedAgain returns the submission with a new reference, as in a request that replaces it.
-func (b *harness) asked(sub Submission) Submission {
+func (b *harness) askedAgain(sub Submission) Submission {
 	b.ref++
 	sub.Ref = b.ref
 	return sub
 }
 
 // A running job answers only the newest request for it, and isn't started again.
-func TestARunningJobIsRejoined(t *testing.T) {
+func TestRejoinOfRunningJobAnswersNewestRequest(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
-	first := b.remote("j", "e")
+	first := b.submitFrom("j", "e")
 	start := pickEffects[StartRun](b.effects())[0]
-	again := b.asked(first)
+	again := b.askedAgain(first)
 	must.Eq(t, Present, b.s.Rejoin(b.now, again, ms, false))
 	effects := b.effects()
 	must.Eq(t, first.Ref, pickEffects[Answer](effects)[0].Ref)
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	// The handler of the broken connection cancels a request that is no longer the job's.
 	b.s.Cancel(b.now, first.Ref)
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	answers := pickEffects[Answer](b.effects())
 	must.Eq(t, again.Ref, answers[0].Ref)
@@ -46,42 +46,42 @@
 
 // The outcome of an ended job is repeated, but only to its entry VM, and until it is forgotten.
 // After that the job is Forgotten, not Absent.
-func TestAnEndedJobIsRejoined(t *testing.T) {
+func TestRejoinOfEndedJobRepeatsOutcome(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
-	sub := b.remote("j", "e")
+	sub := b.submitFrom("j", "e")
 	start := pickEffects[StartRun](b.effects())[0]
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5001, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}})
 	// This also holds before the first answer has been sent.
-	again := b.asked(sub)
+	again := b.askedAgain(sub)
 	must.Eq(t, Present, b.s.Rejoin(b.now, again, ms, false))
 	answers := pickEffects[Answer](b.effects())
 	must.SliceLen(t, 2, answers)
 	must.Eq(t, Answer{Ref: again.Ref, Outcome: work.Outcome{Result: work.Completed}}, answers[1])
-	other := b.asked(sub)
+	other := b.askedAgain(sub)
 	other.Entry = "other"
 	must.Eq(t, Absent, b.s.Rejoin(b.now, other, ms, false))
-	b.advance(unclaimedTime + 40*ms)
-	must.Eq(t, Forgotten, b.s.Rejoin(b.now, b.asked(sub), unclaimedTime+40*ms, false))
+	b.advance(outcomeRetention + 40*ms)
+	must.Eq(t, Forgotten, b.s.Rejoin(b.now, b.askedAgain(sub), outcomeRetention+40*ms, false))
 }
 
 // A job that never arrived is Absent, unless too many outcomes came to remember all of them.
-func TestWhatIsForgottenIsNotAbsent(t *testing.T) {
+func TestForgottenJobIsNotAbsent(t *testing.T) {
 	b := newHarness(t, Options{})
 	must.Eq(t, Absent, b.s.Rejoin(b.now, Submission{Entry: "e", Job: work.Job{ID: "j"}}, ms, false))
-	for i := range maxUnclaimed + 1 {
-		b.s.remember(b.now, Submission{Entry: "e", Job: work.Job{ID: fmt.Sprint(i)}}, work.Outcome{})
+	for i := range maxRecentOutcomes + 1 {
+		b.s.rememberOutcome(b.now, Submission{Entry: "e", Job: work.Job{ID: fmt.Sprint(i)}}, work.Outcome{})
 	}
-	must.MapLen(t, maxUnclaimed, b.s.recentOutcomes)
+	must.MapLen(t, maxRecentOutcomes, b.s.recentOutcomes)
 	must.Eq(t, Forgotten, b.s.Rejoin(b.now, Submission{Entry: "e", Job: work.Job{ID: "j"}}, ms, false))
-	b.advance(unclaimedTime + 40*ms)
+	b.advance(outcomeRetention + 40*ms)
 	must.MapEmpty(t, b.s.recentOutcomes)
 	must.Eq(t, Absent, b.s.Rejoin(b.now, Submission{Entry: "e", Job: work.Job{ID: "j"}}, ms, false))
 }
 
 // A part that another owner delegated is found by its first task.
-func TestAPartIsRejoined(t *testing.T) {
+func TestRejoinFindsPartByFirstTask(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 4)
 	// An owner that has seen no job yet takes no parts.
@@ -96,19 +96,19 @@
 	}
 	b.s.Submit(b.now, part)
 	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
-	must.Eq(t, Present, b.s.Rejoin(b.now, b.asked(part), ms, false))
-	whole := b.asked(part)
+	must.Eq(t, Present, b.s.Rejoin(b.now, b.askedAgain(part), ms, false))
+	whole := b.askedAgain(part)
 	whole.Part = nil
 	must.Eq(t, Absent, b.s.Rejoin(b.now, whole, ms, false))
 }
 
 // A running job is only found by its own entry VM.
-func TestARunningJobIsItsEntryVMsAlone(t *testing.T) {
+func TestRejoinFromOtherEntryVMFindsNothing(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
-	sub := b.remote("j", "e")
+	sub := b.submitFrom("j", "e")
 	b.effects()
-	other := b.asked(sub)
+	other := b.askedAgain(sub)
 	other.Entry = "other"
 	must.Eq(t, Absent, b.s.Rejoin(b.now, other, ms, false))
 	must.SliceEmpty(t, pickEffects[Answer](b.effects()))
@@ -116,7 +116,7 @@
 
 // An absent job is started only by the request that asks for it again. The first request, which was
 // read but had to wait meanwhile, doesn't start it, whatever happened to the second one.
-func TestAnAbsentJobIsBegunOnce(t *testing.T) {
+func TestAbsentJobStartsOnce(t *testing.T) {
 	for name, room := range map[string]int64{"job starts": 1, "job refused": 0} {
 		b := newHarness(t, Options{})
 		b.usable("a", 1)
@@ -126,7 +126,7 @@
 			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 2 - room}, DeclaredRunTime: 100 * ms}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		}
-		again := b.asked(first)
+		again := b.askedAgain(first)
 		must.Eq(t, Absent, b.s.Rejoin(b.now, again, ms, true), must.Sprint(name))
 		effects := b.effects()
 		must.Eq(t, int(room), len(pickEffects[StartRun](effects)), must.Sprint(name))
@@ -136,7 +136,7 @@
 		effects = b.effects()
 		must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint(name))
 		must.Eq(t, []Answer{{Ref: first.Ref, Outcome: work.Outcome{Result: work.Unknown, Reason: "the job was asked for again"}}}, pickEffects[Answer](effects))
-		b.advance(unclaimedTime + 40*ms)
+		b.advance(outcomeRetention + 40*ms)
 		must.MapEmpty(t, b.s.superseded)
 	}
 }
--- a/scheduler/resend.go
+++ b/scheduler/resend.go
@@ -16,27 +16,27 @@
 // orders would make them later still.
 
 // resendPolicy decides when orders and polls are sent again.
-type resending struct {
+type resendPolicy struct {
 	// mean and deviation are moving averages of how long answers take, and of how much that varies.
 	mean, deviation time.Duration
 	// slowMean is a moving average of how long answers take over so many answers that those of a
 	// single burst don't show. minimum follows the least value of slowMean lately.
-	usual, least time.Duration
+	slowMean, minimum time.Duration
 	// tickDelay is a moving average of how late ticks come.
-	late time.Duration
+	tickDelay time.Duration
 	// stalled says that the last tick came so late that answers may wait to be read.
 	stalled bool
 	// missed and answered count the answers that were missed and that came lately. Both decay by
 	// missDecay at each tick.
 	missed, answered float64
 	// noCopies disables all copies.
-	once bool
+	noCopies bool
 	// budget is how many copies may be sent; each answer adds one, up to maxBudget.
 	budget int
 	// copiesSent counts the copies.
-	sent int
+	copiesSent int
 	// pollWait is how long a poll may wait at its target while answers are being lost.
-	look time.Duration
+	pollWait time.Duration
 }
 
 // Parameters of sending again.
@@ -45,154 +45,154 @@
 	// within which an order has to be answered.
 	maxCopies = 4
 	// minResendInterval is five times the usual answer time of a target.
-	leastResend = 15 * time.Millisecond
+	minResendInterval = 15 * time.Millisecond
 	// maxResendInterval allows all copies to be sent within the time of an order.
-	mostResend = 30 * time.Millisecond
+	maxResendInterval = 30 * time.Millisecond
 	// meanWeight, deviationWeight and deviationFactor are those of TCP's retransmission timeout.
 	meanWeight, deviationWeight = 0.125, 0.25
 	deviationFactor             = 4
 	// slowMeanWeight averages over some 60 answers: a job of eight tasks makes a burst of that
 	// many, and the last of them is read after all others.
-	answerWeight = 1.0 / 64
+	slowMeanWeight = 1.0 / 64
 	// minimumWeight lets the minimum rise within some thousand answers, which is a few seconds.
-	leastWeight = 1.0 / 4096
+	minimumWeight = 1.0 / 4096
 	// There is ample CPU while ticks are at most ampleTickDelay late, and while answers take at
 	// most ampleFactor times the minimum plus ampleSlack. Then more polls delay no first start.
-	ampleLate   = 1500 * time.Microsecond
-	ampleFactor = 1.5
-	ampleSlack  = time.Millisecond
+	ampleTickDelay = 1500 * time.Microsecond
+	ampleFactor    = 1.5
+	ampleSlack     = time.Millisecond
 	// stallGap is twice the time between two ticks, less the variation of timers.
 	stallGap = 2*TickInterval - 5*time.Millisecond
 	// tickDelayWeight averages the lateness of ticks over a sixth of a second.
-	lateWeight = 0.125
+	tickDelayWeight = 0.125
 	// spareTickDelay is the mean lateness of ticks up to which there is CPU to spare. A single
 	// server that is busy half of its time delays what arrives by about the time of one batch of
 	// messages, which is some milliseconds.
-	spareLate = 6 * time.Millisecond
+	spareTickDelay = 6 * time.Millisecond
 	// promptAnswer is the mean answer time up to which copies are sent. It is two thirds of
 	// maxResendInterval: with slower answers the answer would often come after the copy was sent.
 	// Ticks alone don't show this: they are on time while hundreds of answers wait to be read.
 	promptAnswer = 20 * time.Millisecond
 	// missDecay leaves about a third of a count after one second.
-	missFading = 0.98
+	missDecay = 0.98
 	// lossShare is the share of answers that must be missed for more losses to be expected. For
 	// an owner of 220 targets, a single target that is gone misses one answer in two hundred.
 	// Without this limit it would have all targets polled five times as often.
-	doubtShare = 0.01
+	lossShare = 0.01
 	// maxBudget is the most copies in a row without any answer. It covers the orders lost at a few
 	// targets, but not all first polls of a takeover.
 	maxBudget = 64
 	// pollWaitGrowth and pollWaitDecline change pollWait at each tick. It grows to five times its
 	// value within 80 ms of lacking CPU, and shrinks back within 300 ms of ample CPU.
-	lookGrowth, lookDecline = 1.5, 0.9
+	pollWaitGrowth, pollWaitDecline = 1.5, 0.9
 	// answerTimeout is how long the first copy of an order may go unanswered while others are on
 	// their way: the adapter's timeout, less the variation of its timer.
-	answerTime = 110 * time.Millisecond
+	answerTimeout = 110 * time.Millisecond
 )
 
 // newResendPolicy returns a policy with full budget and short polls, for a process's first orders.
-func newResending(noCopies bool) resending {
-	return resending{once: noCopies, budget: maxBudget, look: disturbedWait}
+func newResendPolicy(noCopies bool) resendPolicy {
+	return resendPolicy{noCopies: noCopies, budget: maxBudget, pollWait: shortPollWait}
 }
 
 // tick updates the policy with the time since the last tick.
-func (r *resending) tick(gap time.Duration) {
-	r.missed *= missFading
-	r.answered *= missFading
+func (r *resendPolicy) tick(gap time.Duration) {
+	r.missed *= missDecay
+	r.answered *= missDecay
 	late := max(gap-TickInterval, 0)
-	r.late += time.Duration(lateWeight * float64(late-r.late))
+	r.tickDelay += time.Duration(tickDelayWeight * float64(late-r.tickDelay))
 	r.stalled = gap > stallGap
 }
 
 // hasSpareCPU reports whether this process has CPU to spare: its ticks are on time, and answers
 // don't wait to be read.
-func (r *resending) spare() bool {
-	return !r.stalled && r.late <= spareLate && r.usual <= promptAnswer
+func (r *resendPolicy) hasSpareCPU() bool {
+	return !r.stalled && r.tickDelay <= spareTickDelay && r.slowMean <= promptAnswer
 }
 
 // hasAmpleCPU reports whether there is so much spare CPU that more polls delay no answer.
-func (r *resending) ample() bool {
-	return r.spare() && r.late <= ampleLate && r.usual <= time.Duration(ampleFactor*float64(r.least))+ampleSlack
+func (r *resendPolicy) hasAmpleCPU() bool {
+	return r.hasSpareCPU() && r.tickDelay <= ampleTickDelay && r.slowMean <= time.Duration(ampleFactor*float64(r.minimum))+ampleSlack
 }
 
 // adjustPollWait makes polls wait shorter while there is ample CPU, and longer otherwise.
-func (r *resending) pace(longest time.Duration) {
-	factor := lookDecline
-	if !r.ample() {
-		factor = lookGrowth
+func (r *resendPolicy) adjustPollWait(longest time.Duration) {
+	factor := pollWaitDecline
+	if !r.hasAmpleCPU() {
+		factor = pollWaitGrowth
 	}
-	r.look = min(max(time.Duration(factor*float64(r.look)), disturbedWait), longest)
+	r.pollWait = min(max(time.Duration(factor*float64(r.pollWait)), shortPollWait), longest)
 }
 
 // needsSecondPoll reports whether a second poll is to wait at a target beside each first one:
 // answers are being lost, polls are as short as they get, and there is ample CPU for more of them.
-func (s *State) looksTwice(now time.Duration) bool {
-	return s.unsettled(now) && s.resend.ample() && s.resend.look == disturbedWait
+func (s *State) needsSecondPoll(now time.Duration) bool {
+	return s.losesAnswers(now) && s.resend.hasAmpleCPU() && s.resend.pollWait == shortPollWait
 }
 
 // countAnswer counts an answer of a target and adds it to the budget for copies.
-func (r *resending) heard(verdict work.Verdict) {
-	if !unanswered(verdict) && verdict != work.VerdictUnsent {
+func (r *resendPolicy) countAnswer(verdict work.Verdict) {
+	if !isUnanswered(verdict) && verdict != work.VerdictUnsent {
 		r.answered++
 		r.budget = min(r.budget+1, maxBudget)
 	}
 }
 
 // RecordAnswerTime says how long the answer to one copy of an order took until it was read.
-func (s *State) Answered(took time.Duration) { s.resend.learn(took) }
+func (s *State) RecordAnswerTime(took time.Duration) { s.resend.observe(took) }
 
 // observe updates the averages with the time that one answer took.
-func (r *resending) learn(took time.Duration) {
+func (r *resendPolicy) observe(took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.deviation = took, took/2
-		r.usual, r.least = took, took
+		r.slowMean, r.minimum = took, took
 		return
 	}
-	r.usual += time.Duration(answerWeight * float64(took-r.usual))
-	r.least = min(r.least+time.Duration(leastWeight*float64(r.usual-r.least)), r.usual)
+	r.slowMean += time.Duration(slowMeanWeight * float64(took-r.slowMean))
+	r.minimum = min(r.minimum+time.Duration(minimumWeight*float64(r.slowMean-r.minimum)), r.slowMean)
 	r.deviation += time.Duration(deviationWeight * float64((took-r.mean).Abs()-r.deviation))
 	r.mean += time.Duration(meanWeight * float64(took-r.mean))
 }
 
 // resendInterval is how long a copy waits for its answer before the next one is sent.
-func (r *resending) pause() time.Duration {
-	return min(max(r.mean+deviationFactor*r.deviation, leastResend), mostResend)
+func (r *resendPolicy) resendInterval() time.Duration {
+	return min(max(r.mean+deviationFactor*r.deviation, minResendInterval), maxResendInterval)
 }
 
 // orderCopies are the copies of one order or poll.
-type copies struct {
+type orderCopies struct {
 	// lastSent is when the last one was sent.
-	sent time.Duration
+	lastSent time.Duration
 	// count is how many there are, unanswered how many of them have no answer yet.
-	count, waiting int
+	count, unanswered int
 }
 
 // add counts a copy that is sent now.
-func (c *copies) add(now time.Duration) {
-	c.sent = now
+func (c *orderCopies) add(now time.Duration) {
+	c.lastSent = now
 	c.count++
-	c.waiting++
+	c.unanswered++
 }
 
 // takeBudget spends the budget for one copy, and reports whether there was any.
-func (r *resending) affords() bool {
-	if r.once || r.budget == 0 {
+func (r *resendPolicy) takeBudget() bool {
+	if r.noCopies || r.budget == 0 {
 		return false
 	}
 	r.budget--
-	r.sent++
+	r.copiesSent++
 	return true
 }
 
 // takeDueCopy reports whether the next copy is due and may be sent, and spends its budget. wait is
 // how long the target may hold back its answer.
-func (r *resending) due(now time.Duration, c *copies, wait time.Duration) bool {
-	return c.count < maxCopies && now-c.sent >= wait+r.pause() && r.spare() && r.affords()
+func (r *resendPolicy) takeDueCopy(now time.Duration, c *orderCopies, wait time.Duration) bool {
+	return c.count < maxCopies && now-c.lastSent >= wait+r.resendInterval() && r.hasSpareCPU() && r.takeBudget()
 }
 
 // recordMissedAnswer counts an answer that should have come. Those of a silent target say nothing
 // about the other targets and don't count.
-func (s *State) missAnswer(now time.Duration, t *target) {
+func (s *State) recordMissedAnswer(now time.Duration, t *target) {
 	if t.state == usable {
 		s.lastMissedAnswer = now
 		s.resend.missed++
@@ -200,11 +200,11 @@
 }
 
 // resendDueStart sends a start again that has had no answer for resendInterval.
-func (s *State) startAgain(now time.Duration, r *run) {
-	if r.state == ordered && r.stop == nil && !s.startsBlocked(now) && s.resend.due(now, &r.copies, 0) {
+func (s *State) resendDueStart(now time.Duration, r *run) {
+	if r.state == ordered && r.stop == nil && !s.startsBlocked(now) && s.resend.takeDueCopy(now, &r.copies, 0) {
 		s.sendStart(now, r)
 		if r.copies.count > 2 {
-			s.missAnswer(now, r.target)
+			s.recordMissedAnswer(now, r.target)
 		}
 	}
 }
@@ -212,8 +212,8 @@
 // resendBrokenStart sends a start again at once after its connection broke, and reports whether it
 // did. No answer to that copy will come, and another copy costs less than to stop the run and start
 // its task elsewhere.
-func (s *State) startAtOnce(now time.Duration, r *run) bool {
-	if r.state != ordered || r.stop != nil || s.startsBlocked(now) || r.copies.count >= maxCopies || now-r.ordered >= answerTime || !s.resend.affords() {
+func (s *State) resendBrokenStart(now time.Duration, r *run) bool {
+	if r.state != ordered || r.stop != nil || s.startsBlocked(now) || r.copies.count >= maxCopies || now-r.ordered >= answerTimeout || !s.resend.takeBudget() {
 		return false
 	}
 	s.sendStart(now, r)
@@ -223,13 +223,13 @@
 // pollForDueRuns polls a target at once for a run that should have ended, while answers are being
 // lost. So the completion of a short task is known within tens of milliseconds, even while polls
 // wait long.
-func (s *State) askForDue(now time.Duration, t *target) {
-	if !s.unsettled(now) {
+func (s *State) pollForDueRuns(now time.Duration, t *target) {
+	if !s.losesAnswers(now) {
 		return
 	}
 	for _, r := range t.runs {
-		if r.state == running && r.stop == nil && r.due(now) {
-			s.askAtOnce(now, t)
+		if r.state == running && r.stop == nil && r.shouldHaveEnded(now) {
+			s.pollNow(now, t)
 			return
 		}
 	}
@@ -244,13 +244,13 @@
 
 // shouldHaveEnded reports whether most runs of this expected time would have ended by now.
 // Lasting tasks don't end, and background tasks get too little CPU for their time to tell.
-func (r *run) due(now time.Duration) bool {
+func (r *run) shouldHaveEnded(now time.Duration) bool {
 	return !r.task.step.Lasting && !r.task.step.Background && now-r.ordered > time.Duration(dueFactor*float64(r.expected))+dueSlack
 }
 
 // pollNow sends a copy of the poll that waits at the target; the copy asks for an answer at once.
-func (s *State) askAtOnce(now time.Duration, t *target) {
-	if !t.pollPending || !s.resend.due(now, &t.pollCopies, 0) {
+func (s *State) pollNow(now time.Duration, t *target) {
+	if !t.pollPending || !s.resend.takeDueCopy(now, &t.pollCopies, 0) {
 		return
 	}
 	t.pollCopies.add(now)
@@ -262,14 +262,14 @@
 // resendPoll sends a poll again that should have been answered; the copy asks for an answer at
 // once. While answers are being lost, a second poll soon waits beside each first one: if a
 // completion is reported only to a lost poll, that costs a short task its slack.
-func (s *State) lookAgain(now time.Duration, t *target) {
+func (s *State) resendPoll(now time.Duration, t *target) {
 	c := &t.pollCopies
 	switch {
 	case !t.pollPending:
 		return
-	case c.count == 1 && s.looksTwice(now) && s.resend.due(now, c, 0):
-	case s.resend.due(now, c, t.poll.Wait):
-		s.missAnswer(now, t)
+	case c.count == 1 && s.needsSecondPoll(now) && s.resend.takeDueCopy(now, c, 0):
+	case s.resend.takeDueCopy(now, c, t.poll.Wait):
+		s.recordMissedAnswer(now, t)
 		t.poll.Wait = 0
 	default:
 		return
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -20,7 +20,7 @@
 }
 
 // copiesSentWithin counts the copies of a start that are sent within a time.
-func copiesIn(b *harness, start StartRun, d time.Duration) int {
+func copiesSentWithin(b *harness, start StartRun, d time.Duration) int {
 	before := b.starts[start.Run]
 	b.advance(d)
 	return b.starts[start.Run] - before
@@ -28,12 +28,12 @@
 
 // A start without an answer is sent again unchanged, and the first answer counts. The run is
 // neither stopped nor started elsewhere.
-func TestStartsWithoutAnAnswerAreSentAgain(t *testing.T) {
+func TestUnansweredStartIsSentAgain(t *testing.T) {
 	b, start := orderedRun(t)
-	must.Eq(t, 0, copiesIn(b, start, 10*ms))
-	must.Eq(t, 1, copiesIn(b, start, 20*ms))
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
-	b.s.Started(b.now+100*ms, "a", start.Run, work.OrderAnswer{})
+	must.Eq(t, 0, copiesSentWithin(b, start, 10*ms))
+	must.Eq(t, 1, copiesSentWithin(b, start, 20*ms))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now+100*ms, "a", start.Run, work.OrderAnswer{})
 	effects := b.advance(300 * ms)
 	must.Eq(t, 2, b.starts[start.Run])
 	must.SliceEmpty(t, pickEffects[StopRun](effects))
@@ -41,35 +41,35 @@
 }
 
 // At most maxCopies are sent. If none is answered, the run is stopped.
-func TestCopiesAreBounded(t *testing.T) {
+func TestStartCopiesAreBounded(t *testing.T) {
 	b, start := orderedRun(t)
 	b.advance(120 * ms)
 	must.Eq(t, maxCopies, b.starts[start.Run])
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{})
 	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
-	must.Eq(t, 0, copiesIn(b, start, 200*ms))
+	must.Eq(t, 0, copiesSentWithin(b, start, 200*ms))
 }
 
 // A copy whose connection breaks doesn't end the wait for the others.
-func TestABrokenCopyLeavesTheOthers(t *testing.T) {
+func TestBrokenCopyLeavesOthersPending(t *testing.T) {
 	b, start := orderedRun(t)
 	b.advance(40 * ms)
 	must.Eq(t, 3, b.starts[start.Run])
-	b.s.Started(b.now, "a", start.Run, work.OrderAnswer{})
+	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{})
 	must.SliceEmpty(t, pickEffects[StopRun](b.effects()))
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	must.SliceEmpty(t, pickEffects[StopRun](b.advance(300*ms)))
 }
 
 // A target that refuses one of two copies may have started the run by the other. So the run is over
 // only after its stop or its completion, and a target that has seen it end did start it.
-func TestARefusedCopyTellsNothingOfTheOthers(t *testing.T) {
+func TestRefusedCopyDoesNotDecideOthers(t *testing.T) {
 	for verdict, stopped := range map[work.Verdict]bool{
 		work.VerdictNoCapacity: true, work.VerdictLeaseExpired: true, work.VerdictUnhealthy: true, work.VerdictInvalid: true, work.VerdictStaleRun: false,
 	} {
 		b, start := orderedRun(t)
 		b.advance(40 * ms)
-		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
+		b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
 		effects := b.effects()
 		must.Eq(t, stopped, len(pickEffects[StopRun](effects)) > 0, must.Sprint(verdict))
 		must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint(verdict))
@@ -82,14 +82,14 @@
 
 // This also holds if the copy is refused by another owner's target or by another incarnation: the
 // job counts as started, and its caller is told Unknown.
-func TestACopyThatMeetsAnotherOwnerLeavesTheJobBegun(t *testing.T) {
+func TestFencedCopyLeavesJobStarted(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictMisdirected} {
 		b := newHarness(t, Options{})
 		b.usable("a", 1)
 		b.submit("j", 1, 1, "")
 		start := pickEffects[StartRun](b.effects())[0]
 		b.advance(40 * ms)
-		b.s.Started(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
+		b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: verdict, ClockMS: 5000})
 		deposed := pickEffects[Deposed](b.effects())
 		must.Eq(t, verdict == work.VerdictFenced, len(deposed) > 0)
 		b.s.Abandon(b.now)
@@ -98,20 +98,20 @@
 }
 
 // After a tick that comes too late no copies are sent: the answers may be waiting to be read.
-func TestNoCopiesAfterAStall(t *testing.T) {
+func TestNoCopiesAfterStall(t *testing.T) {
 	b, start := orderedRun(t)
 	b.now += 60 * ms
 	b.s.Tick(b.now)
 	b.effects()
 	must.Eq(t, 1, b.starts[start.Run])
-	must.Eq(t, 1, copiesIn(b, start, 20*ms))
+	must.Eq(t, 1, copiesSentWithin(b, start, 20*ms))
 }
 
 // An unanswered stop is first sent again as soon as any order, so that the target's lease can be
 // extended again soon.
-func TestStopsAreSentAgainSoon(t *testing.T) {
+func TestUnansweredStopIsSentAgainSoon(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	b.s.Cancel(b.now, 1)
 	stops := pickEffects[StopRun](b.advance(100 * ms))
 	must.Greater(t, 3, len(stops))
@@ -120,31 +120,31 @@
 
 // A poll that should have been answered is sent again and asks for an answer at once. An answer to
 // an earlier poll does not count for a later one: it may miss runs that have started since.
-func TestLooksWithoutAnAnswerAreSentAgain(t *testing.T) {
+func TestUnansweredPollIsSentAgain(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 	first := b.s.targets["a"].poll
 	must.Eq(t, DefaultPollWait, first.Wait)
 	must.SliceEmpty(t, pickEffects[Poll](b.advance(DefaultPollWait)))
 	again := pickEffects[Poll](b.advance(20 * ms))
 	must.SliceLen(t, 1, again)
 	must.Eq(t, Poll{To: first.To, SentAt: first.SentAt, LeaseUntil: first.LeaseUntil, AckUpTo: first.AckUpTo}, again[0])
-	b.s.Looked(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400, Running: listing(start.Run)}, work.VerdictDone)
+	b.s.HandlePollAnswer(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400, Running: listing(start.Run)}, work.VerdictDone)
 	b.effects()
-	b.s.Looked(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400}, work.VerdictDone)
+	b.s.HandlePollAnswer(b.now, "a", first.SentAt, work.PollAnswer{ClockMS: 5400}, work.VerdictDone)
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 	must.True(t, b.s.targets["a"].pollPending)
 }
 
 // While answers are being lost, a second poll waits beside the first one, so that a completion is
 // reported even if one of them is lost. Otherwise there is no second poll.
-func TestASecondLookWaitsWhileAnswersGetLost(t *testing.T) {
+func TestSecondPollWaitsWhileAnswersAreLost(t *testing.T) {
 	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
 		if lost {
 			b.loseAnswers()
 		}
-		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
+		b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
 		b.effects()
 		looks := pickEffects[Poll](b.advance(40 * ms))
@@ -153,37 +153,37 @@
 			continue
 		}
 		must.SliceLen(t, 1, looks)
-		must.Eq(t, disturbedWait, looks[0].Wait)
+		must.Eq(t, shortPollWait, looks[0].Wait)
 		first := b.s.targets["a"].poll.SentAt
-		b.s.Looked(b.now, "a", first, work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}}, work.VerdictDone)
+		b.s.HandlePollAnswer(b.now, "a", first, work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}}, work.VerdictDone)
 		must.Eq(t, work.Completed, pickEffects[Answer](b.effects())[0].Outcome.Result)
 	}
 }
 
 // An owner that lacks CPU sends no second polls and no copies, because they would delay its answers
 // further. It sends them once it has CPU again, however many targets it owns.
-func TestNoCopiesForWantOfProcessor(t *testing.T) {
+func TestNoCopiesWithoutSpareCPU(t *testing.T) {
 	for _, targets := range []int{2, 240} {
 		b, start := orderedRun(t)
 		for i := 2; i < targets; i++ {
 			b.usable(fmt.Sprint("t", i), 1)
 		}
 		b.loseAnswers()
-		must.True(t, b.s.looksTwice(b.now))
+		must.True(t, b.s.needsSecondPoll(b.now))
 		for range 500 {
-			b.s.Answered(2 * promptAnswer)
+			b.s.RecordAnswerTime(2 * promptAnswer)
 		}
-		must.False(t, b.s.looksTwice(b.now))
-		must.Eq(t, 0, copiesIn(b, start, 60*ms))
+		must.False(t, b.s.needsSecondPoll(b.now))
+		must.Eq(t, 0, copiesSentWithin(b, start, 60*ms))
 		for range 500 {
-			b.s.Answered(promptAnswer / 4)
+			b.s.RecordAnswerTime(promptAnswer / 4)
 		}
-		must.Eq(t, 1, copiesIn(b, start, 20*ms))
+		must.Eq(t, 1, copiesSentWithin(b, start, 20*ms))
 	}
 }
 
 // Ticks that are late again and again show a lack of CPU, even if none is late enough alone.
-func TestNoCopiesWhileTicksComeLate(t *testing.T) {
+func TestNoCopiesWhileTicksAreLate(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
 	lateTicks := func(n int) {
@@ -204,65 +204,65 @@
 
 // While CPU is lacking, polls wait longer, up to their usual wait. With ample CPU they get short
 // again.
-func TestShortLooksFollowTheProcessor(t *testing.T) {
+func TestPollWaitFollowsSpareCPU(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.loseAnswers()
-	must.Eq(t, disturbedWait, b.s.lookWait(b.now))
+	must.Eq(t, shortPollWait, b.s.pollWait(b.now))
 	for range 500 {
-		b.s.Answered(2 * promptAnswer)
+		b.s.RecordAnswerTime(2 * promptAnswer)
 	}
 	b.advance(100 * ms)
-	must.Eq(t, DefaultPollWait, b.s.lookWait(b.now))
+	must.Eq(t, DefaultPollWait, b.s.pollWait(b.now))
 	for range 500 {
-		b.s.Answered(promptAnswer / 4)
+		b.s.RecordAnswerTime(promptAnswer / 4)
 	}
 	b.advance(400 * ms)
-	must.Eq(t, disturbedWait, b.s.lookWait(b.now))
+	must.Eq(t, shortPollWait, b.s.pollWait(b.now))
 }
 
 // If a single target of many doesn't answer, the others aren't polled more often; if a hundredth of
 // all answers is missing, they are. Answers missing from a silent target don't count.
-func TestFewMissedAnswersDisturbNobody(t *testing.T) {
+func TestFewMissedAnswersKeepPollsLong(t *testing.T) {
 	b, _ := orderedRun(t)
 	lost := b.s.targets["a"]
 	for range 199 {
-		b.s.resend.heard(work.VerdictDone)
+		b.s.resend.countAnswer(work.VerdictDone)
 	}
-	b.s.missAnswer(b.now, lost)
-	must.False(t, b.s.unsettled(b.now))
-	b.s.missAnswer(b.now, lost)
-	b.s.missAnswer(b.now, lost)
-	must.True(t, b.s.unsettled(b.now))
+	b.s.recordMissedAnswer(b.now, lost)
+	must.False(t, b.s.losesAnswers(b.now))
+	b.s.recordMissedAnswer(b.now, lost)
+	b.s.recordMissedAnswer(b.now, lost)
+	must.True(t, b.s.losesAnswers(b.now))
 	b = newHarness(t, Options{})
 	b.usable("a", 1)
 	b.s.targets["a"].state = silent
 	b.loseAnswers()
-	must.False(t, b.s.unsettled(b.now))
+	must.False(t, b.s.losesAnswers(b.now))
 }
 
 // Answers that get slower show that more polls would slow them further. That ends second polls long
 // before the process lacks the CPU for copies.
-func TestLooksEndBeforeCopies(t *testing.T) {
+func TestSecondPollsStopBeforeCopies(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.loseAnswers()
 	for range 500 {
-		b.s.Answered(2 * ms)
+		b.s.RecordAnswerTime(2 * ms)
 	}
-	must.True(t, b.s.looksTwice(b.now))
+	must.True(t, b.s.needsSecondPoll(b.now))
 	for range 500 {
-		b.s.Answered(6 * ms)
+		b.s.RecordAnswerTime(6 * ms)
 	}
-	must.True(t, b.s.resend.spare())
-	must.False(t, b.s.looksTwice(b.now))
+	must.True(t, b.s.resend.hasSpareCPU())
+	must.False(t, b.s.needsSecondPoll(b.now))
 }
 
 // While answers are being lost, a target is polled for a run that should have ended, even though a
 // poll waits there. Otherwise the waiting poll reports it.
-func TestDueEndsAreAskedFor(t *testing.T) {
+func TestDueRunIsPolledFor(t *testing.T) {
 	for name, lost := range map[string]bool{"answers are lost": true, "no answers are lost": false} {
 		b, start := orderedRun(t)
-		b.s.Started(b.now, "a", start.Run, doneAnswer(5000))
-		b.s.resend.look = DefaultPollWait
+		b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
+		b.s.resend.pollWait = DefaultPollWait
 		b.s.options.PollWait = DefaultPollWait
 		b.advance(140 * ms)
 		if lost {
@@ -278,21 +278,21 @@
 }
 
 // A burst of answers, the last of which are read late, doesn't count as a lack of CPU.
-func TestABurstOfAnswersIsNoWantOfProcessor(t *testing.T) {
+func TestBurstOfAnswersShowsNoLackOfCPU(t *testing.T) {
 	b, _ := orderedRun(t)
 	b.loseAnswers()
 	for range 100 {
-		b.s.Answered(promptAnswer / 4)
+		b.s.RecordAnswerTime(promptAnswer / 4)
 	}
 	for i := range 32 {
-		b.s.Answered(time.Duration(i) * ms / 4)
+		b.s.RecordAnswerTime(time.Duration(i) * ms / 4)
 	}
-	must.True(t, b.s.looksTwice(b.now))
+	must.True(t, b.s.needsSecondPoll(b.now))
 }
 
 // Without any answers, the copies to all targets together are bounded. The copies of a takeover's
 // first polls would otherwise take the CPU that its first answers need.
-func TestCopiesWithoutAnyAnswerAreBounded(t *testing.T) {
+func TestCopiesWithoutAnswersAreBounded(t *testing.T) {
 	b := newHarness(t, Options{})
 	for i := range 240 {
 		b.target(fmt.Sprint("t", i), 1)
@@ -301,39 +301,39 @@
 	must.SliceLen(t, maxBudget, pickEffects[Poll](b.advance(100*ms)))
 }
 
-func TestPauseFollowsTheAnswers(t *testing.T) {
-	r := &resending{}
-	must.Eq(t, leastResend, r.pause())
+func TestResendIntervalFollowsAnswerTimes(t *testing.T) {
+	r := &resendPolicy{}
+	must.Eq(t, minResendInterval, r.resendInterval())
 	for range 100 {
-		r.learn(2 * ms)
+		r.observe(2 * ms)
 	}
-	must.Eq(t, leastResend, r.pause())
+	must.Eq(t, minResendInterval, r.resendInterval())
 	for range 100 {
-		r.learn(20 * ms)
+		r.observe(20 * ms)
 	}
-	must.Between(t, 20*ms, r.pause(), mostResend)
+	must.Between(t, 20*ms, r.resendInterval(), maxResendInterval)
 	for range 100 {
-		r.learn(90 * ms)
+		r.observe(90 * ms)
 	}
-	must.Eq(t, mostResend, r.pause())
+	must.Eq(t, maxResendInterval, r.resendInterval())
 }
 
 // A start whose connection breaks is sent again at once, because no answer to it will come.
-func TestABrokenStartIsSentAgainAtOnce(t *testing.T) {
+func TestBrokenStartIsSentAgainAtOnce(t *testing.T) {
 	b, start := orderedRun(t)
 	broken := work.OrderAnswer{Verdict: work.VerdictConnectionLost}
 	for copies := 1; copies < maxCopies; copies++ {
-		b.s.Started(b.now, "a", start.Run, broken)
+		b.s.HandleStartAnswer(b.now, "a", start.Run, broken)
 		must.SliceEmpty(t, b.effects())
 		must.Eq(t, copies+1, b.starts[start.Run])
 	}
-	b.s.Started(b.now, "a", start.Run, broken)
+	b.s.HandleStartAnswer(b.now, "a", start.Run, broken)
 	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
 }
 
 // A start whose connection breaks only when its answer was due is stopped.
-func TestAStartThatBreaksLateIsStopped(t *testing.T) {
+func TestStartThatBreaksLateIsStopped(t *testing.T) {
 	b, start := orderedRun(t)
-	b.s.Started(b.now+answerTime, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
+	b.s.HandleStartAnswer(b.now+answerTimeout, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictConnectionLost})
 	must.Eq(t, start.Run, pickEffects[StopRun](b.effects())[0].Run)
 }
--- a/scheduler/saved.go
+++ b/scheduler/saved.go
@@ -17,13 +17,13 @@
 }
 
 // recordSaved keeps the work that a run which is over has saved, and has the store record it.
-func (s *State) keepSaved(t *task, run int64, value string) {
+func (s *State) recordSaved(t *task, run int64, value string) {
 	saved := t.savedState()
 	if value == "" || run < saved.run || value == saved.value {
 		return
 	}
 	*saved = savedState{run: run, value: value}
 	if t.job.stored && !t.job.ended {
-		s.emit(TaskSaved{Job: t.job.sub.Job.ID, Task: t.place, Saved: value})
+		s.emit(TaskSaved{Job: t.job.sub.Job.ID, Task: t.index, Saved: value})
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -168,7 +168,7 @@
 	// keepalives holds until when each entry VM's callers are presumed to wait; estimates holds the
 	// run time estimate of each queue.
 	keepalives map[string]time.Duration
-	estimates  map[string]*kind
+	estimates  map[string]*queueEstimate
 	// reportedCapacity is the free capacity that other owners reported; parts holds the tasks
 	// delegated to them.
 	reportedCapacity map[capacityKey]capacityReport
@@ -192,17 +192,17 @@
 	lastMissedAnswer time.Duration
 	// pendingWrites counts the writes to the store that are not confirmed yet.
 	pendingWrites int
-	resend        resending
+	resend        resendPolicy
 	cordon        cordon
-	crashes       crashes
+	crashes       lossTracker
 	// lateCompletions holds, for each durable job whose end is being written to the store, the
 	// completions that arrived after its end.
-	lateCompletions map[string][]EndRef
+	lateCompletions map[string][]CompletionRef
 	// unrecordedCompletions holds, by task, the completions that a previous owner did not write to
 	// the store, until allResumed is set.
-	unrecordedCompletions map[string][]orphan
+	unrecordedCompletions map[string][]unrecordedCompletion
 	// inheritedStates is what previous owners' runs of durable jobs had saved, by task.
-	inheritedStates map[string]leftover
+	inheritedStates map[string]inheritedState
 	allResumed      bool
 	// dropped is when jobs were last left to another owner. The leases of their runs are renewed
 	// for droppedRenewTime from then on.
@@ -213,7 +213,7 @@
 	// their number.
 	adviserRequests map[string]*step
 	// recentOutcomes holds the outcomes of other VMs' jobs that ended lately.
-	recentOutcomes map[jobRef]unclaimed
+	recentOutcomes map[jobRef]recentOutcome
 	// superseded holds when a repeated request submitted a job in place of an earlier request,
 	// which must not submit it any more.
 	superseded map[jobRef]time.Duration
@@ -241,20 +241,20 @@
 		jobsByKey:             map[string]*job{},
 		stoppingRuns:          map[string]int{},
 		keepalives:            map[string]time.Duration{},
-		estimates:             map[string]*kind{},
+		estimates:             map[string]*queueEstimate{},
 		reportedCapacity:      map[capacityKey]capacityReport{},
 		parts:                 map[Part]*delegatedPart{},
-		unrecordedCompletions: map[string][]orphan{},
-		lateCompletions:       map[string][]EndRef{},
-		inheritedStates:       map[string]leftover{},
+		unrecordedCompletions: map[string][]unrecordedCompletion{},
+		lateCompletions:       map[string][]CompletionRef{},
+		inheritedStates:       map[string]inheritedState{},
 		recurringJobs:         map[*job]bool{},
 		adviserRequests:       map[string]*step{},
-		resend:                newResending(o.SendOnce),
+		resend:                newResendPolicy(o.SendOnce),
 		cordon:                cordon{known: !o.AwaitCordon},
-		crashes:               newCrashes(),
+		crashes:               newLossTracker(),
 		listedAtStart:         map[string]bool{},
 
-		recentOutcomes: map[jobRef]unclaimed{},
+		recentOutcomes: map[jobRef]recentOutcome{},
 		superseded:     map[jobRef]time.Duration{},
 	}
 }
@@ -295,7 +295,7 @@
 	for _, t := range s.dirty {
 		t.dirty = false
 		if s.targets[t.ID] == t {
-			s.pump(now, t)
+			s.pollIfNeeded(now, t)
 		}
 	}
 	clear(s.dirty)
@@ -313,7 +313,7 @@
 // hasKeepalive reports whether a job's caller is presumed to wait still. Durable jobs and those of
 // this VM need no keepalive.
 func (s *State) hasKeepalive(now time.Duration, j *job) bool {
-	return j.kept() || j.sub.Entry == "" || now < s.keepalives[j.sub.Entry]
+	return j.isDurable() || j.sub.Entry == "" || now < s.keepalives[j.sub.Entry]
 }
 
 // TickInterval is the time between two calls of Tick: a fraction of the shortest timeout that Tick
@@ -328,14 +328,14 @@
 	if s.lastTick != 0 {
 		s.resend.tick(now - s.lastTick)
 	}
-	if s.unsettled(now) {
-		s.resend.pace(s.options.PollWait)
+	if s.losesAnswers(now) {
+		s.resend.adjustPollWait(s.options.PollWait)
 	}
 	s.lastTick = now
 	s.expireCordonConfirmation(now)
-	s.callDue(now)
+	s.startDueOccurrences(now)
 	for _, j := range s.sortedJobs() {
-		s.expire(now, j)
+		s.expireJob(now, j)
 	}
 	for entry, until := range s.keepalives {
 		if now > until+keepaliveRetention {
@@ -343,8 +343,8 @@
 		}
 	}
 	s.expireWithdrawn(now)
-	s.forgetUnclaimed(now)
-	s.tickCrashes(now)
+	s.expireOutcomes(now)
+	s.tickLosses(now)
 	s.retryAwaitingClaim(now)
 	for _, p := range s.pools {
 		p.medianSpeed = p.computeMedianSpeed()
@@ -369,7 +369,7 @@
 	s.emit(LogEvent{Failure: true, Message: "process stood still", Age: gap})
 	s.requireCordonConfirmation(now)
 	for _, j := range s.sortedJobs() {
-		if !j.kept() {
+		if !j.isDurable() {
 			s.finish(now, j, work.Outcome{Result: work.Unknown, Reason: "the VM stood still"})
 		}
 	}
@@ -379,12 +379,12 @@
 // successor, which continues their runs.
 func (s *State) Leave(now time.Duration) {
 	s.leaving = true
-	s.dropped, s.droppedRenewTime = now, leavingLease
+	s.dropped, s.droppedRenewTime = now, handoverLease
 	for _, j := range s.sortedJobs() {
 		switch {
-		case j.kept():
-			s.handBack(j)
-		case j.started():
+		case j.isDurable():
+			s.handOver(j)
+		case j.mayHaveStarted():
 		default:
 			s.finish(now, j, work.Outcome{Result: work.Moved, Reason: "another VM takes over"})
 		}
@@ -401,7 +401,7 @@
 			continue
 		}
 		result := work.Unknown
-		if !j.started() && !j.kept() {
+		if !j.mayHaveStarted() && !j.isDurable() {
 			result = work.Moved
 		}
 		s.finish(now, j, work.Outcome{Result: result, Reason: "another VM has taken over"})
@@ -462,7 +462,7 @@
 // hasStartedJobWaiting reports whether a job that has started still has tasks to place.
 func (s *State) hasStartedJobWaiting() bool {
 	for _, j := range s.waiting {
-		if j.started() && !j.ended {
+		if j.mayHaveStarted() && !j.ended {
 			return true
 		}
 	}
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -10,7 +10,7 @@
 // their target.
 func (st *step) excludeBackgroundCPU() {
 	if st.Background {
-		st.filling, st.PerTask.CPU = st.PerTask.CPU, 0
+		st.backgroundCPU, st.PerTask.CPU = st.PerTask.CPU, 0
 	}
 }
 
@@ -18,7 +18,7 @@
 func (st *step) canRunBeside(t *target) bool {
 	switch {
 	case st.Background:
-		return t.latencySensitiveRuns == 0 && t.backgroundCPU+st.filling <= t.Capacity.CPU
+		return t.latencySensitiveRuns == 0 && t.backgroundCPU+st.backgroundCPU <= t.Capacity.CPU
 	case st.LatencySensitive:
 		return t.backgroundRuns == 0
 	}
@@ -29,7 +29,7 @@
 func (t *target) countSharing(st *step, by int) {
 	if st.Background {
 		t.backgroundRuns += by
-		t.backgroundCPU += int64(by) * st.filling
+		t.backgroundCPU += int64(by) * st.backgroundCPU
 	}
 	if st.LatencySensitive {
 		t.latencySensitiveRuns += by
@@ -51,7 +51,7 @@
 // evictBackground stops the background tasks of a target that a latency-sensitive step could use
 // and reserves the target for it.
 func (s *State) evictBackground(now time.Duration, j *job, st *step) {
-	if st.held != nil && now < st.cleared+evictionTimeout {
+	if st.clearedTarget != nil && now < st.clearedAt+evictionTimeout {
 		return
 	}
 	s.releaseHeld(st)
@@ -59,7 +59,7 @@
 		if t.backgroundRuns == 0 || !t.isOpen() || t.reservedFor != nil || !st.PerTask.FitsIn(t.free) || !st.fitsEmpty(t) || !st.advice.allows(now, t.ID) {
 			continue
 		}
-		st.held, st.cleared, t.reservedFor = t, now, st
+		st.clearedTarget, st.clearedAt, t.reservedFor = t, now, st
 		s.markChanged(t)
 		for _, r := range t.sortedRuns() {
 			if r.task.step.Background {
@@ -72,12 +72,12 @@
 
 // releaseHeld ends the reservation of a target for a latency-sensitive step.
 func (s *State) releaseHeld(st *step) {
-	if st.held == nil {
+	if st.clearedTarget == nil {
 		return
 	}
-	st.held.reservedFor = nil
-	s.markChanged(st.held)
-	st.held = nil
+	st.clearedTarget.reservedFor = nil
+	s.markChanged(st.clearedTarget)
+	st.clearedTarget = nil
 }
 
 // evictionTimeout is the longest that the stops take, with the listing of their completions. A
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -24,7 +24,7 @@
 func (s *State) Summary() Summary {
 	sum := Summary{
 		Jobs: len(s.jobs), Waiting: len(s.waiting), Targets: len(s.targets),
-		TickLate: s.resend.late, AnswerTime: s.resend.usual, PollWait: s.lookWait(s.lastTick), Copies: s.resend.sent,
+		TickLate: s.resend.tickDelay, AnswerTime: s.resend.slowMean, PollWait: s.pollWait(s.lastTick), Copies: s.resend.copiesSent,
 		Cordoned: s.cordon.blocksStarts(),
 	}
 	for _, t := range s.targets {
--- a/scheduler/takeover.go
+++ b/scheduler/takeover.go
@@ -29,7 +29,7 @@
 
 // inheritedRun is a run of a durable job that a previous owner ordered and whose job hasn't been
 // read yet.
-type guest struct {
+type inheritedRun struct {
 	since time.Duration
 	saved string
 }
@@ -38,16 +38,16 @@
 const (
 	// inheritedRunTimeout bounds how long an inherited run keeps its target from other work
 	// while its job can't be read because the store is away.
-	guestPatience = time.Second
+	inheritedRunTimeout = time.Second
 	// handoverLease is for how long a leaving owner extends the leases of durable jobs' runs
 	// that it leaves to its successor. A successor that can't reach a target counts the runs
 	// there as over 2.5 s after its own start; by then all their leases have expired.
-	leavingLease = time.Second
+	handoverLease = time.Second
 )
 
 // TargetsFenced reports whether every known target obeys this owner and runs nothing of previous
 // owners but inherited runs.
-func (s *State) Adopted() bool {
+func (s *State) TargetsFenced() bool {
 	for _, t := range s.targets {
 		if !t.fenced || t.state == adopting && len(t.unknownRuns) > 0 {
 			return false
@@ -58,7 +58,7 @@
 
 // continueListedRun takes a run of a previous owner that a target lists, and reports whether it
 // may continue.
-func (s *State) goesOn(now time.Duration, t *target, listed work.RunningRun) bool {
+func (s *State) continueListedRun(now time.Duration, t *target, listed work.RunningRun) bool {
 	if !isDurableRun(listed.Run) || t.unknownRuns[listed.Run] != nil || s.leaving {
 		return false
 	}
@@ -67,14 +67,14 @@
 		if tk == nil || tk.step.Gang {
 			return false
 		}
-		s.adoptRun(now, t, tk, listed)
+		s.continueRun(now, t, tk, listed)
 		return true
 	}
 	g, known := t.inheritedRuns[listed.Run]
 	if !known {
 		g.since = now
 	}
-	if now-g.since > guestPatience {
+	if now-g.since > inheritedRunTimeout {
 		delete(t.inheritedRuns, listed.Run)
 		return false
 	}
@@ -99,67 +99,67 @@
 }
 
 // continueRun assigns a run that a previous owner ordered to its task.
-func (s *State) adoptRun(now time.Duration, t *target, tk *task, listed work.RunningRun) {
+func (s *State) continueRun(now time.Duration, t *target, tk *task, listed work.RunningRun) {
 	st := tk.step
 	st.pending = slices.DeleteFunc(st.pending, func(other *task) bool { return other == tk })
 	s.emit(LogEvent{Message: "run goes on", Job: tk.job.sub.Job.ID, Task: tk.name, Target: t.ID})
-	tk.job.mark(now, "goes on", tk.name, t.ID, "")
-	tk.job.traced = true
+	tk.job.record(now, "goes on", tk.name, t.ID, "")
+	tk.job.seenStarted = true
 	s.assignRun(t, &run{
 		RunID: listed.Run, task: tk, target: t, state: running, ordered: now, leaseUntil: t.lease.until,
-		expected: st.expected, saved: listed.SavedState, adopted: true, listed: true,
+		expected: st.expectedRuntime, saved: listed.SavedState, adopted: true, listed: true,
 	})
 }
 
 // ResumeJob takes a stored job over from a previous owner.
-func (s *State) Resume(now time.Duration, sub Submission, progress Progress) {
+func (s *State) ResumeJob(now time.Duration, sub Submission, progress Progress) {
 	if s.jobsByKey[sub.Job.ID] != nil {
 		return
 	}
 	j := s.newJob(now, sub)
 	j.stored = true
-	j.mark(now, "resumed", "", "", "")
+	j.record(now, "resumed", "", "", "")
 	s.jobs[sub.Ref] = j
 	s.jobsByKey[sub.Job.ID] = j
-	s.recall(now, j, progress)
+	s.restoreProgress(now, j, progress)
 	for _, t := range j.tasks {
 		for _, o := range s.unrecordedCompletions[t.name] {
-			s.adopt(t, o)
+			s.applyCompletion(t, o)
 		}
 		delete(s.unrecordedCompletions, t.name)
 		if inherited, ok := s.inheritedStates[t.name]; ok {
-			s.keepSaved(t, inherited.number, inherited.saved)
+			s.recordSaved(t, inherited.number, inherited.saved)
 			delete(s.inheritedStates, t.name)
 		}
 	}
 	// Previous owners may have run any part of it. So it is never refused, and goes first.
-	j.begun++
-	j.assumed = 1
-	if !s.over(now, j) {
-		j.order()
-		s.expectDue(j)
-		s.wait(j)
+	j.possibleStarts++
+	j.assumedStarts = 1
+	if !s.finishIfOver(now, j) {
+		j.updateSortKey()
+		s.watchOccurrences(j)
+		s.enqueue(j)
 	}
 }
 
 // restoreProgress sets what is known of a job's tasks from the store.
-func (s *State) recall(now time.Duration, j *job, progress Progress) {
-	j.traced = len(progress.Done)+len(progress.Fails)+len(progress.Saved) > 0
+func (s *State) restoreProgress(now time.Duration, j *job, progress Progress) {
+	j.seenStarted = len(progress.Done)+len(progress.Fails)+len(progress.Saved) > 0
 	known := func(index int) bool { return index >= 0 && index < len(j.tasks) }
 	for _, index := range progress.Done {
 		if known(index) {
-			j.complete(j.tasks[index])
+			j.markDone(j.tasks[index])
 		}
 	}
 	for index, n := range progress.Fails {
 		if known(index) {
 			j.tasks[index].fails = n
-			j.tasks[index].lastFailed = progress.LastFailed[index]
+			j.tasks[index].lastFailedRun = progress.LastFailed[index]
 		}
 	}
 	for index, targets := range progress.Crashed {
 		if known(index) {
-			s.recallCrashed(now, j.tasks[index], targets)
+			s.restoreStoredLosses(now, j.tasks[index], targets)
 		}
 	}
 	for index, saved := range progress.Saved {
@@ -171,14 +171,14 @@
 
 // finishIfOver ends a job whose tasks are all done or one of which has failed too often, and
 // reports whether it did.
-func (s *State) over(now time.Duration, j *job) bool {
+func (s *State) finishIfOver(now time.Duration, j *job) bool {
 	for _, t := range j.tasks {
-		if t.step.fails(t) >= j.sub.Queue.MaxAttempts {
+		if t.step.failedRuns(t) >= j.sub.Queue.MaxAttempts {
 			s.finish(now, j, work.Outcome{Result: work.Failed, Reason: "a task had failed as often as its queue allows"})
 			return true
 		}
 	}
-	if j.open == 0 {
+	if j.openTasks == 0 {
 		s.finish(now, j, work.Outcome{Result: work.Completed})
 		return true
 	}
@@ -187,14 +187,14 @@
 
 // unrecordedCompletion is the completion of a run that a previous owner ordered, and that it did
 // not write to the store.
-type orphan struct {
-	end    EndRef
+type unrecordedCompletion struct {
+	ref    CompletionRef
 	run    int64
 	failed bool
 }
 
 // inheritedState is the work that a run of a previous owner had saved.
-type leftover struct {
+type inheritedState struct {
 	// number is the number of the run.
 	number int64
 	saved  string
@@ -203,15 +203,15 @@
 // handleUnknownCompletion takes the completion of a run that isn't known here. If the run is of a
 // durable job, the completion is not acknowledged until the job was taken over and the store has
 // the completion.
-func (s *State) orphaned(now time.Duration, t *target, end work.Completion) {
+func (s *State) handleUnknownCompletion(now time.Duration, t *target, end work.Completion) {
 	if !isDurableRun(end.Run) {
 		return
 	}
-	s.inherit(end)
+	s.inheritSaved(end)
 	if end.Kind != work.CompletionDone && end.Kind != work.CompletionFailed {
 		return
 	}
-	o := orphan{end: t.completionRef(end.Number), run: end.Run.Number, failed: end.Kind == work.CompletionFailed}
+	o := unrecordedCompletion{ref: t.completionRef(end.Number), run: end.Run.Number, failed: end.Kind == work.CompletionFailed}
 	if !s.allResumed {
 		t.unrecorded[end.Number] = true
 		s.unrecordedCompletions[end.Run.Task] = append(s.unrecordedCompletions[end.Run.Task], o)
@@ -229,63 +229,63 @@
 	for _, task := range j.tasks {
 		if task.name == end.Run.Task && task.run == nil {
 			t.unrecorded[end.Number] = true
-			s.adopt(task, o)
-			s.over(now, j)
+			s.applyCompletion(task, o)
+			s.finishIfOver(now, j)
 			return
 		}
 	}
 }
 
 // inheritSaved takes the work that a previous owner's run has saved.
-func (s *State) inherit(end work.Completion) {
+func (s *State) inheritSaved(end work.Completion) {
 	switch inherited := s.inheritedStates[end.Run.Task]; {
 	case end.SavedState == "" || end.Run.Number < inherited.number:
 	case s.allResumed:
 		if tk := s.pendingTask(end.Run.Task); tk != nil {
-			s.keepSaved(tk, end.Run.Number, end.SavedState)
+			s.recordSaved(tk, end.Run.Number, end.SavedState)
 		}
 	default:
-		s.inheritedStates[end.Run.Task] = leftover{number: end.Run.Number, saved: end.SavedState}
+		s.inheritedStates[end.Run.Task] = inheritedState{number: end.Run.Number, saved: end.SavedState}
 	}
 }
 
 // applyCompletion takes the unrecorded completion of a task that isn't running, and has it
 // written to the store.
-func (s *State) adopt(t *task, o orphan) {
+func (s *State) applyCompletion(t *task, o unrecordedCompletion) {
 	s.pendingWrites++
-	t.job.traced = true
+	t.job.seenStarted = true
 	switch {
-	case t.complete || t.step.Lasting || o.failed && o.run <= t.lastFailed:
-		s.Noted(o.end)
+	case t.done || t.step.Lasting || o.failed && o.run <= t.lastFailedRun:
+		s.HandleCompletionStored(o.ref)
 	case o.failed:
 		t.fails++
-		t.lastFailed = o.run
-		s.emit(TaskFailed{Job: t.job.sub.Job.ID, Task: t.place, Run: o.run, End: o.end})
+		t.lastFailedRun = o.run
+		s.emit(TaskFailed{Job: t.job.sub.Job.ID, Task: t.index, Run: o.run, Completion: o.ref})
 	default:
-		t.job.complete(t)
-		s.emit(TaskDone{Job: t.job.sub.Job.ID, Task: t.place, End: o.end})
+		t.job.markDone(t)
+		s.emit(TaskDone{Job: t.job.sub.Job.ID, Task: t.index, Completion: o.ref})
 	}
 }
 
 // FinishResume says that all jobs of previous owners were taken over. Completions that belong to
 // none of them may be acknowledged. Inherited runs are now assigned to their tasks or stopped.
-func (s *State) Resumed(now time.Duration) {
+func (s *State) FinishResume(now time.Duration) {
 	s.allResumed = true
 	for task, completions := range s.unrecordedCompletions {
 		for _, o := range completions {
 			s.pendingWrites++
-			s.Noted(o.end)
+			s.HandleCompletionStored(o.ref)
 		}
 		delete(s.unrecordedCompletions, task)
 	}
 	clear(s.inheritedStates)
 	for _, t := range s.sortedTargets() {
-		s.seat(now, t)
+		s.assignInheritedRuns(now, t)
 	}
 	for _, j := range s.sortedJobs() {
-		for _, st := range j.current() {
+		for _, st := range j.currentSteps() {
 			if st.Gang && len(st.pending) > 0 {
-				s.disband(now, st)
+				s.stopGang(now, st)
 			}
 		}
 	}
@@ -293,22 +293,22 @@
 
 // assignInheritedRuns assigns the inherited runs of a target to their tasks, and stops those that
 // have none.
-func (s *State) seat(now time.Duration, t *target) {
-	for _, inherited := range t.sortedGuests() {
+func (s *State) assignInheritedRuns(now time.Duration, t *target) {
+	for _, inherited := range t.sortedInheritedRuns() {
 		saved := t.inheritedRuns[inherited].saved
 		delete(t.inheritedRuns, inherited)
 		if tk := s.pendingTask(inherited.Task); tk != nil && t.runs[inherited.Task] == nil {
-			s.adoptRun(now, t, tk, work.RunningRun{Run: inherited, SavedState: saved})
+			s.continueRun(now, t, tk, work.RunningRun{Run: inherited, SavedState: saved})
 		} else {
-			s.stopStranger(now, t, inherited)
+			s.stopUnknownRun(now, t, inherited)
 		}
 	}
-	s.use(now, t)
+	s.useIfReady(now, t)
 	s.markChanged(t)
 }
 
 // sortedInheritedRuns returns the target's inherited runs, sorted by task.
-func (t *target) sortedGuests() []work.RunID {
+func (t *target) sortedInheritedRuns() []work.RunID {
 	runs := make([]work.RunID, 0, len(t.inheritedRuns))
 	for inherited := range t.inheritedRuns {
 		runs = append(runs, inherited)
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -68,7 +68,7 @@
 	unknownRuns map[work.RunID]*stopTry
 	// inheritedRuns are a previous owner's runs of durable jobs that are not read from the store
 	// yet. fenced says that the target has answered under this owner's fencing token.
-	inheritedRuns map[work.RunID]guest
+	inheritedRuns map[work.RunID]inheritedRun
 	fenced        bool
 	// latencySensitiveRuns and backgroundRuns count runs of such steps; backgroundCPU is the
 	// processor that the latter want.
@@ -87,7 +87,7 @@
 	ackSent    int64
 	// poll is the last poll; pollPending is set while it has no answer.
 	poll       Poll
-	pollCopies copies
+	pollCopies orderCopies
 	// firstPollWait is the wait of its first copy.
 	firstPollWait time.Duration
 	pollPending   bool
@@ -130,7 +130,7 @@
 	target  *target
 	state   runState
 	ordered time.Duration
-	copies  copies
+	copies  orderCopies
 	// leaseUntil is the lease end that the start asked for, on the target's clock.
 	leaseUntil int64
 	// resumeFrom is the saved state that the run continues from; ticket is the adviser's
@@ -229,7 +229,7 @@
 			runs:          map[string]*run{},
 			unknownRuns:   map[work.RunID]*stopTry{},
 			unrecorded:    map[int64]bool{},
-			inheritedRuns: map[work.RunID]guest{},
+			inheritedRuns: map[work.RunID]inheritedRun{},
 			health:        newHealth(),
 		}
 		t.ID, t.Incarnation = entry.ID, entry.Incarnation
@@ -273,7 +273,7 @@
 	}
 	late := now-t.unlistedSince > unlistedTimeout
 	switch {
-	case len(t.runs) == 0 && (late || t.state == silent), late && t.failedPolls >= silentLooks && t.hasOnlyUnleasedRuns():
+	case len(t.runs) == 0 && (late || t.state == silent), late && t.failedPolls >= silentPolls && t.hasOnlyUnleasedRuns():
 		s.loseTarget(now, t, "it is not listed any more")
 	case late && !t.retired:
 		t.retired = true
@@ -286,10 +286,10 @@
 // runs are over.
 func (s *State) removeTarget(t *target) {
 	for _, r := range t.runs {
-		r.endTrial()
+		r.endIsolation()
 	}
 	if t.isolated != nil {
-		s.letRoom(t.isolated)
+		s.unreserveForSuspect(t.isolated)
 	}
 	delete(s.targets, t.ID)
 	s.markChanged(t)
@@ -299,7 +299,7 @@
 // loseTarget ends a target's incarnation and loses all its runs.
 func (s *State) loseTarget(now time.Duration, t *target, why string) {
 	s.emit(LogEvent{Message: "target lost", Target: t.ID, Detail: why, Age: now - t.lease.readAt})
-	s.lifeOver(now, t)
+	s.endIncarnation(now, t)
 	for _, r := range t.sortedRuns() {
 		s.loseRun(now, r, why)
 	}
@@ -310,11 +310,11 @@
 // saved.
 func (s *State) loseRun(now time.Duration, r *run, why string) {
 	s.releaseRun(r)
-	if r.task.job.ended || r.task.complete {
+	if r.task.job.ended || r.task.done {
 		return
 	}
-	s.keepSaved(r.task, r.Number, r.saved)
-	r.task.job.mark(now, "lost", r.Task, r.target.ID, why)
+	s.recordSaved(r.task, r.Number, r.saved)
+	r.task.job.record(now, "lost", r.Task, r.target.ID, why)
 	s.emit(LogEvent{Message: "run lost", Job: r.task.job.sub.Job.ID, Task: r.Task, Target: r.target.ID, Detail: why, Age: now - r.ordered})
 	s.requeue(now, r)
 }
@@ -322,15 +322,15 @@
 // releaseRun removes a run that is over from its target.
 func (s *State) releaseRun(r *run) {
 	t := r.target
-	r.endTrial()
+	r.endIsolation()
 	delete(t.runs, r.Task)
 	t.free = t.free.Add(r.task.step.PerTask)
 	t.releaseRate -= r.releaseRate
 	t.countSharing(r.task.step, -1)
 	s.markChanged(t)
 	r.task.run = nil
-	if r.task.step.on != nil {
-		r.task.step.on[t.ID]--
+	if r.task.step.runsOn != nil {
+		r.task.step.runsOn[t.ID]--
 	}
 	j := r.task.job
 	if j.ended {
@@ -347,15 +347,15 @@
 // requeue puts the task of a run that is over back among the pending ones.
 func (s *State) requeue(now time.Duration, r *run) {
 	st := r.task.step
-	r.task.avoid = r.target.ID
+	r.task.avoidTarget = r.target.ID
 	st.pending = append(st.pending, r.task)
 	switch {
 	case st.Gang:
-		s.disband(now, st)
+		s.stopGang(now, st)
 	case st.Lasting:
-		r.task.pace(now, r)
+		r.task.delayRestart(now, r)
 	}
-	s.wait(r.task.job)
+	s.enqueue(r.task.job)
 }
 
 // stop orders a run to stop.
@@ -363,7 +363,7 @@
 	if r.stop == nil {
 		r.stop = &stopTry{first: now, last: now}
 		s.markChanged(r.target)
-		r.task.job.mark(now, "stopped", r.Task, r.target.ID, "")
+		r.task.job.record(now, "stopped", r.Task, r.target.ID, "")
 		s.emit(StopRun{To: r.target.address(), Run: r.RunID})
 	}
 }
@@ -382,10 +382,10 @@
 // shouldRetryStop reports whether to send a stop again, and counts the attempt. The first copies
 // follow as fast as those of other orders.
 func (s *State) shouldRetryStop(now time.Duration, o *stopTry) bool {
-	if o.acked != 0 || now-o.last < s.resend.pause() {
+	if o.acked != 0 || now-o.last < s.resend.resendInterval() {
 		return false
 	}
-	early := o.attempts < maxCopies && s.resend.spare() && s.resend.affords()
+	early := o.attempts < maxCopies && s.resend.hasSpareCPU() && s.resend.takeBudget()
 	if !early && now-o.last < stopRetryInterval {
 		return false
 	}
@@ -430,8 +430,8 @@
 			s.emit(StopRun{To: t.address(), Run: unknown})
 		}
 	}
-	s.lookAgain(now, t)
-	s.askForDue(now, t)
+	s.resendPoll(now, t)
+	s.pollForDueRuns(now, t)
 	s.checkRuns(now, t)
 	s.markChanged(t)
 	s.retireUnlisted(now, t)
@@ -439,24 +439,24 @@
 
 // wouldList reports whether the completion of a run that finished before its stop arrived would
 // be known by now. For jobs that are not durable it does not matter: their runs may be repeated.
-func (t *target) wouldList(r *run) bool { return !r.task.job.kept() || t.answered > r.stop.acked }
+func (t *target) wouldList(r *run) bool { return !r.task.job.isDurable() || t.answered > r.stop.acked }
 
 func (s *State) tickRun(now time.Duration, t *target, r *run) {
 	if r.stop != nil {
 		switch {
 		case r.stop.acked > 0 && r.state != running && now-r.stop.acked > s.options.StopTimeout+stopMargin && t.wouldList(r):
-			s.fallsUnder(now, r)
+			s.recordTaskLoss(now, r)
 			s.loseRun(now, r, "stopped before it was seen to run")
 			return
 		case s.shouldRetryStop(now, r.stop):
 			s.emit(StopRun{To: t.address(), Run: r.RunID})
 		}
 	}
-	s.startAgain(now, r)
-	s.clearSurvivor(now, r)
+	s.resendDueStart(now, r)
+	s.clearLongRun(now, r)
 	unresponsive := t.state != usable || r.stop != nil && r.stop.isOverdue(now)
 	if unresponsive && r.leaseUntil != noLeaseEnd && t.lease.hasLapsed(now, t.lease.until) {
-		s.fallsUnder(now, r)
+		s.recordTaskLoss(now, r)
 		s.loseRun(now, r, "its target's lease has lapsed")
 	}
 }
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -37,7 +37,7 @@
 	// otherOwner has targets of its own and takes parts, unless the link to it is cut.
 	otherOwner   *fakeOwner
 	linkCut      bool
-	durableStore keptStore
+	durableStore fakeJobStore
 	// acknowledged holds the tasks whose successful completion was acknowledged.
 	acknowledged map[string]bool
 	// acknowledgedBy says how the completion of a task was acknowledged.
@@ -177,7 +177,7 @@
 	w := &world{
 		now: time.Second, random: rand.New(rand.NewPCG(seed, 7)), targets: map[string]*fakeTarget{},
 		callers: map[string]*caller{}, running: map[string]int{}, started: map[string]bool{}, faults: faults, longest: 100,
-		durableStore: keptStore{jobs: map[string]*keptRecord{}}, acknowledged: map[string]bool{}, startedAt: map[string]time.Duration{},
+		durableStore: fakeJobStore{jobs: map[string]*jobRecord{}}, acknowledged: map[string]bool{}, startedAt: map[string]time.Duration{},
 		ackedFailures: map[string]int{}, failedRuns: map[string]int{}, done: map[string]bool{}, saved: map[string]map[string]bool{}, gangs: map[string]*fakeGang{}, tickets: map[string]time.Duration{},
 	}
 	w.acknowledgedBy = map[string]string{}
@@ -247,7 +247,7 @@
 	o.state.RegistryRead()
 	w.owners = append(w.owners, o)
 	if w.singleOwner {
-		w.endFormer()
+		w.endPredecessors()
 	}
 	w.tick(o)
 	w.sendKeepalives(o)
@@ -279,7 +279,7 @@
 		return
 	}
 	if !o.frozen {
-		o.state.Wall(w.now, w.now+wallBase)
+		o.state.SetWallClock(w.now, w.now+wallBase)
 		o.state.Tick(w.now)
 		w.applyEffects(o)
 	}
@@ -340,18 +340,18 @@
 			w.reportCordon(o)
 		case StartRun:
 			w.checkCordon(o, e)
-			w.checkRoom(o, e)
+			w.checkOrderFits(o, e)
 			w.deliverOrder(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].start(token, e) },
-				func(a work.OrderAnswer) { o.state.Started(w.now, e.To.ID, e.Run, a) })
+				func(a work.OrderAnswer) { o.state.HandleStartAnswer(w.now, e.To.ID, e.Run, a) })
 		case StopRun:
 			w.deliverOrder(o, e.To.ID, func(token int64) work.OrderAnswer { return w.targets[e.To.ID].stop(token, e.Run) },
-				func(a work.OrderAnswer) { o.state.Stopped(w.now, e.To.ID, e.Run, a) })
+				func(a work.OrderAnswer) { o.state.HandleStopAnswer(w.now, e.To.ID, e.Run, a) })
 		case Poll:
 			w.poll(o, e)
 		case Deposed:
 			o.state.Abandon(w.now)
 		default:
-			w.carryOutKept(o, effect)
+			w.carryOutStoreEffect(o, effect)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 	delete(o.refs, e.Ref)
 	c.outcomes = append(c.outcomes, e.Outcome.Result)
 	if strings.Contains(e.Outcome.Reason, "crashed the targets") {
-		w.blamed(c.id)
+		w.checkPoisoned(c.id)
 	}
 	switch e.Outcome.Result {
 	case work.Completed, work.Failed:
@@ -397,7 +397,7 @@
 	reply := func(a work.OrderAnswer, after time.Duration) {
 		w.after(after, func() {
 			w.deliver(o, func() {
-				a.Verdict = Settle(a.Verdict, token, o.token)
+				a.Verdict = ResolveVerdict(a.Verdict, token, o.token)
 				back(a)
 			})
 		})
@@ -448,7 +448,7 @@
 	life := t.life
 	reply := func(after time.Duration, held work.PollAnswer, verdict work.Verdict) {
 		w.after(after, func() {
-			w.deliver(o, func() { o.state.Looked(w.now, t.id, e.SentAt, held, Settle(verdict, token, o.token)) })
+			w.deliver(o, func() { o.state.HandlePollAnswer(w.now, t.id, e.SentAt, held, ResolveVerdict(verdict, token, o.token)) })
 		})
 	}
 	ignore := func(work.PollAnswer, work.Verdict) {}
@@ -494,7 +494,7 @@
 		w.violations = append(w.violations, id+" starts, though it was refused")
 	}
 	w.started[id] = true
-	w.startsKept(task)
+	w.checkDurableStart(task)
 	if w.running[task]++; w.running[task] > 1 {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s runs twice", w.now, task))
 	}
