--- a/entry/choose.go
+++ b/entry/choose.go
@@ -18,13 +18,13 @@
 	// Wait is the forecast wait of jobs of the same priority.
 	Wait time.Duration
 	// FreeShare is the share of the processor capacity of the owner's targets that is free.
-	Free float64
+	FreeShare float64
 	// HasRefused says that the owner has refused this job already.
-	Full bool
+	HasRefused bool
 	// Unconfirmed says that the owner has not answered for more than unconfirmedAfter, but is not
 	// considered lost yet.
-	Doubted bool
-	View    heartbeat.View
+	Unconfirmed bool
+	View        heartbeat.View
 }
 
 // Parameters of the choice.
@@ -33,28 +33,28 @@
 	// forecast may be one heartbeat interval old, and other VMs act on it as well.
 	farPenalty = 25 * time.Millisecond
 	// minFarFreeShare is the free share from which a far owner counts as having free capacity.
-	farFree = 0.1
+	minFarFreeShare = 0.1
 	// unconfirmedAfter is how long an owner may be silent and still get new jobs: two heartbeats
 	// in a row may be lost. Jobs sent to an owner that has died are lost with it, and it takes
 	// heartbeat.SilenceTimeout until its death is certain.
-	doubtTime = 125 * time.Millisecond
+	unconfirmedAfter = 125 * time.Millisecond
 )
 
 // Choose returns the index of the owner to ask, or -1. It prefers owners that are not Unconfirmed.
 // Draw is a random number from 0 to 1, which keeps a share of the jobs near: otherwise all VMs
 // would send to the same far owner at the same time.
 func Choose(candidates []Candidate, draw float64) int {
-	if confirmed := choose(candidates, draw, false); confirmed >= 0 {
+	if confirmed := chooseAmong(candidates, draw, false); confirmed >= 0 {
 		return confirmed
 	}
-	return choose(candidates, draw, true)
+	return chooseAmong(candidates, draw, true)
 }
 
 // chooseAmong returns the index of the best candidate whose Unconfirmed equals the argument, or -1.
-func choose(candidates []Candidate, draw float64, unconfirmed bool) int {
+func chooseAmong(candidates []Candidate, draw float64, unconfirmed bool) int {
 	best := -1
 	for i, c := range candidates {
-		if c.Full || c.Doubted != unconfirmed {
+		if c.HasRefused || c.Unconfirmed != unconfirmed {
 			continue
 		}
 		if best < 0 || c.cost() < candidates[best].cost() {
@@ -65,7 +65,7 @@
 		return best
 	}
 	for i, c := range candidates {
-		if c.Near && !c.Full && c.Doubted == unconfirmed && (candidates[best].Free < farFree || draw < stayShare) {
+		if c.Near && !c.HasRefused && c.Unconfirmed == unconfirmed && (candidates[best].FreeShare < minFarFreeShare || draw < nearShare) {
 			return i
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // nearShare is the share of the jobs that stay near even when a far owner has free capacity.
-const stayShare = 0.3
+const nearShare = 0.3
 
 // cost returns the forecast wait by which candidates are compared.
 func (c Candidate) cost() time.Duration {
@@ -84,7 +84,7 @@
 }
 
 // setLoad sets the wait and the free share of a service from the loads in an owner's heartbeat.
-func (c *Candidate) measure(loads []*linkpb.Load, service string, priority int) {
+func (c *Candidate) setLoad(loads []*linkpb.Load, service string, priority int) {
 	for _, load := range loads {
 		if load.GetGroup() != c.Group || load.GetService() != service {
 			continue
@@ -94,7 +94,7 @@
 			c.Wait = time.Duration(waits[at]) * time.Microsecond
 		}
 		if load.GetCpu() > 0 {
-			c.Free = float64(load.GetFreeCpu()) / float64(load.GetCpu())
+			c.FreeShare = float64(load.GetFreeCpu()) / float64(load.GetCpu())
 		}
 	}
 }
--- a/entry/durable_test.go
+++ b/entry/durable_test.go
@@ -18,8 +18,8 @@
 	return f.states[address], f.fault
 }
 
-func TestTheOwnerTellsHowAJobStands(t *testing.T) {
-	f := peers(nil, nil)
+func TestStateComesFromOwner(t *testing.T) {
+	f := newFakePeers(nil, nil)
 	f.states = map[string]work.JobState{"far": work.StateRunning}
 	state, err := newEntry(f).State(t.Context(), "j")
 	must.NoError(t, err)
@@ -27,8 +27,8 @@
 }
 
 // If no owner knows a job, its state is read from the store, which may have none.
-func TestTheStoreTellsWhatNoOwnerKnows(t *testing.T) {
-	f := peers(nil, nil)
+func TestStateComesFromStoreWithoutOwner(t *testing.T) {
+	f := newFakePeers(nil, nil)
 	for _, want := range []work.JobState{work.StateCompleted, work.StateAbsent} {
 		f.inStore = want
 		state, err := newEntry(f).State(t.Context(), "j")
@@ -52,29 +52,29 @@
 		"its owner is silent": {work.StateAbsent, work.StateQueued, work.StateQueued, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := peers(nil, nil)
+			f := newFakePeers(nil, nil)
 			f.states = map[string]work.JobState{"near": test.owner}
 			f.inStore = test.store
 			state, err := newEntry(f).Cancel(t.Context(), "j")
 			must.Eq(t, test.want, state)
-			must.Eq(t, test.fails, errors.Is(err, ErrHomeAway))
+			must.Eq(t, test.fails, errors.Is(err, ErrOwnerUnavailable))
 		})
 	}
 }
 
 // Silent owners count with the pending jobs that they last reported.
-func TestPendingJobsOfAllOwnersCount(t *testing.T) {
-	f := peers(nil, nil)
+func TestPendingJobsSumsAllOwners(t *testing.T) {
+	f := newFakePeers(nil, nil)
 	silent, end := context.WithCancel(t.Context())
 	end()
 	for incarnation, pending := range map[uint64]int32{1: 3, 2: 4} {
 		view := f.views[incarnation]
-		view.Pending = map[string]int32{"q": pending, "other": 1}
+		view.PendingJobs = map[string]int32{"q": pending, "other": 1}
 		if incarnation == 2 {
 			view.Alive = silent
 		}
 		f.views[incarnation] = view
 	}
-	must.Eq(t, 7, newEntry(f).Pending("q"))
-	must.Eq(t, 0, newEntry(f).Pending("none"))
+	must.Eq(t, 7, newEntry(f).PendingJobs("q"))
+	must.Eq(t, 0, newEntry(f).PendingJobs("none"))
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -34,7 +34,7 @@
 type Remote interface {
 	// RunWhileAlive runs a job; it returns early when the caller leaves (ctx) or the owner is
 	// considered lost (alive).
-	RunUntil(ctx, alive context.Context, to heartbeat.Owner, order link.Order) work.Outcome
+	RunWhileAlive(ctx, alive context.Context, to heartbeat.Owner, order link.Order) work.Outcome
 	// State and Cancel ask an owner about a durable job.
 	State(ctx context.Context, address, id string) (work.JobState, error)
 	Cancel(ctx context.Context, address, id string) (work.JobState, error)
@@ -53,23 +53,23 @@
 // Options of an Entry.
 type Options struct {
 	VM            string
-	Life          uint64
+	Incarnation   uint64
 	FailureDomain string
 	Log           *slog.Logger
 	Count         func(what, label string)
 	// Claims lists the claims of all groups, which name their owners.
 	Claims func() []ownership.GroupClaim
 	// LocalOwner returns the owner of a group if it runs in this process.
-	Local func(group string) (Local, bool)
+	LocalOwner func(group string) (Local, bool)
 	// DomainOf returns the failure domain of a group.
 	DomainOf func(group string) string
 	// IsCordoned reports whether nothing may be started in a failure domain; nil means that there
 	// are no cordons.
-	Cordoned func(domain string) bool
+	IsCordoned func(domain string) bool
 	// OwnerLost is called with each owner whose connection broke; it must not block.
-	Lost func(owner heartbeat.Owner)
+	OwnerLost func(owner heartbeat.Owner)
 	// FindJob reads the state of a durable job from the store.
-	Find func(ctx context.Context, id string) (work.JobState, error)
+	FindJob func(ctx context.Context, id string) (work.JobState, error)
 }
 
 // Entry receives jobs and dispatches them to owners. It is safe for concurrent use.
@@ -78,16 +78,16 @@
 	peers   Peers
 	remote  Remote
 	// lastOwnerSeen is when there was last an owner to ask, on the boot clock.
-	found atomic.Int64
+	lastOwnerSeen atomic.Int64
 }
 
 // New creates an Entry.
 func New(o Options, peers Peers, remote Remote) *Entry {
-	if o.Cordoned == nil {
-		o.Cordoned = func(string) bool { return false }
+	if o.IsCordoned == nil {
+		o.IsCordoned = func(string) bool { return false }
 	}
 	e := &Entry{options: o, peers: peers, remote: remote}
-	e.found.Store(int64(bootclock.Now()))
+	e.lastOwnerSeen.Store(int64(bootclock.Now()))
 	return e
 }
 
@@ -95,20 +95,20 @@
 const (
 	// reofferTimeout is the age up to which a refused job is offered to another owner. A job that
 	// has already waited in one queue is refused to its caller instead of waiting in the next.
-	offerTime = 10 * time.Millisecond
+	reofferTimeout = 10 * time.Millisecond
 	// ownerRetryInterval is the pause before owners are looked up again, while there is none or
 	// the one asked has handed the job back.
-	lookAgain = 10 * time.Millisecond
+	ownerRetryInterval = 10 * time.Millisecond
 	// noOwnerRetryAfter is sent to callers while no owner can be reached: about the time that
 	// another VM takes to claim the group.
-	refusedRetry = time.Second
+	noOwnerRetryAfter = time.Second
 	// cordonedRetryAfter is sent to callers while every failure domain is cordoned; the operator
 	// decides when one may be used again.
-	cordonedRetry = 2 * time.Second
+	cordonedRetryAfter = 2 * time.Second
 	// ownerWaitTimeout is how long jobs wait for an owner after the last one was seen: enough for
 	// the silence timeout, a claim and the first polls of targets. A VM without an owner for
 	// longer is cut off from all of them and refuses jobs at once.
-	hopeTime = heartbeat.Silence + 300*time.Millisecond
+	ownerWaitTimeout = heartbeat.SilenceTimeout + 300*time.Millisecond
 )
 
 // request is a job that is being dispatched.
@@ -119,9 +119,9 @@
 	// wait is how long the caller waits; 0 means no bound.
 	wait time.Duration
 	// refusedBy holds the groups that have refused the job.
-	full map[string]bool
+	refusedBy map[string]bool
 	// latestStart is when the job has to start to be answered within its objective.
-	latest time.Duration
+	latestStart time.Duration
 }
 
 // Dispatch has a job run and returns its outcome, which it counts and logs. The job is given up
@@ -129,8 +129,8 @@
 func (e *Entry) Dispatch(ctx context.Context, job work.Job, queue work.Queue, wait time.Duration) work.Outcome {
 	arrived := bootclock.Now()
 	r := &request{
-		job: job, queue: queue, arrived: arrived, wait: wait, full: map[string]bool{},
-		latest: arrived + queue.Objective(job.CriticalPath()) - job.CriticalPath(),
+		job: job, queue: queue, arrived: arrived, wait: wait, refusedBy: map[string]bool{},
+		latestStart: arrived + queue.Objective(job.CriticalPath()) - job.CriticalPath(),
 	}
 	outcome := e.dispatch(ctx, r)
 	e.options.Count("requests", outcome.Result.String())
@@ -149,27 +149,27 @@
 
 // dispatch asks one owner after another until one runs the job or all have refused it.
 func (e *Entry) dispatch(ctx context.Context, r *request) work.Outcome {
-	refusal := work.Outcome{Result: work.Refused, Reason: "no owner of targets can be reached", RetryAfter: refusedRetry}
+	refusal := work.Outcome{Result: work.Refused, Reason: "no owner of targets can be reached", RetryAfter: noOwnerRetryAfter}
 	for {
 		candidates := e.candidates(r)
 		chosen := Choose(candidates, rand.Float64())
 		if chosen >= 0 {
-			e.found.Store(int64(bootclock.Now()))
+			e.lastOwnerSeen.Store(int64(bootclock.Now()))
 		}
-		if chosen < 0 && len(r.full) > 0 {
+		if chosen < 0 && len(r.refusedBy) > 0 {
 			return refusal
 		}
 		if chosen < 0 && e.allCordoned() {
-			return work.Outcome{Result: work.Refused, Reason: "every failure domain is cordoned", RetryAfter: cordonedRetry}
+			return work.Outcome{Result: work.Refused, Reason: "every failure domain is cordoned", RetryAfter: cordonedRetryAfter}
 		}
 		if chosen >= 0 {
-			outcome := e.run(ctx, r, candidates[chosen])
+			outcome := e.runAt(ctx, r, candidates[chosen])
 			switch outcome.Result {
 			case work.Moved:
 			case work.Refused:
 				refusal = outcome
-				r.full[candidates[chosen].Group] = true
-				if worse(candidates, chosen, outcome) || bootclock.Now()-r.arrived > offerTime {
+				r.refusedBy[candidates[chosen].Group] = true
+				if noBetterOwner(candidates, chosen, outcome) || bootclock.Now()-r.arrived > reofferTimeout {
 					return refusal
 				}
 				continue
@@ -178,22 +178,22 @@
 			}
 		}
 		now := bootclock.Now()
-		if now > r.latest || now-time.Duration(e.found.Load()) > hopeTime {
+		if now > r.latestStart || now-time.Duration(e.lastOwnerSeen.Load()) > ownerWaitTimeout {
 			return refusal
 		}
 		select {
 		case <-ctx.Done():
 			return work.Outcome{Result: work.Unknown, Reason: "the caller left"}
-		case <-time.After(lookAgain):
+		case <-time.After(ownerRetryInterval):
 		}
 	}
 }
 
 // noBetterOwner reports whether no other owner is worth asking after a refusal: each has refused
 // the job too, or its forecast wait with farPenalty is no shorter than the refusal's retry delay.
-func worse(candidates []Candidate, refused int, outcome work.Outcome) bool {
+func noBetterOwner(candidates []Candidate, refused int, outcome work.Outcome) bool {
 	for i, c := range candidates {
-		if i != refused && !c.Full && c.Wait+farPenalty < outcome.RetryAfter {
+		if i != refused && !c.HasRefused && c.Wait+farPenalty < outcome.RetryAfter {
 			return false
 		}
 	}
@@ -204,16 +204,16 @@
 func (e *Entry) candidates(r *request) []Candidate {
 	var list []Candidate
 	for _, held := range e.options.Claims() {
-		if e.options.Cordoned(e.options.DomainOf(held.Group)) {
+		if e.options.IsCordoned(e.options.DomainOf(held.Group)) {
 			continue
 		}
 		c := Candidate{
-			Group: held.Group,
-			Near:  e.options.DomainOf(held.Group) == e.options.FailureDomain,
-			Self:  held.Claim.GetLife() == e.options.Life,
-			Full:  r.full[held.Group],
+			Group:      held.Group,
+			Near:       e.options.DomainOf(held.Group) == e.options.FailureDomain,
+			Self:       held.Claim.GetLife() == e.options.Incarnation,
+			HasRefused: r.refusedBy[held.Group],
 		}
-		if !e.fill(&c, held, r) {
+		if !e.fillCandidate(&c, held, r) {
 			continue
 		}
 		list = append(list, c)
@@ -225,7 +225,7 @@
 func (e *Entry) allCordoned() bool {
 	claims := e.options.Claims()
 	for _, held := range claims {
-		if !e.options.Cordoned(e.options.DomainOf(held.Group)) {
+		if !e.options.IsCordoned(e.options.DomainOf(held.Group)) {
 			return false
 		}
 	}
@@ -233,47 +233,47 @@
 }
 
 // fillCandidate sets what is known of an owner, and reports whether the owner can be asked.
-func (e *Entry) fill(c *Candidate, held ownership.GroupClaim, r *request) bool {
+func (e *Entry) fillCandidate(c *Candidate, held ownership.GroupClaim, r *request) bool {
 	if c.Self {
-		local, ok := e.options.Local(c.Group)
+		local, ok := e.options.LocalOwner(c.Group)
 		if !ok {
 			return false
 		}
 		if load, ok := local.Loads()[r.queue.Service]; ok {
 			c.Wait = load.Wait[min(max(r.queue.Priority, 0), scheduler.Priorities-1)]
-			c.Free = float64(load.FreeCPU) / float64(max(load.CPU, 1))
+			c.FreeShare = float64(load.FreeCPU) / float64(max(load.CPU, 1))
 		}
 		return true
 	}
 	view, ok := e.peers.View(held.Claim.GetLife())
-	if !ok || view.Stamp == 0 || view.Alive.Err() != nil {
+	if !ok || view.Timestamp == 0 || view.Alive.Err() != nil {
 		return false
 	}
 	c.View, c.Owner = view, view.Owner
-	c.Doubted = bootclock.Now()-view.Heard > doubtTime
-	c.measure(view.Loads, r.queue.Service, r.queue.Priority)
+	c.Unconfirmed = bootclock.Now()-view.LastHeard > unconfirmedAfter
+	c.setLoad(view.Loads, r.queue.Service, r.queue.Priority)
 	return true
 }
 
 // runAt has one owner run the job.
-func (e *Entry) run(ctx context.Context, r *request, c Candidate) work.Outcome {
+func (e *Entry) runAt(ctx context.Context, r *request, c Candidate) work.Outcome {
 	age := bootclock.Now() - r.arrived
 	if c.Self {
-		local, ok := e.options.Local(c.Group)
+		local, ok := e.options.LocalOwner(c.Group)
 		if !ok {
 			return work.Outcome{Result: work.Moved, Reason: "this VM no longer owns the targets"}
 		}
 		return local.Submit(ctx, scheduler.Submission{Job: r.job, Queue: r.queue, Age: age, Wait: r.wait})
 	}
-	outcome := e.remote.RunUntil(ctx, c.View.Alive, c.Owner, link.Order{
-		Group: c.Group, Entry: heartbeat.EntryID(e.options.VM, e.options.Life), Stamp: c.View.Stamp,
+	outcome := e.remote.RunWhileAlive(ctx, c.View.Alive, c.Owner, link.Order{
+		Group: c.Group, Entry: heartbeat.EntryID(e.options.VM, e.options.Incarnation), Timestamp: c.View.Timestamp,
 		Job: r.job, Queue: r.queue, Age: age, Wait: r.wait,
 	})
 	if outcome.Result == work.Unknown {
-		e.peers.GiveUp(c.Owner.Life, r.job.ID)
+		e.peers.GiveUp(c.Owner.Incarnation, r.job.ID)
 	}
 	if ctx.Err() == nil && (outcome.Result == work.Unknown || outcome.Result == work.Moved) {
-		e.options.Lost(c.Owner)
+		e.options.OwnerLost(c.Owner)
 	}
 	return outcome
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -27,16 +27,16 @@
 	}{
 		"no candidates":         {nil, 0, -1},
 		"near":                  {[]Candidate{{}, {Near: true}}, 0.9, 1},
-		"near though it waits":  {[]Candidate{{Free: 1}, {Near: true, Wait: 20 * ms}}, 0.9, 1},
-		"far has capacity":      {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.9, 0},
-		"some jobs stay near":   {[]Candidate{{Free: 0.5}, {Near: true, Wait: 200 * ms}}, 0.1, 1},
-		"far has no capacity":   {[]Candidate{{Free: 0.01}, {Near: true, Wait: 200 * ms}}, 0.9, 1},
-		"near has refused":      {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Full: true}}, 0.9, 0},
-		"near is unconfirmed":   {[]Candidate{{Free: 0.01, Wait: time.Second}, {Near: true, Doubted: true}}, 0.1, 0},
-		"all are unconfirmed":   {[]Candidate{{Doubted: true}, {Near: true, Doubted: true}}, 0.1, 1},
-		"confirmed has refused": {[]Candidate{{Full: true}, {Near: true, Doubted: true}}, 0.1, 1},
-		"all have refused":      {[]Candidate{{Full: true}, {Near: true, Full: true}}, 0.9, -1},
-		"far with least wait":   {[]Candidate{{Free: 1, Wait: 50 * ms}, {Free: 1, Wait: 10 * ms}}, 0.9, 1},
+		"near though it waits":  {[]Candidate{{FreeShare: 1}, {Near: true, Wait: 20 * ms}}, 0.9, 1},
+		"far has capacity":      {[]Candidate{{FreeShare: 0.5}, {Near: true, Wait: 200 * ms}}, 0.9, 0},
+		"some jobs stay near":   {[]Candidate{{FreeShare: 0.5}, {Near: true, Wait: 200 * ms}}, 0.1, 1},
+		"far has no capacity":   {[]Candidate{{FreeShare: 0.01}, {Near: true, Wait: 200 * ms}}, 0.9, 1},
+		"near has refused":      {[]Candidate{{FreeShare: 0.01, Wait: time.Second}, {Near: true, HasRefused: true}}, 0.9, 0},
+		"near is unconfirmed":   {[]Candidate{{FreeShare: 0.01, Wait: time.Second}, {Near: true, Unconfirmed: true}}, 0.1, 0},
+		"all are unconfirmed":   {[]Candidate{{Unconfirmed: true}, {Near: true, Unconfirmed: true}}, 0.1, 1},
+		"confirmed has refused": {[]Candidate{{HasRefused: true}, {Near: true, Unconfirmed: true}}, 0.1, 1},
+		"all have refused":      {[]Candidate{{HasRefused: true}, {Near: true, HasRefused: true}}, 0.9, -1},
+		"far with least wait":   {[]Candidate{{FreeShare: 1, Wait: 50 * ms}, {FreeShare: 1, Wait: 10 * ms}}, 0.9, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			must.Eq(t, test.want, Choose(test.candidates, test.draw))
@@ -67,8 +67,8 @@
 
 func (f *fakePeers) GiveUp(_ uint64, job string) { f.givenUp = append(f.givenUp, job) }
 
-func (f *fakePeers) RunUntil(_, _ context.Context, to heartbeat.Owner, _ link.Order) work.Outcome {
-	address := to.Control
+func (f *fakePeers) RunWhileAlive(_, _ context.Context, to heartbeat.Owner, _ link.Order) work.Outcome {
+	address := to.ControlAddress
 	f.asked = append(f.asked, address)
 	next := f.outcomes[address][0]
 	if len(f.outcomes[address]) > 1 {
@@ -84,21 +84,21 @@
 		{Group: "far", Version: 2, Claim: &linkpb.Claim{Life: 2, Control: "far"}},
 	}
 	return New(Options{
-		VM: "v", Life: 9, FailureDomain: "near", Log: slog.New(slog.DiscardHandler),
-		Count:    func(string, string) {},
-		Claims:   func() []ownership.GroupClaim { return claims },
-		Local:    func(string) (Local, bool) { return nil, false },
-		DomainOf: func(group string) string { return group },
-		Lost:     func(heartbeat.Owner) {},
-		Find:     func(context.Context, string) (work.JobState, error) { return f.inStore, f.storeFault },
+		VM: "v", Incarnation: 9, FailureDomain: "near", Log: slog.New(slog.DiscardHandler),
+		Count:      func(string, string) {},
+		Claims:     func() []ownership.GroupClaim { return claims },
+		LocalOwner: func(string) (Local, bool) { return nil, false },
+		DomainOf:   func(group string) string { return group },
+		OwnerLost:  func(heartbeat.Owner) {},
+		FindJob:    func(context.Context, string) (work.JobState, error) { return f.inStore, f.storeFault },
 	}, f, f)
 }
 
 // newFakePeers creates two live owners with the outcomes that they answer.
-func peers(near, far []work.Outcome) *fakePeers {
+func newFakePeers(near, far []work.Outcome) *fakePeers {
 	view := func(address string) heartbeat.View {
 		return heartbeat.View{
-			Owner: heartbeat.Owner{Control: address}, Stamp: 1, Alive: context.Background(),
+			Owner: heartbeat.Owner{ControlAddress: address}, Timestamp: 1, Alive: context.Background(),
 			Loads: []*linkpb.Load{{Group: address, Service: "s", FreeCpu: 10, Cpu: 10}},
 		}
 	}
@@ -114,14 +114,14 @@
 )
 
 func TestRefusedJobsAreOfferedToAnotherOwner(t *testing.T) {
-	f := peers([]work.Outcome{{Result: work.Refused, RetryAfter: time.Second}}, []work.Outcome{{Result: work.Completed}})
+	f := newFakePeers([]work.Outcome{{Result: work.Refused, RetryAfter: time.Second}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Completed, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
 	must.Eq(t, []string{"near", "far"}, f.asked)
 }
 
-func TestRefusedByAllIsRefusedAtOnce(t *testing.T) {
+func TestJobRefusedByAllOwnersIsRefusedAtOnce(t *testing.T) {
 	refused := []work.Outcome{{Result: work.Refused, Reason: "full", RetryAfter: time.Second}}
-	f := peers(refused, refused)
+	f := newFakePeers(refused, refused)
 	outcome := newEntry(f).Dispatch(t.Context(), job, queue, 0)
 	must.Eq(t, work.Refused, outcome.Result)
 	must.Eq(t, "full", outcome.Reason)
@@ -129,22 +129,22 @@
 }
 
 // A job that an owner handed back is sent again.
-func TestMovedJobsGoOn(t *testing.T) {
-	f := peers([]work.Outcome{{Result: work.Moved}, {Result: work.Completed}}, []work.Outcome{{Result: work.Completed}})
+func TestMovedJobIsSentAgain(t *testing.T) {
+	f := newFakePeers([]work.Outcome{{Result: work.Moved}, {Result: work.Completed}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Completed, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
 	must.Eq(t, []string{"near", "near"}, f.asked)
 }
 
 // A job that may have started is not sent again, and its owner is told to give it up.
-func TestLostJobsAreGivenUp(t *testing.T) {
-	f := peers([]work.Outcome{{Result: work.Unknown, Reason: "lost"}}, []work.Outcome{{Result: work.Completed}})
+func TestUnknownJobIsGivenUpAndNotSentAgain(t *testing.T) {
+	f := newFakePeers([]work.Outcome{{Result: work.Unknown, Reason: "lost"}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Unknown, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
 	must.Eq(t, []string{"j"}, f.givenUp)
 	must.Eq(t, []string{"near"}, f.asked)
 }
 
-func TestWithoutOwnersJobsAreRefusedInTime(t *testing.T) {
-	f := peers(nil, nil)
+func TestJobIsRefusedWithoutOwners(t *testing.T) {
+	f := newFakePeers(nil, nil)
 	f.views = nil
 	outcome := newEntry(f).Dispatch(t.Context(), job, queue, 0)
 	must.Eq(t, work.Refused, outcome.Result)
@@ -153,13 +153,13 @@
 
 // An owner that has not answered recently gets no new job while another one answers: it may have
 // died, and the job would be lost with it.
-func TestOwnersThatMayHaveDiedGetNoNewJobs(t *testing.T) {
-	f := peers([]work.Outcome{{Result: work.Unknown}}, []work.Outcome{{Result: work.Completed}})
-	for incarnation, ago := range map[uint64]time.Duration{1: doubtTime + 10*ms, 2: 0} {
+func TestUnconfirmedOwnerGetsNoNewJob(t *testing.T) {
+	f := newFakePeers([]work.Outcome{{Result: work.Unknown}}, []work.Outcome{{Result: work.Completed}})
+	for incarnation, ago := range map[uint64]time.Duration{1: unconfirmedAfter + 10*ms, 2: 0} {
 		view := f.views[incarnation]
-		view.Heard = bootclock.Now() + time.Hour
+		view.LastHeard = bootclock.Now() + time.Hour
 		if ago > 0 {
-			view.Heard = bootclock.Now() - ago
+			view.LastHeard = bootclock.Now() - ago
 		}
 		f.views[incarnation] = view
 	}
@@ -168,7 +168,7 @@
 }
 
 func TestSilentOwnersAreNotAsked(t *testing.T) {
-	f := peers([]work.Outcome{{Result: work.Completed}}, []work.Outcome{{Result: work.Completed}})
+	f := newFakePeers([]work.Outcome{{Result: work.Completed}}, []work.Outcome{{Result: work.Completed}})
 	silent, end := context.WithCancel(t.Context())
 	end()
 	near := f.views[1]
@@ -195,14 +195,14 @@
 		"the owner refuses first": {nil, cordoned, []string{"near", "far"}, work.Completed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := peers([]work.Outcome{test.near}, []work.Outcome{done})
+			f := newFakePeers([]work.Outcome{test.near}, []work.Outcome{done})
 			e := newEntry(f)
-			e.options.Cordoned = func(domain string) bool { return slices.Contains(test.cordoned, domain) }
+			e.options.IsCordoned = func(domain string) bool { return slices.Contains(test.cordoned, domain) }
 			outcome := e.Dispatch(t.Context(), job, queue, 0)
 			must.Eq(t, test.result, outcome.Result)
 			must.Eq(t, test.asked, f.asked)
 			if outcome.Result == work.Refused {
-				must.Eq(t, cordonedRetry, outcome.RetryAfter)
+				must.Eq(t, cordonedRetryAfter, outcome.RetryAfter)
 				must.Eq(t, "every failure domain is cordoned", outcome.Reason)
 			}
 		})
--- a/heartbeat/book.go
+++ b/heartbeat/book.go
@@ -14,36 +14,36 @@
 	Interval = 50 * time.Millisecond
 	// KeepaliveTimeout is how long after its timestamp a keepalive is valid. It outlasts the loss
 	// of three datagrams in a row, with a margin for delays.
-	Vouch = 320 * time.Millisecond
+	KeepaliveTimeout = 320 * time.Millisecond
 	// SilenceTimeout is how long an owner may be silent before it is considered lost:
 	// KeepaliveTimeout and the time that a stop at a target takes.
-	Silence = 420 * time.Millisecond
+	SilenceTimeout = 420 * time.Millisecond
 	// givenUpRetention is how long a job that was given up is named in pings: in three of them.
-	givenUpMemory = 3 * Interval
+	givenUpRetention = 3 * Interval
 	// pingerTimeout is how long an entry VM counts as alive after its last ping.
-	pingerMemory = Silence
+	pingerTimeout = SilenceTimeout
 	// maxPingers bounds the entry VMs that are kept in memory.
 	maxPingers = 4096
 )
 
 // Owner is the owner of a group of targets as its claim names it.
 type Owner struct {
-	VM        string
-	Life      uint64
-	Heartbeat string
-	Control   string
+	VM               string
+	Incarnation      uint64
+	HeartbeatAddress string
+	ControlAddress   string
 }
 
 // View is what an entry VM knows of an owner.
 type View struct {
 	Owner
 	// Timestamp is the newest reading of the owner's clock; 0 before the first answer.
-	Stamp int64
-	Loads []*linkpb.Load
+	Timestamp int64
+	Loads     []*linkpb.Load
 	// PendingJobs counts the owner's durable jobs of which nothing has started, by queue.
-	Pending map[string]int32
+	PendingJobs map[string]int32
 	// LastHeard is when the newest answer arrived.
-	Heard time.Duration
+	LastHeard time.Duration
 	// Alive ends when the owner has been silent for SilenceTimeout.
 	Alive context.Context
 	// ConfigurationVersion is the version in force at the owner.
@@ -52,16 +52,16 @@
 
 // Pinger is an entry VM as its pings describe it.
 type Pinger struct {
-	VM                 string
-	Life               uint64
-	FailureDomain      string
-	Control, Heartbeat string
+	VM                               string
+	Incarnation                      uint64
+	FailureDomain                    string
+	ControlAddress, HeartbeatAddress string
 	// CPUShare is the VM's share of a core, in thousandths.
 	CPUShare             int32
 	Leaving              bool
 	ConfigurationVersion int64
 	// FirstHeard and LastHeard are when the first and the newest ping arrived.
-	First, Heard time.Duration
+	FirstHeard, LastHeard time.Duration
 }
 
 // EntryID names one incarnation of an entry VM.
@@ -70,7 +70,7 @@
 }
 
 // peerTable holds what pings and answers have reported. It is not safe for concurrent use.
-type book struct {
+type peerTable struct {
 	// views holds the owners by their incarnation.
 	views map[uint64]*view
 	// pingers holds the entry VMs by their EntryID.
@@ -83,81 +83,81 @@
 type view struct {
 	View
 	// pingedSince is when pinging the owner began.
-	since time.Duration
+	pingedSince time.Duration
 	// cancelAlive ends View.Alive.
-	end context.CancelFunc
+	cancelAlive context.CancelFunc
 	// hasClaim says that the owner still holds a claim.
-	wanted bool
+	hasClaim bool
 }
 
-func newBook() *book {
-	return &book{views: map[uint64]*view{}, pingers: map[string]*Pinger{}, givenUp: map[string]time.Duration{}}
+func newPeerTable() *peerTable {
+	return &peerTable{views: map[uint64]*view{}, pingers: map[string]*Pinger{}, givenUp: map[string]time.Duration{}}
 }
 
 // setOwners sets the owners that hold claims. Previous owners stay until they are silent.
-func (b *book) follow(now time.Duration, owners []Owner) {
+func (b *peerTable) setOwners(now time.Duration, owners []Owner) {
 	claimed := map[uint64]bool{}
 	for _, owner := range owners {
-		claimed[owner.Life] = true
-		if b.views[owner.Life] == nil {
-			b.views[owner.Life] = newView(now, owner)
+		claimed[owner.Incarnation] = true
+		if b.views[owner.Incarnation] == nil {
+			b.views[owner.Incarnation] = newView(now, owner)
 		}
 	}
 	for incarnation, v := range b.views {
-		v.wanted = claimed[incarnation]
+		v.hasClaim = claimed[incarnation]
 	}
 	b.expire(now)
 }
 
 // newView creates the view of an owner that has not answered yet.
 func newView(now time.Duration, owner Owner) *view {
-	v := &view{View: View{Owner: owner}, since: now}
-	v.Alive, v.end = context.WithCancel(context.Background())
+	v := &view{View: View{Owner: owner}, pingedSince: now}
+	v.Alive, v.cancelAlive = context.WithCancel(context.Background())
 	return v
 }
 
 // recordPong takes an owner's answer and returns the time since the last one. It ignores answers of
 // unknown owners and those that are older than the newest.
-func (b *book) answered(now time.Duration, pong *linkpb.Pong) (gap time.Duration) {
+func (b *peerTable) recordPong(now time.Duration, pong *linkpb.Pong) (gap time.Duration) {
 	v := b.views[pong.GetLife()]
-	if v == nil || pong.GetStamp() < v.Stamp {
+	if v == nil || pong.GetStamp() < v.Timestamp {
 		return 0
 	}
-	if v.Heard > 0 {
-		gap = now - v.Heard
+	if v.LastHeard > 0 {
+		gap = now - v.LastHeard
 	}
 	if v.Alive.Err() != nil {
-		v.Alive, v.end = context.WithCancel(context.Background())
+		v.Alive, v.cancelAlive = context.WithCancel(context.Background())
 	}
-	v.Stamp = pong.GetStamp()
-	v.Heard = now
+	v.Timestamp = pong.GetStamp()
+	v.LastHeard = now
 	v.Loads = pong.GetLoads()
-	v.Pending = pong.GetPending()
+	v.PendingJobs = pong.GetPending()
 	v.ConfigurationVersion = pong.GetConfigurationVersion()
 	return gap
 }
 
 // expire ends Alive of silent owners, and removes silent previous owners, silent entry VMs and old
 // jobs that were given up.
-func (b *book) expire(now time.Duration) {
+func (b *peerTable) expire(now time.Duration) {
 	for incarnation, v := range b.views {
-		if now-max(v.Heard, v.since) <= Silence {
+		if now-max(v.LastHeard, v.pingedSince) <= SilenceTimeout {
 			continue
 		}
-		v.end()
+		v.cancelAlive()
 		// An owner that has handed over its claim is kept only while it answers: until then it
 		// may still run jobs.
-		if !v.wanted {
+		if !v.hasClaim {
 			delete(b.views, incarnation)
 		}
 	}
 	for id, p := range b.pingers {
-		if now-p.Heard > pingerMemory {
+		if now-p.LastHeard > pingerTimeout {
 			delete(b.pingers, id)
 		}
 	}
 	for id, at := range b.givenUp {
-		if now-at > givenUpMemory {
+		if now-at > givenUpRetention {
 			delete(b.givenUp, id)
 		}
 	}
@@ -165,22 +165,22 @@
 
 // recordPing takes an entry VM's ping and returns the time since the last one. It ignores unknown
 // entry VMs beyond maxPingers.
-func (b *book) pinged(now time.Duration, ping *linkpb.Ping) (gap time.Duration) {
+func (b *peerTable) recordPing(now time.Duration, ping *linkpb.Ping) (gap time.Duration) {
 	id := EntryID(ping.GetVm(), ping.GetLife())
 	p := b.pingers[id]
 	if p == nil {
 		if len(b.pingers) >= maxPingers {
 			return 0
 		}
-		p = &Pinger{VM: ping.GetVm(), Life: ping.GetLife(), First: now}
+		p = &Pinger{VM: ping.GetVm(), Incarnation: ping.GetLife(), FirstHeard: now}
 		b.pingers[id] = p
 	} else {
-		gap = now - p.Heard
+		gap = now - p.LastHeard
 	}
 	p.FailureDomain = ping.GetFailureDomain()
-	p.Control, p.Heartbeat = ping.GetControl(), ping.GetHeartbeat()
+	p.ControlAddress, p.HeartbeatAddress = ping.GetControl(), ping.GetHeartbeat()
 	p.CPUShare, p.Leaving = ping.GetCpuShare(), ping.GetLeaving()
 	p.ConfigurationVersion = ping.GetConfigurationVersion()
-	p.Heard = now
+	p.LastHeard = now
 	return gap
 }
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -32,10 +32,10 @@
 
 // Self describes this VM in its pings and answers.
 type Self struct {
-	VM                 string
-	Life               uint64
-	FailureDomain      string
-	Control, Heartbeat string
+	VM                               string
+	Incarnation                      uint64
+	FailureDomain                    string
+	ControlAddress, HeartbeatAddress string
 }
 
 // Listener gives what this VM reports in heartbeats and takes what others report. Its methods must
@@ -43,27 +43,27 @@
 type Listener interface {
 	// ReceiveKeepalive says that the callers of an entry VM still wait for their jobs, except
 	// those given up. It is valid until a time on the boot clock.
-	Vouched(entry string, until time.Duration, givenUp []string)
+	ReceiveKeepalive(entry string, until time.Duration, givenUp []string)
 	// Loads returns the loads of this VM's targets by service; nil if it owns none.
 	Loads() []*linkpb.Load
 	// PendingJobs counts this VM's durable jobs of which nothing has started, by queue.
-	Pending() map[string]int32
+	PendingJobs() map[string]int32
 	ConfigurationVersion() int64
 	Leaving() bool
 	// CPUShare returns this VM's present share of a core, in thousandths.
 	CPUShare() int32
 	// Claim returns the claim of this VM's group; nil before the first.
-	Owned() *linkpb.Owned
+	Claim() *linkpb.Owned
 	// ReceiveLoads takes the loads that an owner reports.
-	Heard(owner uint64, loads []*linkpb.Load)
+	ReceiveLoads(owner uint64, loads []*linkpb.Load)
 	// ReportLateHeartbeat takes an unusually long gap between two heartbeats of a VM.
-	Late(vm string, gap time.Duration)
+	ReportLateHeartbeat(vm string, gap time.Duration)
 	// Cordons returns the cordoned failure domains; nil before they are known.
 	Cordons() *linkpb.Cordons
 	// ReceiveCordons takes the cordoned failure domains that another VM reports.
-	Cordoned(from string, cordons *linkpb.Cordons)
+	ReceiveCordons(from string, cordons *linkpb.Cordons)
 	// ReceiveClaim takes the claim of its group that an owner reports.
-	Learned(owned *linkpb.Owned)
+	ReceiveClaim(owned *linkpb.Owned)
 }
 
 // Service sends and answers heartbeats.
@@ -72,15 +72,15 @@
 	listener Listener
 	conn     *net.UDPConn
 	// lastLoadRequest is when RequestLoads last pinged, on the boot clock.
-	hurried atomic.Int64
+	lastLoadRequest atomic.Int64
 
-	mu   sync.Mutex
-	book *book
+	mu    sync.Mutex
+	peers *peerTable
 }
 
 // New creates a Service and opens its socket at self.HeartbeatAddress.
 func New(self Self, l Listener) (*Service, error) {
-	address, err := net.ResolveUDPAddr("udp4", self.Heartbeat)
+	address, err := net.ResolveUDPAddr("udp4", self.HeartbeatAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Service{self: self, listener: l, conn: conn, book: newBook()}, nil
+	return &Service{self: self, listener: l, conn: conn, peers: newPeerTable()}, nil
 }
 
 // Run sends pings and answers those of others until the context ends.
@@ -96,14 +96,14 @@
 	g, ctx := errgroup.WithContext(ctx)
 	context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	g.Go(func() error { return s.receive(ctx) })
-	g.Go(func() error { s.send(ctx); return nil })
+	g.Go(func() error { s.pingPeriodically(ctx); return nil })
 	return g.Wait()
 }
 
 // SetOwners sets the owners that hold claims, and pings all owners at once.
-func (s *Service) Follow(owners []Owner) {
+func (s *Service) SetOwners(owners []Owner) {
 	s.mu.Lock()
-	s.book.follow(bootclock.Now(), owners)
+	s.peers.setOwners(bootclock.Now(), owners)
 	s.mu.Unlock()
 	s.pingAll()
 }
@@ -112,7 +112,7 @@
 func (s *Service) View(incarnation uint64) (View, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.book.views[incarnation]
+	v := s.peers.views[incarnation]
 	if v == nil {
 		return View{}, false
 	}
@@ -123,8 +123,8 @@
 func (s *Service) Pingers() []Pinger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pingers := make([]Pinger, 0, len(s.book.pingers))
-	for _, p := range s.book.pingers {
+	pingers := make([]Pinger, 0, len(s.peers.pingers))
+	for _, p := range s.peers.pingers {
 		pingers = append(pingers, *p)
 	}
 	return pingers
@@ -134,13 +134,13 @@
 // again in the next pings.
 func (s *Service) GiveUp(owner uint64, job string) {
 	s.mu.Lock()
-	s.book.givenUp[job] = bootclock.Now()
+	s.peers.givenUp[job] = bootclock.Now()
 	s.mu.Unlock()
-	s.ping(func(incarnation uint64) bool { return incarnation == owner })
+	s.pingWhere(func(incarnation uint64) bool { return incarnation == owner })
 }
 
 // pingPeriodically pings all owners at each interval until the context ends.
-func (s *Service) send(ctx context.Context) {
+func (s *Service) pingPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for {
@@ -149,7 +149,7 @@
 			return
 		case <-ticker.C:
 			s.mu.Lock()
-			s.book.expire(bootclock.Now())
+			s.peers.expire(bootclock.Now())
 			s.mu.Unlock()
 			s.pingAll()
 		}
@@ -158,56 +158,56 @@
 
 // minLoadRequestInterval is several times the network latency between failure domains. Capacity
 // that becomes free is known to the owners that ask for it within this time.
-const hurryInterval = 8 * time.Millisecond
+const minLoadRequestInterval = 8 * time.Millisecond
 
 // RequestLoads pings all owners for their loads, unless it has done so within
 // minLoadRequestInterval.
-func (s *Service) Hurry() {
+func (s *Service) RequestLoads() {
 	now := int64(bootclock.Now())
-	last := s.hurried.Load()
-	if now-last >= int64(hurryInterval) && s.hurried.CompareAndSwap(last, now) {
+	last := s.lastLoadRequest.Load()
+	if now-last >= int64(minLoadRequestInterval) && s.lastLoadRequest.CompareAndSwap(last, now) {
 		s.pingAll()
 	}
 }
 
 // pingAll pings each owner except this VM itself.
 func (s *Service) pingAll() {
-	s.ping(func(uint64) bool { return true })
+	s.pingWhere(func(uint64) bool { return true })
 }
 
 // pingWhere pings the owners whose incarnation the predicate accepts.
-func (s *Service) ping(matches func(incarnation uint64) bool) {
-	for _, p := range s.pings(matches) {
+func (s *Service) pingWhere(matches func(incarnation uint64) bool) {
+	for _, p := range s.preparePings(matches) {
 		s.write(p.address, p.ping)
 	}
 }
 
 // outgoingPing is a ping with its address. Two incarnations of a VM, of which one has ended, may
 // share an address for a while.
-type outgoing struct {
+type outgoingPing struct {
 	address string
 	ping    *linkpb.Ping
 }
 
 // preparePings returns the pings to the owners that the predicate accepts, except this VM.
-func (s *Service) pings(matches func(incarnation uint64) bool) []outgoing {
+func (s *Service) preparePings(matches func(incarnation uint64) bool) []outgoingPing {
 	version, leaving, share := s.listener.ConfigurationVersion(), s.listener.Leaving(), s.listener.CPUShare()
 	cordons := s.listener.Cordons()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var givenUp []string
-	for job := range s.book.givenUp {
+	for job := range s.peers.givenUp {
 		givenUp = append(givenUp, job)
 	}
-	pings := make([]outgoing, 0, len(s.book.views))
-	for incarnation, v := range s.book.views {
-		if incarnation == s.self.Life || !matches(incarnation) {
+	pings := make([]outgoingPing, 0, len(s.peers.views))
+	for incarnation, v := range s.peers.views {
+		if incarnation == s.self.Incarnation || !matches(incarnation) {
 			continue
 		}
-		pings = append(pings, outgoing{address: v.Heartbeat, ping: &linkpb.Ping{
-			Vm: s.self.VM, Life: s.self.Life, FailureDomain: s.self.FailureDomain,
-			Stamp: v.Stamp, OwnerLife: incarnation, GivenUp: givenUp, ConfigurationVersion: version,
-			CpuShare: share, Leaving: leaving, Control: s.self.Control, Heartbeat: s.self.Heartbeat,
+		pings = append(pings, outgoingPing{address: v.HeartbeatAddress, ping: &linkpb.Ping{
+			Vm: s.self.VM, Life: s.self.Incarnation, FailureDomain: s.self.FailureDomain,
+			Stamp: v.Timestamp, OwnerLife: incarnation, GivenUp: givenUp, ConfigurationVersion: version,
+			CpuShare: share, Leaving: leaving, Control: s.self.ControlAddress, Heartbeat: s.self.HeartbeatAddress,
 			Cordons: cordons,
 		}})
 	}
@@ -253,31 +253,31 @@
 		if err != nil || n == 0 {
 			continue
 		}
-		s.take(buffer[0], buffer[1:n], from)
+		s.handleDatagram(buffer[0], buffer[1:n], from)
 	}
 }
 
 // handleDatagram decodes a ping or a pong and passes it on; it drops all else.
-func (s *Service) take(kind byte, body []byte, from netip.AddrPort) {
+func (s *Service) handleDatagram(kind byte, body []byte, from netip.AddrPort) {
 	switch kind {
 	case kindPing:
 		var ping linkpb.Ping
 		if proto.Unmarshal(body, &ping) == nil {
-			s.pinged(&ping, from)
+			s.handlePing(&ping, from)
 		}
 	case kindPong:
 		var pong linkpb.Pong
 		if proto.Unmarshal(body, &pong) == nil {
 			s.mu.Lock()
-			gap := s.book.answered(bootclock.Now(), &pong)
+			gap := s.peers.recordPong(bootclock.Now(), &pong)
 			s.mu.Unlock()
-			s.late(pong.GetVm(), gap)
+			s.reportLate(pong.GetVm(), gap)
 			if pong.GetCordons() != nil {
-				s.listener.Cordoned(pong.GetVm(), pong.GetCordons())
+				s.listener.ReceiveCordons(pong.GetVm(), pong.GetCordons())
 			}
-			s.listener.Heard(pong.GetLife(), pong.GetLoads())
+			s.listener.ReceiveLoads(pong.GetLife(), pong.GetLoads())
 			if pong.GetOwned() != nil {
-				s.listener.Learned(pong.GetOwned())
+				s.listener.ReceiveClaim(pong.GetOwned())
 			}
 		}
 	}
@@ -287,29 +287,29 @@
 const lateGap = 4 * Interval
 
 // reportLate reports the gap between two heartbeats of a VM if it is longer than lateGap.
-func (s *Service) late(vm string, gap time.Duration) {
+func (s *Service) reportLate(vm string, gap time.Duration) {
 	if gap > lateGap {
-		s.listener.Late(vm, gap)
+		s.listener.ReportLateHeartbeat(vm, gap)
 	}
 }
 
 // handlePing records a ping, passes on its keepalive and answers it.
-func (s *Service) pinged(ping *linkpb.Ping, from netip.AddrPort) {
+func (s *Service) handlePing(ping *linkpb.Ping, from netip.AddrPort) {
 	now := bootclock.Now()
 	s.mu.Lock()
-	gap := s.book.pinged(now, ping)
+	gap := s.peers.recordPing(now, ping)
 	s.mu.Unlock()
-	s.late(ping.GetVm(), gap)
+	s.reportLate(ping.GetVm(), gap)
 	if ping.GetCordons() != nil {
-		s.listener.Cordoned(ping.GetVm(), ping.GetCordons())
+		s.listener.ReceiveCordons(ping.GetVm(), ping.GetCordons())
 	}
-	if ping.GetOwnerLife() == s.self.Life && ping.GetStamp() > 0 {
-		s.listener.Vouched(EntryID(ping.GetVm(), ping.GetLife()), time.Duration(ping.GetStamp())+Vouch, ping.GetGivenUp())
+	if ping.GetOwnerLife() == s.self.Incarnation && ping.GetStamp() > 0 {
+		s.listener.ReceiveKeepalive(EntryID(ping.GetVm(), ping.GetLife()), time.Duration(ping.GetStamp())+KeepaliveTimeout, ping.GetGivenUp())
 	}
 	s.writeTo(from, &linkpb.Pong{
-		Vm: s.self.VM, Life: s.self.Life, Stamp: int64(bootclock.Now()), Control: s.self.Control,
+		Vm: s.self.VM, Life: s.self.Incarnation, Stamp: int64(bootclock.Now()), Control: s.self.ControlAddress,
 		ConfigurationVersion: s.listener.ConfigurationVersion(), Loads: s.listener.Loads(),
-		Owned: s.listener.Owned(), Pending: s.listener.Pending(),
+		Owned: s.listener.Claim(), Pending: s.listener.PendingJobs(),
 		Cordons: s.listener.Cordons(),
 	})
 }
--- a/lab/replay/choose.go
+++ b/lab/replay/choose.go
@@ -12,10 +12,10 @@
 	candidates := make([]entry.Candidate, len(w.owners))
 	for i, o := range w.owners {
 		candidates[i] = entry.Candidate{
-			Near: w.options.OneOwner || i == a.domain,
-			Wait: o.loads.Wait[w.options.Site.Kinds[a.kind].Priority],
-			Free: float64(o.loads.FreeCPU) / float64(max(o.loads.CPU, 1)),
-			Full: refused[i] || o.cordoned,
+			Near:       w.options.OneOwner || i == a.domain,
+			Wait:       o.loads.Wait[w.options.Site.Kinds[a.kind].Priority],
+			FreeShare:  float64(o.loads.FreeCPU) / float64(max(o.loads.CPU, 1)),
+			HasRefused: refused[i] || o.cordoned,
 		}
 	}
 	return max(entry.Choose(candidates, w.random.Float64()), 0)
--- a/link/convert_test.go
+++ b/link/convert_test.go
@@ -45,17 +45,17 @@
 }
 
 // No field of a job that decides how it runs is lost on the wire.
-func TestJobsArriveWhole(t *testing.T) {
+func TestJobRoundTrip(t *testing.T) {
 	job := filled[work.Job]()
 	must.Eq(t, job, jobFromWire(jobToWire(job)))
 }
 
-func TestTargetsArriveWhole(t *testing.T) {
+func TestTargetRoundTrip(t *testing.T) {
 	target := filled[work.Target]()
 	must.Eq(t, target, targetFromWire(targetToWire(target)))
 }
 
-func TestQueuesArriveWhole(t *testing.T) {
+func TestQueueRoundTrip(t *testing.T) {
 	queue := filled[work.Queue]()
 	must.Eq(t, queue, queueFromWire(queueToWire(queue)))
 }
--- a/link/link.go
+++ b/link/link.go
@@ -29,23 +29,23 @@
 	// Entry is the heartbeat.EntryID of the VM that received the job.
 	Entry string
 	// Timestamp is the newest reading of the owner's clock that the entry VM has received.
-	Stamp int64
-	Job   work.Job
-	Queue work.Queue
+	Timestamp int64
+	Job       work.Job
+	Queue     work.Queue
 	// Age is the time since the caller sent the job, Wait how long the caller
 	// waits from then on; 0 means no bound.
 	Age, Wait time.Duration
 	// Part names the tasks if the order is a part of a job that another owner delegates.
 	Part []string
 	// Previous is the earlier request for the same job; zero in a first request.
-	Given Given
+	Previous PreviousRequest
 }
 
 // PreviousRequest is a request for a job whose connection broke. The job's outcome goes to the
 // request that follows it.
-type Given struct {
+type PreviousRequest struct {
 	// Incarnation is the owner's process that received the earlier request.
-	Life uint64
+	Incarnation uint64
 	// Ago is the time since the earlier request.
 	Ago time.Duration
 }
@@ -83,16 +83,16 @@
 // Run implements linkpb.Fleet.
 func (s server) Run(ctx context.Context, r *linkpb.RunRequest) (*linkpb.RunReply, error) {
 	return outcomeToWire(s.handler.Run(ctx, Order{
-		Group: r.GetGroup(),
-		Entry: r.GetEntry(),
-		Stamp: r.GetStamp(),
-		Job:   jobFromWire(r.GetJob()),
-		Queue: queueFromWire(r.GetQueue()),
-		Age:   duration(r.GetAgeUs()),
-		Wait:  duration(r.GetWaitUs()),
-		Part:  r.GetPart(),
+		Group:     r.GetGroup(),
+		Entry:     r.GetEntry(),
+		Timestamp: r.GetStamp(),
+		Job:       jobFromWire(r.GetJob()),
+		Queue:     queueFromWire(r.GetQueue()),
+		Age:       duration(r.GetAgeUs()),
+		Wait:      duration(r.GetWaitUs()),
+		Part:      r.GetPart(),
 
-		Given: Given{Life: r.GetGivenLife(), Ago: duration(r.GetGivenUs())},
+		Previous: PreviousRequest{Incarnation: r.GetGivenLife(), Ago: duration(r.GetGivenUs())},
 	})), nil
 }
 
@@ -142,7 +142,7 @@
 	cancelTimeout = 2 * time.Second
 	// maxIdleConnections is the usual number of simultaneous jobs from one VM at one owner; each
 	// of them has a connection of its own.
-	maxIdle = 128
+	maxIdleConnections = 128
 	// bufferBytes is the size of most requests and answers.
 	bufferBytes = 2 << 10
 )
@@ -154,7 +154,7 @@
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 		ReadBufferSize:      bufferBytes,
@@ -173,15 +173,15 @@
 	return c.fleet(address).Run(ctx, &linkpb.RunRequest{
 		Group:  order.Group,
 		Entry:  order.Entry,
-		Stamp:  order.Stamp,
+		Stamp:  order.Timestamp,
 		Job:    jobToWire(order.Job),
 		Queue:  queueToWire(order.Queue),
 		AgeUs:  micros(order.Age),
 		WaitUs: micros(order.Wait),
 		Part:   order.Part,
 
-		GivenLife: order.Given.Life,
-		GivenUs:   micros(order.Given.Ago),
+		GivenLife: order.Previous.Incarnation,
+		GivenUs:   micros(order.Previous.Ago),
 	})
 }
 
@@ -193,12 +193,12 @@
 // fetched over another connection. When a third of the VMs have half of their connections reset,
 // most of the jobs in progress are still answered in time instead of being given up. Durable jobs
 // are not asked for again.
-func (c *Client) RunUntil(ctx, alive context.Context, to heartbeat.Owner, order Order) work.Outcome {
+func (c *Client) RunWhileAlive(ctx, alive context.Context, to heartbeat.Owner, order Order) work.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(alive, cancel)()
 	began := time.Now()
-	reply, err := c.run(ctx, to.Control, order)
+	reply, err := c.run(ctx, to.ControlAddress, order)
 	if err == nil {
 		return outcomeFromWire(reply)
 	}
@@ -208,8 +208,8 @@
 	age := order.Age
 	for try := 0; try < maxRejoins && ctx.Err() == nil && !order.Job.Durable; try++ {
 		ago := time.Since(began)
-		order.Age, order.Given = age+ago, Given{Life: to.Life, Ago: ago}
-		if reply, err = c.run(ctx, to.Control, order); err == nil {
+		order.Age, order.Previous = age+ago, PreviousRequest{Incarnation: to.Incarnation, Ago: ago}
+		if reply, err = c.run(ctx, to.ControlAddress, order); err == nil {
 			return outcomeFromWire(reply)
 		}
 	}
@@ -264,7 +264,7 @@
 
 // RefusesConnection reports whether the machine at an address answers but refuses the connection:
 // the process there has ended.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnection(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err == nil {
--- a/node/ages.go
+++ b/node/ages.go
@@ -10,10 +10,10 @@
 
 // storeReadTimes holds when the store last answered about each table that this VM mirrors, on the
 // boot clock; 0 before the first answer.
-type ages struct{ configuration, claims, registry atomic.Int64 }
+type storeReadTimes struct{ configuration, claims, registry atomic.Int64 }
 
 // recorder returns a function that stores the time of an answer in at.
-func (*ages) heard(at *atomic.Int64) func(time.Duration) {
+func (*storeReadTimes) recorder(at *atomic.Int64) func(time.Duration) {
 	return func(now time.Duration) { at.Store(int64(now)) }
 }
 
@@ -22,7 +22,7 @@
 
 // publishGauges sets the gauges of this VM at each interval, among them the ages of the mirrored
 // tables, until the context ends.
-func (n *Node) gauge(ctx context.Context) {
+func (n *Node) publishGauges(ctx context.Context) {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
 	for {
@@ -33,7 +33,7 @@
 		}
 		now := bootclock.Now()
 		for what, at := range map[string]*atomic.Int64{
-			"age_configuration_seconds": &n.ages.configuration, "age_claims_seconds": &n.ages.claims, "age_registry_seconds": &n.ages.registry,
+			"age_configuration_seconds": &n.storeReadTimes.configuration, "age_claims_seconds": &n.storeReadTimes.claims, "age_registry_seconds": &n.storeReadTimes.registry,
 		} {
 			if heard := at.Load(); heard > 0 {
 				n.options.Gauge(what, (now - time.Duration(heard)).Seconds())
--- a/node/calls.go
+++ b/node/calls.go
@@ -15,26 +15,26 @@
 )
 
 // runForPeer runs a job for another VM. It refuses orders whose keepalive has expired already.
-func (n *Node) runFor(ctx context.Context, order link.Order) work.Outcome {
-	if order.Given != (link.Given{}) {
+func (n *Node) runForPeer(ctx context.Context, order link.Order) work.Outcome {
+	if order.Previous != (link.PreviousRequest{}) {
 		return n.rejoin(ctx, order)
 	}
-	o, until := n.owned(), vouchedUntil(order)
+	o, until := n.currentOwner(), keepaliveEnd(order)
 	if o == nil || bootclock.Now() >= until {
 		return work.Outcome{Result: work.Moved, Reason: "not the owner, or the order is stale"}
 	}
 	o.RecordKeepalive(order.Entry, until, nil)
-	return o.Submit(ctx, submissionOf(order))
+	return o.Submit(ctx, submissionFromOrder(order))
 }
 
 // keepaliveEnd returns when an order's own keepalive expires, on this VM's boot clock: the owner
 // then gives the job up unless a later keepalive of the entry VM has arrived.
-func vouchedUntil(order link.Order) time.Duration {
-	return time.Duration(order.Stamp) + heartbeat.Vouch
+func keepaliveEnd(order link.Order) time.Duration {
+	return time.Duration(order.Timestamp) + heartbeat.KeepaliveTimeout
 }
 
 // submissionFromOrder converts an order of another VM to a submission.
-func submissionOf(order link.Order) scheduler.Submission {
+func submissionFromOrder(order link.Order) scheduler.Submission {
 	return scheduler.Submission{
 		Entry: order.Entry, Job: order.Job, Queue: order.Queue, Age: order.Age, Wait: order.Wait, Part: order.Part,
 	}
@@ -46,23 +46,23 @@
 func (n *Node) rejoin(ctx context.Context, order link.Order) work.Outcome {
 	outcome := work.Outcome{Result: work.Unknown, Reason: "the connection broke, and who owned the targets then has ended"}
 	presence := scheduler.Forgotten
-	if o := n.handingOver(); o != nil {
-		outcome, presence = o.Rejoin(ctx, submissionOf(order), order.Given.Ago, false)
+	if o := n.outgoingOwner(); o != nil {
+		outcome, presence = o.Rejoin(ctx, submissionFromOrder(order), order.Previous.Ago, false)
 	}
-	if o := n.owned(); o != nil && presence != scheduler.Present && order.Given.Life == n.self.Life {
-		until := vouchedUntil(order)
+	if o := n.currentOwner(); o != nil && presence != scheduler.Present && order.Previous.Incarnation == n.self.Incarnation {
+		until := keepaliveEnd(order)
 		o.RecordKeepalive(order.Entry, until, nil)
-		outcome, presence = o.Rejoin(ctx, submissionOf(order), order.Given.Ago, bootclock.Now() < until)
+		outcome, presence = o.Rejoin(ctx, submissionFromOrder(order), order.Previous.Ago, bootclock.Now() < until)
 	}
 	n.options.Count("rejoins", presence.String())
-	n.log.Info("job asked for again", "job", order.Job.ID, "entry", order.Entry, "given", order.Given.Ago, "found", presence.String())
+	n.log.Info("job asked for again", "job", order.Job.ID, "entry", order.Entry, "given", order.Previous.Ago, "found", presence.String())
 	return outcome
 }
 
 // localOwners lists the owners in this process: the current one and the one that hands over.
-func (n *Node) owners() []*owner.Owner {
+func (n *Node) localOwners() []*owner.Owner {
 	var owners []*owner.Owner
-	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
+	for _, o := range []*owner.Owner{n.currentOwner(), n.outgoingOwner()} {
 		if o != nil {
 			owners = append(owners, o)
 		}
@@ -72,7 +72,7 @@
 
 // askOwners returns the state of a durable job from the first owner in this process that knows it.
 func (n *Node) askOwners(query func(*owner.Owner) (work.JobState, bool)) work.JobState {
-	for _, o := range n.owners() {
+	for _, o := range n.localOwners() {
 		if state, known := query(o); known {
 			return state
 		}
@@ -88,23 +88,23 @@
 
 // Run implements link.Handler.
 func (p peerCalls) Run(ctx context.Context, order link.Order) work.Outcome {
-	return p.node.runFor(ctx, order)
+	return p.node.runForPeer(ctx, order)
 }
 
 // Release implements link.Handler. It ends the outgoing owner once that has released all targets.
 func (p peerCalls) Release(ctx context.Context, _ string) owner.Released {
-	if p.node.owned() != nil {
+	if p.node.currentOwner() != nil {
 		// The successor has learned of its claim before this VM has: its owner still uses the
 		// targets.
 		return owner.Released{}
 	}
-	o := p.node.handingOver()
+	o := p.node.outgoingOwner()
 	if o == nil {
 		return owner.Released{All: true}
 	}
 	released := o.Release(ctx)
 	if released.All {
-		p.node.forgetFormer(o)
+		p.node.endOutgoing(o)
 	}
 	return released
 }
@@ -125,7 +125,7 @@
 // Tables implements link.Handler.
 func (p peerCalls) Tables() link.Tables {
 	tables := link.Tables{Claims: p.node.keeper.Claims(), Cordons: p.node.cordons.board.View()}
-	if clock, known := p.node.clock.told(); known {
+	if clock, known := p.node.storeClock.nowIfKnown(); known {
 		tables.StoreClock = clock
 	}
 	if held := p.node.config.held.Load(); held != nil {
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -24,7 +24,7 @@
 }
 
 // updateIfNewer puts a configuration in force if its version is newer, and reports whether it did.
-func (c *configuration) offer(raw []byte, from string) bool {
+func (c *configuration) updateIfNewer(raw []byte, from string) bool {
 	decoded, err := platform.DecodeConfiguration(raw)
 	if err != nil {
 		c.log.Error("cannot decode configuration", "from", from, "error", err)
@@ -44,10 +44,10 @@
 }
 
 // applyUpdate takes the configuration from an update of the operator's table.
-func (c *configuration) take(update mirror.Update) {
+func (c *configuration) applyUpdate(update mirror.Update) {
 	for _, row := range update.Rows.Rows {
 		if row.Key == platform.ConfigurationKey && !row.Deleted {
-			c.offer(row.Value, "store")
+			c.updateIfNewer(row.Value, "store")
 		}
 	}
 }
--- a/node/configuration_test.go
+++ b/node/configuration_test.go
@@ -15,21 +15,21 @@
 )
 
 // A configuration with an older or equal version is never put in force, whichever source sends it.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	c := configuration{log: slog.New(slog.DiscardHandler)}
 	must.Eq(t, 0, c.version())
-	must.True(t, c.offer([]byte(`{"version":7}`), "store"))
-	must.False(t, c.offer([]byte(`{"version":3}`), "peer"))
-	must.False(t, c.offer([]byte(`{"version":7}`), "peer"))
-	must.False(t, c.offer([]byte(`junk`), "peer"))
+	must.True(t, c.updateIfNewer([]byte(`{"version":7}`), "store"))
+	must.False(t, c.updateIfNewer([]byte(`{"version":3}`), "peer"))
+	must.False(t, c.updateIfNewer([]byte(`{"version":7}`), "peer"))
+	must.False(t, c.updateIfNewer([]byte(`junk`), "peer"))
 	must.Eq(t, 7, c.version())
-	must.True(t, c.offer([]byte(`{"version":8}`), "peer"))
+	must.True(t, c.updateIfNewer([]byte(`{"version":8}`), "peer"))
 	must.Eq(t, 8, c.version())
 }
 
 // A VM that is cut off from the store receives a configuration of a quarter of a megabyte from a
 // peer over a real socket, complete, and finds each of its routes.
-func TestALargeConfigurationReachesPeersWhole(t *testing.T) {
+func TestLargeConfigurationReachesPeersComplete(t *testing.T) {
 	const size = 256 << 10
 	sent := wire.Configuration{Version: 9}
 	var raw []byte
@@ -46,13 +46,13 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	from := &Node{config: configuration{log: log}, keeper: ownership.New(ownership.Options{}, nil, nil)}
-	must.True(t, from.config.offer(raw, "store"))
+	must.True(t, from.config.updateIfNewer(raw, "store"))
 	server := httptest.NewServer(from.handler())
 	t.Cleanup(server.Close)
 	tables, err := linkpb.NewFleetProtobufClient(server.URL, server.Client()).Tables(t.Context(), &linkpb.TablesRequest{})
 	must.NoError(t, err)
 	to := configuration{log: log}
-	must.True(t, to.offer(tables.GetConfiguration(), "peer"))
+	must.True(t, to.updateIfNewer(tables.GetConfiguration(), "peer"))
 	held := to.held.Load()
 	must.SliceLen(t, len(sent.Routes), held.Routes)
 	for _, want := range sent.Routes {
--- a/node/cordons.go
+++ b/node/cordons.go
@@ -18,15 +18,15 @@
 }
 
 func (c *cordons) init(n *Node) {
-	c.reader.RowIgnored = n.cordonIgnored
+	c.reader.RowIgnored = n.reportUnreadableCordon
 	c.board.Changed = n.cordonsChanged
 }
 
 // applyUpdate applies an update of the operator's table.
-func (c *cordons) take(update mirror.Update) { c.board.Update(c.reader.Apply(update), "store") }
+func (c *cordons) applyUpdate(update mirror.Update) { c.board.Update(c.reader.Apply(update), "store") }
 
 // reportUnreadableCordon counts and logs a row of the operator's table that is no valid cordon.
-func (n *Node) cordonIgnored(row platform.Row, err error) {
+func (n *Node) reportUnreadableCordon(row platform.Row, err error) {
 	n.options.Count("rows_unreadable", string(platform.OperatorTable))
 	n.log.Warn("row not understood", "table", platform.OperatorTable, "key", row.Key, "version", row.Version, "error", err)
 }
@@ -44,7 +44,7 @@
 		}
 	}
 	n.options.Gauge("cordoned_failure_domains", float64(len(after.Domains)))
-	for _, o := range n.owners() {
+	for _, o := range n.localOwners() {
 		go o.UpdateCordons(n.ctx, after)
 	}
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return cordon.View{}, err
 	}
-	reader := cordon.Reader{RowIgnored: n.cordonIgnored}
+	reader := cordon.Reader{RowIgnored: n.reportUnreadableCordon}
 	view := reader.Apply(mirror.Update{Rows: rows, Snapshot: true})
 	n.cordons.board.Update(view, "store, read again")
 	return view, nil
@@ -65,6 +65,6 @@
 func (n *Node) Cordons() *linkpb.Cordons { return n.cordons.board.View().ToWire() }
 
 // ReceiveCordons implements heartbeat.Listener.
-func (n *Node) Cordoned(from string, cordons *linkpb.Cordons) {
+func (n *Node) ReceiveCordons(from string, cordons *linkpb.Cordons) {
 	n.cordons.board.Update(cordon.FromWire(cordons), from)
 }
--- a/node/delegate.go
+++ b/node/delegate.go
@@ -16,9 +16,9 @@
 
 // ReceiveLoads implements heartbeat.Listener. It tells the current owner the free capacity of
 // another owner, to which it may delegate tasks.
-func (n *Node) Heard(incarnation uint64, loads []*linkpb.Load) {
-	o := n.owned()
-	if o == nil || incarnation == n.self.Life {
+func (n *Node) ReceiveLoads(incarnation uint64, loads []*linkpb.Load) {
+	o := n.currentOwner()
+	if o == nil || incarnation == n.self.Incarnation {
 		return
 	}
 	for _, load := range loads {
@@ -34,21 +34,21 @@
 
 // delegate has another owner run a part of a job. This VM acts as the part's entry VM: it sends
 // the keepalives for it.
-func (n *Node) lend(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome {
+func (n *Node) delegate(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome {
 	for _, held := range n.keeper.Claims() {
 		if ownerName(held.Claim.GetLife()) != owner {
 			continue
 		}
-		view, ok := n.beats.View(held.Claim.GetLife())
-		if !ok || view.Stamp == 0 || view.Alive.Err() != nil {
+		view, ok := n.heartbeats.View(held.Claim.GetLife())
+		if !ok || view.Timestamp == 0 || view.Alive.Err() != nil {
 			break
 		}
-		outcome := n.calls.RunUntil(ctx, view.Alive, view.Owner, link.Order{
-			Group: held.Group, Entry: heartbeat.EntryID(n.self.VM, n.self.Life), Stamp: view.Stamp,
+		outcome := n.peerClient.RunWhileAlive(ctx, view.Alive, view.Owner, link.Order{
+			Group: held.Group, Entry: heartbeat.EntryID(n.self.VM, n.self.Incarnation), Timestamp: view.Timestamp,
 			Job: sub.Job, Queue: sub.Queue, Age: sub.Age, Wait: sub.Wait, Part: sub.Part,
 		})
 		if outcome.Result == work.Unknown {
-			n.beats.GiveUp(view.Life, sub.Job.ID)
+			n.heartbeats.GiveUp(view.Incarnation, sub.Job.ID)
 		}
 		return outcome
 	}
--- a/node/leave.go
+++ b/node/leave.go
@@ -13,32 +13,32 @@
 const (
 	// drainDelay is the time until two readiness checks, sent once a second, have failed and the
 	// platform sends no new connections.
-	rotationTime = 2200 * time.Millisecond
+	drainDelay = 2200 * time.Millisecond
 	// closeMargin is the part of the grace period that is reserved for closing the servers.
-	leaveMargin = 700 * time.Millisecond
+	closeMargin = 700 * time.Millisecond
 	// handOverRetryInterval is the pause between two attempts to hand over.
-	handOverPause = 250 * time.Millisecond
+	handOverRetryInterval = 250 * time.Millisecond
 	// handOverTimeout bounds the attempts: a store that is unavailable for longer does not come
 	// back in time.
-	handOverTime = 2 * time.Second
+	handOverTimeout = 2 * time.Second
 	// busyCheckInterval is the pause between two checks for requests and jobs in progress.
-	leavePause = 20 * time.Millisecond
+	busyCheckInterval = 20 * time.Millisecond
 )
 
 // leave hands over the group if this VM owns it, and waits within the grace period until its
 // callers are answered.
 func (n *Node) leave(ctx context.Context) {
 	began := bootclock.Now()
-	deadline := began + n.options.Settings.Grace - leaveMargin
+	deadline := began + n.options.Settings.Grace - closeMargin
 	n.log.Info("leaving", "requests", n.requests.Load())
 	n.leaving.Store(true)
 	n.keeper.Leave()
 	n.handOver(ctx, began)
-	sleepUntil(began + rotationTime)
+	sleepUntil(began + drainDelay)
 	// From now on the frontend accepts no connections but answers on those that are open.
 	n.servers.closeFrontend(deadline - bootclock.Now())
-	for bootclock.Now() < deadline && n.busy() {
-		time.Sleep(leavePause)
+	for bootclock.Now() < deadline && n.isBusy() {
+		time.Sleep(busyCheckInterval)
 	}
 	n.log.Info("left", "requests", n.requests.Load(), "took", bootclock.Now()-began)
 }
@@ -48,28 +48,28 @@
 // handOver tries to hand the group over to another VM. If all attempts fail, the owner stops
 // taking jobs and hands back those of which nothing has started.
 func (n *Node) handOver(ctx context.Context, began time.Duration) {
-	if n.owned() == nil {
+	if n.currentOwner() == nil {
 		return
 	}
-	for bootclock.Now()-began < handOverTime {
-		err := n.keeper.HandOver(ctx, n.beats.Pingers(), n.calls)
+	for bootclock.Now()-began < handOverTimeout {
+		err := n.keeper.HandOver(ctx, n.heartbeats.Pingers(), n.peerClient)
 		if err == nil {
 			return
 		}
 		n.log.Warn("handover failed", "group", n.group, "error", err)
-		time.Sleep(handOverPause)
+		time.Sleep(handOverRetryInterval)
 	}
-	if o := n.owned(); o != nil {
+	if o := n.currentOwner(); o != nil {
 		o.Leave(ctx)
 	}
 }
 
 // isBusy reports whether requests of callers or jobs of an owner are still in progress here.
-func (n *Node) busy() bool {
+func (n *Node) isBusy() bool {
 	if n.requests.Load() > 0 {
 		return true
 	}
-	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
+	for _, o := range []*owner.Owner{n.currentOwner(), n.outgoingOwner()} {
 		if o != nil && o.OpenJobs() > 0 {
 			return true
 		}
@@ -81,32 +81,32 @@
 const (
 	// yieldCheckInterval is the time between two checks for a stronger VM. When all VMs restart
 	// at once, the strong ones may come up a fraction of a second later than the weak ones.
-	yieldInterval = 250 * time.Millisecond
+	yieldCheckInterval = 250 * time.Millisecond
 	// yieldRetryInterval is the time between two attempts; it is longer than a handover takes.
-	yieldPause = 3 * time.Second
+	yieldRetryInterval = 3 * time.Second
 )
 
 // yieldToStronger hands the group over to a VM of the failure domain that has a much larger share
 // of a core, if there is one: this VM may have claimed the group while the others were down, or
 // may have been slowed down since.
-func (n *Node) yield(ctx context.Context) {
-	ticker := time.NewTicker(yieldInterval)
+func (n *Node) yieldToStronger(ctx context.Context) {
+	ticker := time.NewTicker(yieldCheckInterval)
 	defer ticker.Stop()
-	lastAttempt := bootclock.Now() - yieldPause
+	lastAttempt := bootclock.Now() - yieldRetryInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now, pingers := bootclock.Now(), n.beats.Pingers()
-		if n.Leaving() || n.owned() == nil || now-lastAttempt < yieldPause ||
+		now, pingers := bootclock.Now(), n.heartbeats.Pingers()
+		if n.Leaving() || n.currentOwner() == nil || now-lastAttempt < yieldRetryInterval ||
 			!ownership.ShouldHandOver(n.self.FailureDomain, n.processor.PerMille(), pingers, now) {
 			continue
 		}
 		lastAttempt = now
 		n.log.Info("handing over to a VM with more processor", "group", n.group, "cpu_per_mille", n.processor.PerMille())
-		if err := n.keeper.HandOver(ctx, pingers, n.calls); err != nil {
+		if err := n.keeper.HandOver(ctx, pingers, n.peerClient); err != nil {
 			n.log.Warn("handover to a stronger VM failed", "group", n.group, "error", err)
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -58,47 +58,47 @@
 
 // Node is one entry VM.
 type Node struct {
-	options  Options
-	log      *slog.Logger
-	self     heartbeat.Self
-	group    string
-	store    *platform.Store
-	targets  *platform.Targets
-	adviser  *platform.Advisor
-	calls    *link.Client
-	beats    *heartbeat.Service
-	keeper   *ownership.Keeper
-	entry    *entry.Entry
-	config   configuration
-	cordons  cordons
-	servers  servers
-	ages     ages
-	leaving  atomic.Bool
-	requests atomic.Int64
+	options        Options
+	log            *slog.Logger
+	self           heartbeat.Self
+	group          string
+	store          *platform.Store
+	targets        *platform.Targets
+	adviser        *platform.Advisor
+	peerClient     *link.Client
+	heartbeats     *heartbeat.Service
+	keeper         *ownership.Keeper
+	entry          *entry.Entry
+	config         configuration
+	cordons        cordons
+	servers        servers
+	storeReadTimes storeReadTimes
+	leaving        atomic.Bool
+	requests       atomic.Int64
 	// probingOwner is set while probeOwner checks whether an owner's process has ended.
-	asking atomic.Bool
-	clock  storeClock
-	ctx    context.Context
-	duties *errgroup.Group
+	probingOwner atomic.Bool
+	storeClock   storeClock
+	ctx          context.Context
+	goroutines   *errgroup.Group
 
 	// settings are the last ones read; only followSettings uses them.
 	settings platform.Settings
 	// processor measures this VM's share of a core.
 	processor *processor.Meter
 	// lastSeed is the index of the seed that was asked last.
-	seed int
+	lastSeed int
 
 	mu sync.Mutex
 	// current is the owner that runs in this process, outgoing one that hands over to its
 	// successor.
-	own, former *ownedGroup
+	current, outgoing *ownedGroup
 }
 
 // ownedGroup is an owner in this process with the claim that it runs under.
 type ownedGroup struct {
 	*owner.Owner
-	held ownership.GroupClaim
-	end  context.CancelFunc
+	claim  ownership.GroupClaim
+	cancel context.CancelFunc
 }
 
 // owner returns the owner, or nil for a nil group.
@@ -117,17 +117,17 @@
 		settings: s,
 		log:      o.Log,
 		self: heartbeat.Self{
-			VM: s.VM, Life: rand.Uint64(), FailureDomain: s.FailureDomain,
-			Control: s.Control, Heartbeat: net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort)),
+			VM: s.VM, Incarnation: rand.Uint64(), FailureDomain: s.FailureDomain,
+			ControlAddress: s.Control, HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort)),
 		},
-		group:     s.FailureDomain,
-		processor: processor.NewMeter(s.CPUShare),
-		targets:   platform.NewTargets(),
-		calls:     link.NewClient(),
-		config:    configuration{log: o.Log},
+		group:      s.FailureDomain,
+		processor:  processor.NewMeter(s.CPUShare),
+		targets:    platform.NewTargets(),
+		peerClient: link.NewClient(),
+		config:     configuration{log: o.Log},
 	}
 	n.cordons.init(n)
-	n.store = platform.NewStore(s.Store, platform.StoreEvents{Called: o.storeCall, Clock: n.clock.read, Unreadable: o.unreadable})
+	n.store = platform.NewStore(s.Store, platform.StoreEvents{Called: o.recordStoreCall, Clock: n.storeClock.setFromStore, Unreadable: o.reportUnreadableRow})
 	if s.Advisor != "" {
 		n.adviser = platform.NewAdvisor(s.Advisor)
 	}
@@ -135,24 +135,24 @@
 	if err != nil {
 		return nil, err
 	}
-	n.beats = heartbeats
+	n.heartbeats = heartbeats
 	n.keeper = ownership.New(ownership.Options{
-		Self: n.self, Group: n.group, ClaimDelay: n.patience, Log: o.Log, ClaimsChanged: n.claimed,
-		StoreAnswered: n.ages.heard(&n.ages.claims), Count: o.Count,
+		Self: n.self, Group: n.group, ClaimDelay: n.claimDelay, Log: o.Log, ClaimsChanged: n.claimsChanged,
+		StoreAnswered: n.storeReadTimes.recorder(&n.storeReadTimes.claims), Count: o.Count,
 	}, n.store, heartbeats)
 	n.entry = entry.New(entry.Options{
-		VM: s.VM, Life: n.self.Life, FailureDomain: s.FailureDomain, Log: o.Log, Count: o.Count,
-		Claims: n.keeper.Claims, Local: n.local, DomainOf: func(group string) string { return group },
-		Cordoned: func(domain string) bool { return n.cordons.board.View().IsCordoned(domain) },
-		Lost:     n.suspectOwner,
-		Find:     func(ctx context.Context, id string) (work.JobState, error) { return jobstore.Find(ctx, n.store, id) },
-	}, heartbeats, n.calls)
+		VM: s.VM, Incarnation: n.self.Incarnation, FailureDomain: s.FailureDomain, Log: o.Log, Count: o.Count,
+		Claims: n.keeper.Claims, LocalOwner: n.localOwner, DomainOf: func(group string) string { return group },
+		IsCordoned: func(domain string) bool { return n.cordons.board.View().IsCordoned(domain) },
+		OwnerLost:  n.probeOwner,
+		FindJob:    func(ctx context.Context, id string) (work.JobState, error) { return jobstore.Find(ctx, n.store, id) },
+	}, heartbeats, n.peerClient)
 	n.servers, err = listen(s, n)
 	return n, err
 }
 
 // recordStoreCall records the result and the duration of a call to the store.
-func (o Options) storeCall(call string, err error, took time.Duration) {
+func (o Options) recordStoreCall(call string, err error, took time.Duration) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
@@ -162,7 +162,7 @@
 }
 
 // reportUnreadableRow counts and logs a row of the store that can't be decoded.
-func (o Options) unreadable(table platform.Table, key string, err error) {
+func (o Options) reportUnreadableRow(table platform.Table, key string, err error) {
 	o.Count("rows_unreadable", string(table))
 	o.Log.Warn("row not understood", "table", table, "key", key, "error", err)
 }
@@ -172,21 +172,21 @@
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, runCtx := errgroup.WithContext(runCtx)
-	n.ctx, n.duties = runCtx, g
-	n.log.Info("starting", "vm", n.self.VM, "life", n.self.Life, "failure_domain", n.self.FailureDomain)
+	n.ctx, n.goroutines = runCtx, g
+	n.log.Info("starting", "vm", n.self.VM, "life", n.self.Incarnation, "failure_domain", n.self.FailureDomain)
 	n.servers.serve(g)
 	g.Go(func() error { return n.relayServer().Serve(runCtx, n.servers.relay) })
-	g.Go(func() error { return n.beats.Run(runCtx) })
+	g.Go(func() error { return n.heartbeats.Run(runCtx) })
 	g.Go(func() error { return n.keeper.Run(runCtx) })
 	g.Go(func() error {
 		return mirror.Follow(runCtx, n.store, mirror.Options{
-			Table: platform.OperatorTable, FeedWait: configurationWait, Log: n.log, StoreAnswered: n.ages.heard(&n.ages.configuration),
-		}, n.tookOperatorRows)
+			Table: platform.OperatorTable, FeedWait: configurationWait, Log: n.log, StoreAnswered: n.storeReadTimes.recorder(&n.storeReadTimes.configuration),
+		}, n.applyOperatorRows)
 	})
-	g.Go(func() error { n.askPeers(runCtx); return nil })
+	g.Go(func() error { n.pollPeers(runCtx); return nil })
 	g.Go(func() error { n.processor.Run(runCtx); return nil })
-	g.Go(func() error { n.yield(runCtx); return nil })
-	g.Go(func() error { n.gauge(runCtx); return nil })
+	g.Go(func() error { n.yieldToStronger(runCtx); return nil })
+	g.Go(func() error { n.publishGauges(runCtx); return nil })
 	g.Go(func() error { n.followSettings(runCtx); return nil })
 	g.Go(func() error {
 		select {
@@ -204,57 +204,57 @@
 }
 
 // applyOperatorRows applies an update of the operator's table.
-func (n *Node) tookOperatorRows(update mirror.Update) {
+func (n *Node) applyOperatorRows(update mirror.Update) {
 	// The cordons come first, so that a VM that has a configuration also knows the cordons.
-	n.cordons.take(update)
-	n.config.take(update)
+	n.cordons.applyUpdate(update)
+	n.config.applyUpdate(update)
 }
 
 // claimsChanged takes all claims after a change: it sets the owners to ping and starts or ends the
 // owner in this process.
-func (n *Node) claimed(claims []ownership.GroupClaim) {
+func (n *Node) claimsChanged(claims []ownership.GroupClaim) {
 	owners := make([]heartbeat.Owner, 0, len(claims))
 	for _, held := range claims {
 		owners = append(owners, heartbeat.Owner{
-			VM: held.Claim.GetVm(), Life: held.Claim.GetLife(),
-			Heartbeat: held.Claim.GetHeartbeat(), Control: held.Claim.GetControl(),
+			VM: held.Claim.GetVm(), Incarnation: held.Claim.GetLife(),
+			HeartbeatAddress: held.Claim.GetHeartbeat(), ControlAddress: held.Claim.GetControl(),
 		})
 		if held.Group == n.group {
-			n.settle(held)
+			n.applyClaim(held)
 		}
 	}
-	n.beats.Follow(owners)
+	n.heartbeats.SetOwners(owners)
 }
 
 // applyClaim starts, updates or ends the owner in this process according to its group's claim.
-func (n *Node) settle(held ownership.GroupClaim) {
+func (n *Node) applyClaim(held ownership.GroupClaim) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	mine := held.Claim.GetLife() == n.self.Life
+	mine := held.Claim.GetLife() == n.self.Incarnation
 	switch {
-	case mine && n.own == nil:
-		n.own = n.startOwner(held)
+	case mine && n.current == nil:
+		n.current = n.startOwner(held)
 	case mine:
-		n.own.held = held
-		n.own.RaiseToken(held.Version)
-	case n.own != nil && held.IsNewerThan(n.own.held):
-		n.lose(held)
+		n.current.claim = held
+		n.current.RaiseToken(held.Version)
+	case n.current != nil && held.IsNewerThan(n.current.claim):
+		n.endOwner(held)
 	}
 }
 
 // endOwner ends the owner in this process: at once, or, if the new claim names it as the
 // predecessor, after the successor has taken over all targets.
-func (n *Node) lose(held ownership.GroupClaim) {
-	if held.Claim.GetFormer().GetLife() != n.self.Life {
-		n.own.end()
-		n.own = nil
+func (n *Node) endOwner(held ownership.GroupClaim) {
+	if held.Claim.GetFormer().GetLife() != n.self.Incarnation {
+		n.current.cancel()
+		n.current = nil
 		return
 	}
-	if n.former != nil {
-		n.former.end()
+	if n.outgoing != nil {
+		n.outgoing.cancel()
 	}
-	n.former, n.own = n.own, nil
-	n.former.Leave(n.ctx)
+	n.outgoing, n.current = n.current, nil
+	n.outgoing.Leave(n.ctx)
 }
 
 // startOwner starts an owner with its router under a claim of this process.
@@ -265,11 +265,11 @@
 		Schedule: scheduler.Options{
 			StopTimeout: n.options.Settings.StopTime,
 		},
-		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, StoreAnswered: n.ages.heard(&n.ages.registry),
-		Delegate: n.lend, NeedsCapacity: n.beats.Hurry, StoreClock: n.clock.told,
+		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, StoreAnswered: n.storeReadTimes.recorder(&n.storeReadTimes.registry),
+		Delegate: n.delegate, NeedsCapacity: n.heartbeats.RequestLoads, StoreClock: n.storeClock.nowIfKnown,
 		Cordons: n.cordons.board.View, ConfirmCordons: n.confirmCordons, ConfirmClaim: n.keeper.ConfirmOwnership,
 		Jobs: jobstore.New(jobstore.Options{
-			Group: held.Group, Life: n.self.Life, Retention: n.options.Settings.JobRetention, Log: n.log, Count: n.options.Count, Clock: n.clock.now,
+			Group: held.Group, Life: n.self.Incarnation, Retention: n.options.Settings.JobRetention, Log: n.log, Count: n.options.Count, Clock: n.storeClock.now,
 		}, n.store),
 	}
 	if n.adviser != nil {
@@ -280,64 +280,64 @@
 	}
 	if predecessor := held.Claim.GetFormer(); predecessor != nil {
 		options.AskPredecessor = func(ctx context.Context) (owner.Released, error) {
-			return n.calls.Release(ctx, predecessor.GetControl(), held.Group, held.Version)
+			return n.peerClient.Release(ctx, predecessor.GetControl(), held.Group, held.Version)
 		}
 	}
 	router := n.newRouter()
-	options.SetTargetCount = router.Targets
+	options.SetTargetCount = router.SetTargets
 	o := owner.New(options, router, n.store)
-	n.duties.Go(func() error { router.Run(ctx); return nil })
-	n.duties.Go(func() error { return o.Run(ctx) })
-	return &ownedGroup{Owner: o, held: held, end: cancel}
+	n.goroutines.Go(func() error { router.Run(ctx); return nil })
+	n.goroutines.Go(func() error { return o.Run(ctx) })
+	return &ownedGroup{Owner: o, claim: held, cancel: cancel}
 }
 
 // probeOwner checks in the background whether an owner's process has ended, and tells the claim
 // keeper if so. Only one owner is checked at a time.
-func (n *Node) suspectOwner(suspect heartbeat.Owner) {
-	if !n.asking.CompareAndSwap(false, true) {
+func (n *Node) probeOwner(suspect heartbeat.Owner) {
+	if !n.probingOwner.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer n.asking.Store(false)
-		if n.calls.Refuses(n.ctx, suspect.Control) {
-			n.keeper.OwnerDied(suspect.Life)
+		defer n.probingOwner.Store(false)
+		if n.peerClient.RefusesConnection(n.ctx, suspect.ControlAddress) {
+			n.keeper.OwnerDied(suspect.Incarnation)
 		}
 	}()
 }
 
 // currentOwner returns the owner that starts tasks in this process, or nil.
-func (n *Node) owned() *owner.Owner {
+func (n *Node) currentOwner() *owner.Owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.own.owner()
+	return n.current.owner()
 }
 
 // endOutgoing ends an owner that has handed over all its targets.
-func (n *Node) forgetFormer(o *owner.Owner) {
+func (n *Node) endOutgoing(o *owner.Owner) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.former.owner() == o {
-		n.former.end()
-		n.former = nil
+	if n.outgoing.owner() == o {
+		n.outgoing.cancel()
+		n.outgoing = nil
 	}
 }
 
 // outgoingOwner returns the owner in this process that hands over, or nil.
-func (n *Node) handingOver() *owner.Owner {
+func (n *Node) outgoingOwner() *owner.Owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.former.owner()
+	return n.outgoing.owner()
 }
 
 // localOwner returns the current owner of a group if it runs in this process.
-func (n *Node) local(group string) (entry.Local, bool) {
-	o := n.owned()
+func (n *Node) localOwner(group string) (entry.Local, bool) {
+	o := n.currentOwner()
 	return o, o != nil && group == n.group
 }
 
 // ReceiveKeepalive implements heartbeat.Listener.
-func (n *Node) Vouched(entry string, until time.Duration, givenUp []string) {
-	for _, o := range []*owner.Owner{n.owned(), n.handingOver()} {
+func (n *Node) ReceiveKeepalive(entry string, until time.Duration, givenUp []string) {
+	for _, o := range []*owner.Owner{n.currentOwner(), n.outgoingOwner()} {
 		if o != nil {
 			o.RecordKeepalive(entry, until, givenUp)
 		}
@@ -346,7 +346,7 @@
 
 // Loads implements heartbeat.Listener.
 func (n *Node) Loads() []*linkpb.Load {
-	o := n.owned()
+	o := n.currentOwner()
 	if o == nil {
 		return nil
 	}
@@ -365,21 +365,21 @@
 }
 
 // PendingJobs implements heartbeat.Listener.
-func (n *Node) Pending() map[string]int32 {
-	if o := n.owned(); o != nil {
+func (n *Node) PendingJobs() map[string]int32 {
+	if o := n.currentOwner(); o != nil {
 		return o.PendingJobs()
 	}
 	return nil
 }
 
 // ReportLateHeartbeat implements heartbeat.Listener.
-func (n *Node) Late(vm string, gap time.Duration) {
+func (n *Node) ReportLateHeartbeat(vm string, gap time.Duration) {
 	n.options.Count("notes", "heartbeat late")
 	n.log.Warn("heartbeat late", "vm", vm, "gap", gap)
 }
 
 // Claim implements heartbeat.Listener.
-func (n *Node) Owned() *linkpb.Owned {
+func (n *Node) Claim() *linkpb.Owned {
 	if held, ok := n.keeper.Claim(); ok {
 		return held.ToWire()
 	}
@@ -387,7 +387,7 @@
 }
 
 // ReceiveClaim implements heartbeat.Listener.
-func (n *Node) Learned(owned *linkpb.Owned) {
+func (n *Node) ReceiveClaim(owned *linkpb.Owned) {
 	for _, known := range n.keeper.Claims() {
 		if known.Group == owned.GetGroup() && !ownership.FromWire(owned).IsNewerThan(known) {
 			return
@@ -407,7 +407,7 @@
 
 // claimDelay is how much longer than usual this VM waits before it claims the group; it depends
 // on the VM's share of a core.
-func (n *Node) patience() time.Duration {
+func (n *Node) claimDelay() time.Duration {
 	return ownership.ClaimDelay(n.self.VM, n.processor.Share())
 }
 
@@ -431,7 +431,7 @@
 }
 
 // PendingOf implements platform.Dispatcher.
-func (n *Node) PendingOf(queue string) int { return n.entry.Pending(queue) }
+func (n *Node) PendingOf(queue string) int { return n.entry.PendingJobs(queue) }
 
 // Dispatch implements platform.Dispatcher.
 func (n *Node) Dispatch(ctx context.Context, job work.Job, queue work.Queue, wait time.Duration) work.Outcome {
@@ -445,15 +445,15 @@
 
 // isReady reports whether this VM can serve callers: it has a configuration, does not leave, and
 // reaches an owner of targets.
-func (n *Node) ready() bool {
+func (n *Node) isReady() bool {
 	if n.leaving.Load() || n.config.held.Load() == nil {
 		return false
 	}
-	if n.owned() != nil {
+	if n.currentOwner() != nil {
 		return true
 	}
 	for _, held := range n.keeper.Claims() {
-		if view, ok := n.beats.View(held.Claim.GetLife()); ok && view.Stamp > 0 && view.Alive.Err() == nil {
+		if view, ok := n.heartbeats.View(held.Claim.GetLife()); ok && view.Timestamp > 0 && view.Alive.Err() == nil {
 			return true
 		}
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -7,39 +7,39 @@
 
 // peerPollInterval is the time between two checks for newer tables at other VMs. It allows a few
 // attempts within the bound in which a new configuration has to be in force.
-const peersInterval = 200 * time.Millisecond
+const peerPollInterval = 200 * time.Millisecond
 
 // pollPeers fetches the tables of other VMs whose configuration is newer, since the store may be
 // unreachable from this VM. It returns when the context ends.
-func (n *Node) askPeers(ctx context.Context) {
-	ticker := time.NewTicker(peersInterval)
+func (n *Node) pollPeers(ctx context.Context) {
+	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			n.askNewer(ctx)
+			n.fetchFromNewerPeer(ctx)
 		}
 	}
 }
 
 // fetchFromNewerPeer takes the store clock, the cordons, the configuration and the claims from a VM
 // that has a newer configuration, if one is known.
-func (n *Node) askNewer(ctx context.Context) {
+func (n *Node) fetchFromNewerPeer(ctx context.Context) {
 	address := n.newerPeer()
 	if address == "" {
 		return
 	}
-	tables, err := n.calls.Tables(ctx, address)
+	tables, err := n.peerClient.Tables(ctx, address)
 	if err != nil {
 		n.log.Warn("cannot fetch tables from a peer", "address", address, "error", err)
 		return
 	}
-	n.clock.offer(tables.StoreClock)
+	n.storeClock.setFromPeer(tables.StoreClock)
 	n.cordons.board.Update(tables.Cordons, address)
 	if len(tables.Configuration) > 0 {
-		n.config.offer(tables.Configuration, address)
+		n.config.updateIfNewer(tables.Configuration, address)
 	}
 	n.keeper.Merge(tables.Claims)
 }
@@ -49,19 +49,19 @@
 func (n *Node) newerPeer() string {
 	version := n.config.version()
 	if seeds := n.options.Settings.Seeds; version == 0 && len(seeds) > 0 {
-		n.seed = (n.seed + 1) % len(seeds)
-		if seeds[n.seed] != n.self.Control {
-			return seeds[n.seed]
+		n.lastSeed = (n.lastSeed + 1) % len(seeds)
+		if seeds[n.lastSeed] != n.self.ControlAddress {
+			return seeds[n.lastSeed]
 		}
 	}
 	for _, held := range n.keeper.Claims() {
-		if view, ok := n.beats.View(held.Claim.GetLife()); ok && view.ConfigurationVersion > version {
-			return view.Control
+		if view, ok := n.heartbeats.View(held.Claim.GetLife()); ok && view.ConfigurationVersion > version {
+			return view.ControlAddress
 		}
 	}
-	for _, p := range n.beats.Pingers() {
+	for _, p := range n.heartbeats.Pingers() {
 		if p.ConfigurationVersion > version {
-			return p.Control
+			return p.ControlAddress
 		}
 	}
 	return ""
--- a/node/rejoin_test.go
+++ b/node/rejoin_test.go
@@ -26,11 +26,11 @@
 	listener net.Listener
 	mu       sync.Mutex
 	open     []net.Conn
-	taken    int
+	accepted int
 }
 
 // newProxy starts a proxy in front of the server at an address.
-func newRelay(t *testing.T, to string) *proxy {
+func newProxy(t *testing.T, to string) *proxy {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	p := &proxy{listener: listener}
@@ -47,7 +47,7 @@
 				continue
 			}
 			p.mu.Lock()
-			p.taken++
+			p.accepted++
 			p.open = append(p.open, client, server)
 			p.mu.Unlock()
 			go func() { _, _ = io.Copy(server, client); _ = server.Close() }()
@@ -60,7 +60,7 @@
 func (p *proxy) connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.taken
+	return p.accepted
 }
 
 // reset resets all connections: nothing more arrives on either side.
@@ -75,7 +75,7 @@
 }
 
 // fakeTarget starts each run that it is ordered to and ends it when the test says so.
-type jobTarget struct {
+type fakeTarget struct {
 	mu     sync.Mutex
 	starts int
 	stops  int
@@ -87,13 +87,13 @@
 	changed chan struct{}
 }
 
-func newJobTarget() *jobTarget {
-	return &jobTarget{runs: map[work.RunID]bool{}, began: make(chan work.RunID, 16), changed: make(chan struct{})}
+func newFakeTarget() *fakeTarget {
+	return &fakeTarget{runs: map[work.RunID]bool{}, began: make(chan work.RunID, 16), changed: make(chan struct{})}
 }
 
-func (j *jobTarget) clock() int64 { return 1_000_000 + bootclock.Now().Milliseconds() }
+func (j *fakeTarget) clock() int64 { return 1_000_000 + bootclock.Now().Milliseconds() }
 
-func (j *jobTarget) Start(_ context.Context, _ work.TargetAddress, order work.StartOrder, _ int64) work.OrderAnswer {
+func (j *fakeTarget) Start(_ context.Context, _ work.TargetAddress, order work.StartOrder, _ int64) work.OrderAnswer {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.runs[order.Run] {
@@ -104,7 +104,7 @@
 	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: j.clock()}
 }
 
-func (j *jobTarget) Stop(_ context.Context, _ work.TargetAddress, run work.RunID, _ int64) work.OrderAnswer {
+func (j *fakeTarget) Stop(_ context.Context, _ work.TargetAddress, run work.RunID, _ int64) work.OrderAnswer {
 	j.end(run, "stopped")
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -112,7 +112,7 @@
 	return work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: j.clock()}
 }
 
-func (j *jobTarget) end(run work.RunID, kind work.CompletionKind) {
+func (j *fakeTarget) end(run work.RunID, kind work.CompletionKind) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.runs[run] {
@@ -124,13 +124,13 @@
 	j.changed = make(chan struct{})
 }
 
-func (j *jobTarget) counts() (starts, stops int) {
+func (j *fakeTarget) counts() (starts, stops int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts, j.stops
 }
 
-func (j *jobTarget) Poll(ctx context.Context, _ work.TargetAddress, _, _, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
+func (j *fakeTarget) Poll(ctx context.Context, _ work.TargetAddress, _, _, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
 	j.mu.Lock()
 	changed, hasNews := j.changed, len(j.ended) > int(seen)
 	j.mu.Unlock()
@@ -153,14 +153,14 @@
 }
 
 // oneTargetStore is a store that lists one target.
-type targetRow struct{}
+type oneTargetStore struct{}
 
-func (targetRow) Read(context.Context, platform.Table) (platform.Rows, error) {
+func (oneTargetStore) Read(context.Context, platform.Table) (platform.Rows, error) {
 	value := `{"service":"s","address":"127.0.0.1:1","zone":"d","state":"ready","capacity":{"cpu":4000,"mem_mb":4000}}`
 	return platform.Rows{Version: 1, Rows: []platform.Row{{Key: "target-1", Value: []byte(value), Version: 1}}}, nil
 }
 
-func (targetRow) Feed(ctx context.Context, _ platform.Table, _ int64, _ time.Duration) (platform.Rows, error) {
+func (oneTargetStore) Feed(ctx context.Context, _ platform.Table, _ int64, _ time.Duration) (platform.Rows, error) {
 	<-ctx.Done()
 	return platform.Rows{}, ctx.Err()
 }
@@ -169,7 +169,7 @@
 type fleet struct {
 	t      *testing.T
 	node   *Node
-	target *jobTarget
+	target *fakeTarget
 	proxy  *proxy
 	client *link.Client
 }
@@ -177,30 +177,30 @@
 const entryVM = "entry/1"
 
 func newFleet(t *testing.T, rejoinTime time.Duration) *fleet {
-	f := &fleet{t: t, target: newJobTarget(), client: link.NewClient()}
+	f := &fleet{t: t, target: newFakeTarget(), client: link.NewClient()}
 	ignore := func(string, string) {}
 	o := owner.New(owner.Options{
 		Group: "d", FailureDomain: "d", Token: 5, RejoinTimeout: rejoinTime, Log: slog.New(slog.DiscardHandler), Count: ignore,
 		Observe: func(string, time.Duration) {}, Gauge: func(string, float64) {}, NeedsCapacity: func() {},
 		StoreClock: func() (time.Duration, bool) { return 0, false },
-	}, f.target, targetRow{})
+	}, f.target, oneTargetStore{})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = o.Run(ctx) }()
-	f.node = &Node{own: &ownedGroup{Owner: o, end: func() {}}, self: heartbeat.Self{Life: 7}, log: slog.New(slog.DiscardHandler), options: Options{Count: ignore}}
+	f.node = &Node{current: &ownedGroup{Owner: o, cancel: func() {}}, self: heartbeat.Self{Incarnation: 7}, log: slog.New(slog.DiscardHandler), options: Options{Count: ignore}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.node.handler().ServeHTTP(w, r)
 	}))
-	f.proxy = newRelay(t, server.Listener.Addr().String())
+	f.proxy = newProxy(t, server.Listener.Addr().String())
 	t.Cleanup(func() { f.client.Close(); f.proxy.reset(); server.Close(); cancel(); <-ended })
 	return f
 }
 
-func (f *fleet) run(ctx context.Context, id string) chan work.Outcome {
+func (f *fleet) runJob(ctx context.Context, id string) chan work.Outcome {
 	outcome := make(chan work.Outcome, 1)
 	go func() {
-		owner := heartbeat.Owner{Life: 7, Control: f.proxy.listener.Addr().String()}
-		outcome <- f.client.RunUntil(ctx, context.Background(), owner, f.order(id))
+		owner := heartbeat.Owner{Incarnation: 7, ControlAddress: f.proxy.listener.Addr().String()}
+		outcome <- f.client.RunWhileAlive(ctx, context.Background(), owner, f.order(id))
 	}()
 	return outcome
 }
@@ -208,7 +208,7 @@
 // order asks for a job of one task.
 func (f *fleet) order(id string) link.Order {
 	return link.Order{
-		Group: "d", Entry: entryVM, Stamp: int64(bootclock.Now() + time.Hour),
+		Group: "d", Entry: entryVM, Timestamp: int64(bootclock.Now() + time.Hour),
 		Job:   work.Job{ID: id, Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 1}, DeclaredRunTime: 50 * time.Millisecond}}},
 		Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 1, Stretch: 2, Allowance: time.Minute},
 	}
@@ -216,9 +216,9 @@
 
 // A job continues when the connection of its request breaks. It runs once, and its caller gets its
 // outcome instead of Unknown.
-func TestAJobOutlivesItsConnection(t *testing.T) {
+func TestJobContinuesAfterConnectionReset(t *testing.T) {
 	f := newFleet(t, time.Hour)
-	outcome := f.run(t.Context(), "1")
+	outcome := f.runJob(t.Context(), "1")
 	run := <-f.target.began
 	f.proxy.reset()
 	must.True(t, eventually(func() bool { return f.proxy.connections() == 2 }))
@@ -231,25 +231,25 @@
 
 // The outcome of a job that ended before its connection broke can still be asked for, by the entry
 // VM that requested the job and by no other.
-func TestAnAnswerOutlivesItsConnection(t *testing.T) {
+func TestRejoinReturnsOutcomeOfEndedJob(t *testing.T) {
 	f := newFleet(t, time.Hour)
-	outcome := f.run(t.Context(), "1")
+	outcome := f.runJob(t.Context(), "1")
 	run := <-f.target.began
 	f.target.end(run, work.CompletionDone)
 	must.Eq(t, work.Completed, (<-outcome).Result)
-	order := link.Order{Entry: entryVM, Job: work.Job{ID: "1"}, Given: link.Given{Life: 7, Ago: time.Millisecond}}
-	must.Eq(t, work.Completed, f.node.runFor(t.Context(), order).Result)
+	order := link.Order{Entry: entryVM, Job: work.Job{ID: "1"}, Previous: link.PreviousRequest{Incarnation: 7, Ago: time.Millisecond}}
+	must.Eq(t, work.Completed, f.node.runForPeer(t.Context(), order).Result)
 	order.Entry = "another/2"
-	must.NotEq(t, work.Completed, f.node.runFor(t.Context(), order).Result)
+	must.NotEq(t, work.Completed, f.node.runForPeer(t.Context(), order).Result)
 }
 
 // A job may have been started if an earlier incarnation received it, or if it was sent before the
 // present owner existed. Its outcome is unknown: it is neither started again nor refused.
-func TestWhatAFormerOwnerWasGivenIsUnknown(t *testing.T) {
+func TestRejoinIsUnknownForEarlierIncarnation(t *testing.T) {
 	f := newFleet(t, time.Hour)
-	for _, previous := range []link.Given{{Life: 6, Ago: time.Millisecond}, {Life: 7, Ago: time.Hour}} {
-		order := link.Order{Entry: entryVM, Job: work.Job{ID: "2"}, Given: previous}
-		must.Eq(t, work.Unknown, f.node.runFor(t.Context(), order).Result)
+	for _, previous := range []link.PreviousRequest{{Incarnation: 6, Ago: time.Millisecond}, {Incarnation: 7, Ago: time.Hour}} {
+		order := link.Order{Entry: entryVM, Job: work.Job{ID: "2"}, Previous: previous}
+		must.Eq(t, work.Unknown, f.node.runForPeer(t.Context(), order).Result)
 	}
 	starts, _ := f.target.counts()
 	must.Eq(t, 0, starts)
@@ -257,7 +257,7 @@
 
 // A job is stopped when its caller leaves, which the entry VM reports. It is also stopped when its
 // entry VM is lost, soon after the connection broke.
-func TestAJobThatNobodyWaitsForIsStopped(t *testing.T) {
+func TestJobWithoutCallerIsStopped(t *testing.T) {
 	for name, test := range map[string]struct {
 		rejoinTime time.Duration
 		givenUp    bool
@@ -268,12 +268,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, test.rejoinTime)
 			ctx, leave := context.WithCancel(t.Context())
-			outcome := f.run(ctx, "1")
+			outcome := f.runJob(ctx, "1")
 			<-f.target.began
 			leave()
 			must.Eq(t, work.Unknown, (<-outcome).Result)
 			if test.givenUp {
-				f.node.Vouched(entryVM, bootclock.Now()+time.Hour, []string{"1"})
+				f.node.ReceiveKeepalive(entryVM, bootclock.Now()+time.Hour, []string{"1"})
 			}
 			must.True(t, eventually(func() bool { _, stops := f.target.counts(); return stops > 0 }))
 		})
@@ -281,12 +281,12 @@
 }
 
 // A job whose first request never reached the owner is started at the second request, once.
-func TestAJobThatNeverCameIsBegun(t *testing.T) {
+func TestRejoinStartsJobThatNeverArrived(t *testing.T) {
 	f := newFleet(t, time.Hour)
 	order := f.order("1")
-	order.Given = link.Given{Life: 7, Ago: time.Nanosecond}
+	order.Previous = link.PreviousRequest{Incarnation: 7, Ago: time.Nanosecond}
 	outcome := make(chan work.Outcome, 1)
-	go func() { outcome <- f.node.runFor(t.Context(), order) }()
+	go func() { outcome <- f.node.runForPeer(t.Context(), order) }()
 	f.target.end(<-f.target.began, work.CompletionDone)
 	must.Eq(t, work.Completed, (<-outcome).Result)
 	starts, _ := f.target.counts()
--- a/node/relays.go
+++ b/node/relays.go
@@ -9,7 +9,7 @@
 )
 
 // relaySilenceTimeout is how long a VM may be silent and still relay orders: several heartbeats.
-const relayPatience = 5 * heartbeat.Interval
+const relaySilenceTimeout = 5 * heartbeat.Interval
 
 // newRouter creates the router that sends the orders of an owner in this process.
 func (n *Node) newRouter() *relay.Router {
@@ -20,7 +20,7 @@
 			return relay.Budget{CPU: n.processor.Share(), Sockets: s.MaxSockets, MemoryMB: s.MemoryMB}
 		},
 		Candidates: n.relayCandidates,
-		StoreAge:   func() time.Duration { return bootclock.Now() - time.Duration(n.ages.registry.Load()) },
+		StoreAge:   func() time.Duration { return bootclock.Now() - time.Duration(n.storeReadTimes.registry.Load()) },
 		Log:        n.log, Count: n.options.Count, Gauge: n.options.Gauge,
 	})
 }
@@ -29,11 +29,11 @@
 func (n *Node) relayCandidates() []relay.VM {
 	now := bootclock.Now()
 	var vms []relay.VM
-	for _, p := range n.beats.Pingers() {
-		if p.FailureDomain != n.self.FailureDomain || p.Leaving || p.Life == n.self.Life || now-p.Heard > relayPatience {
+	for _, p := range n.heartbeats.Pingers() {
+		if p.FailureDomain != n.self.FailureDomain || p.Leaving || p.Incarnation == n.self.Incarnation || now-p.LastHeard > relaySilenceTimeout {
 			continue
 		}
-		vms = append(vms, relay.VM{Name: p.VM, Life: p.Life, Address: p.Heartbeat, CPU: float64(p.CPUShare) / 1000})
+		vms = append(vms, relay.VM{Name: p.VM, Incarnation: p.Incarnation, Address: p.HeartbeatAddress, CPU: float64(p.CPUShare) / 1000})
 	}
 	return vms
 }
@@ -43,7 +43,7 @@
 	return &relay.Server{
 		Targets: n.targets, Log: n.log, Count: n.options.Count,
 		StoreAge: func() time.Duration {
-			heard := max(n.ages.configuration.Load(), n.ages.claims.Load())
+			heard := max(n.storeReadTimes.configuration.Load(), n.storeReadTimes.claims.Load())
 			return bootclock.Now() - time.Duration(heard)
 		},
 	}
--- a/node/servers.go
+++ b/node/servers.go
@@ -28,11 +28,11 @@
 // callerSocketDivisor limits callers to one third of the process's sockets: each request may need
 // another socket to an owner, and an owner also needs sockets to its targets. Further callers wait
 // until a connection ends; one that sends nothing is closed after three seconds.
-const callerShare = 3
+const callerSocketDivisor = 3
 
 // maxRelayedOwners bounds the owners for which this VM relays orders. It includes previous
 // owners whose connection isn't closed yet.
-const maxOwners = 64
+const maxRelayedOwners = 64
 
 // servers holds the HTTP servers of a node and their listeners.
 type servers struct {
@@ -56,7 +56,7 @@
 		handler http.Handler
 	}{
 		{&open.control, s.Control, n.handler()},
-		{&open.ready, s.Ready, platform.ReadyHandler(n.ready)},
+		{&open.ready, s.Ready, platform.ReadyHandler(n.isReady)},
 		{&open.frontend, s.Frontend, platform.NewCallers(n)},
 	} {
 		listener, err := net.Listen("tcp4", h.address)
@@ -65,18 +65,18 @@
 			return servers{}, err
 		}
 		if h.server == &open.frontend {
-			listener = netutil.LimitListener(listener, max(s.MaxSockets/callerShare, 1))
+			listener = netutil.LimitListener(listener, max(s.MaxSockets/callerSocketDivisor, 1))
 		}
 		*h.server = &openServer{listener: listener, http: &http.Server{
 			Handler: h.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}}
 	}
-	relay, err := net.Listen("tcp4", n.self.Heartbeat)
+	relay, err := net.Listen("tcp4", n.self.HeartbeatAddress)
 	if err != nil {
 		open.close()
 		return servers{}, err
 	}
-	open.relay = netutil.LimitListener(relay, maxOwners)
+	open.relay = netutil.LimitListener(relay, maxRelayedOwners)
 	return open, nil
 }
 
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -15,10 +15,10 @@
 
 // Callers beyond their share of the sockets wait until one is free. The calls of other VMs are
 // served meanwhile.
-func TestCallersHaveTheirPartOfTheSockets(t *testing.T) {
+func TestCallersAreLimitedToTheirShareOfSockets(t *testing.T) {
 	n := &Node{options: Options{Count: func(string, string) {}}}
 	open, err := listen(platform.Settings{
-		Frontend: "127.0.0.1:0", Ready: "127.0.0.1:0", Control: "127.0.0.1:0", MaxSockets: 2 * callerShare,
+		Frontend: "127.0.0.1:0", Ready: "127.0.0.1:0", Control: "127.0.0.1:0", MaxSockets: 2 * callerSocketDivisor,
 	}, n)
 	must.NoError(t, err)
 	var serving errgroup.Group
--- a/node/settings.go
+++ b/node/settings.go
@@ -8,11 +8,11 @@
 
 // settingsPollInterval is the time between two reads of the settings file, which may change
 // without a signal.
-const settingsInterval = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // followSettings reloads the settings at each signal and each interval until the context ends.
 func (n *Node) followSettings(ctx context.Context) {
-	ticker := time.NewTicker(settingsInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/node/storeclock.go
+++ b/node/storeclock.go
@@ -17,16 +17,16 @@
 }
 
 // setFromStore sets the clock from an answer of the store.
-func (c *storeClock) read(clock time.Duration) {
+func (c *storeClock) setFromStore(clock time.Duration) {
 	c.offset.Store((clock - bootclock.Now()).Milliseconds())
 	c.known.Store(true)
 }
 
 // setFromPeer sets the clock from another VM's estimate, unless it is known already; 0 means that
 // the other VM has none.
-func (c *storeClock) offer(clock time.Duration) {
+func (c *storeClock) setFromPeer(clock time.Duration) {
 	if clock > 0 && !c.known.Load() {
-		c.read(clock)
+		c.setFromStore(clock)
 	}
 }
 
@@ -36,4 +36,4 @@
 }
 
 // nowIfKnown returns the store's clock and whether it is known.
-func (c *storeClock) told() (clock time.Duration, known bool) { return c.now(), c.known.Load() }
+func (c *storeClock) nowIfKnown() (clock time.Duration, known bool) { return c.now(), c.known.Load() }
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -22,7 +22,7 @@
 	// FailureShare is the share of them that is reserved for lines of level Warn and above.
 	FailureShare float64
 	// QueueSize is how many lines may wait for a slow reader.
-	Queue int
+	QueueSize int
 	// Now returns the current time; nil stands for time.Now.
 	Now func() time.Time
 }
@@ -36,7 +36,7 @@
 	// when everything fails at once.
 	DefaultFailureShare = 0.6
 	// DefaultQueueSize holds the lines of five seconds.
-	DefaultQueue = 1000
+	DefaultQueueSize = 1000
 )
 
 func (o Options) withDefaults() Options {
@@ -46,8 +46,8 @@
 	if o.FailureShare == 0 {
 		o.FailureShare = DefaultFailureShare
 	}
-	if o.Queue == 0 {
-		o.Queue = DefaultQueue
+	if o.QueueSize == 0 {
+		o.QueueSize = DefaultQueueSize
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -65,16 +65,16 @@
 	mu sync.Mutex
 	// second is the Unix time that the counts belong to; belowWarn and failures are the lines
 	// written below level Warn and from it on, omitted those that were not written.
-	second   int64
-	plain    int
-	failures int
-	leftOut  int
+	second    int64
+	belowWarn int
+	failures  int
+	omitted   int
 }
 
 // New starts a Log that writes to w until Close.
 func New(w io.Writer, o Options) *Log {
 	l := &Log{options: o.withDefaults(), done: make(chan struct{})}
-	l.lines = ring.New[[]byte](l.options.Queue)
+	l.lines = ring.New[[]byte](l.options.QueueSize)
 	go l.write(w)
 	return l
 }
@@ -106,11 +106,11 @@
 }
 
 // closeTimeout bounds the wait for a slow reader in Close.
-const closeTime = 200 * time.Millisecond
+const closeTimeout = 200 * time.Millisecond
 
 // Close writes the queued lines, as far as the reader accepts them within closeTimeout.
 func (l *Log) Close() {
-	timer := time.NewTimer(closeTime)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case l.done <- struct{}{}:
@@ -147,19 +147,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := l.options.Now().Unix(); second != l.second {
-		omitted = l.leftOut
-		l.second, l.plain, l.failures, l.leftOut = second, 0, 0, 0
+		omitted = l.omitted
+		l.second, l.belowWarn, l.failures, l.omitted = second, 0, 0, 0
 	}
-	total := l.plain + l.failures
+	total := l.belowWarn + l.failures
 	hasRoom := total < l.options.LinesPerSecond
 	if level < slog.LevelWarn {
-		hasRoom = hasRoom && float64(l.plain) < (1-l.options.FailureShare)*float64(l.options.LinesPerSecond)
+		hasRoom = hasRoom && float64(l.belowWarn) < (1-l.options.FailureShare)*float64(l.options.LinesPerSecond)
 	}
 	switch {
 	case !hasRoom:
-		l.leftOut++
+		l.omitted++
 	case level < slog.LevelWarn:
-		l.plain++
+		l.belowWarn++
 	default:
 		l.failures++
 	}
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -27,7 +27,7 @@
 
 func (c *clock) read() time.Time { return c.now }
 
-func TestLinesOfFailuresGoFirst(t *testing.T) {
+func TestWarningsHaveReservedLines(t *testing.T) {
 	var out buffer
 	c := &clock{now: time.Unix(100, 0)}
 	l := New(&out, Options{LinesPerSecond: 10, FailureShare: 0.6, Now: c.read})
@@ -56,10 +56,10 @@
 	return len(p), nil
 }
 
-func TestStoppedReaderHoldsUpNothing(t *testing.T) {
+func TestStoppedReaderDoesNotBlockLogging(t *testing.T) {
 	reader := stoppedReader{release: make(chan struct{})}
 	defer close(reader.release)
-	l := New(reader, Options{LinesPerSecond: 1 << 20, Queue: 8})
+	l := New(reader, Options{LinesPerSecond: 1 << 20, QueueSize: 8})
 	log := l.Logger()
 	for range 100 {
 		log.Warn("line")
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -93,7 +93,7 @@
 		if err == nil {
 			lastAnswer = bootclock.Now()
 		}
-		silent := bootclock.Now()-lastAnswer > heartbeat.Silence
+		silent := bootclock.Now()-lastAnswer > heartbeat.SilenceTimeout
 		o.post(ctx, func(now time.Duration) { o.applyReleased(now, released, silent) })
 		if released.All || silent {
 			o.options.Log.Info("handover ended", "group", o.options.Group, "silent", silent)
--- a/ownership/decide.go
+++ b/ownership/decide.go
@@ -77,7 +77,7 @@
 	case o.OwnerDead:
 		return o.ClaimAge >= o.ClaimDelay
 	default:
-		return min(o.OwnerSilent, o.ClaimAge) >= heartbeat.Silence+o.ClaimDelay
+		return min(o.OwnerSilent, o.ClaimAge) >= heartbeat.SilenceTimeout+o.ClaimDelay
 	}
 }
 
@@ -135,7 +135,7 @@
 // owner, whose share of a core is own.
 func ShouldHandOver(domain string, own int32, pingers []heartbeat.Pinger, now time.Duration) bool {
 	best, ok := ChooseSuccessor(domain, pingers)
-	return ok && best.CPUShare >= handOverFactor*own && now-best.First >= minSuccessorAge
+	return ok && best.CPUShare >= handOverFactor*own && now-best.FirstHeard >= minSuccessorAge
 }
 
 // isBetterSuccessor reports whether ChooseSuccessor prefers a to b.
@@ -143,8 +143,8 @@
 	if a.CPUShare != b.CPUShare {
 		return a.CPUShare > b.CPUShare
 	}
-	if a.First != b.First {
-		return a.First > b.First
+	if a.FirstHeard != b.FirstHeard {
+		return a.FirstHeard > b.FirstHeard
 	}
 	return a.VM < b.VM
 }
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -227,8 +227,8 @@
 	}
 	k.options.Log.Info("claiming", "group", k.options.Group, "silent", observed.OwnerSilent, "waited", observed.ClaimAge)
 	claim := &linkpb.Claim{
-		Vm: k.options.Self.VM, Life: k.options.Self.Life,
-		Control: k.options.Self.Control, Heartbeat: k.options.Self.Heartbeat,
+		Vm: k.options.Self.VM, Life: k.options.Self.Incarnation,
+		Control: k.options.Self.ControlAddress, Heartbeat: k.options.Self.HeartbeatAddress,
 	}
 	expected := int64(0)
 	if observed.Current != nil {
@@ -242,7 +242,7 @@
 // observe returns what is known of the group now. The caller holds the lock. An owner that was
 // never heard counts as silent since its claim was first seen.
 func (k *Keeper) observe(now time.Duration) Observation {
-	o := Observation{VM: k.options.Self.VM, Incarnation: k.options.Self.Life, ClaimDelay: k.options.ClaimDelay(), ClaimAge: now - k.started}
+	o := Observation{VM: k.options.Self.VM, Incarnation: k.options.Self.Incarnation, ClaimDelay: k.options.ClaimDelay(), ClaimAge: now - k.started}
 	claim, ok := k.claims[k.options.Group]
 	if !ok {
 		return o
@@ -251,8 +251,8 @@
 	o.ClaimAge = now - k.seenAt[claim.Group]
 	o.OwnerSilent = o.ClaimAge
 	o.OwnerDead = k.deadOwners[claim.Claim.GetLife()]
-	if view, ok := k.peers.View(claim.Claim.GetLife()); ok && view.Heard > 0 {
-		o.OwnerSilent = now - view.Heard
+	if view, ok := k.peers.View(claim.Claim.GetLife()); ok && view.LastHeard > 0 {
+		o.OwnerSilent = now - view.LastHeard
 	}
 	return o
 }
@@ -282,7 +282,7 @@
 		return false, err
 	}
 	claim, known := k.Claim()
-	if !known || claim.Claim.GetLife() != k.options.Self.Life {
+	if !known || claim.Claim.GetLife() != k.options.Self.Incarnation {
 		return false, nil
 	}
 	return len(rows.Rows) == 0 || rows.Rows[0].Version <= claim.Version, nil
@@ -305,8 +305,8 @@
 	own := k.claims[k.options.Group]
 	k.mu.Unlock()
 	claim := &linkpb.Claim{
-		Vm: to.VM, Life: to.Life, Control: to.Control, Heartbeat: to.Heartbeat,
-		Former: &linkpb.Former{Life: k.options.Self.Life, Control: k.options.Self.Control},
+		Vm: to.VM, Life: to.Incarnation, Control: to.ControlAddress, Heartbeat: to.HeartbeatAddress,
+		Former: &linkpb.Former{Life: k.options.Self.Incarnation, Control: k.options.Self.ControlAddress},
 	}
 	ctx, cancel := context.WithTimeout(ctx, handOverWriteTimeout)
 	defer cancel()
@@ -318,7 +318,7 @@
 	claim.Passed = own.Claim.GetPassed() + 1
 	handedOver := GroupClaim{Group: k.options.Group, Claim: claim, Version: own.Version}
 	// The claim is merged also if no answer came, because the successor may own the group.
-	err = sender.HandOverClaim(context.WithoutCancel(ctx), to.Control, handedOver)
+	err = sender.HandOverClaim(context.WithoutCancel(ctx), to.ControlAddress, handedOver)
 	k.Merge([]GroupClaim{handedOver})
 	return err
 }
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -32,7 +32,7 @@
 		"earlier incarnation":   {Observation{Current: held("v", 2, 0), VM: "v", Incarnation: 1}, true},
 		"owner alive":           {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerSilent: 50 * ms, ClaimAge: time.Hour}, false},
 		"owner silent":          {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerSilent: time.Second, ClaimAge: time.Hour}, true},
-		"owner silent, delayed": {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerSilent: heartbeat.Silence, ClaimAge: time.Hour, ClaimDelay: ms}, false},
+		"owner silent, delayed": {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerSilent: heartbeat.SilenceTimeout, ClaimAge: time.Hour, ClaimDelay: ms}, false},
 		"claim is new":          {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerSilent: time.Hour, ClaimAge: 100 * ms}, false},
 		"owner dead":            {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerDead: true, ClaimAge: 10 * ms}, true},
 		"owner dead, delayed":   {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerDead: true, ClaimAge: 10 * ms, ClaimDelay: 20 * ms}, false},
@@ -68,9 +68,9 @@
 	_, ok := ChooseSuccessor("d", []heartbeat.Pinger{{VM: "x", FailureDomain: "other"}, {VM: "y", FailureDomain: "d", Leaving: true}})
 	must.False(t, ok)
 	best, ok := ChooseSuccessor("d", []heartbeat.Pinger{
-		{VM: "weak", FailureDomain: "d", CPUShare: 192, First: 9},
-		{VM: "old", FailureDomain: "d", CPUShare: 800, First: 1},
-		{VM: "young", FailureDomain: "d", CPUShare: 800, First: 5},
+		{VM: "weak", FailureDomain: "d", CPUShare: 192, FirstHeard: 9},
+		{VM: "old", FailureDomain: "d", CPUShare: 800, FirstHeard: 1},
+		{VM: "young", FailureDomain: "d", CPUShare: 800, FirstHeard: 5},
 	})
 	must.True(t, ok)
 	must.Eq(t, "young", best.VM)
@@ -121,7 +121,7 @@
 
 func newKeeper(store Store, changed func([]GroupClaim)) *Keeper {
 	return New(Options{
-		Self: heartbeat.Self{VM: "v", Life: 1, FailureDomain: "g"}, Group: "g",
+		Self: heartbeat.Self{VM: "v", Incarnation: 1, FailureDomain: "g"}, Group: "g",
 		Log: slog.New(slog.DiscardHandler), ClaimsChanged: changed, Count: func(string, string) {},
 	}, store, fakeViews{})
 }
@@ -180,7 +180,7 @@
 	return nil
 }
 
-var successor = []heartbeat.Pinger{{VM: "w", Life: 2, FailureDomain: "g", Control: "w:1"}}
+var successor = []heartbeat.Pinger{{VM: "w", Incarnation: 2, FailureDomain: "g", ControlAddress: "w:1"}}
 
 func TestHandOverThroughTheStore(t *testing.T) {
 	store := &fakeStore{version: 5}
@@ -209,7 +209,7 @@
 
 	store.err = nil
 	next := New(Options{
-		Self: heartbeat.Self{VM: "w", Life: 2, FailureDomain: "g"}, Group: "g",
+		Self: heartbeat.Self{VM: "w", Incarnation: 2, FailureDomain: "g"}, Group: "g",
 		Log: slog.New(slog.DiscardHandler), ClaimsChanged: func([]GroupClaim) {}, Count: func(string, string) {},
 	}, store, fakeViews{})
 	next.readNothing()
@@ -255,7 +255,7 @@
 func TestUnreadableClaimIsReplaced(t *testing.T) {
 	counted := 0
 	k := New(Options{
-		Self: heartbeat.Self{VM: "v", Life: 1}, Group: "g", Log: slog.New(slog.DiscardHandler),
+		Self: heartbeat.Self{VM: "v", Incarnation: 1}, Group: "g", Log: slog.New(slog.DiscardHandler),
 		ClaimsChanged: func([]GroupClaim) {}, Count: func(what, _ string) {
 			if what == "rows_unreadable" {
 				counted++
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -42,7 +42,7 @@
 // connection in one process.
 func BenchmarkCall(b *testing.B) {
 	f := newFleet(b, 1, 100)
-	to := f.carried(b)
+	to := f.relayedTarget(b)
 	b.ReportAllocs()
 	b.SetParallelism(16)
 	b.ResetTimer()
@@ -59,9 +59,9 @@
 
 // BenchmarkRoute looks up the relay of a target in a plan.
 func BenchmarkRoute(b *testing.B) {
-	p := Plan{Own: 100, Relays: vms(20, weak)}
+	p := Plan{OwnTargets: 100, Relays: vms(20, weak)}
 	b.ReportAllocs()
 	for i := range b.N {
-		p.RelayOf(address(i%1000).ID, Load{}.perTarget())
+		p.RelayIndex(address(i%1000).ID, Load{}.coresPerTarget())
 	}
 }
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -12,7 +12,7 @@
 type VM struct {
 	Name string
 	// Incarnation distinguishes the processes of a VM.
-	Life uint64
+	Incarnation uint64
 	// Address accepts connections of owners.
 	Address string
 	// CPU is the VM's present share of a core.
@@ -41,50 +41,50 @@
 	// connection.
 	callCost = 80 * time.Microsecond
 	// firstPollCost is the processor time of a first poll, which opens the connection.
-	firstLookCost = 300 * time.Microsecond
+	firstPollCost = 300 * time.Microsecond
 	// takeoverPollTime is the time within which a new owner should have polled all its targets.
-	adoptionTime = 100 * time.Millisecond
+	takeoverPollTime = 100 * time.Millisecond
 	// steadyCallShare is the share of a processor that calls may use in steady operation.
-	busyShare = 0.3
+	steadyCallShare = 0.3
 	// socketsPerTarget covers a poll and a few simultaneous orders; targetSocketShare is the
 	// share of a process's sockets that may be used for targets.
-	socketsOfTarget = 4
-	socketShare     = 1.0 / 3
+	socketsPerTarget  = 4
+	targetSocketShare = 1.0 / 3
 	// megabytesPerTarget is the memory of a target's connections; targetMemoryShare is the share
 	// of a VM's memory that may be used for targets.
-	megabytesOfTarget = 0.1
-	memoryShare       = 0.25
+	megabytesPerTarget = 0.1
+	targetMemoryShare  = 0.25
 )
 
 // coresPerTarget returns the processor capacity that one target needs, in cores: enough for the
 // polls after a takeover and for the steady calls.
-func (l Load) perTarget() float64 {
-	takeover := firstLookCost.Seconds() / adoptionTime.Seconds()
+func (l Load) coresPerTarget() float64 {
+	takeover := firstPollCost.Seconds() / takeoverPollTime.Seconds()
 	if l.Targets == 0 {
 		return takeover
 	}
-	return max(takeover, l.Calls/float64(l.Targets)*callCost.Seconds()/busyShare)
+	return max(takeover, l.Calls/float64(l.Targets)*callCost.Seconds()/steadyCallShare)
 }
 
 // maxTargets returns how many targets a process can send orders to, limited by processor, sockets
 // or memory, whichever is exhausted first.
-func (b Budget) targets(l Load) float64 {
-	return min(b.CPU/l.perTarget(), socketShare*float64(b.Sockets)/socketsOfTarget, memoryShare*float64(b.MemoryMB)/megabytesOfTarget)
+func (b Budget) maxTargets(l Load) float64 {
+	return min(b.CPU/l.coresPerTarget(), targetSocketShare*float64(b.Sockets)/socketsPerTarget, targetMemoryShare*float64(b.MemoryMB)/megabytesPerTarget)
 }
 
 // Parameters of plans.
 const (
 	// relayShare is the share of a relay's capacity that a plan uses: a relay has callers of its
 	// own.
-	relayPart = 0.5
+	relayShare = 0.5
 	// relayReserve is the ratio of the relays' planned capacity to what they have to relay.
-	spareRelays = 1.25
+	relayReserve = 1.25
 	// replanThreshold is the relative change of a capacity below which the plan stays as it is.
-	settled = 0.3
+	replanThreshold = 0.3
 	// releaseShare is the share of the owner's own capacity: once its targets stay below it for
 	// releaseDelay, the relays are released.
-	enough   = 0.7
-	calmTime = 5 * time.Second
+	releaseShare = 0.7
+	releaseDelay = 5 * time.Second
 )
 
 // Plan says which process sends the orders to the targets of an owner. With the zero value the
@@ -92,83 +92,83 @@
 type Plan struct {
 	// OwnTargets is for how many targets the owner sends the orders itself, while there are
 	// relays.
-	Own    float64
-	Relays []VM
+	OwnTargets float64
+	Relays     []VM
 	// unneededSince is when the owner first could do without relays; 0 while it needs them.
-	calm time.Duration
+	unneededSince time.Duration
 }
 
 // Next returns the plan that follows p. Relays that are still candidates keep their targets.
 func (p Plan) Next(now time.Duration, own Budget, load Load, candidates []VM) Plan {
-	capacity := own.targets(load)
+	capacity := own.maxTargets(load)
 	need := float64(load.Targets) - capacity
-	if need <= 0 && len(p.Relays) > 0 && float64(load.Targets) > enough*capacity {
+	if need <= 0 && len(p.Relays) > 0 && float64(load.Targets) > releaseShare*capacity {
 		need = 1
 	}
 	if need <= 0 {
 		if len(p.Relays) == 0 {
 			return Plan{}
 		}
-		if p.calm == 0 {
-			p.calm = now
+		if p.unneededSince == 0 {
+			p.unneededSince = now
 		}
-		if now-p.calm > calmTime {
+		if now-p.unneededSince > releaseDelay {
 			return Plan{}
 		}
 	} else {
-		p.calm = 0
+		p.unneededSince = 0
 	}
-	relays, relayed := p.staying(load, candidates)
-	for _, vm := range strongest(candidates) {
-		if relayed >= spareRelays*need {
+	relays, relayed := p.remainingRelays(load, candidates)
+	for _, vm := range byCPU(candidates) {
+		if relayed >= relayReserve*need {
 			break
 		}
-		if !slices.ContainsFunc(relays, func(r VM) bool { return r.Life == vm.Life }) {
+		if !slices.ContainsFunc(relays, func(r VM) bool { return r.Incarnation == vm.Incarnation }) {
 			relays = append(relays, vm)
-			relayed += relayPart * vm.CPU / load.perTarget()
+			relayed += relayShare * vm.CPU / load.coresPerTarget()
 		}
 	}
-	next := Plan{Own: p.Own, Relays: relays, calm: p.calm}
-	if own := max(min(capacity, float64(load.Targets)), 1); p.Own == 0 || math.Abs(own-p.Own) > settled*p.Own {
-		next.Own = own
+	next := Plan{OwnTargets: p.OwnTargets, Relays: relays, unneededSince: p.unneededSince}
+	if own := max(min(capacity, float64(load.Targets)), 1); p.OwnTargets == 0 || math.Abs(own-p.OwnTargets) > replanThreshold*p.OwnTargets {
+		next.OwnTargets = own
 	}
 	return next
 }
 
 // remainingRelays returns the relays that are still candidates and the number of targets that they
 // can relay together.
-func (p Plan) staying(load Load, candidates []VM) (relays []VM, relayed float64) {
+func (p Plan) remainingRelays(load Load, candidates []VM) (relays []VM, relayed float64) {
 	for _, relay := range p.Relays {
 		for _, vm := range candidates {
-			if vm.Life != relay.Life {
+			if vm.Incarnation != relay.Incarnation {
 				continue
 			}
-			if math.Abs(vm.CPU-relay.CPU) <= settled*relay.CPU {
+			if math.Abs(vm.CPU-relay.CPU) <= replanThreshold*relay.CPU {
 				vm.CPU = relay.CPU
 			}
 			relays = append(relays, vm)
-			relayed += relayPart * vm.CPU / load.perTarget()
+			relayed += relayShare * vm.CPU / load.coresPerTarget()
 		}
 	}
 	return relays, relayed
 }
 
 // byCPU returns the VMs by descending share of a core.
-func strongest(vms []VM) []VM {
+func byCPU(vms []VM) []VM {
 	return slices.SortedFunc(slices.Values(vms), func(a, b VM) int {
 		return cmp.Or(cmp.Compare(b.CPU, a.CPU), cmp.Compare(a.Name, b.Name))
 	})
 }
 
 // SameAssignment reports whether two plans assign each target to the same VM.
-func (p Plan) Same(other Plan) bool {
-	return p.Own == other.Own && slices.Equal(p.Relays, other.Relays)
+func (p Plan) SameAssignment(other Plan) bool {
+	return p.OwnTargets == other.OwnTargets && slices.Equal(p.Relays, other.Relays)
 }
 
 var hashSeed = maphash.MakeSeed()
 
 // hashDraw returns a number from 0 to 1 that depends only on a target and a VM.
-func draw(target, vm string) float64 {
+func hashDraw(target, vm string) float64 {
 	var h maphash.Hash
 	h.SetSeed(hashSeed)
 	_, _ = h.WriteString(target)
@@ -180,14 +180,14 @@
 // RelayIndex returns the index of the relay that sends a target's orders; -1 if the owner does.
 // It uses weighted rendezvous hashing: each process gets a share of the targets according to its
 // weight, and only the targets of a relay that leaves are assigned anew.
-func (p Plan) RelayOf(target string, coresPerTarget float64) int {
+func (p Plan) RelayIndex(target string, coresPerTarget float64) int {
 	if len(p.Relays) == 0 {
 		return -1
 	}
-	best, least := -1, -math.Log(draw(target, ""))/p.Own
+	best, least := -1, -math.Log(hashDraw(target, ""))/p.OwnTargets
 	for i, relay := range p.Relays {
-		weight := relayPart * relay.CPU / coresPerTarget
-		if score := -math.Log(draw(target, relay.Name)) / weight; score < least {
+		weight := relayShare * relay.CPU / coresPerTarget
+		if score := -math.Log(hashDraw(target, relay.Name)) / weight; score < least {
 			best, least = i, score
 		}
 	}
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -18,7 +18,7 @@
 func vms(n int, cpu float64) []VM {
 	list := make([]VM, n)
 	for i := range list {
-		list[i] = VM{Name: fmt.Sprintf("vm%02d", i), Life: uint64(i + 1), CPU: cpu}
+		list[i] = VM{Name: fmt.Sprintf("vm%02d", i), Incarnation: uint64(i + 1), CPU: cpu}
 	}
 	return list
 }
@@ -43,7 +43,7 @@
 
 // The number of relays follows from the targets that exceed the owner's capacity, whether its
 // processor, its sockets or its memory is the limit.
-func TestRelaysFollowWhatTheOwnerCannotCarry(t *testing.T) {
+func TestRelaysCoverWhatExceedsOwnCapacity(t *testing.T) {
 	for name, test := range map[string]struct {
 		own   Budget
 		load  Load
@@ -67,44 +67,44 @@
 
 // A target keeps its relay while that relay is a candidate. When a relay leaves, few other targets
 // move, and small changes of capacity or load move none.
-func TestTargetsStayWithTheirRelays(t *testing.T) {
+func TestTargetsKeepTheirRelays(t *testing.T) {
 	load := Load{Targets: 1000, Calls: 3000}
 	candidates := vms(46, weak)
 	plan := Plan{}.Next(0, budget(weak), load, candidates)
 	before, own := map[string]uint64{}, 0
 	for i := range load.Targets {
 		id := fmt.Sprintf("t%04d", i)
-		if at := plan.RelayOf(id, load.perTarget()); at >= 0 {
-			before[id] = plan.Relays[at].Life
+		if at := plan.RelayIndex(id, load.coresPerTarget()); at >= 0 {
+			before[id] = plan.Relays[at].Incarnation
 		} else {
 			own++
 		}
 	}
 	must.Between(t, 20, own, 120)
-	gone := plan.Relays[3].Life
+	gone := plan.Relays[3].Incarnation
 	after := plan.Next(time.Second, budget(weak), load, append(candidates[:3:3], candidates[4:]...))
 	moved := 0
 	for id, incarnation := range before {
-		at := after.RelayOf(id, load.perTarget())
-		if at < 0 || after.Relays[at].Life != incarnation {
+		at := after.RelayIndex(id, load.coresPerTarget())
+		if at < 0 || after.Relays[at].Incarnation != incarnation {
 			moved++
-			must.True(t, incarnation == gone || at >= 0 && after.Relays[at].Life != gone)
+			must.True(t, incarnation == gone || at >= 0 && after.Relays[at].Incarnation != gone)
 		}
 	}
 	// The targets of the relay that has left move, and a share of all to its replacement.
 	must.Less(t, 3*len(before)/len(plan.Relays), moved)
 	// Small changes leave the assignment as it is.
 	candidates[5].CPU *= 0.9
-	must.True(t, plan.Same(plan.Next(2*time.Second, budget(0.9*weak), Load{Targets: 980, Calls: 3100}, candidates)))
+	must.True(t, plan.SameAssignment(plan.Next(2*time.Second, budget(0.9*weak), Load{Targets: 980, Calls: 3100}, candidates)))
 }
 
 // Relays are released after the owner could do without them for releaseDelay.
-func TestRelaysAreLetGoAfterCalm(t *testing.T) {
+func TestRelaysAreReleasedAfterDelay(t *testing.T) {
 	plan := Plan{}.Next(0, budget(strong/8), Load{Targets: 100, Calls: 900}, vms(10, weak))
 	must.SliceNotEmpty(t, plan.Relays)
 	calm := Load{Targets: 100, Calls: 900}
 	plan = plan.Next(time.Second, budget(strong), calm, vms(10, weak))
 	must.SliceNotEmpty(t, plan.Relays)
-	plan = plan.Next(time.Second+calmTime+1, budget(strong), calm, vms(10, weak))
+	plan = plan.Next(time.Second+releaseDelay+1, budget(strong), calm, vms(10, weak))
 	must.SliceEmpty(t, plan.Relays)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,7 +25,7 @@
 }
 
 // maxMessageBytes bounds a message; the largest lists all runs and completions of a target.
-const maxFrame = 1 << 20
+const maxMessageBytes = 1 << 20
 
 func runToWire(r work.RunID) *linkpb.Run { return &linkpb.Run{Task: r.Task, Number: r.Number} }
 
--- a/relay/router_test.go
+++ b/relay/router_test.go
@@ -25,17 +25,17 @@
 type fakeTargets struct {
 	mu     sync.Mutex
 	starts []work.StartOrder
-	looks  atomic.Int64
+	polls  atomic.Int64
 	// activePolls and maxActivePolls count the simultaneous polls.
-	now, most atomic.Int64
+	activePolls, maxActivePolls atomic.Int64
 	// blocked, if set, delays the answers to starts until it is closed.
-	held chan struct{}
+	blocked chan struct{}
 }
 
 func (f *fakeTargets) Start(ctx context.Context, _ work.TargetAddress, order work.StartOrder, token int64) work.OrderAnswer {
 	f.mu.Lock()
 	f.starts = append(f.starts, order)
-	held := f.held
+	held := f.blocked
 	f.mu.Unlock()
 	if held != nil {
 		select {
@@ -52,9 +52,9 @@
 }
 
 func (f *fakeTargets) Poll(_ context.Context, _ work.TargetAddress, token, until, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
-	f.looks.Add(1)
-	f.most.Store(max(f.most.Load(), f.now.Add(1)))
-	defer f.now.Add(-1)
+	f.polls.Add(1)
+	f.maxActivePolls.Store(max(f.maxActivePolls.Load(), f.activePolls.Add(1)))
+	defer f.activePolls.Add(-1)
 	time.Sleep(time.Millisecond)
 	run := work.RunID{Task: "j.0.0.0", Number: 7}
 	return work.PollAnswer{
@@ -98,7 +98,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx, listener) }()
 		f.stops = append(f.stops, func() { cancel(); <-done })
-		candidates = append(candidates, VM{Name: fmt.Sprint("vm", i), Life: uint64(i + 1), Address: listener.Addr().String(), CPU: weak})
+		candidates = append(candidates, VM{Name: fmt.Sprint("vm", i), Incarnation: uint64(i + 1), Address: listener.Addr().String(), CPU: weak})
 	}
 	f.Router = NewRouter(Options{
 		Direct: f.direct, Budget: func() Budget { return budget(weak / 4) }, Log: log,
@@ -124,7 +124,7 @@
 			stop()
 		}
 	})
-	f.Targets(targets)
+	f.SetTargets(targets)
 	return f
 }
 
@@ -133,7 +133,7 @@
 }
 
 // pollAll polls all targets once, without a wait.
-func (f *fleet) lookAll(t *testing.T) {
+func (f *fleet) pollAll(t *testing.T) {
 	var wait sync.WaitGroup
 	for i := range f.targets {
 		wait.Go(func() {
@@ -145,10 +145,10 @@
 }
 
 // relayedTarget waits until a relay is connected and returns a target that it serves.
-func (f *fleet) carried(t testing.TB) work.TargetAddress {
+func (f *fleet) relayedTarget(t testing.TB) work.TargetAddress {
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for i := range f.targets {
-			if f.usable(address(i).ID) != nil {
+			if f.usableStream(address(i).ID) != nil {
 				return address(i)
 			}
 		}
@@ -158,9 +158,9 @@
 }
 
 // Orders and answers pass through a relay unchanged.
-func TestRelaysCarryOrdersAndAnswers(t *testing.T) {
+func TestRelayForwardsOrdersAndAnswers(t *testing.T) {
 	f := newFleet(t, 3, 100)
-	to := f.carried(t)
+	to := f.relayedTarget(t)
 	order := work.StartOrder{Run: work.RunID{Task: "j.0.0.1", Number: 5}, Payload: "p", SavedState: "s", Ticket: "t", LeaseUntilMS: 99}
 	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 11}, f.Start(t.Context(), to, order, 11))
 	must.Eq(t, work.OrderAnswer{Verdict: work.VerdictStaleRun, ClockMS: 9}, f.Stop(t.Context(), to, order.Run, 11))
@@ -184,25 +184,25 @@
 
 // The first polls of an owner are spread over its relays. While it has none, it sends only
 // maxFirstPolls at a time itself.
-func TestFirstLooksAreSpread(t *testing.T) {
+func TestFirstPollsAreSpread(t *testing.T) {
 	f := newFleet(t, 4, 300)
-	f.lookAll(t)
-	must.LessEq(t, int64(firstLooks), f.direct.most.Load())
+	f.pollAll(t)
+	must.LessEq(t, int64(maxFirstPolls), f.direct.maxActivePolls.Load())
 	relayed := int64(0)
 	for _, relayTargets := range f.relays {
-		relayed += relayTargets.looks.Load()
+		relayed += relayTargets.polls.Load()
 	}
-	must.Eq(t, int64(300), relayed+f.direct.looks.Load())
+	must.Eq(t, int64(300), relayed+f.direct.polls.Load())
 	must.Greater(t, 100, relayed)
 }
 
 // An order whose relay is lost has no answer and may have been carried out. Later orders are sent
 // directly at once.
-func TestALostRelayLeavesOrdersInDoubt(t *testing.T) {
+func TestOrderOfLostRelayIsUnanswered(t *testing.T) {
 	f := newFleet(t, 1, 100)
-	to := f.carried(t)
+	to := f.relayedTarget(t)
 	f.relays[0].mu.Lock()
-	f.relays[0].held = make(chan struct{})
+	f.relays[0].blocked = make(chan struct{})
 	f.relays[0].mu.Unlock()
 	answers := make(chan work.OrderAnswer, 1)
 	go func() { answers <- f.Start(t.Context(), to, work.StartOrder{}, 1) }()
@@ -217,24 +217,24 @@
 }
 
 // A relay that does not answer is bypassed before its VM is known to be lost.
-func TestASilentRelayIsPassedOver(t *testing.T) {
+func TestSilentRelayIsBypassed(t *testing.T) {
 	f := newFleet(t, 1, 100)
-	to := f.carried(t)
+	to := f.relayedTarget(t)
 	f.relays[0].mu.Lock()
-	f.relays[0].held = make(chan struct{})
+	f.relays[0].blocked = make(chan struct{})
 	f.relays[0].mu.Unlock()
 	must.Eq(t, work.VerdictUnknown, f.Start(t.Context(), to, work.StartOrder{}, 1).Verdict)
-	s, answered := f.usable(to.ID), make(chan struct{})
+	s, answered := f.usableStream(to.ID), make(chan struct{})
 	go func() {
 		defer close(answered)
 		s.call(t.Context(), to, &linkpb.Carry{What: startToWire(work.StartOrder{})}, 30*time.Second, true)
 	}()
-	for began := time.Now(); s.answers(bootclock.Now()); time.Sleep(time.Millisecond) {
+	for began := time.Now(); s.isUsable(bootclock.Now()); time.Sleep(time.Millisecond) {
 		must.Less(t, 20*time.Second, time.Since(began))
 	}
 	must.Eq(t, work.VerdictDone, f.Start(t.Context(), to, work.StartOrder{}, 1).Verdict)
 	must.Eq(t, 1, f.direct.started())
-	close(f.relays[0].held)
+	close(f.relays[0].blocked)
 	<-answered
 }
 
@@ -252,7 +252,7 @@
 }
 
 // A relay without free descriptors accepts connections again when there are some.
-func TestARelayOutlivesAWantOfDescriptors(t *testing.T) {
+func TestRelayRecoversFromLackOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	short := &shortListener{Listener: listener}
@@ -272,13 +272,13 @@
 
 // An owner that is cut off from the store starts runs itself: a relay with access to the store
 // would start them at targets that leave. Polls still go through relays.
-func TestNobodyStartsRunsForAnOwnerWithOldNews(t *testing.T) {
+func TestOwnerWithStaleStoreStartsDirectly(t *testing.T) {
 	f := newFleet(t, 2, 100)
-	to := f.carried(t)
-	f.age.Store(int64(freshStore + 1))
+	to := f.relayedTarget(t)
+	f.age.Store(int64(maxStoreAge + 1))
 	f.Start(t.Context(), to, work.StartOrder{}, 1)
 	must.Eq(t, 1, f.direct.started())
 	_, verdict := f.Poll(t.Context(), to, 1, 0, 0, 0)
 	must.Eq(t, work.VerdictDone, verdict)
-	must.Eq(t, int64(0), f.direct.looks.Load())
+	must.Eq(t, int64(0), f.direct.polls.Load())
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -21,14 +21,14 @@
 const (
 	// maxForwarded bounds the orders and polls of one owner in progress: a poll and a few orders
 	// for each of several hundred targets.
-	maxCarried = 2048
+	maxForwarded = 2048
 	// answerQueueSize is the number of answers that may wait to be written together.
-	answersRoom = 256
+	answerQueueSize = 256
 	// staleOrderAge is how long a start may wait in this process to be sent: the state on which it
 	// was decided may have changed since.
-	staleCarry = 100 * time.Millisecond
+	staleOrderAge = 100 * time.Millisecond
 	// acceptRetryPause is the pause after a connection that could not be accepted.
-	acceptPause = 50 * time.Millisecond
+	acceptRetryPause = 50 * time.Millisecond
 	// bufferBytes is enough to write messages that arrive together at once.
 	bufferBytes = 16 << 10
 )
@@ -60,10 +60,10 @@
 		if err != nil {
 			// The process has no free descriptors; owners send their orders themselves meanwhile.
 			s.Log.Warn("connection of an owner not taken", "error", err)
-			sleep(ctx, acceptPause)
+			sleep(ctx, acceptRetryPause)
 			continue
 		}
-		open.Go(func() { s.carry(ctx, conn) })
+		open.Go(func() { s.serveOwner(ctx, conn) })
 	}
 }
 
@@ -78,18 +78,18 @@
 }
 
 // serveOwner serves the connection of one owner until it breaks or the context ends.
-func (s *Server) carry(ctx context.Context, conn net.Conn) {
+func (s *Server) serveOwner(ctx context.Context, conn net.Conn) {
 	owner := conn.RemoteAddr().String()
 	s.Log.Info("carrying orders", "owner", owner)
 	ctx, cancel := context.WithCancel(ctx)
-	answers := make(chan proto.Message, answersRoom)
+	answers := make(chan proto.Message, answerQueueSize)
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		defer cancel()
-		writeAll(ctx, conn, answers)
+		writeMessages(ctx, conn, answers)
 	})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	err := s.read(ctx, conn, answers)
+	err := s.readOrders(ctx, conn, answers)
 	cancel()
 	stop()
 	_ = conn.Close()
@@ -99,30 +99,30 @@
 
 // readOrders reads orders and forwards each on its own goroutine, until the connection breaks.
 // Orders beyond maxForwarded are answered as unsent.
-func (s *Server) read(ctx context.Context, conn net.Conn, answers chan<- proto.Message) error {
+func (s *Server) readOrders(ctx context.Context, conn net.Conn, answers chan<- proto.Message) error {
 	reader := bufio.NewReaderSize(conn, bufferBytes)
-	slots := make(chan struct{}, maxCarried)
+	slots := make(chan struct{}, maxForwarded)
 	for {
 		order := &linkpb.Carry{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxFrame}).UnmarshalFrom(reader, order); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}).UnmarshalFrom(reader, order); err != nil {
 			return err
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
-			s.answer(ctx, answers, order, &linkpb.Carried{Verdict: int32(work.VerdictUnsent)})
+			s.sendAnswer(ctx, answers, order, &linkpb.Carried{Verdict: int32(work.VerdictUnsent)})
 			continue
 		}
 		received := bootclock.Now()
 		go func() {
 			defer func() { <-slots }()
-			s.answer(ctx, answers, order, s.send(ctx, order, received))
+			s.sendAnswer(ctx, answers, order, s.forward(ctx, order, received))
 		}()
 	}
 }
 
 // sendAnswer queues the answer to an order to be written.
-func (s *Server) answer(ctx context.Context, answers chan<- proto.Message, order *linkpb.Carry, answer *linkpb.Carried) {
+func (s *Server) sendAnswer(ctx context.Context, answers chan<- proto.Message, order *linkpb.Carry, answer *linkpb.Carried) {
 	answer.Sequence = order.GetSequence()
 	answer.StoreAgeUs = s.StoreAge().Microseconds()
 	select {
@@ -133,18 +133,18 @@
 
 // forward sends an order to its target and returns the answer. A start that has waited too long
 // is not sent.
-func (s *Server) send(ctx context.Context, order *linkpb.Carry, received time.Duration) *linkpb.Carried {
+func (s *Server) forward(ctx context.Context, order *linkpb.Carry, received time.Duration) *linkpb.Carried {
 	to := work.TargetAddress{ID: order.GetId(), Address: order.GetAddress()}
 	switch what := order.GetWhat().(type) {
 	case *linkpb.Carry_Start:
-		if bootclock.Now()-received > staleCarry {
+		if bootclock.Now()-received > staleOrderAge {
 			return &linkpb.Carried{Verdict: int32(work.VerdictUnsent)}
 		}
 		s.Count("carried", "start")
-		return orderAnswer(s.Targets.Start(ctx, to, startFromWire(what.Start), order.GetToken()))
+		return orderAnswerToWire(s.Targets.Start(ctx, to, startFromWire(what.Start), order.GetToken()))
 	case *linkpb.Carry_Stop:
 		s.Count("carried", "stop")
-		return orderAnswer(s.Targets.Stop(ctx, to, runFromWire(what.Stop.GetRun()), order.GetToken()))
+		return orderAnswerToWire(s.Targets.Stop(ctx, to, runFromWire(what.Stop.GetRun()), order.GetToken()))
 	case *linkpb.Carry_Look:
 		s.Count("carried", "look")
 		poll := what.Look
@@ -158,17 +158,17 @@
 }
 
 // orderAnswerToWire converts the answer to a start or a stop.
-func orderAnswer(a work.OrderAnswer) *linkpb.Carried {
+func orderAnswerToWire(a work.OrderAnswer) *linkpb.Carried {
 	return &linkpb.Carried{Verdict: int32(a.Verdict), ClockMs: a.ClockMS}
 }
 
 // writeMessages writes messages until the context ends or the connection breaks.
-func writeAll(ctx context.Context, conn net.Conn, messages <-chan proto.Message) {
+func writeMessages(ctx context.Context, conn net.Conn, messages <-chan proto.Message) {
 	writer := bufio.NewWriterSize(conn, bufferBytes)
 	for {
 		select {
 		case message := <-messages:
-			if writeWaiting(writer, message, messages) != nil {
+			if writeQueued(writer, message, messages) != nil {
 				return
 			}
 		case <-ctx.Done():
@@ -178,7 +178,7 @@
 }
 
 // writeQueued writes a message and all that are queued behind it, and then flushes the writer.
-func writeWaiting(writer *bufio.Writer, message proto.Message, messages <-chan proto.Message) error {
+func writeQueued(writer *bufio.Writer, message proto.Message, messages <-chan proto.Message) error {
 	for {
 		if _, err := protodelim.MarshalTo(writer, message); err != nil {
 			return err
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -19,15 +19,15 @@
 // Sizes and times of streams.
 const (
 	// dialTimeout is many round trips within a failure domain.
-	dialTime = 200 * time.Millisecond
+	dialTimeout = 200 * time.Millisecond
 	// orderQueueSize is the number of orders that may wait to be written together.
-	ordersRoom = 512
+	orderQueueSize = 512
 	// silenceTimeout is how long a relay may answer nothing while prompt calls wait; after that
 	// the owner sends its orders itself. It is longer than the pause of a process that has used up
 	// its processor quota.
-	silentTime = 120 * time.Millisecond
+	silenceTimeout = 120 * time.Millisecond
 	// reconnectDelay is how long a relay is not used after its connection broke.
-	restTime = 3 * time.Second
+	reconnectDelay = 3 * time.Second
 )
 
 // stream is an owner's connection to one relay.
@@ -35,24 +35,24 @@
 	vm  VM
 	log *slog.Logger
 	// dialed is closed once the connection is open or could not be opened.
-	ready  chan struct{}
+	dialed chan struct{}
 	orders chan proto.Message
 	cancel context.CancelFunc
 
 	mu   sync.Mutex
 	open bool
 	// brokenAt is when the connection broke; 0 before that.
-	broken time.Duration
+	brokenAt time.Duration
 	// lastSequence is the sequence number of the newest call, pending holds the calls that wait
 	// for an answer by theirs.
-	last    uint64
-	waiting map[uint64]*call
+	lastSequence uint64
+	pending      map[uint64]*call
 	// lastAnswer is when the relay last answered any call, promptSince since when prompt calls
 	// have been pending, promptCalls how many are.
-	answered, since time.Duration
-	prompt          int
+	lastAnswer, promptSince time.Duration
+	promptCalls             int
 	// relayStoreAge is how long ago the store last answered the relay, by its last answer.
-	age time.Duration
+	relayStoreAge time.Duration
 }
 
 // call is an order or a poll that waits for its answer.
@@ -66,7 +66,7 @@
 func openStream(ctx context.Context, vm VM, log *slog.Logger) *stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stream{
-		vm: vm, log: log, ready: make(chan struct{}), orders: make(chan proto.Message, ordersRoom), cancel: cancel, waiting: map[uint64]*call{},
+		vm: vm, log: log, dialed: make(chan struct{}), orders: make(chan proto.Message, orderQueueSize), cancel: cancel, pending: map[uint64]*call{},
 	}
 	go s.run(ctx)
 	return s
@@ -77,53 +77,53 @@
 // run connects to the relay, and reads answers until the connection breaks.
 func (s *stream) run(ctx context.Context) {
 	defer s.cancel()
-	dialer := net.Dialer{Timeout: dialTime}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", s.vm.Address)
 	if err == nil {
 		s.setOpen()
 	}
-	close(s.ready)
+	close(s.dialed)
 	if err == nil {
 		stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 		defer stop()
 		go func() {
 			defer s.cancel()
-			writeAll(ctx, conn, s.orders)
+			writeMessages(ctx, conn, s.orders)
 		}()
-		err = s.read(conn)
+		err = s.readAnswers(conn)
 		_ = conn.Close()
 	}
 	if ctx.Err() == nil {
 		s.log.Warn("relay lost", "vm", s.vm.Name, "error", err)
 	}
-	s.breaks()
+	s.failPending()
 }
 
 func (s *stream) setOpen() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open, s.answered = true, bootclock.Now()
+	s.open, s.lastAnswer = true, bootclock.Now()
 }
 
 // readAnswers delivers answers until the connection breaks.
-func (s *stream) read(conn net.Conn) error {
+func (s *stream) readAnswers(conn net.Conn) error {
 	reader := bufio.NewReaderSize(conn, bufferBytes)
 	for {
 		answer := &linkpb.Carried{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxFrame}).UnmarshalFrom(reader, answer); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}).UnmarshalFrom(reader, answer); err != nil {
 			return err
 		}
-		s.take(answer)
+		s.deliver(answer)
 	}
 }
 
 // deliver passes an answer to the call that waits for it, if it still does.
-func (s *stream) take(answer *linkpb.Carried) {
+func (s *stream) deliver(answer *linkpb.Carried) {
 	s.mu.Lock()
-	c := s.waiting[answer.GetSequence()]
-	s.forget(answer.GetSequence())
-	s.answered = bootclock.Now()
-	s.age = time.Duration(answer.GetStoreAgeUs()) * time.Microsecond
+	c := s.pending[answer.GetSequence()]
+	s.removeCall(answer.GetSequence())
+	s.lastAnswer = bootclock.Now()
+	s.relayStoreAge = time.Duration(answer.GetStoreAgeUs()) * time.Microsecond
 	s.mu.Unlock()
 	if c != nil {
 		c.answer <- answer
@@ -131,21 +131,21 @@
 }
 
 // removeCall removes a call from the pending ones. The caller holds the lock.
-func (s *stream) forget(sequence uint64) {
-	if c := s.waiting[sequence]; c != nil {
-		delete(s.waiting, sequence)
+func (s *stream) removeCall(sequence uint64) {
+	if c := s.pending[sequence]; c != nil {
+		delete(s.pending, sequence)
 		if c.prompt {
-			s.prompt--
+			s.promptCalls--
 		}
 	}
 }
 
 // failPending marks the connection as broken and answers all pending calls with VerdictBroken.
-func (s *stream) breaks() {
+func (s *stream) failPending() {
 	s.mu.Lock()
-	pending := s.waiting
-	s.waiting, s.open, s.prompt = map[uint64]*call{}, false, 0
-	s.broken = bootclock.Now()
+	pending := s.pending
+	s.pending, s.open, s.promptCalls = map[uint64]*call{}, false, 0
+	s.brokenAt = bootclock.Now()
 	s.mu.Unlock()
 	for _, c := range pending {
 		c.answer <- &linkpb.Carried{Verdict: int32(work.VerdictConnectionLost)}
@@ -161,17 +161,17 @@
 		s.mu.Unlock()
 		return &linkpb.Carried{Verdict: int32(work.VerdictUnsent)}
 	}
-	s.last++
-	carry.Sequence, carry.Id, carry.Address = s.last, to.ID, to.Address
-	s.waiting[s.last] = c
+	s.lastSequence++
+	carry.Sequence, carry.Id, carry.Address = s.lastSequence, to.ID, to.Address
+	s.pending[s.lastSequence] = c
 	if prompt {
-		if s.prompt == 0 {
-			s.since = bootclock.Now()
+		if s.promptCalls == 0 {
+			s.promptSince = bootclock.Now()
 		}
-		s.prompt++
+		s.promptCalls++
 	}
 	s.mu.Unlock()
-	defer s.abandon(carry.GetSequence())
+	defer s.cancelCall(carry.GetSequence())
 	select {
 	case s.orders <- carry:
 	default:
@@ -189,52 +189,52 @@
 }
 
 // cancelCall removes a call that is not waited for any more.
-func (s *stream) abandon(sequence uint64) {
+func (s *stream) cancelCall(sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(sequence)
+	s.removeCall(sequence)
 }
 
 // isLost reports whether the connection broke or could not be opened.
-func (s *stream) lost() bool {
+func (s *stream) isLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.broken > 0
+	return s.brokenAt > 0
 }
 
 // isUsable reports whether the relay is connected and answers prompt calls.
-func (s *stream) answers(now time.Duration) bool {
+func (s *stream) isUsable(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open && (s.prompt == 0 || now-max(s.answered, s.since) <= silentTime)
+	return s.open && (s.promptCalls == 0 || now-max(s.lastAnswer, s.promptSince) <= silenceTimeout)
 }
 
 // canClose reports whether the stream can be removed: no call is pending, and if the connection
 // broke, reconnectDelay has passed.
-func (s *stream) idle(now time.Duration) bool {
+func (s *stream) canClose(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting) == 0 && (s.broken == 0 || now-s.broken > restTime)
+	return len(s.pending) == 0 && (s.brokenAt == 0 || now-s.brokenAt > reconnectDelay)
 }
 
 // storeAge returns how long ago the store had answered the relay when the relay last answered.
 func (s *stream) storeAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.age
+	return s.relayStoreAge
 }
 
 // awaitConnection waits up to connectTimeout for a connection that is being opened.
 func (s *stream) awaitConnection(ctx context.Context) {
 	select {
-	case <-s.ready:
+	case <-s.dialed:
 		return
 	default:
 	}
-	timer := time.NewTimer(connectTime)
+	timer := time.NewTimer(connectTimeout)
 	defer timer.Stop()
 	select {
-	case <-s.ready:
+	case <-s.dialed:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
