--- a/cmd/burdockward/app.go
+++ b/cmd/burdockward/app.go
@@ -49,7 +49,7 @@
 func (e *exitError) Unwrap() error { return e.err }
 
 // execute runs the command line and returns the exit status.
-func (a *app) main(ctx context.Context, args []string) int {
+func (a *app) execute(ctx context.Context, args []string) int {
 	err := a.command().Run(ctx, args)
 	if err == nil {
 		return exitOK
@@ -107,7 +107,7 @@
 	defer closeTelemetry(tel)
 	limitMemory(s.Limits.MemoryBytes)
 	if err := a.run(ctx, s, tel); err != nil {
-		return &exitError{status: runStatus(err), err: err}
+		return &exitError{status: exitStatus(err), err: err}
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 }
 
 // exitStatus returns the exit status of a failed run: a failure to listen has its own.
-func runStatus(err error) int {
+func exitStatus(err error) int {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "listen" {
 		return exitListen
 	}
--- a/cmd/burdockward/app_test.go
+++ b/cmd/burdockward/app_test.go
@@ -21,7 +21,7 @@
 
 const goodFile = "../../examples/reference.jsonc"
 
-func TestCommandLine(t *testing.T) {
+func TestCommandLineExitStatusAndOutput(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.jsonc")
 	must.NoError(t, os.WriteFile(bad, []byte(`{"vm_id": 1, "other": 2}`), 0o600))
 	cases := map[string]struct {
@@ -57,14 +57,14 @@
 				return tc.runErr
 			}
 			a := &app{run: run, stdout: &out, stderr: &out}
-			status := a.main(t.Context(), append([]string{"burdockward"}, tc.args...))
+			status := a.execute(t.Context(), append([]string{"burdockward"}, tc.args...))
 			must.Eq(t, tc.status, status, must.Sprint(out.String()))
 			must.StrContains(t, out.String(), tc.out)
 		})
 	}
 }
 
-func TestPlannedStop(t *testing.T) {
+func TestPlannedStopExitsWithoutOutput(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	run := func(ctx context.Context, _ *settings.Settings, _ *telemetry.Telemetry) error {
 		cancel()
@@ -73,12 +73,12 @@
 	}
 	var out bytes.Buffer
 	a := &app{run: run, stdout: &out, stderr: &out}
-	must.Eq(t, exitOK, a.main(ctx, []string{"burdockward", "--settings", goodFile}))
+	must.Eq(t, exitOK, a.execute(ctx, []string{"burdockward", "--settings", goodFile}))
 	must.Eq(t, "", out.String())
 }
 
 // The soft memory limit of the settings is in force while the daemon runs; 0 means no limit.
-func TestMemoryLimitIsSet(t *testing.T) {
+func TestMemoryLimitOfSettingsIsInForce(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(before) })
 	reference, err := os.ReadFile(goodFile)
@@ -93,7 +93,7 @@
 			return nil
 		}
 		a := &app{run: run, stdout: io.Discard, stderr: io.Discard}
-		must.Eq(t, exitOK, a.main(t.Context(), []string{"burdockward", "--settings", path}))
+		must.Eq(t, exitOK, a.execute(t.Context(), []string{"burdockward", "--settings", path}))
 		must.Eq(t, want, limit)
 	}
 }
--- a/cmd/burdockward/main.go
+++ b/cmd/burdockward/main.go
@@ -19,5 +19,5 @@
 	// After the first signal the handlers are removed, so that a second one ends the process.
 	context.AfterFunc(ctx, stop)
 	a := &app{run: runDaemon, stdout: os.Stdout, stderr: os.Stderr}
-	os.Exit(a.main(ctx, os.Args))
+	os.Exit(a.execute(ctx, os.Args))
 }
--- a/cmd/burdockward/serve.go
+++ b/cmd/burdockward/serve.go
@@ -23,7 +23,7 @@
 
 // memoryLimitShare is the share of the VM's memory that is the soft limit of the Go runtime. The
 // rest is for data that has arrived but is not read yet.
-const memoryShare = 0.6
+const memoryLimitShare = 0.6
 
 // defaultMetricsPort is the default of --metrics-port.
 const defaultMetricsPort = 9464
@@ -52,7 +52,7 @@
 	}
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryMB<<20)))
 	lines := oplog.New(a.stdout, oplog.Options{})
 	defer lines.Close()
 	log := lines.Logger()
@@ -65,7 +65,7 @@
 		Observe: counters.Observe, Gauge: counters.Set,
 	})
 	if err != nil {
-		return &exitError{status: runStatus(err), err: err}
+		return &exitError{status: exitStatus(err), err: err}
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	ctx, stop := context.WithCancel(ctx)
@@ -80,7 +80,7 @@
 	})
 	if err := g.Wait(); err != nil {
 		log.Error("failed", "error", err)
-		return &exitError{status: runStatus(err), err: err}
+		return &exitError{status: exitStatus(err), err: err}
 	}
 	return nil
 }
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -34,7 +34,7 @@
 func TestRowWithoutDomainIsIgnored(t *testing.T) {
 	ignored := 0
 	r := Reader{RowIgnored: func(_ platform.Row, err error) {
-		must.ErrorIs(t, err, platform.ErrNoCordon)
+		must.ErrorIs(t, err, platform.ErrInvalidCordon)
 		ignored++
 	}}
 	view := r.Apply(updateOf(4, true, row("", 2, false), platform.Row{Key: "evacuation/a", Version: 3}, row("a", 4, false)))
--- a/ctl/file.go
+++ b/ctl/file.go
@@ -111,8 +111,8 @@
 	found := document.Decode(&object).Problems
 	problems := problemsOf(found)
 	for _, p := range object.Check() {
-		p.Path = jsonc.Join(document.Path(), p.Path)
-		if !jsonc.Covered(found, p.Path) {
+		p.Path = jsonc.JoinPath(document.Path(), p.Path)
+		if !jsonc.IsCovered(found, p.Path) {
 			problems = append(problems, p)
 		}
 	}
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -86,7 +86,7 @@
 		return
 	}
 	for name, value := range members {
-		flatten(jsonc.Join(path, name), value, flat)
+		flatten(jsonc.JoinPath(path, name), value, flat)
 	}
 }
 
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -32,25 +32,25 @@
 // Partitions is the number of partitions that jobs are spread over. With a batch of 16 jobs
 // every 25 ms to each partition, an owner can accept and end 1,280 jobs a second. Four owners
 // that do so make 640 writes a second, of the 800 that the smallest site allows.
-const Parts = 4
+const Partitions = 4
 
 // PartitionOf returns the name of the partition that holds a job's rows.
-func PartOf(id string) string {
+func PartitionOf(id string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
-	return partName(int(hash.Sum32() % Parts))
+	return partitionName(int(hash.Sum32() % Partitions))
 }
 
-func partName(i int) string { return "jobs-" + strconv.Itoa(i) }
+func partitionName(i int) string { return "jobs-" + strconv.Itoa(i) }
 
 // AcceptedJob is the value of a jobs row: the submission and who accepted it.
-type Accepted struct {
+type AcceptedJob struct {
 	Job   work.Job   `json:"job"`
 	Queue work.Queue `json:"queue"`
 	// Group is the group of targets that runs the job.
-	Home string `json:"home"`
+	Group string `json:"home"`
 	// Incarnation is that of the owner that accepted the job.
-	Life uint64 `json:"life"`
+	Incarnation uint64 `json:"life"`
 	// Arrived is when the caller sent the job, on the store's clock.
 	Arrived time.Duration `json:"arrived"`
 }
@@ -58,37 +58,37 @@
 // Progress is the value of a progress row.
 type Progress struct {
 	// Group is the group of targets that runs the job.
-	Home string `json:"home"`
+	Group string `json:"home"`
 	// State is work.StateQueued until the job ends, then its final state.
 	State work.JobState `json:"state"`
 	// Done lists the finished tasks by their index in the job.
 	Done []int `json:"done,omitempty"`
 	// Failures counts the failed runs of each task. LastFailedRun has the number of the last one.
-	Fails      map[int]int   `json:"fails,omitempty"`
-	LastFailed map[int]int64 `json:"last_failed,omitempty"`
+	Failures      map[int]int   `json:"fails,omitempty"`
+	LastFailedRun map[int]int64 `json:"last_failed,omitempty"`
 	// Saved is the state that each task has saved.
 	Saved map[int]string `json:"saved,omitempty"`
 	// TargetLosses lists the targets that were lost while a task ran on them.
-	Crashed map[int][]Crash `json:"crashed,omitempty"`
+	TargetLosses map[int][]TargetLoss `json:"crashed,omitempty"`
 	// EndedAt is when the job ended, on the store's clock; 0 before.
-	Ended time.Duration `json:"ended,omitempty"`
+	EndedAt time.Duration `json:"ended,omitempty"`
 }
 
 // TargetLoss is the loss of a target while a task ran on it.
-type Crash struct {
+type TargetLoss struct {
 	Target string `json:"target"`
 	// Incarnation is when the target's process started, in milliseconds since 1970; 0 where the
 	// target did not report it.
-	Life int64 `json:"life,omitempty"`
+	Incarnation int64 `json:"life,omitempty"`
 	// Correlated reports that other targets were lost at the same time for another reason.
 	// Isolated reports that the task had the target to itself.
-	Excused bool `json:"excused,omitempty"`
-	Alone   bool `json:"alone,omitempty"`
+	Correlated bool `json:"excused,omitempty"`
+	Isolated   bool `json:"alone,omitempty"`
 }
 
 // validate reports why a job read under a key can't be run: another writer may have left a row
 // that decodes but is no valid job.
-func (a Accepted) check(key string) error {
+func (a AcceptedJob) validate(key string) error {
 	if a.Job.ID != key {
 		return fmt.Errorf("the row holds job %q, not the one that its key names: remove the row", a.Job.ID)
 	}
@@ -113,23 +113,23 @@
 
 // fence is the value of a fence row.
 type fence struct {
-	Life uint64 `json:"life"`
+	Incarnation uint64 `json:"life"`
 	// Token is the owner's fencing token. An owner with a lower one can't take over.
 	Token int64 `json:"token"`
 }
 
 // DurableJob is a job that was read from the store.
-type Kept struct {
-	Accepted
+type DurableJob struct {
+	AcceptedJob
 	Progress Progress
 }
 
 // retentionMargin is how long an ended job's state stays beyond the platform's bound: clocks
 // differ and sweeps may run late.
-const remembered = 10 * time.Second
+const retentionMargin = 10 * time.Second
 
 // decodeRow decodes a row's JSON; the error names the row and its table.
-func decode(row platform.Row, into any) error {
+func decodeRow(row platform.Row, into any) error {
 	if err := json.Unmarshal(row.Value, into); err != nil {
 		return fmt.Errorf("row %s of %s: %w", row.Key, row.Table, err)
 	}
--- a/jobstore/keeper.go
+++ b/jobstore/keeper.go
@@ -23,23 +23,23 @@
 
 // Store is the part of the platform's store that durable jobs need.
 type Store interface {
-	Write(ctx context.Context, partition string, changes []platform.Change) (platform.Written, error)
-	ReadPart(ctx context.Context, table platform.Table, partition string) (platform.Rows, error)
+	Write(ctx context.Context, partition string, changes []platform.Change) (platform.WriteResult, error)
+	ReadPartition(ctx context.Context, table platform.Table, partition string) (platform.Rows, error)
 	Get(ctx context.Context, table platform.Table, partition, key string) (platform.Rows, error)
 }
 
 // Times of a Writer.
 const (
 	// writeInterval is the time between two writes to a partition under load; see Partitions.
-	pace = 25 * time.Millisecond
+	writeInterval = 25 * time.Millisecond
 	// writeBurst is how many writes to a partition may follow each other without that pause: a
 	// job's acceptance, the completions of its tasks and its own end.
-	burst = 5
+	writeBurst = 5
 	// writeTimeout is longer than the usual answer slowed down sixty times. If a write is given
 	// up too early, the conflict of the next one shows that it was applied.
 	writeTimeout = 400 * time.Millisecond
 	// retryDelay is the pause after a failed write.
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 	// sweepInterval is the time between two searches for ended jobs whose rows can be removed.
 	sweepInterval = 2 * time.Second
 )
@@ -48,8 +48,8 @@
 type Options struct {
 	// Group is the group of targets that runs the jobs. Incarnation identifies the owner's
 	// process.
-	Group string
-	Life  uint64
+	Group       string
+	Incarnation uint64
 	// Retention is how long callers may ask for a job after its end.
 	Retention time.Duration
 	Log       *slog.Logger
@@ -60,20 +60,20 @@
 }
 
 // Writer writes the jobs of one owner to the store. It is safe for concurrent use.
-type Keeper struct {
+type Writer struct {
 	options Options
 	store   Store
 
 	mu     sync.Mutex
-	shards [Parts]*shard
-	wake   [Parts]chan struct{}
+	shards [Partitions]*shard
+	wake   [Partitions]chan struct{}
 }
 
 // New makes a Writer that accepts nothing before Open.
-func New(o Options, store Store) *Keeper {
-	w := &Keeper{options: o, store: store}
+func New(o Options, store Store) *Writer {
+	w := &Writer{options: o, store: store}
 	for i := range w.shards {
-		w.shards[i] = newShard(o.Group, o.Life)
+		w.shards[i] = newShard(o.Group, o.Incarnation)
 		w.wake[i] = make(chan struct{}, 1)
 	}
 	return w
@@ -81,12 +81,12 @@
 
 // Open stops previous owners from writing and returns the jobs that have not ended. The token is
 // the owner's fencing token. Open may be called again after an error.
-func (w *Keeper) Open(ctx context.Context, token int64) ([]Kept, error) {
-	var jobs [Parts][]Kept
+func (w *Writer) Open(ctx context.Context, token int64) ([]DurableJob, error) {
+	var jobs [Partitions][]DurableJob
 	g, ctx := errgroup.WithContext(ctx)
-	for i := range Parts {
+	for i := range Partitions {
 		g.Go(func() (err error) {
-			jobs[i], err = w.openPart(ctx, i, token)
+			jobs[i], err = w.openPartition(ctx, i, token)
 			return err
 		})
 	}
@@ -97,17 +97,17 @@
 }
 
 // openPartition opens one partition for Open.
-func (w *Keeper) openPart(ctx context.Context, partition int, token int64) ([]Kept, error) {
-	version, err := w.bar(ctx, partName(partition), token)
+func (w *Writer) openPartition(ctx context.Context, partition int, token int64) ([]DurableJob, error) {
+	version, err := w.acquireFence(ctx, partitionName(partition), token)
 	if err != nil {
 		return nil, err
 	}
-	return w.load(ctx, partition, version)
+	return w.loadPartition(ctx, partition, version)
 }
 
 // acquireFence writes this owner's fence row in a partition and returns its version. It fails
 // with ErrSuperseded if the row has a higher token.
-func (w *Keeper) bar(ctx context.Context, partition string, token int64) (int64, error) {
+func (w *Writer) acquireFence(ctx context.Context, partition string, token int64) (int64, error) {
 	rows, err := w.store.Get(ctx, fencesTable, partition, w.options.Group)
 	if err != nil {
 		return 0, err
@@ -115,20 +115,20 @@
 	expected := int64(0)
 	if len(rows.Rows) > 0 {
 		var present fence
-		if err := decode(rows.Rows[0], &present); err != nil {
+		if err := decodeRow(rows.Rows[0], &present); err != nil {
 			// An unreadable fence row does not stop this owner, whose row replaces it.
-			w.unreadable(fencesTable, w.options.Group, err)
+			w.reportUnreadable(fencesTable, w.options.Group, err)
 			present = fence{}
 		}
 		if present.Token > token {
 			return 0, ErrSuperseded.Errorf("token %d in partition %s is above this owner's token %d: step down", present.Token, partition, token)
 		}
 		expected = rows.Rows[0].Version
-		if present.Life == w.options.Life {
+		if present.Incarnation == w.options.Incarnation {
 			return expected, nil
 		}
 	}
-	value, err := json.Marshal(fence{Life: w.options.Life, Token: token})
+	value, err := json.Marshal(fence{Incarnation: w.options.Incarnation, Token: token})
 	if err != nil {
 		return 0, err
 	}
@@ -138,18 +138,18 @@
 
 // loadPartition reads the jobs of a partition after the fence row is written and returns those
 // that have not ended.
-func (w *Keeper) load(ctx context.Context, partition int, fenceVersion int64) ([]Kept, error) {
-	jobs, err := w.store.ReadPart(ctx, jobsTable, partName(partition))
+func (w *Writer) loadPartition(ctx context.Context, partition int, fenceVersion int64) ([]DurableJob, error) {
+	jobs, err := w.store.ReadPartition(ctx, jobsTable, partitionName(partition))
 	if err != nil {
 		return nil, err
 	}
-	progress, err := w.store.ReadPart(ctx, progressTable, partName(partition))
+	progress, err := w.store.ReadPartition(ctx, progressTable, partitionName(partition))
 	if err != nil {
 		return nil, err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := newShard(w.options.Group, w.options.Life)
+	s := newShard(w.options.Group, w.options.Incarnation)
 	s.fenceVersion = fenceVersion
 	w.loadProgress(s, progress.Rows)
 	unfinished := w.loadJobs(s, jobs.Rows)
@@ -158,46 +158,46 @@
 }
 
 // loadProgress adds the jobs of the group's progress rows to a shard.
-func (w *Keeper) loadProgress(s *shard, rows []platform.Row) {
+func (w *Writer) loadProgress(s *shard, rows []platform.Row) {
 	now := bootclock.Now()
 	for _, row := range rows {
 		var p Progress
-		if err := decode(row, &p); err != nil {
-			w.unreadable(progressTable, row.Key, err)
+		if err := decodeRow(row, &p); err != nil {
+			w.reportUnreadable(progressTable, row.Key, err)
 			continue
 		}
-		if p.Home != w.options.Group {
+		if p.Group != w.options.Group {
 			continue
 		}
 		expires := time.Duration(0)
 		if p.State.IsFinal() {
-			expires = now + max(p.Ended+w.retention()-w.options.Clock(), 0)
+			expires = now + max(p.EndedAt+w.retention()-w.options.Clock(), 0)
 		}
-		s.load(row.Key, 0, row.Version, p, expires)
+		s.add(row.Key, 0, row.Version, p, expires)
 	}
 }
 
 // loadJobs adds the group's jobs rows to a shard and returns the jobs that have not ended. A jobs
 // row that stayed after its job's end is queued for removal.
-func (w *Keeper) loadJobs(s *shard, rows []platform.Row) []Kept {
-	var unfinished []Kept
+func (w *Writer) loadJobs(s *shard, rows []platform.Row) []DurableJob {
+	var unfinished []DurableJob
 	for _, row := range rows {
-		var a Accepted
-		if err := decode(row, &a); err != nil {
-			w.unreadable(jobsTable, row.Key, err)
+		var a AcceptedJob
+		if err := decodeRow(row, &a); err != nil {
+			w.reportUnreadable(jobsTable, row.Key, err)
 			continue
 		}
-		if a.Home != w.options.Group {
+		if a.Group != w.options.Group {
 			continue
 		}
-		if err := a.check(row.Key); err != nil {
-			w.unreadable(jobsTable, row.Key, err)
+		if err := a.validate(row.Key); err != nil {
+			w.reportUnreadable(jobsTable, row.Key, err)
 			continue
 		}
-		e := s.entries[row.Key]
+		e := s.jobs[row.Key]
 		if e == nil {
-			s.load(row.Key, 0, 0, Progress{Home: a.Home, State: work.StateQueued}, 0)
-			e = s.entries[row.Key]
+			s.add(row.Key, 0, 0, Progress{Group: a.Group, State: work.StateQueued}, 0)
+			e = s.jobs[row.Key]
 		}
 		e.jobVersion = row.Version
 		if e.progress.State.IsFinal() {
@@ -206,25 +206,25 @@
 			s.enqueue(e)
 			continue
 		}
-		unfinished = append(unfinished, Kept{Accepted: a, Progress: e.progress})
+		unfinished = append(unfinished, DurableJob{AcceptedJob: a, Progress: e.progress})
 	}
 	return unfinished
 }
 
 // reportUnreadable logs and counts a row that can't be read. The other rows stay in use.
-func (w *Keeper) unreadable(table platform.Table, key string, err error) {
+func (w *Writer) reportUnreadable(table platform.Table, key string, err error) {
 	w.options.Count("rows_unreadable", string(table))
 	w.options.Log.Warn("row not understood", "table", table, "key", key, "error", err)
 }
 
 // retention is how long the progress row of an ended job stays.
-func (w *Keeper) retention() time.Duration { return w.options.Retention + remembered }
+func (w *Writer) retention() time.Duration { return w.options.Retention + retentionMargin }
 
 // shardOf returns the shard of a job and the index of its partition.
-func (w *Keeper) shardOf(id string) (*shard, int) {
-	partition := PartOf(id)
+func (w *Writer) shardOf(id string) (*shard, int) {
+	partition := PartitionOf(id)
 	for i := range w.shards {
-		if partName(i) == partition {
+		if partitionName(i) == partition {
 			return w.shards[i], i
 		}
 	}
@@ -232,11 +232,11 @@
 }
 
 // update changes the shard of a job, wakes its writer and makes the pending callbacks.
-func (w *Keeper) change(id string, do func(*shard)) {
+func (w *Writer) update(id string, do func(*shard)) {
 	w.mu.Lock()
 	s, partition := w.shardOf(id)
 	do(s)
-	calls := s.told()
+	calls := s.takeCallbacks()
 	w.mu.Unlock()
 	select {
 	case w.wake[partition] <- struct{}{}:
@@ -254,22 +254,22 @@
 
 // Accept stores a new job that was sent age ago. onResult gets the result on another goroutine. It
 // is called once; after Unconfirmed, another call follows if the store answers.
-func (w *Keeper) Accept(job work.Job, queue work.Queue, age time.Duration, onResult func(Result)) {
-	value, err := json.Marshal(Accepted{
-		Job: job, Queue: queue, Home: w.options.Group, Life: w.options.Life, Arrived: w.options.Clock() - age,
+func (w *Writer) Accept(job work.Job, queue work.Queue, age time.Duration, onResult func(AcceptResult)) {
+	value, err := json.Marshal(AcceptedJob{
+		Job: job, Queue: queue, Group: w.options.Group, Incarnation: w.options.Incarnation, Arrived: w.options.Clock() - age,
 	})
 	if err != nil {
 		w.options.Log.Error("job not encoded", "job", job.ID, "error", err)
 		onResult(NotStored)
 		return
 	}
-	w.change(job.ID, func(s *shard) { s.accept(job.ID, value, onResult) })
+	w.update(job.ID, func(s *shard) { s.accept(job.ID, value, onResult) })
 }
 
 // RecordTaskDone records a finished task; done is called once that is stored.
-func (w *Keeper) TaskDone(id string, task int, done func()) {
-	w.change(id, func(s *shard) {
-		s.note(id, func(p *Progress) {
+func (w *Writer) RecordTaskDone(id string, task int, done func()) {
+	w.update(id, func(s *shard) {
+		s.record(id, func(p *Progress) {
 			p.Done = append(p.Done, task)
 			delete(p.Saved, task)
 		}, done)
@@ -277,34 +277,34 @@
 }
 
 // RecordTaskFailed records a failed run of a task; done is called once that is stored.
-func (w *Keeper) TaskFailed(id string, task int, run int64, done func()) {
-	w.change(id, func(s *shard) {
-		s.note(id, func(p *Progress) {
-			if p.Fails == nil {
-				p.Fails, p.LastFailed = map[int]int{}, map[int]int64{}
+func (w *Writer) RecordTaskFailed(id string, task int, run int64, done func()) {
+	w.update(id, func(s *shard) {
+		s.record(id, func(p *Progress) {
+			if p.Failures == nil {
+				p.Failures, p.LastFailedRun = map[int]int{}, map[int]int64{}
 			}
-			p.Fails[task]++
-			p.LastFailed[task] = run
+			p.Failures[task]++
+			p.LastFailedRun[task] = run
 		}, done)
 	})
 }
 
 // RecordTargetLoss records the loss of a target while a task ran on it.
-func (w *Keeper) TaskCrashed(id string, task int, loss Crash) {
-	w.change(id, func(s *shard) {
-		s.note(id, func(p *Progress) {
-			if p.Crashed == nil {
-				p.Crashed = map[int][]Crash{}
+func (w *Writer) RecordTargetLoss(id string, task int, loss TargetLoss) {
+	w.update(id, func(s *shard) {
+		s.record(id, func(p *Progress) {
+			if p.TargetLosses == nil {
+				p.TargetLosses = map[int][]TargetLoss{}
 			}
-			p.Crashed[task] = append(p.Crashed[task], loss)
+			p.TargetLosses[task] = append(p.TargetLosses[task], loss)
 		}, nil)
 	})
 }
 
 // RecordSavedState records the state that a task has saved.
-func (w *Keeper) TaskSaved(id string, task int, saved string) {
-	w.change(id, func(s *shard) {
-		s.note(id, func(p *Progress) {
+func (w *Writer) RecordSavedState(id string, task int, saved string) {
+	w.update(id, func(s *shard) {
+		s.record(id, func(p *Progress) {
 			if p.Saved == nil {
 				p.Saved = map[int]string{}
 			}
@@ -314,20 +314,20 @@
 }
 
 // RecordEnd records the final state of a job; done is called once that is stored.
-func (w *Keeper) End(id string, state work.JobState, done func()) {
+func (w *Writer) RecordEnd(id string, state work.JobState, done func()) {
 	ended := w.options.Clock()
-	w.change(id, func(s *shard) {
-		s.note(id, func(p *Progress) {
-			*p = Progress{Home: p.Home, State: state, Ended: ended}
+	w.update(id, func(s *shard) {
+		s.record(id, func(p *Progress) {
+			*p = Progress{Group: p.Group, State: state, EndedAt: ended}
 		}, done)
-		if e := s.entries[id]; e != nil {
-			e.expires = bootclock.Now() + w.retention()
+		if e := s.jobs[id]; e != nil {
+			e.expiresAt = bootclock.Now() + w.retention()
 		}
 	})
 }
 
 // State returns the state of a stored job of this owner; false for any other.
-func (w *Keeper) State(id string) (work.JobState, bool) {
+func (w *Writer) State(id string) (work.JobState, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s, _ := w.shardOf(id)
@@ -335,11 +335,11 @@
 }
 
 // IsSuperseded reports whether another owner has taken over the jobs.
-func (w *Keeper) Lost() bool {
+func (w *Writer) IsSuperseded() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.shards {
-		if s.lost {
+		if s.superseded {
 			return true
 		}
 	}
@@ -347,21 +347,21 @@
 }
 
 // Run writes to all partitions until the context ends.
-func (w *Keeper) Run(ctx context.Context) error {
+func (w *Writer) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for i := range Parts {
-		g.Go(func() error { w.write(ctx, i); return nil })
+	for i := range Partitions {
+		g.Go(func() error { w.writePartition(ctx, i); return nil })
 	}
-	g.Go(func() error { w.sweep(ctx); return nil })
+	g.Go(func() error { w.runSweeps(ctx); return nil })
 	return g.Wait()
 }
 
 // writePartition writes the batches of a partition until the context ends.
-func (w *Keeper) write(ctx context.Context, partition int) {
+func (w *Writer) writePartition(ctx context.Context, partition int) {
 	failing := false
-	limit := rate.NewLimiter(rate.Every(pace), burst)
+	limit := rate.NewLimiter(rate.Every(writeInterval), writeBurst)
 	for ctx.Err() == nil {
-		if !w.due(partition) {
+		if !w.hasWrite(partition) {
 			select {
 			case <-ctx.Done():
 			case <-w.wake[partition]:
@@ -372,51 +372,51 @@
 			return
 		}
 		// Changes that came during the wait go into the same write.
-		s, changes := w.batch(partition)
+		s, changes := w.nextBatch(partition)
 		if changes == nil {
 			// Open has replaced the shard meanwhile.
 			continue
 		}
-		written, err := w.writeOnce(ctx, partName(partition), changes)
-		w.settle(s, written, err)
+		written, err := w.writeOnce(ctx, partitionName(partition), changes)
+		w.handleResult(s, written, err)
 		if (err != nil) != failing {
 			failing = err != nil
-			w.options.Log.Warn("store of jobs", "part", partName(partition), "away", failing, "changes", len(changes), "error", err)
+			w.options.Log.Warn("store of jobs", "part", partitionName(partition), "away", failing, "changes", len(changes), "error", err)
 		}
 		if err != nil {
-			sleep(ctx, retryPause)
+			sleep(ctx, retryDelay)
 		}
 	}
 }
 
 // hasWrite reports whether a partition has something to write. Only the partition's own goroutine
 // takes it.
-func (w *Keeper) due(partition int) bool {
+func (w *Writer) hasWrite(partition int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.shards[partition].due()
+	return w.shards[partition].hasWrite()
 }
 
 // writeOnce makes one write within writeTimeout.
-func (w *Keeper) writeOnce(ctx context.Context, partition string, changes []platform.Change) (platform.Written, error) {
+func (w *Writer) writeOnce(ctx context.Context, partition string, changes []platform.Change) (platform.WriteResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return w.store.Write(ctx, partition, changes)
 }
 
 // nextBatch returns the shard of a partition and its next batch of changes.
-func (w *Keeper) batch(partition int) (*shard, []platform.Change) {
+func (w *Writer) nextBatch(partition int) (*shard, []platform.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.shards[partition]
-	return s, s.batch(bootclock.Now())
+	return s, s.nextBatch(bootclock.Now())
 }
 
 // handleResult gives a shard the answer to its batch and makes the pending callbacks.
-func (w *Keeper) settle(s *shard, written platform.Written, err error) {
+func (w *Writer) handleResult(s *shard, written platform.WriteResult, err error) {
 	w.mu.Lock()
-	s.result(bootclock.Now(), written, err)
-	calls := s.told()
+	s.handleResult(bootclock.Now(), written, err)
+	calls := s.takeCallbacks()
 	w.mu.Unlock()
 	for _, call := range calls {
 		call()
@@ -424,7 +424,7 @@
 }
 
 // runSweeps has the rows of expired jobs removed until the context ends.
-func (w *Keeper) sweep(ctx context.Context) {
+func (w *Writer) runSweeps(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -435,7 +435,7 @@
 		}
 		w.mu.Lock()
 		for _, s := range w.shards {
-			s.sweep(bootclock.Now())
+			s.enqueueExpired(bootclock.Now())
 		}
 		w.mu.Unlock()
 		for _, wake := range w.wake {
@@ -460,20 +460,20 @@
 
 // ReadState reads a job's state from the store, for callers that no owner can answer at the
 // moment. A job with progress that has not ended is reported as running.
-func Find(ctx context.Context, store Store, id string) (work.JobState, error) {
+func ReadState(ctx context.Context, store Store, id string) (work.JobState, error) {
 	// The jobs row is read first: if the job ends in between, its progress row shows that.
-	job, err := store.Get(ctx, jobsTable, PartOf(id), id)
+	job, err := store.Get(ctx, jobsTable, PartitionOf(id), id)
 	if err != nil {
 		return work.StateAbsent, err
 	}
-	rows, err := store.Get(ctx, progressTable, PartOf(id), id)
+	rows, err := store.Get(ctx, progressTable, PartitionOf(id), id)
 	if err != nil {
 		return work.StateAbsent, err
 	}
 	switch {
 	case len(rows.Rows) > 0:
 		var p Progress
-		err := decode(rows.Rows[0], &p)
+		err := decodeRow(rows.Rows[0], &p)
 		if err != nil && len(job.Rows) == 0 {
 			return work.StateAbsent, err
 		}
--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -17,10 +17,10 @@
 const testJob = "5c0e7a21d94b36f8"
 
 // openWriter opens a writer for a group under a token and returns the unfinished jobs that it read.
-func open(t *testing.T, store Store, group string, incarnation uint64, token int64) (*Keeper, []Kept) {
+func openWriter(t *testing.T, store Store, group string, incarnation uint64, token int64) (*Writer, []DurableJob) {
 	t.Helper()
 	w := New(Options{
-		Group: group, Life: incarnation, Retention: time.Minute, Log: slog.New(slog.DiscardHandler),
+		Group: group, Incarnation: incarnation, Retention: time.Minute, Log: slog.New(slog.DiscardHandler),
 		Count: func(string, string) {},
 		Clock: func() time.Duration { return time.Hour },
 	}, store)
@@ -30,9 +30,9 @@
 }
 
 // startWriter opens a writer that runs until the test ends.
-func running(t *testing.T, store Store, group string, incarnation uint64, token int64) *Keeper {
+func startWriter(t *testing.T, store Store, group string, incarnation uint64, token int64) *Writer {
 	t.Helper()
-	w, _ := open(t, store, group, incarnation, token)
+	w, _ := openWriter(t, store, group, incarnation, token)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
@@ -44,46 +44,46 @@
 }
 
 // acceptJob stores a job and returns the first result.
-func accept(w *Keeper, id string) Result {
-	result := make(chan Result, 4)
-	w.Accept(work.Job{ID: id, Durable: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r Result) { result <- r })
+func acceptJob(w *Writer, id string) AcceptResult {
+	result := make(chan AcceptResult, 4)
+	w.Accept(work.Job{ID: id, Durable: true, Steps: []work.Step{{Tasks: 2}}}, work.Queue{Name: "q"}, time.Second, func(r AcceptResult) { result <- r })
 	return <-result
 }
 
 // awaitStored records something and waits until it is stored.
-func note(record func(done func())) {
+func awaitStored(record func(done func())) {
 	stored := make(chan struct{})
 	record(func() { close(stored) })
 	<-stored
 }
 
 // A new owner of the group finds its jobs with their progress; other groups find none.
-func TestJobsOutliveTheirOwner(t *testing.T) {
+func TestNewOwnerFindsJobsWithProgress(t *testing.T) {
 	store := newFakeStore()
-	w := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(w, testJob))
-	note(func(done func()) { w.TaskDone(testJob, 1, done) })
-	note(func(done func()) { w.TaskFailed(testJob, 0, 7, done) })
-	_, unfinished := open(t, store, "a", 2, 2)
+	w := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(w, testJob))
+	awaitStored(func(done func()) { w.RecordTaskDone(testJob, 1, done) })
+	awaitStored(func(done func()) { w.RecordTaskFailed(testJob, 0, 7, done) })
+	_, unfinished := openWriter(t, store, "a", 2, 2)
 	must.SliceLen(t, 1, unfinished)
 	must.Eq(t, testJob, unfinished[0].Job.ID)
 	must.Eq(t, 2, unfinished[0].Job.TaskCount())
 	must.Eq(t, time.Hour-time.Second, unfinished[0].Arrived)
 	must.Eq(t, []int{1}, unfinished[0].Progress.Done)
-	must.Eq(t, map[int]int{0: 1}, unfinished[0].Progress.Fails)
-	must.Eq(t, map[int]int64{0: 7}, unfinished[0].Progress.LastFailed)
-	_, unfinished = open(t, store, "b", 3, 3)
+	must.Eq(t, map[int]int{0: 1}, unfinished[0].Progress.Failures)
+	must.Eq(t, map[int]int64{0: 7}, unfinished[0].Progress.LastFailedRun)
+	_, unfinished = openWriter(t, store, "b", 3, 3)
 	must.SliceEmpty(t, unfinished)
 }
 
 // A new owner does not run ended jobs again, and still answers with their final state.
-func TestEndedJobsAreOver(t *testing.T) {
+func TestEndedJobIsNotRunAgain(t *testing.T) {
 	store := newFakeStore()
-	w := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(w, testJob))
-	note(func(done func()) { w.End(testJob, work.StateCancelled, done) })
-	must.Eq(t, Known, accept(w, testJob))
-	next, unfinished := open(t, store, "a", 2, 2)
+	w := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(w, testJob))
+	awaitStored(func(done func()) { w.RecordEnd(testJob, work.StateCancelled, done) })
+	must.Eq(t, AlreadyStored, acceptJob(w, testJob))
+	next, unfinished := openWriter(t, store, "a", 2, 2)
 	must.SliceEmpty(t, unfinished)
 	state, known := next.State(testJob)
 	must.True(t, known)
@@ -91,56 +91,56 @@
 }
 
 // One ID is one job, whichever group it is submitted to.
-func TestAJobIsStoredOnce(t *testing.T) {
+func TestJobIsStoredOnceAcrossGroups(t *testing.T) {
 	store := newFakeStore()
-	a, b := running(t, store, "a", 1, 1), running(t, store, "b", 2, 2)
-	must.Eq(t, Stored, accept(a, testJob))
-	must.Eq(t, Known, accept(b, testJob))
-	note(func(done func()) { a.End(testJob, work.StateCompleted, done) })
-	must.Eq(t, Known, accept(b, testJob))
+	a, b := startWriter(t, store, "a", 1, 1), startWriter(t, store, "b", 2, 2)
+	must.Eq(t, Stored, acceptJob(a, testJob))
+	must.Eq(t, AlreadyStored, acceptJob(b, testJob))
+	awaitStored(func(done func()) { a.RecordEnd(testJob, work.StateCompleted, done) })
+	must.Eq(t, AlreadyStored, acceptJob(b, testJob))
 }
 
 // A previous owner that doesn't know of its successor can't store a job.
-func TestAFormerOwnerIsBarred(t *testing.T) {
+func TestPreviousOwnerCannotStoreJobs(t *testing.T) {
 	store := newFakeStore()
-	previous := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(previous, testJob))
-	open(t, store, "a", 2, 2)
-	must.Eq(t, Uncertain, accept(previous, "6c0e7a21d94b36f8"))
-	must.True(t, previous.Lost())
-	must.MapLen(t, 1, store.seen)
+	previous := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(previous, testJob))
+	openWriter(t, store, "a", 2, 2)
+	must.Eq(t, Superseded, acceptJob(previous, "6c0e7a21d94b36f8"))
+	must.True(t, previous.IsSuperseded())
+	must.MapLen(t, 1, store.everStored)
 }
 
 // An owner with a lower token that opens late does not displace the current one.
-func TestALateOwnerDoesNotTakeOver(t *testing.T) {
+func TestOpenWithLowerTokenFails(t *testing.T) {
 	store := newFakeStore()
-	open(t, store, "a", 2, 2)
-	late := New(Options{Group: "a", Life: 1, Clock: func() time.Duration { return 0 }}, store)
+	openWriter(t, store, "a", 2, 2)
+	late := New(Options{Group: "a", Incarnation: 1, Clock: func() time.Duration { return 0 }}, store)
 	_, err := late.Open(t.Context(), 1)
 	must.True(t, errors.Is(err, ErrSuperseded))
-	must.Eq(t, NotStored, accept(late, testJob))
+	must.Eq(t, NotStored, acceptJob(late, testJob))
 }
 
 // A writer accepts nothing before Open: its fence row is not written yet.
-func TestNothingIsAcceptedBeforeOpen(t *testing.T) {
-	w := New(Options{Group: "a", Life: 1, Clock: func() time.Duration { return 0 }}, newFakeStore())
-	must.Eq(t, NotStored, accept(w, testJob))
+func TestNoJobIsAcceptedBeforeOpen(t *testing.T) {
+	w := New(Options{Group: "a", Incarnation: 1, Clock: func() time.Duration { return 0 }}, newFakeStore())
+	must.Eq(t, NotStored, acceptJob(w, testJob))
 }
 
 // A job whose write is rejected is refused at once. A job whose answers are lost is reported as
 // unconfirmed and retried until it is stored.
-func TestFailedAcceptances(t *testing.T) {
+func TestAcceptReportsRejectedAndUnconfirmedWrites(t *testing.T) {
 	store := newFakeStore()
-	w := running(t, store, "a", 1, 1)
-	store.fail = []failure{turnedAway}
-	must.Eq(t, NotStored, accept(w, testJob))
-	must.MapEmpty(t, store.seen)
-	store.fail = nil
-	must.True(t, eventually(func() bool { return accept(w, testJob) == Stored }))
+	w := startWriter(t, store, "a", 1, 1)
+	store.failures = []failure{rejected}
+	must.Eq(t, NotStored, acceptJob(w, testJob))
+	must.MapEmpty(t, store.everStored)
+	store.failures = nil
+	must.True(t, eventually(func() bool { return acceptJob(w, testJob) == Stored }))
 	store.mu.Lock()
-	store.fail = []failure{answerLost, answerLost, requestLost}
+	store.failures = []failure{answerLost, answerLost, requestLost}
 	store.mu.Unlock()
-	must.Eq(t, Doubtful, accept(w, "6c0e7a21d94b36f8"))
+	must.Eq(t, Unconfirmed, acceptJob(w, "6c0e7a21d94b36f8"))
 	must.True(t, eventually(func() bool {
 		state, known := w.State("6c0e7a21d94b36f8")
 		return known && state == work.StateQueued
@@ -159,90 +159,90 @@
 }
 
 // ReadState finds each state of a job without an owner.
-func TestFind(t *testing.T) {
+func TestReadStateFindsEachState(t *testing.T) {
 	store := newFakeStore()
 	find := func() work.JobState {
-		state, err := Find(t.Context(), store, testJob)
+		state, err := ReadState(t.Context(), store, testJob)
 		must.NoError(t, err)
 		return state
 	}
 	must.Eq(t, work.StateAbsent, find())
-	w := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(w, testJob))
+	w := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(w, testJob))
 	must.Eq(t, work.StateQueued, find())
-	note(func(done func()) { w.TaskDone(testJob, 0, done) })
+	awaitStored(func(done func()) { w.RecordTaskDone(testJob, 0, done) })
 	must.Eq(t, work.StateRunning, find())
-	note(func(done func()) { w.End(testJob, work.StateFailed, done) })
+	awaitStored(func(done func()) { w.RecordEnd(testJob, work.StateFailed, done) })
 	must.Eq(t, work.StateFailed, find())
 }
 
 // The progress row of an ended job is removed once its retention is over, not before.
-func TestEndedJobsAreForgotten(t *testing.T) {
+func TestEndedJobIsRemovedAfterRetention(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
-	s.load(testJob, 0, 7, Progress{Home: "a", State: work.StateCompleted}, time.Minute)
-	s.sweep(59 * time.Second)
-	must.Nil(t, s.batch(59*time.Second))
-	s.sweep(61 * time.Second)
-	changes := s.batch(61 * time.Second)
+	s.add(testJob, 0, 7, Progress{Group: "a", State: work.StateCompleted}, time.Minute)
+	s.enqueueExpired(59 * time.Second)
+	must.Nil(t, s.nextBatch(59*time.Second))
+	s.enqueueExpired(61 * time.Second)
+	changes := s.nextBatch(61 * time.Second)
 	must.SliceLen(t, 2, changes)
 	must.Eq(t, platform.Change{Action: platform.ActionRemove, Table: progressTable, Key: testJob, Expected: 7}, changes[1])
-	s.result(61*time.Second, platform.Written{Version: 8}, nil)
+	s.handleResult(61*time.Second, platform.WriteResult{Version: 8}, nil)
 	_, known := s.state(testJob)
 	must.False(t, known)
 }
 
 // A full batch stays within the most changes of one write.
-func TestBatchesAreBounded(t *testing.T) {
+func TestBatchStaysWithinMaxChanges(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
 	for i := range 100 {
 		id := string(rune('A' + i))
-		s.load(id, 5, 5, Progress{State: work.StateQueued}, 0)
-		s.note(id, func(p *Progress) { p.State = work.StateCompleted }, nil)
+		s.add(id, 5, 5, Progress{State: work.StateQueued}, 0)
+		s.record(id, func(p *Progress) { p.State = work.StateCompleted }, nil)
 	}
-	must.LessEq(t, platform.MaxChanges, len(s.batch(0)))
+	must.LessEq(t, platform.MaxChanges, len(s.nextBatch(0)))
 }
 
 // A change that is recorded while a write is in flight goes into the next write.
-func TestChangesDuringAWriteFollow(t *testing.T) {
+func TestChangeDuringWriteGoesIntoNextWrite(t *testing.T) {
 	s := newShard("a", 1)
 	s.fenceVersion = 1
-	s.load(testJob, 5, 0, Progress{Home: "a", State: work.StateQueued}, 0)
+	s.add(testJob, 5, 0, Progress{Group: "a", State: work.StateQueued}, 0)
 	notified := 0
 	note := func(task int) {
-		s.note(testJob, func(p *Progress) { p.Done = append(p.Done, task) }, func() { notified++ })
+		s.record(testJob, func(p *Progress) { p.Done = append(p.Done, task) }, func() { notified++ })
 	}
 	note(0)
-	must.SliceNotEmpty(t, s.batch(0))
+	must.SliceNotEmpty(t, s.nextBatch(0))
 	note(1)
-	s.result(0, platform.Written{Version: 6}, nil)
-	for _, call := range s.told() {
+	s.handleResult(0, platform.WriteResult{Version: 6}, nil)
+	for _, call := range s.takeCallbacks() {
 		call()
 	}
 	must.Eq(t, 1, notified)
-	must.SliceNotEmpty(t, s.batch(0))
-	s.result(0, platform.Written{Version: 7}, nil)
-	for _, call := range s.told() {
+	must.SliceNotEmpty(t, s.nextBatch(0))
+	s.handleResult(0, platform.WriteResult{Version: 7}, nil)
+	for _, call := range s.takeCallbacks() {
 		call()
 	}
 	must.Eq(t, 2, notified)
 }
 
 // A new owner does not run a job whose progress row has a final state, and removes its jobs row.
-func TestALeftoverRowIsRemoved(t *testing.T) {
+func TestJobsRowOfEndedJobIsRemoved(t *testing.T) {
 	store := newFakeStore()
-	w := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(w, testJob))
-	row := store.table(PartOf(testJob), jobsTable)[testJob]
-	note(func(done func()) { w.End(testJob, work.StateCompleted, done) })
+	w := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(w, testJob))
+	row := store.table(PartitionOf(testJob), jobsTable)[testJob]
+	awaitStored(func(done func()) { w.RecordEnd(testJob, work.StateCompleted, done) })
 	store.mu.Lock()
-	store.table(PartOf(testJob), jobsTable)[testJob] = row
+	store.table(PartitionOf(testJob), jobsTable)[testJob] = row
 	store.mu.Unlock()
-	next, unfinished := open(t, store, "a", 2, 2)
+	next, unfinished := openWriter(t, store, "a", 2, 2)
 	must.SliceEmpty(t, unfinished)
 	for _, s := range next.shards {
-		for _, c := range s.batch(0) {
+		for _, c := range s.nextBatch(0) {
 			if c.Action == platform.ActionRemove {
 				must.Eq(t, platform.Change{Action: platform.ActionRemove, Table: jobsTable, Key: testJob, Expected: row.Version}, c)
 				return
@@ -254,39 +254,39 @@
 
 // A few writes go out at once. Further ones wait and are batched, so that a partition gets no more
 // than its share of the store's writes.
-func TestWritesArePaced(t *testing.T) {
+func TestWritesAreBatchedAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		w, _ := open(t, store, "a", 1, 1)
+		w, _ := openWriter(t, store, "a", 1, 1)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Run(ctx) }()
 		started := time.Now()
-		must.Eq(t, Stored, accept(w, testJob))
-		for task := range burst - 1 {
-			note(func(done func()) { w.TaskDone(testJob, task, done) })
+		must.Eq(t, Stored, acceptJob(w, testJob))
+		for task := range writeBurst - 1 {
+			awaitStored(func(done func()) { w.RecordTaskDone(testJob, task, done) })
 		}
 		must.Eq(t, 0, time.Since(started))
 		for task := range 10 {
-			note(func(done func()) { w.TaskDone(testJob, task, done) })
+			awaitStored(func(done func()) { w.RecordTaskDone(testJob, task, done) })
 		}
-		must.Eq(t, 10*pace, time.Since(started))
+		must.Eq(t, 10*writeInterval, time.Since(started))
 		for task := range 100 {
-			w.TaskDone(testJob, task, func() {})
+			w.RecordTaskDone(testJob, task, func() {})
 		}
-		note(func(done func()) { w.End(testJob, work.StateCompleted, done) })
-		must.LessEq(t, 12*pace, time.Since(started))
+		awaitStored(func(done func()) { w.RecordEnd(testJob, work.StateCompleted, done) })
+		must.LessEq(t, 12*writeInterval, time.Since(started))
 		stop()
 		must.NoError(t, <-done)
 	})
 }
 
 // Unreadable rows of other writers affect neither the other jobs nor the partition.
-func TestUnreadableRowsLeaveTheOtherJobs(t *testing.T) {
+func TestUnreadableRowsDoNotAffectOtherJobs(t *testing.T) {
 	store := newFakeStore()
-	w := running(t, store, "a", 1, 1)
-	must.Eq(t, Stored, accept(w, testJob))
-	partition := PartOf(testJob)
+	w := startWriter(t, store, "a", 1, 1)
+	must.Eq(t, Stored, acceptJob(w, testJob))
+	partition := PartitionOf(testJob)
 	for table, keys := range map[platform.Table][]string{
 		jobsTable:     {"garbled", "of another job", "without tasks", "in a circle"},
 		progressTable: {"garbled", "other"},
@@ -309,12 +309,12 @@
 		Table: fencesTable, Key: "a", Value: []byte("["), Expected: fence.Rows[0].Version,
 	}})
 	must.NoError(t, err)
-	_, unfinished := open(t, store, "a", 2, 2)
+	_, unfinished := openWriter(t, store, "a", 2, 2)
 	must.SliceLen(t, 1, unfinished)
 	must.Eq(t, testJob, unfinished[0].Job.ID)
 	_, err = store.Write(t.Context(), partition, []platform.Change{{Table: progressTable, Key: testJob, Value: []byte("?")}})
 	must.NoError(t, err)
-	state, err := Find(t.Context(), store, testJob)
+	state, err := ReadState(t.Context(), store, testJob)
 	must.NoError(t, err)
 	must.Eq(t, work.StateRunning, state)
 }
--- a/jobstore/shard.go
+++ b/jobstore/shard.go
@@ -10,108 +10,108 @@
 )
 
 // AcceptResult is the result of storing a new job.
-type Result int
+type AcceptResult int
 
 // The results of storing a new job.
 const (
 	// Stored means that the job is in the store and this owner runs it.
-	Stored Result = iota
+	Stored AcceptResult = iota
 	// AlreadyStored means that a job of this ID was in the store before.
-	Known
+	AlreadyStored
 	// NotStored means that the job is not in the store and will not be.
 	NotStored
 	// Unconfirmed means that several answers of the store were lost. Another result follows once
 	// the store answers.
-	Doubtful
+	Unconfirmed
 	// Superseded means that another owner has taken over the group before the result was known.
-	Uncertain
+	Superseded
 )
 
-var resultNames = map[Result]string{
-	Stored: "stored", Known: "known", NotStored: "not stored", Doubtful: "doubtful", Uncertain: "uncertain",
+var resultNames = map[AcceptResult]string{
+	Stored: "stored", AlreadyStored: "known", NotStored: "not stored", Unconfirmed: "doubtful", Superseded: "uncertain",
 }
 
 // String returns the result's label in metrics.
-func (r Result) String() string { return resultNames[r] }
+func (r AcceptResult) String() string { return resultNames[r] }
 
 // trackedJob is what an owner knows of a job's rows and has yet to write to them.
-type entry struct {
+type trackedJob struct {
 	id string
 	// encodedJob is the value of the jobs row until that is stored.
-	job      []byte
-	progress Progress
+	encodedJob []byte
+	progress   Progress
 	// jobVersion and progressVersion are the versions of the rows; 0 while they don't exist.
 	jobVersion, progressVersion int64
 	// isStored reports that the jobs row has been stored.
-	created bool
+	isStored bool
 	// unconfirmedWrites counts the lost answers to writes since the last confirmed one. The store
 	// may apply such a write later.
-	doubts int
+	unconfirmedWrites int
 	// recorded counts the recorded changes of the progress, written those that are stored.
-	changes, written int
+	recorded, written int
 	// inFlight is the value of recorded that the write in flight holds.
-	sending int
+	inFlight int
 	// endInFlight reports that the write in flight holds the job's end.
-	ending   bool
-	waiting  []waiter
-	accepted func(Result)
-	queued   bool
+	endInFlight bool
+	waiters     []waiter
+	onResult    func(AcceptResult)
+	queued      bool
 	// expiresAt is when the row of an ended job is removed, on the boot clock; 0 before the end.
-	expires time.Duration
+	expiresAt time.Duration
 }
 
 // waiter is notified once the first upTo recorded changes are stored.
 type waiter struct {
-	changes int
-	done    func()
+	upTo   int
+	notify func()
 }
 
 // isExpired reports whether the progress row of an ended job is due for removal.
-func (e *entry) dropping(now time.Duration) bool { return e.expires > 0 && now >= e.expires }
+func (e *trackedJob) isExpired(now time.Duration) bool { return e.expiresAt > 0 && now >= e.expiresAt }
 
 // shard holds one owner's jobs of one partition and decides what is written next. It does no I/O
 // and has no clock: it returns batches of changes and is given the answers.
 type shard struct {
 	// incarnation identifies the owner's process; group is the group whose jobs it owns.
-	life uint64
-	home string
+	incarnation uint64
+	group       string
 	// fenceVersion is the version of this owner's fence row; 0 before it is written.
 	fenceVersion int64
-	entries      map[string]*entry
+	jobs         map[string]*trackedJob
 	// queue has the jobs to write, inFlight those of the write that has no answer yet.
-	queue []*entry
-	sent  []*entry
+	queue    []*trackedJob
+	inFlight []*trackedJob
 	// superseded is set once another owner's fence row was seen.
-	lost bool
+	superseded bool
 	// storeFailing reports that the last write got no answer or was rejected.
-	away bool
+	storeFailing bool
 	// callbacks are called after the state has changed and the lock is released.
-	calls []func()
+	callbacks []func()
 }
 
 // maxJobs bounds the jobs of a partition at one owner, ended ones included. It is three times the
 // number that ends at one owner of the largest site while ended jobs stay.
-const maxEntries = 25_000
+const maxJobs = 25_000
 
 func newShard(group string, incarnation uint64) *shard {
-	return &shard{home: group, life: incarnation, entries: map[string]*entry{}}
+	return &shard{group: group, incarnation: incarnation, jobs: map[string]*trackedJob{}}
 }
 
 // addCallback adds a call for takeCallbacks; nil is ignored.
-func (s *shard) later(call func()) {
+func (s *shard) addCallback(call func()) {
 	if call != nil {
-		s.calls = append(s.calls, call)
+		s.callbacks = append(s.callbacks, call)
 	}
 }
 
 // takeCallbacks returns the pending calls and forgets them.
-func (s *shard) told() []func() {
-	calls := s.calls
-	s.calls = nil
+func (s *shard) takeCallbacks() []func() {
+	calls := s.callbacks
+	s.callbacks = nil
 	return calls
 }
 
-func (s *shard) enqueue(e *entry) {
+func (s *shard) enqueue(e *trackedJob) {
 	if !e.queued {
 		e.queued = true
 		s.queue = append(s.queue, e)
@@ -121,24 +121,24 @@
 // accept queues a new job for writing; onResult is called with the result. It takes no new job
 // before the fence row is written, after another owner took over, while the store fails, or when
 // maxJobs are tracked.
-func (s *shard) accept(id string, job []byte, onResult func(Result)) {
-	switch e := s.entries[id]; {
-	case s.lost || s.fenceVersion == 0 || s.away && e == nil:
-		s.later(func() { onResult(NotStored) })
-	case e == nil && len(s.entries) >= maxEntries:
-		s.later(func() { onResult(NotStored) })
+func (s *shard) accept(id string, job []byte, onResult func(AcceptResult)) {
+	switch e := s.jobs[id]; {
+	case s.superseded || s.fenceVersion == 0 || s.storeFailing && e == nil:
+		s.addCallback(func() { onResult(NotStored) })
+	case e == nil && len(s.jobs) >= maxJobs:
+		s.addCallback(func() { onResult(NotStored) })
 	case e == nil:
-		e = &entry{id: id, job: job, progress: Progress{Home: s.home, State: work.StateQueued}, accepted: onResult}
-		s.entries[id] = e
+		e = &trackedJob{id: id, encodedJob: job, progress: Progress{Group: s.group, State: work.StateQueued}, onResult: onResult}
+		s.jobs[id] = e
 		s.enqueue(e)
-	case e.created:
-		s.later(func() { onResult(Known) })
+	case e.isStored:
+		s.addCallback(func() { onResult(AlreadyStored) })
 	default:
-		earlier := e.accepted
-		e.accepted = func(r Result) {
+		earlier := e.onResult
+		e.onResult = func(r AcceptResult) {
 			earlier(r)
 			if r == Stored {
-				r = Known
+				r = AlreadyStored
 			}
 			onResult(r)
 		}
@@ -146,43 +146,43 @@
 }
 
 // record changes a job's progress; done is called once the change is stored.
-func (s *shard) note(id string, change func(*Progress), done func()) {
-	e := s.entries[id]
+func (s *shard) record(id string, change func(*Progress), done func()) {
+	e := s.jobs[id]
 	if e == nil {
 		return
 	}
 	change(&e.progress)
-	e.changes++
+	e.recorded++
 	if done != nil {
-		e.waiting = append(e.waiting, waiter{changes: e.changes, done: done})
+		e.waiters = append(e.waiters, waiter{upTo: e.recorded, notify: done})
 	}
 	s.enqueue(e)
 }
 
 // add tracks a job that was read after this owner's fence row was written.
-func (s *shard) load(id string, jobVersion, progressVersion int64, p Progress, expires time.Duration) {
-	s.entries[id] = &entry{
-		id: id, created: true, jobVersion: jobVersion, progressVersion: progressVersion, progress: p, expires: expires,
+func (s *shard) add(id string, jobVersion, progressVersion int64, p Progress, expires time.Duration) {
+	s.jobs[id] = &trackedJob{
+		id: id, isStored: true, jobVersion: jobVersion, progressVersion: progressVersion, progress: p, expiresAt: expires,
 	}
 }
 
 // state returns the state of a stored job of this owner; false for any other. A final state is
 // returned only once it is stored, so that a later owner finds the same.
 func (s *shard) state(id string) (work.JobState, bool) {
-	e := s.entries[id]
-	if e == nil || !e.created {
+	e := s.jobs[id]
+	if e == nil || !e.isStored {
 		return work.StateAbsent, false
 	}
-	if e.progress.State.IsFinal() && e.written < e.changes {
+	if e.progress.State.IsFinal() && e.written < e.recorded {
 		return work.StateRunning, true
 	}
 	return e.progress.State, true
 }
 
 // enqueueExpired queues the removal of ended jobs whose retention is over.
-func (s *shard) sweep(now time.Duration) {
-	for _, e := range s.entries {
-		if e.dropping(now) && e.written == e.changes {
+func (s *shard) enqueueExpired(now time.Duration) {
+	for _, e := range s.jobs {
+		if e.isExpired(now) && e.written == e.recorded {
 			s.enqueue(e)
 		}
 	}
@@ -190,40 +190,40 @@
 
 // maxBatchJobs is the most jobs of one write. Each job may take up to three changes, and one
 // more checks the fence.
-const maxBatch = (platform.MaxChanges - 1) / 3
+const maxBatchJobs = (platform.MaxChanges - 1) / 3
 
 // hasWrite reports whether nextBatch would return changes.
-func (s *shard) due() bool {
-	return (len(s.queue) > 0 || s.away) && !s.lost && s.fenceVersion != 0 && len(s.sent) == 0
+func (s *shard) hasWrite() bool {
+	return (len(s.queue) > 0 || s.storeFailing) && !s.superseded && s.fenceVersion != 0 && len(s.inFlight) == 0
 }
 
 // nextBatch returns the changes to write now, or nil. Each batch checks the fence row. While the
 // store fails, a batch may hold nothing else: its answer shows when the store works again.
-func (s *shard) batch(now time.Duration) []platform.Change {
-	if !s.due() {
+func (s *shard) nextBatch(now time.Duration) []platform.Change {
+	if !s.hasWrite() {
 		return nil
 	}
-	n := min(len(s.queue), maxBatch)
-	changes := []platform.Change{{Action: platform.ActionCheck, Table: fencesTable, Key: s.home, Expected: s.fenceVersion}}
+	n := min(len(s.queue), maxBatchJobs)
+	changes := []platform.Change{{Action: platform.ActionCheck, Table: fencesTable, Key: s.group, Expected: s.fenceVersion}}
 	for _, e := range s.queue[:n] {
 		e.queued = false
-		changes = append(changes, e.next(now)...)
+		changes = append(changes, e.nextChanges(now)...)
 	}
-	s.sent = append([]*entry{}, s.queue[:n]...)
+	s.inFlight = append([]*trackedJob{}, s.queue[:n]...)
 	s.queue = s.queue[n:]
 	return changes
 }
 
 // nextChanges returns the changes of the next write of a job: first its jobs row, later its
 // progress, at last the removal of the progress row.
-func (e *entry) next(now time.Duration) []platform.Change {
-	if !e.created {
+func (e *trackedJob) nextChanges(now time.Duration) []platform.Change {
+	if !e.isStored {
 		return []platform.Change{
-			{Action: platform.ActionPut, Table: jobsTable, Key: e.id, Value: e.job},
+			{Action: platform.ActionPut, Table: jobsTable, Key: e.id, Value: e.encodedJob},
 			{Action: platform.ActionCheck, Table: progressTable, Key: e.id},
 		}
 	}
-	if e.dropping(now) {
+	if e.isExpired(now) {
 		return []platform.Change{{Action: platform.ActionRemove, Table: progressTable, Key: e.id, Expected: e.progressVersion}}
 	}
 	value, err := json.Marshal(e.progress)
@@ -234,125 +234,125 @@
 	if e.progress.State.IsFinal() && e.jobVersion > 0 {
 		changes = append(changes, platform.Change{Action: platform.ActionRemove, Table: jobsTable, Key: e.id, Expected: e.jobVersion})
 	}
-	e.sending, e.ending = e.changes, e.progress.State.IsFinal()
+	e.inFlight, e.endInFlight = e.recorded, e.progress.State.IsFinal()
 	return changes
 }
 
 // handleResult updates the jobs of the batch in flight from the answer to its write.
-func (s *shard) result(now time.Duration, written platform.Written, err error) {
-	sent := s.sent
-	s.sent = nil
-	s.away = err != nil && !errors.Is(err, platform.ErrConflict)
+func (s *shard) handleResult(now time.Duration, written platform.WriteResult, err error) {
+	sent := s.inFlight
+	s.inFlight = nil
+	s.storeFailing = err != nil && !errors.Is(err, platform.ErrConflict)
 	switch {
 	case err == nil:
 		for _, e := range sent {
-			s.wrote(now, e, written.Version)
+			s.handleWritten(now, e, written.Version)
 		}
 	case errors.Is(err, platform.ErrConflict):
-		s.conflict(now, sent, written.Current)
-	case errors.Is(err, platform.ErrStoreUnknown):
+		s.handleConflict(now, sent, written.Current)
+	case errors.Is(err, platform.ErrWriteUnconfirmed):
 		for _, e := range sent {
-			s.doubt(e)
+			s.retryUnconfirmed(e)
 		}
 	default:
 		for _, e := range sent {
-			s.notWritten(e)
+			s.handleNotWritten(e)
 		}
 	}
 }
 
 // maxUnconfirmedWrites is the number of lost answers after which the caller of a new job gets
 // Unconfirmed. A single answer is lost now and then.
-const maxDoubts = 2
+const maxUnconfirmedWrites = 2
 
 // retryUnconfirmed repeats a write whose answer was lost.
-func (s *shard) doubt(e *entry) {
-	e.doubts++
-	if !e.created && e.doubts == maxDoubts {
-		onResult := e.accepted
-		s.later(func() { onResult(Doubtful) })
+func (s *shard) retryUnconfirmed(e *trackedJob) {
+	e.unconfirmedWrites++
+	if !e.isStored && e.unconfirmedWrites == maxUnconfirmedWrites {
+		onResult := e.onResult
+		s.addCallback(func() { onResult(Unconfirmed) })
 	}
 	s.enqueue(e)
 }
 
 // handleNotWritten retries a rejected write. A new job is dropped instead, unless an earlier write
 // of it may still be applied.
-func (s *shard) notWritten(e *entry) {
-	if e.created || e.doubts > 0 {
+func (s *shard) handleNotWritten(e *trackedJob) {
+	if e.isStored || e.unconfirmedWrites > 0 {
 		s.enqueue(e)
 		return
 	}
-	delete(s.entries, e.id)
-	onResult := e.accepted
-	s.later(func() { onResult(NotStored) })
+	delete(s.jobs, e.id)
+	onResult := e.onResult
+	s.addCallback(func() { onResult(NotStored) })
 }
 
 // handleWritten updates a job whose write was applied at a version.
-func (s *shard) wrote(now time.Duration, e *entry, version int64) {
-	e.doubts = 0
+func (s *shard) handleWritten(now time.Duration, e *trackedJob, version int64) {
+	e.unconfirmedWrites = 0
 	switch {
-	case !e.created:
-		s.stored(e, version)
-	case e.dropping(now):
-		delete(s.entries, e.id)
+	case !e.isStored:
+		s.markStored(e, version)
+	case e.isExpired(now):
+		delete(s.jobs, e.id)
 	default:
 		e.progressVersion = version
-		s.confirm(e)
+		s.confirmRecorded(e)
 	}
 }
 
 // markStored reports a new job as stored and queues what was recorded meanwhile.
-func (s *shard) stored(e *entry, version int64) {
-	e.created, e.job, e.jobVersion, e.doubts = true, nil, version, 0
-	onResult := e.accepted
-	e.accepted = nil
-	s.later(func() { onResult(Stored) })
-	if e.written < e.changes {
+func (s *shard) markStored(e *trackedJob, version int64) {
+	e.isStored, e.encodedJob, e.jobVersion, e.unconfirmedWrites = true, nil, version, 0
+	onResult := e.onResult
+	e.onResult = nil
+	s.addCallback(func() { onResult(Stored) })
+	if e.written < e.recorded {
 		s.enqueue(e)
 	}
 }
 
 // confirmRecorded notifies the waiters of the changes that the last write stored.
-func (s *shard) confirm(e *entry) {
-	e.written = e.sending
-	if e.ending {
+func (s *shard) confirmRecorded(e *trackedJob) {
+	e.written = e.inFlight
+	if e.endInFlight {
 		e.jobVersion = 0
 	}
-	rest := e.waiting[:0]
-	for _, w := range e.waiting {
-		if w.changes <= e.written {
-			s.later(w.done)
+	rest := e.waiters[:0]
+	for _, w := range e.waiters {
+		if w.upTo <= e.written {
+			s.addCallback(w.notify)
 		} else {
 			rest = append(rest, w)
 		}
 	}
-	e.waiting = rest
-	if e.written < e.changes {
+	e.waiters = rest
+	if e.written < e.recorded {
 		s.enqueue(e)
 	}
 }
 
 // handleConflict updates the jobs of a batch from the current rows, after one was not as expected.
-func (s *shard) conflict(now time.Duration, sent []*entry, current []platform.Row) {
+func (s *shard) handleConflict(now time.Duration, sent []*trackedJob, current []platform.Row) {
 	rows := map[platform.Table]map[string]platform.Row{jobsTable: {}, progressTable: {}, fencesTable: {}}
 	for _, row := range current {
 		if rows[row.Table] != nil && !row.Deleted && row.Version > 0 {
 			rows[row.Table][row.Key] = row
 		}
 	}
-	if !s.holds(rows[fencesTable][s.home]) {
-		s.lose(sent)
+	if !s.ownsFence(rows[fencesTable][s.group]) {
+		s.giveUp(sent)
 		return
 	}
 	for _, e := range sent {
-		s.settle(now, e, rows[jobsTable][e.id], rows[progressTable][e.id])
+		s.reconcile(now, e, rows[jobsTable][e.id], rows[progressTable][e.id])
 	}
 }
 
 // ownsFence reports whether the fence row is still this owner's, and takes its version.
-func (s *shard) holds(row platform.Row) bool {
+func (s *shard) ownsFence(row platform.Row) bool {
 	var f fence
-	if json.Unmarshal(row.Value, &f) != nil || f.Life != s.life {
+	if json.Unmarshal(row.Value, &f) != nil || f.Incarnation != s.incarnation {
 		return false
 	}
 	s.fenceVersion = row.Version
@@ -360,28 +360,28 @@
 }
 
 // reconcile updates a job from its current rows after a conflict in its batch.
-func (s *shard) settle(now time.Duration, e *entry, job, progress platform.Row) {
-	if !e.created {
+func (s *shard) reconcile(now time.Duration, e *trackedJob, job, progress platform.Row) {
+	if !e.isStored {
 		switch {
-		case progress.Version > 0 || job.Version > 0 && !s.own(job):
-			delete(s.entries, e.id)
-			onResult := e.accepted
-			s.later(func() { onResult(Known) })
+		case progress.Version > 0 || job.Version > 0 && !s.isOwnJobRow(job):
+			delete(s.jobs, e.id)
+			onResult := e.onResult
+			s.addCallback(func() { onResult(AlreadyStored) })
 		case job.Version > 0:
 			// An earlier write whose answer was lost has been applied.
-			s.stored(e, job.Version)
+			s.markStored(e, job.Version)
 		default:
 			s.enqueue(e)
 		}
 		return
 	}
-	if progress.Version == 0 && e.dropping(now) {
-		delete(s.entries, e.id)
+	if progress.Version == 0 && e.isExpired(now) {
+		delete(s.jobs, e.id)
 		return
 	}
 	// Only this owner writes the row, so an earlier write whose answer was lost has been applied.
 	e.progressVersion = progress.Version
-	if job.Version > 0 || e.ending {
+	if job.Version > 0 || e.endInFlight {
 		// The answer has the jobs row only if the batch was to remove it.
 		e.jobVersion = job.Version
 	}
@@ -389,19 +389,19 @@
 }
 
 // isOwnJobRow reports whether this owner wrote a jobs row.
-func (s *shard) own(row platform.Row) bool {
-	var a Accepted
-	return json.Unmarshal(row.Value, &a) == nil && a.Home == s.home && a.Life == s.life
+func (s *shard) isOwnJobRow(row platform.Row) bool {
+	var a AcceptedJob
+	return json.Unmarshal(row.Value, &a) == nil && a.Group == s.group && a.Incarnation == s.incarnation
 }
 
 // giveUp stops all writes, as another owner has taken over the group. New jobs without a result
 // get Superseded.
-func (s *shard) lose(sent []*entry) {
-	s.lost = true
+func (s *shard) giveUp(sent []*trackedJob) {
+	s.superseded = true
 	for _, e := range append(sent, s.queue...) {
-		if !e.created {
-			onResult := e.accepted
-			s.later(func() { onResult(Uncertain) })
+		if !e.isStored {
+			onResult := e.onResult
+			s.addCallback(func() { onResult(Superseded) })
 		}
 	}
 	s.queue = nil
--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -35,31 +35,31 @@
 	mu      sync.Mutex
 	rows    map[string]map[platform.Table]map[string]platform.Row
 	version int64
-	late    []lateWrite
+	delayed []delayedWrite
 	// failures are the results of the next writes; once it is empty, writes succeed.
-	fail []failure
+	failures []failure
 	// everStored has each job that was ever stored, removed ones included.
-	seen map[string]bool
+	everStored map[string]bool
 }
 
-type lateWrite struct {
-	part    string
-	changes []platform.Change
+type delayedWrite struct {
+	partition string
+	changes   []platform.Change
 }
 
 // failure is what goes wrong with a write.
 type failure int
 
 const (
-	fine failure = iota
-	turnedAway
+	succeeds failure = iota
+	rejected
 	answerLost
 	requestLost
-	doneLate
+	appliedLate
 )
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[string]map[platform.Table]map[string]platform.Row{}, seen: map[string]bool{}}
+	return &fakeStore{rows: map[string]map[platform.Table]map[string]platform.Row{}, everStored: map[string]bool{}}
 }
 
 func (f *fakeStore) table(partition string, table platform.Table) map[string]platform.Row {
@@ -73,7 +73,7 @@
 }
 
 // apply makes all changes of a write if each row is at its expected version, else none.
-func (f *fakeStore) apply(partition string, changes []platform.Change) (platform.Written, error) {
+func (f *fakeStore) apply(partition string, changes []platform.Change) (platform.WriteResult, error) {
 	var current []platform.Row
 	conflict := false
 	for _, c := range changes {
@@ -84,7 +84,7 @@
 		}
 	}
 	if conflict {
-		return platform.Written{Current: current}, platform.ErrConflict.Errorf("conflict")
+		return platform.WriteResult{Current: current}, platform.ErrConflict.Errorf("conflict")
 	}
 	f.version++
 	for _, c := range changes {
@@ -92,50 +92,50 @@
 		case platform.ActionPut:
 			f.table(partition, c.Table)[c.Key] = platform.Row{Table: c.Table, Key: c.Key, Value: c.Value, Version: f.version}
 			if c.Table == jobsTable {
-				f.seen[c.Key] = true
+				f.everStored[c.Key] = true
 			}
 		case platform.ActionRemove:
 			delete(f.table(partition, c.Table), c.Key)
 		}
 	}
-	return platform.Written{Version: f.version}, nil
+	return platform.WriteResult{Version: f.version}, nil
 }
 
-func (f *fakeStore) Write(_ context.Context, partition string, changes []platform.Change) (platform.Written, error) {
+func (f *fakeStore) Write(_ context.Context, partition string, changes []platform.Change) (platform.WriteResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next := fine
-	if len(f.fail) > 0 {
-		next, f.fail = f.fail[0], f.fail[1:]
+	next := succeeds
+	if len(f.failures) > 0 {
+		next, f.failures = f.failures[0], f.failures[1:]
 	}
-	lost := platform.ErrStoreUnknown.Errorf("no answer")
+	lost := platform.ErrWriteUnconfirmed.Errorf("no answer")
 	switch next {
-	case turnedAway:
-		return platform.Written{}, platform.ErrStoreAway.Errorf("status 503")
+	case rejected:
+		return platform.WriteResult{}, platform.ErrStoreUnavailable.Errorf("status 503")
 	case answerLost:
 		_, _ = f.apply(partition, changes)
-		return platform.Written{}, lost
+		return platform.WriteResult{}, lost
 	case requestLost:
-		return platform.Written{}, lost
-	case doneLate:
-		f.late = append(f.late, lateWrite{partition, slices.Clone(changes)})
-		return platform.Written{}, lost
+		return platform.WriteResult{}, lost
+	case appliedLate:
+		f.delayed = append(f.delayed, delayedWrite{partition, slices.Clone(changes)})
+		return platform.WriteResult{}, lost
 	default:
 		return f.apply(partition, changes)
 	}
 }
 
 // applyDelayed applies the oldest delayed write.
-func (f *fakeStore) catchUp() {
+func (f *fakeStore) applyDelayed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.late) > 0 {
-		_, _ = f.apply(f.late[0].part, f.late[0].changes)
-		f.late = f.late[1:]
+	if len(f.delayed) > 0 {
+		_, _ = f.apply(f.delayed[0].partition, f.delayed[0].changes)
+		f.delayed = f.delayed[1:]
 	}
 }
 
-func (f *fakeStore) ReadPart(_ context.Context, table platform.Table, partition string) (platform.Rows, error) {
+func (f *fakeStore) ReadPartition(_ context.Context, table platform.Table, partition string) (platform.Rows, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rows := platform.Rows{Version: f.version}
@@ -158,7 +158,7 @@
 
 // progress reads a job's progress row.
 func (f *fakeStore) progress(id string) (Progress, bool) {
-	rows, _ := f.Get(context.Background(), progressTable, PartOf(id), id)
+	rows, _ := f.Get(context.Background(), progressTable, PartitionOf(id), id)
 	var p Progress
 	if len(rows.Rows) == 0 {
 		return p, false
@@ -168,22 +168,22 @@
 
 // fakeOwner is an owner with its shards; the test decides when it writes.
 type fakeOwner struct {
-	shards [Parts]*shard
-	life   uint64
+	shards      [Partitions]*shard
+	incarnation uint64
 }
 
 // world runs the changing owners of two groups against one store. It compares the results that
 // the owners get with what is stored.
 type world struct {
-	t     *rapid.T
-	store *fakeStore
-	now   time.Duration
-	lives uint64
+	t               *rapid.T
+	store           *fakeStore
+	now             time.Duration
+	lastIncarnation uint64
 	// owners has the current owner of each group. Those in previous don't know of their successors.
-	owners map[string]*fakeOwner
-	former []*fakeOwner
+	owners   map[string]*fakeOwner
+	previous []*fakeOwner
 	// results has the results of each job's acceptances.
-	results map[string][]Result
+	results map[string][]AcceptResult
 	// done and ended have the finished tasks and the ends whose writing was confirmed.
 	done  map[string]map[int]bool
 	ended map[string]work.JobState
@@ -192,7 +192,7 @@
 func newWorld(t *rapid.T) *world {
 	w := &world{
 		t: t, store: newFakeStore(), now: time.Second, owners: map[string]*fakeOwner{},
-		results: map[string][]Result{}, done: map[string]map[int]bool{}, ended: map[string]work.JobState{},
+		results: map[string][]AcceptResult{}, done: map[string]map[int]bool{}, ended: map[string]work.JobState{},
 	}
 	for _, group := range []string{"a", "b"} {
 		w.takeOver(group)
@@ -204,16 +204,16 @@
 // confirmed end.
 func (w *world) takeOver(group string) {
 	if old := w.owners[group]; old != nil {
-		w.former = append(w.former, old)
+		w.previous = append(w.previous, old)
 	}
-	w.lives++
-	w.store.fail = nil
+	w.lastIncarnation++
+	w.store.failures = nil
 	writer := New(Options{
-		Group: group, Life: w.lives, Retention: time.Minute, Clock: func() time.Duration { return w.now }, Count: func(string, string) {},
+		Group: group, Incarnation: w.lastIncarnation, Retention: time.Minute, Clock: func() time.Duration { return w.now }, Count: func(string, string) {},
 	}, w.store)
-	unfinished, err := writer.Open(context.Background(), int64(w.lives))
+	unfinished, err := writer.Open(context.Background(), int64(w.lastIncarnation))
 	must.NoError(w.t, err)
-	w.owners[group] = &fakeOwner{shards: writer.shards, life: w.lives}
+	w.owners[group] = &fakeOwner{shards: writer.shards, incarnation: w.lastIncarnation}
 	for _, job := range unfinished {
 		for task := range w.done[job.Job.ID] {
 			must.SliceContains(w.t, job.Progress.Done, task)
@@ -224,22 +224,22 @@
 }
 
 // pickOwner draws an owner, now and then a previous one.
-func (w *world) owner(name string) *fakeOwner {
-	if len(w.former) > 0 && rapid.IntRange(0, 4).Draw(w.t, name+" previous") == 0 {
-		return rapid.SampledFrom(w.former).Draw(w.t, name)
+func (w *world) pickOwner(name string) *fakeOwner {
+	if len(w.previous) > 0 && rapid.IntRange(0, 4).Draw(w.t, name+" previous") == 0 {
+		return rapid.SampledFrom(w.previous).Draw(w.t, name)
 	}
 	return w.owners[rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, name)]
 }
 
 // allOwners lists the owners, previous ones first.
-func (w *world) all() []*fakeOwner {
-	return append(slices.Clone(w.former), w.owners["a"], w.owners["b"])
+func (w *world) allOwners() []*fakeOwner {
+	return append(slices.Clone(w.previous), w.owners["a"], w.owners["b"])
 }
 
 // shardOf returns the owner's shard of a job.
-func (o *fakeOwner) shard(id string) *shard {
+func (o *fakeOwner) shardOf(id string) *shard {
 	for i, s := range o.shards {
-		if partName(i) == PartOf(id) {
+		if partitionName(i) == PartitionOf(id) {
 			return s
 		}
 	}
@@ -247,8 +247,8 @@
 }
 
 // runCallbacks makes the pending callbacks of a shard.
-func (w *world) settle(s *shard) {
-	for _, call := range s.told() {
+func (w *world) runCallbacks(s *shard) {
+	for _, call := range s.takeCallbacks() {
 		call()
 	}
 }
@@ -258,25 +258,25 @@
 	if slices.Contains(w.results[id], Stored) && rapid.IntRange(0, 3).Draw(w.t, "again") > 0 {
 		return
 	}
-	s := w.owner("accept").shard(id)
-	value, _ := json.Marshal(Accepted{Job: work.Job{ID: id}, Home: s.home, Life: s.life})
-	s.accept(id, value, func(r Result) {
+	s := w.pickOwner("accept").shardOf(id)
+	value, _ := json.Marshal(AcceptedJob{Job: work.Job{ID: id}, Group: s.group, Incarnation: s.incarnation})
+	s.accept(id, value, func(r AcceptResult) {
 		w.results[id] = append(w.results[id], r)
 		switch r {
-		case Stored, Known:
-			must.True(w.t, w.store.seen[id], must.Sprintf("%s was accepted but is not stored", id))
+		case Stored, AlreadyStored:
+			must.True(w.t, w.store.everStored[id], must.Sprintf("%s was accepted but is not stored", id))
 		}
 	})
-	w.settle(s)
+	w.runCallbacks(s)
 }
 
 // runningJobs lists the stored jobs that have not ended, as each owner knows them.
-func (w *world) running() (shards []*shard, ids []string) {
-	for _, o := range w.all() {
+func (w *world) runningJobs() (shards []*shard, ids []string) {
+	for _, o := range w.allOwners() {
 		for _, s := range o.shards {
-			for _, id := range slices.Sorted(maps.Keys(s.entries)) {
-				w.shown(s, id)
-				if e := s.entries[id]; e.created && !e.progress.State.IsFinal() {
+			for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
+				w.checkShownEnd(s, id)
+				if e := s.jobs[id]; e.isStored && !e.progress.State.IsFinal() {
 					shards, ids = append(shards, s), append(ids, id)
 				}
 			}
@@ -286,32 +286,32 @@
 }
 
 // checkShownEnd checks that a final state is stored once callers see it: a later owner finds it.
-func (w *world) shown(s *shard, id string) {
-	if state, known := s.state(id); known && state.IsFinal() && !s.lost {
+func (w *world) checkShownEnd(s *shard, id string) {
+	if state, known := s.state(id); known && state.IsFinal() && !s.superseded {
 		p, ok := w.store.progress(id)
 		must.True(w.t, ok && p.State == state, must.Sprintf("the end of %s is shown but not stored", id))
 	}
 }
 
 // recordProgress records a finished task or the end of a job, and checks what is confirmed.
-func (w *world) note() {
-	shards, ids := w.running()
+func (w *world) recordProgress() {
+	shards, ids := w.runningJobs()
 	if len(ids) == 0 {
 		return
 	}
 	at := rapid.IntRange(0, len(ids)-1).Draw(w.t, "job")
 	s, id := shards[at], ids[at]
 	if rapid.IntRange(0, 2).Draw(w.t, "end") == 0 {
-		s.note(id, func(p *Progress) { *p = Progress{Home: p.Home, State: work.StateCompleted} }, func() {
+		s.record(id, func(p *Progress) { *p = Progress{Group: p.Group, State: work.StateCompleted} }, func() {
 			p, ok := w.store.progress(id)
 			must.True(w.t, ok && p.State == work.StateCompleted)
-			must.MapNotContainsKey(w.t, w.store.table(PartOf(id), jobsTable), id, must.Sprintf("%s has ended but its jobs row is left", id))
+			must.MapNotContainsKey(w.t, w.store.table(PartitionOf(id), jobsTable), id, must.Sprintf("%s has ended but its jobs row is left", id))
 			w.ended[id] = p.State
 		})
 		return
 	}
 	task := rapid.IntRange(0, 3).Draw(w.t, "task")
-	s.note(id, func(p *Progress) { p.Done = append(p.Done, task) }, func() {
+	s.record(id, func(p *Progress) { p.Done = append(p.Done, task) }, func() {
 		p, ok := w.store.progress(id)
 		must.True(w.t, ok && (p.State.IsFinal() || slices.Contains(p.Done, task)))
 		if w.done[id] == nil {
@@ -322,10 +322,10 @@
 }
 
 // shardsWithWrites lists the shards that have jobs to write, with their partitions.
-func (w *world) busy() (shards []*shard, partitions []int) {
-	for _, o := range w.all() {
+func (w *world) shardsWithWrites() (shards []*shard, partitions []int) {
+	for _, o := range w.allOwners() {
 		for partition, s := range o.shards {
-			if len(s.queue) > 0 && !s.lost {
+			if len(s.queue) > 0 && !s.superseded {
 				shards, partitions = append(shards, s), append(partitions, partition)
 			}
 		}
@@ -334,24 +334,24 @@
 }
 
 // writeBatch writes one batch of a shard, which may fail.
-func (w *world) write() {
-	shards, partitions := w.busy()
+func (w *world) writeBatch() {
+	shards, partitions := w.shardsWithWrites()
 	if len(shards) == 0 {
 		return
 	}
 	at := rapid.IntRange(0, len(shards)-1).Draw(w.t, "shard")
 	s, partition := shards[at], partitions[at]
-	changes := s.batch(w.now)
+	changes := s.nextBatch(w.now)
 	must.LessEq(w.t, platform.MaxChanges, len(changes))
-	w.store.fail = []failure{rapid.SampledFrom([]failure{fine, fine, fine, turnedAway, answerLost, requestLost, doneLate}).Draw(w.t, "failure")}
-	written, err := w.store.Write(context.Background(), partName(partition), changes)
-	s.result(w.now, written, err)
-	w.settle(s)
+	w.store.failures = []failure{rapid.SampledFrom([]failure{succeeds, succeeds, succeeds, rejected, answerLost, requestLost, appliedLate}).Draw(w.t, "failure")}
+	written, err := w.store.Write(context.Background(), partitionName(partition), changes)
+	s.handleResult(w.now, written, err)
+	w.runCallbacks(s)
 }
 
 // checkInvariants checks that a job is new once, that refused jobs are not stored, and that ends
 // stay.
-func (w *world) check() {
+func (w *world) checkInvariants() {
 	for id, results := range w.results {
 		stored := 0
 		for _, r := range results {
@@ -360,11 +360,11 @@
 			}
 		}
 		must.LessEq(w.t, 1, stored, must.Sprintf("%s was accepted as new %d times", id, stored))
-		if slices.Contains(results, Doubtful) {
+		if slices.Contains(results, Unconfirmed) {
 			continue
 		}
-		if stored == 0 && !slices.Contains(results, Known) && !slices.Contains(results, Uncertain) && w.refusedByAll(id) {
-			must.False(w.t, w.store.seen[id], must.Sprintf("%s was refused but is stored", id))
+		if stored == 0 && !slices.Contains(results, AlreadyStored) && !slices.Contains(results, Superseded) && w.isUntracked(id) {
+			must.False(w.t, w.store.everStored[id], must.Sprintf("%s was refused but is stored", id))
 		}
 	}
 	for id, state := range w.ended {
@@ -374,9 +374,9 @@
 }
 
 // isUntracked reports whether no owner tracks a job, so that no result of it is outstanding.
-func (w *world) refusedByAll(id string) bool {
-	for _, o := range w.all() {
-		if o.shard(id).entries[id] != nil {
+func (w *world) isUntracked(id string) bool {
+	for _, o := range w.allOwners() {
+		if o.shardOf(id).jobs[id] != nil {
 			return false
 		}
 	}
@@ -385,7 +385,7 @@
 
 // An ID is one job wherever and however often it is submitted. Each later owner finds what was
 // confirmed as stored. Refused jobs are never stored.
-func TestFuzzKeptJobs(t *testing.T) {
+func TestFuzzDurableJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt)
 		for range rapid.IntRange(10, 120).Draw(rt, "steps") {
@@ -394,15 +394,15 @@
 			case "accept":
 				w.accept(id)
 			case "record":
-				w.note()
+				w.recordProgress()
 			case "write":
-				w.write()
+				w.writeBatch()
 			case "apply delayed":
-				w.store.catchUp()
+				w.store.applyDelayed()
 			case "take over":
 				w.takeOver(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "group"))
 			}
-			w.check()
+			w.checkInvariants()
 		}
 	})
 }
--- a/jsonc/decode.go
+++ b/jsonc/decode.go
@@ -28,155 +28,155 @@
 // problems. Missing and faulty fields keep their value.
 func (d *Document) Decode(out any) Decoded {
 	decoder := decoder{text: d.text, lines: map[string]int{}}
-	decoder.value(d.path, d.value, reflect.ValueOf(out).Elem())
+	decoder.decodeValue(d.path, d.value, reflect.ValueOf(out).Elem())
 	return Decoded{Lines: decoder.lines, Problems: decoder.problems}
 }
 
 // decodeValue decodes a value by the type of out.
-func (d *decoder) value(path string, in *hujson.Value, out reflect.Value) {
+func (d *decoder) decodeValue(path string, in *hujson.Value, out reflect.Value) {
 	if path != "" {
-		d.lines[path] = d.line(in)
+		d.lines[path] = d.lineOf(in)
 	}
 	switch target := out.Addr().Interface().(type) {
 	case *time.Duration:
-		d.duration(path, in, target)
+		d.decodeDuration(path, in, target)
 	case *netip.AddrPort:
-		d.address(path, in, target)
+		d.decodeAddress(path, in, target)
 	default:
 		switch out.Kind() {
 		case reflect.Struct:
-			d.object(path, in, out)
+			d.decodeObject(path, in, out)
 		case reflect.Map:
-			d.mapping(path, in, out)
+			d.decodeMap(path, in, out)
 		case reflect.Slice:
-			d.array(path, in, out)
+			d.decodeList(path, in, out)
 		default:
-			d.scalar(path, in, out)
+			d.decodeScalar(path, in, out)
 		}
 	}
 }
 
 // decodeObject decodes an object into a struct.
-func (d *decoder) object(path string, in *hujson.Value, out reflect.Value) {
+func (d *decoder) decodeObject(path string, in *hujson.Value, out reflect.Value) {
 	object, ok := in.Value.(*hujson.Object)
 	if !ok {
-		d.add(path, in, "is not an object", "write {...} with the keys "+fieldNames(out.Type()))
+		d.addProblem(path, in, "is not an object", "write {...} with the keys "+fieldNames(out.Type()))
 		return
 	}
 	fields := fieldsByName(out)
 	seen := map[string]bool{}
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := nameOf(member)
-		memberPath := Join(path, name)
+		name := memberName(member)
+		memberPath := JoinPath(path, name)
 		field, known := fields[name]
 		switch {
 		case !known:
-			d.add(memberPath, &member.Value, "is not a known key", "remove it or use one of "+fieldNames(out.Type()))
+			d.addProblem(memberPath, &member.Value, "is not a known key", "remove it or use one of "+fieldNames(out.Type()))
 		case seen[name]:
-			d.givenTwice(memberPath, &member.Value)
+			d.addDuplicate(memberPath, &member.Value)
 		default:
 			seen[name] = true
-			d.value(memberPath, &member.Value, field)
+			d.decodeValue(memberPath, &member.Value, field)
 		}
 	}
 }
 
 // decodeMap decodes an object into a map. An object replaces the map's default as a whole.
-func (d *decoder) mapping(path string, in *hujson.Value, out reflect.Value) {
+func (d *decoder) decodeMap(path string, in *hujson.Value, out reflect.Value) {
 	object, ok := in.Value.(*hujson.Object)
 	if !ok {
-		d.add(path, in, "is not an object", "write {...} with "+kindName(out.Type().Elem().Kind())+" for each name")
+		d.addProblem(path, in, "is not an object", "write {...} with "+kindName(out.Type().Elem().Kind())+" for each name")
 		return
 	}
 	out.Set(reflect.MakeMap(out.Type()))
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := reflect.ValueOf(nameOf(member)).Convert(out.Type().Key())
-		memberPath := Join(path, name.String())
+		name := reflect.ValueOf(memberName(member)).Convert(out.Type().Key())
+		memberPath := JoinPath(path, name.String())
 		if out.MapIndex(name).IsValid() {
-			d.givenTwice(memberPath, &member.Value)
+			d.addDuplicate(memberPath, &member.Value)
 			continue
 		}
 		value := reflect.New(out.Type().Elem()).Elem()
-		d.value(memberPath, &member.Value, value)
+		d.decodeValue(memberPath, &member.Value, value)
 		out.SetMapIndex(name, value)
 	}
 }
 
 // decodeList decodes a list into a slice.
-func (d *decoder) array(path string, in *hujson.Value, out reflect.Value) {
+func (d *decoder) decodeList(path string, in *hujson.Value, out reflect.Value) {
 	array, ok := in.Value.(*hujson.Array)
 	if !ok {
-		d.add(path, in, "is not a list", "write [...]")
+		d.addProblem(path, in, "is not a list", "write [...]")
 		return
 	}
 	out.Set(reflect.MakeSlice(out.Type(), len(array.Elements), len(array.Elements)))
 	for i := range array.Elements {
-		d.value(index(path, i), &array.Elements[i], out.Index(i))
+		d.decodeValue(elementPath(path, i), &array.Elements[i], out.Index(i))
 	}
 }
 
 // decodeScalar decodes a string, a number or a boolean.
-func (d *decoder) scalar(path string, in *hujson.Value, out reflect.Value) {
+func (d *decoder) decodeScalar(path string, in *hujson.Value, out reflect.Value) {
 	decoded := reflect.New(out.Type())
 	// encoding/json would accept null and leave the default in place without an error.
 	isNull := in.Value.Kind() == 'n'
-	if isNull || json.Unmarshal(plain(in), decoded.Interface()) != nil {
+	if isNull || json.Unmarshal(minified(in), decoded.Interface()) != nil {
 		want := kindName(out.Kind())
-		d.add(path, in, "is not "+want, "write "+want+", or remove the key to take the default")
+		d.addProblem(path, in, "is not "+want, "write "+want+", or remove the key to take the default")
 		return
 	}
 	out.Set(decoded.Elem())
 }
 
 // decodeDuration decodes a string such as "500ms".
-func (d *decoder) duration(path string, in *hujson.Value, out *time.Duration) {
+func (d *decoder) decodeDuration(path string, in *hujson.Value, out *time.Duration) {
 	text, ok := stringOf(in)
 	parsed, err := time.ParseDuration(text)
 	if !ok || err != nil {
-		d.add(path, in, "is not a duration", `write a string with a unit, such as "500ms" or "2s"`)
+		d.addProblem(path, in, "is not a duration", `write a string with a unit, such as "500ms" or "2s"`)
 		return
 	}
 	*out = parsed
 }
 
 // decodeAddress decodes a string of the form IP:port.
-func (d *decoder) address(path string, in *hujson.Value, out *netip.AddrPort) {
+func (d *decoder) decodeAddress(path string, in *hujson.Value, out *netip.AddrPort) {
 	text, ok := stringOf(in)
 	parsed, err := netip.ParseAddrPort(text)
 	if !ok || err != nil {
-		d.add(path, in, "is not an IP address with a port", `write IP:port without a host name, such as "192.0.2.7:7100" or "[2001:db8::7]:7100"`)
+		d.addProblem(path, in, "is not an IP address with a port", `write IP:port without a host name, such as "192.0.2.7:7100" or "[2001:db8::7]:7100"`)
 		return
 	}
 	*out = parsed
 }
 
 // addDuplicate adds the problem of a key that is given twice.
-func (d *decoder) givenTwice(path string, in *hujson.Value) {
-	d.add(path, in, "is given twice", "keep one of the two")
+func (d *decoder) addDuplicate(path string, in *hujson.Value) {
+	d.addProblem(path, in, "is given twice", "keep one of the two")
 }
 
 // addProblem adds a problem with a value.
-func (d *decoder) add(path string, in *hujson.Value, fault, remedy string) {
-	d.problems = append(d.problems, Problem{Path: path, Line: d.line(in), Value: shown(in), Fault: fault, Remedy: remedy})
+func (d *decoder) addProblem(path string, in *hujson.Value, fault, remedy string) {
+	d.problems = append(d.problems, Problem{Path: path, Line: d.lineOf(in), Value: shownValue(in), Fault: fault, Remedy: remedy})
 }
 
 // lineOf returns the line of a value in the text, from 1.
-func (d *decoder) line(in *hujson.Value) int {
+func (d *decoder) lineOf(in *hujson.Value) int {
 	return 1 + bytes.Count(d.text[:in.StartOffset], []byte("\n"))
 }
 
 // minified returns a value as JSON without comments and spaces.
-func plain(in *hujson.Value) []byte {
+func minified(in *hujson.Value) []byte {
 	value := in.Clone()
 	value.Minimize()
 	return value.Pack()
 }
 
 // shownValue returns a value as a problem repeats it, cut to maxShownValue.
-func shown(in *hujson.Value) string {
-	text := string(plain(in))
+func shownValue(in *hujson.Value) string {
+	text := string(minified(in))
 	if len(text) > maxShownValue {
 		return strings.ToValidUTF8(text[:maxShownValue], "") + "..."
 	}
@@ -193,7 +193,7 @@
 }
 
 // memberName returns the key of a member of an object.
-func nameOf(member *hujson.ObjectMember) string {
+func memberName(member *hujson.ObjectMember) string {
 	return member.Name.Value.(hujson.Literal).String()
 }
 
--- a/jsonc/jsonc.go
+++ b/jsonc/jsonc.go
@@ -54,7 +54,7 @@
 	}
 	elements := make([]*Document, 0, len(array.Elements))
 	for i := range array.Elements {
-		elements = append(elements, &Document{text: d.text, path: index(d.path, i), value: &array.Elements[i]})
+		elements = append(elements, &Document{text: d.text, path: elementPath(d.path, i), value: &array.Elements[i]})
 	}
 	return elements
 }
--- a/jsonc/jsonc_test.go
+++ b/jsonc/jsonc_test.go
@@ -94,7 +94,7 @@
 	must.Eq(t, 1, out.Shares["b"])
 }
 
-func TestElements(t *testing.T) {
+func TestElementsOfListAreDecodedSeparately(t *testing.T) {
 	document, problems := jsonc.Parse([]byte("[{\"name\": \"a\"},\n7]"))
 	must.SliceEmpty(t, problems)
 	elements := document.Elements()
@@ -111,7 +111,7 @@
 	must.Eq(t, "", document.Path())
 }
 
-func TestSyntax(t *testing.T) {
+func TestSyntaxErrorIsTheOnlyProblem(t *testing.T) {
 	document, problems := jsonc.Parse([]byte(`{"name" 1}`))
 	must.Nil(t, document)
 	must.SliceLen(t, 1, problems)
@@ -119,7 +119,7 @@
 	must.Eq(t, problems, jsonc.Decode([]byte(`{"name" 1}`), &outer{}).Problems)
 }
 
-func TestCovered(t *testing.T) {
+func TestIsCoveredBySamePathAboveOrBelow(t *testing.T) {
 	at := func(path string) []jsonc.Problem { return []jsonc.Problem{{Path: path}} }
 	for _, c := range []struct {
 		problem, path string
@@ -135,7 +135,7 @@
 		{"ab", "a", false},
 		{"a.b", "a.c", false},
 	} {
-		must.Eq(t, c.want, jsonc.Covered(at(c.problem), c.path), must.Sprintf("%q and %q", c.problem, c.path))
+		must.Eq(t, c.want, jsonc.IsCovered(at(c.problem), c.path), must.Sprintf("%q and %q", c.problem, c.path))
 	}
-	must.False(t, jsonc.Covered(nil, "a"))
+	must.False(t, jsonc.IsCovered(nil, "a"))
 }
--- a/jsonc/problem.go
+++ b/jsonc/problem.go
@@ -39,7 +39,7 @@
 // IsCovered reports whether a problem of decoding concerns a path: the problem is at the path,
 // above it or below it. A value that could not be decoded keeps its default, so that a later check
 // of the path would report a misleading problem. A problem without a path concerns all paths.
-func Covered(problems []Problem, path string) bool {
+func IsCovered(problems []Problem, path string) bool {
 	for _, p := range problems {
 		if p.Path == "" || p.Path == path || isBelow(path, p.Path) || isBelow(p.Path, path) {
 			return true
@@ -54,7 +54,7 @@
 }
 
 // JoinPath returns the path of a key inside the object at a path.
-func Join(path, name string) string {
+func JoinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -62,4 +62,4 @@
 }
 
 // elementPath returns the path of an element of the list at a path.
-func index(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
+func elementPath(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
--- a/lab/prepared/deployment.go
+++ b/lab/prepared/deployment.go
@@ -226,7 +226,7 @@
 		return err
 	}
 	t.entry = wire.Target{
-		Service: "service", Address: address, Zone: domainName(domain), State: wire.Ready,
+		Service: "service", Address: address, Zone: domainName(domain), State: wire.StateReady,
 		Capacity: wire.Capacity{Resources: wire.Resources{CPU: targetCPU, MemoryMB: 1 << 10}},
 	}
 	t.started = func(task string) { d.started(t.entry.Zone, task) }
--- a/lab/prepared/plan.go
+++ b/lab/prepared/plan.go
@@ -206,7 +206,7 @@
 		job.Steps[0].Count, job.Steps[0].LongRunning, job.Steps[0].TargetMS = 1, true, servingTarget
 	case kind == 6:
 		p.fills = true
-		job.Steps[0].Fills = true
+		job.Steps[0].Background = true
 	}
 	p.advised = !p.lasting && rand.IntN(4) == 0
 	job.Spec = p.payload()
--- a/lab/prepared/store.go
+++ b/lab/prepared/store.go
@@ -128,7 +128,7 @@
 // put applies a row or its deletion at the current version. The caller holds s.mu.
 func (s *Store) put(row wire.Row) {
 	row.Version = s.version
-	id := place(row.Table, row.Part, row.Key)
+	id := place(row.Table, row.Partition, row.Key)
 	if row.Deleted {
 		delete(s.rows, id)
 	} else {
@@ -217,7 +217,7 @@
 	s.mu.Lock()
 	var rows []wire.Row
 	for _, row := range s.rows {
-		if row.Table == query.Get(wire.TableParameter) && row.Part == query.Get(wire.PartParameter) && row.Key >= query.Get(wire.FromParameter) {
+		if row.Table == query.Get(wire.TableParameter) && row.Partition == query.Get(wire.PartitionParameter) && row.Key >= query.Get(wire.FromParameter) {
 			rows = append(rows, row)
 		}
 	}
@@ -293,7 +293,7 @@
 	defer s.mu.Unlock()
 	conflict := false
 	for _, expected := range tx.Expected {
-		row, ok := s.rows[place(expected.Table, expected.Part, expected.Key)]
+		row, ok := s.rows[place(expected.Table, expected.Partition, expected.Key)]
 		conflict = conflict || row.Version != expected.Version
 		if ok {
 			current = append(current, row)
--- a/lab/prepared/target.go
+++ b/lab/prepared/target.go
@@ -40,7 +40,7 @@
 	highest map[string]int64
 	running map[string]*running
 	// completions are those not acknowledged yet, lastCompletion is the number of the newest one.
-	ended  []wire.End
+	ended  []wire.Completion
 	number int64
 	// endedAt is when each unacknowledged completion ended, lapsedAt when the lease was last
 	// renewed after it had lapsed.
@@ -390,7 +390,7 @@
 	t.free += r.cpu
 	t.highest[task] = max(t.highest[task], r.run)
 	t.number++
-	t.ended = append(t.ended, wire.End{Number: t.number, Task: task, Run: r.run, How: how, Saved: r.saved})
+	t.ended = append(t.ended, wire.Completion{Number: t.number, Task: task, Run: r.run, Outcome: how, Saved: r.saved})
 	t.recorder.ended(task)
 	t.apart(task, r, how)
 	t.endedAt[t.number] = time.Now()
@@ -452,11 +452,11 @@
 // acknowledge drops the completions up to a number. A task that was done must not start again
 // after this, unless the lease lapsed between its completion and the acknowledgement.
 func (t *Target) forget(upTo int64) {
-	t.ended = slices.DeleteFunc(t.ended, func(e wire.End) bool {
+	t.ended = slices.DeleteFunc(t.ended, func(e wire.Completion) bool {
 		if e.Number > upTo {
 			return false
 		}
-		if ended := t.endedAt[e.Number]; e.How == "done" && t.lapsed.Before(ended) && t.clock() <= t.until {
+		if ended := t.endedAt[e.Number]; e.Outcome == "done" && t.lapsed.Before(ended) && t.clock() <= t.until {
 			t.recorder.finish(e.Task, ended)
 		}
 		delete(t.endedAt, e.Number)
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -91,7 +91,7 @@
 	if snapshot || len(rows.Rows) > 0 {
 		f.apply(Update{Rows: rows, Snapshot: snapshot})
 	}
-	if !rows.More {
+	if !rows.HasMore {
 		sleep(ctx, f.options.MinInterval-(bootclock.Now()-started))
 	}
 	return true
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -76,7 +76,7 @@
 
 // After an outage the feed continues from the last version.
 func TestFollowResumesAfterAnOutage(t *testing.T) {
-	away := reply{err: platform.ErrStoreAway.Errorf("away")}
+	away := reply{err: platform.ErrStoreUnavailable.Errorf("away")}
 	source := &fakeSource{replies: []reply{{rows: rows(5, "a")}, away, away, {rows: rows(9, "b")}}}
 	updates := follow(t, source)
 	must.Eq(t, []int64{0, 5, 5, 5, 9}, source.after)
@@ -122,7 +122,7 @@
 	for v := after + 1; v <= answer.Version; v++ {
 		answer.Rows = append(answer.Rows, platform.Row{Version: v})
 	}
-	answer.More = answer.Version < b.version()
+	answer.HasMore = answer.Version < b.version()
 	time.Sleep(5 * time.Millisecond)
 	return answer, nil
 }
--- a/node/leave.go
+++ b/node/leave.go
@@ -29,7 +29,7 @@
 // callers are answered.
 func (n *Node) leave(ctx context.Context) {
 	began := bootclock.Now()
-	deadline := began + n.options.Settings.Grace - closeMargin
+	deadline := began + n.options.Settings.StopGrace - closeMargin
 	n.log.Info("leaving", "requests", n.requests.Load())
 	n.leaving.Store(true)
 	n.keeper.Leave()
--- a/node/node.go
+++ b/node/node.go
@@ -63,7 +63,7 @@
 	self           heartbeat.Self
 	group          string
 	store          *platform.Store
-	targets        *platform.Targets
+	targets        *platform.TargetClient
 	adviser        *platform.Advisor
 	peerClient     *link.Client
 	heartbeats     *heartbeat.Service
@@ -118,18 +118,18 @@
 		log:      o.Log,
 		self: heartbeat.Self{
 			VM: s.VM, Incarnation: rand.Uint64(), FailureDomain: s.FailureDomain,
-			ControlAddress: s.Control, HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort)),
+			ControlAddress: s.ControlAddress, HeartbeatAddress: net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort)),
 		},
 		group:      s.FailureDomain,
 		processor:  processor.NewMeter(s.CPUShare),
-		targets:    platform.NewTargets(),
+		targets:    platform.NewTargetClient(),
 		peerClient: link.NewClient(),
 		config:     configuration{log: o.Log},
 	}
 	n.cordons.init(n)
-	n.store = platform.NewStore(s.Store, platform.StoreEvents{Called: o.recordStoreCall, Clock: n.storeClock.setFromStore, Unreadable: o.reportUnreadableRow})
-	if s.Advisor != "" {
-		n.adviser = platform.NewAdvisor(s.Advisor)
+	n.store = platform.NewStore(s.StoreAddress, platform.StoreEvents{Called: o.recordStoreCall, Clock: n.storeClock.setFromStore, Unreadable: o.reportUnreadableRow})
+	if s.AdvisorAddress != "" {
+		n.adviser = platform.NewAdvisor(s.AdvisorAddress)
 	}
 	heartbeats, err := heartbeat.New(n.self, n)
 	if err != nil {
@@ -145,7 +145,9 @@
 		Claims: n.keeper.Claims, LocalOwner: n.localOwner, DomainOf: func(group string) string { return group },
 		IsCordoned: func(domain string) bool { return n.cordons.board.View().IsCordoned(domain) },
 		OwnerLost:  n.probeOwner,
-		FindJob:    func(ctx context.Context, id string) (work.JobState, error) { return jobstore.Find(ctx, n.store, id) },
+		FindJob: func(ctx context.Context, id string) (work.JobState, error) {
+			return jobstore.ReadState(ctx, n.store, id)
+		},
 	}, heartbeats, n.peerClient)
 	n.servers, err = listen(s, n)
 	return n, err
@@ -263,13 +265,13 @@
 	options := owner.Options{
 		Group: held.Group, FailureDomain: n.self.FailureDomain, Token: held.Version,
 		Schedule: scheduler.Options{
-			StopTimeout: n.options.Settings.StopTime,
+			StopTimeout: n.options.Settings.MaxStopTime,
 		},
 		Log: n.log, Count: n.options.Count, Observe: n.options.Observe, Gauge: n.options.Gauge, StoreAnswered: n.storeReadTimes.recorder(&n.storeReadTimes.registry),
 		Delegate: n.delegate, NeedsCapacity: n.heartbeats.RequestLoads, StoreClock: n.storeClock.nowIfKnown,
 		Cordons: n.cordons.board.View, ConfirmCordons: n.confirmCordons, ConfirmClaim: n.keeper.ConfirmOwnership,
 		Jobs: jobstore.New(jobstore.Options{
-			Group: held.Group, Life: n.self.Incarnation, Retention: n.options.Settings.JobRetention, Log: n.log, Count: n.options.Count, Clock: n.storeClock.now,
+			Group: held.Group, Incarnation: n.self.Incarnation, Retention: n.options.Settings.JobRetention, Log: n.log, Count: n.options.Count, Clock: n.storeClock.now,
 		}, n.store),
 	}
 	if n.adviser != nil {
--- a/node/servers.go
+++ b/node/servers.go
@@ -55,9 +55,9 @@
 		address string
 		handler http.Handler
 	}{
-		{&open.control, s.Control, n.handler()},
-		{&open.ready, s.Ready, platform.ReadyHandler(n.isReady)},
-		{&open.frontend, s.Frontend, platform.NewCallers(n)},
+		{&open.control, s.ControlAddress, n.handler()},
+		{&open.ready, s.ReadyAddress, platform.ReadyHandler(n.isReady)},
+		{&open.frontend, s.FrontendAddress, platform.NewCallerHandler(n)},
 	} {
 		listener, err := net.Listen("tcp4", h.address)
 		if err != nil {
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -18,7 +18,7 @@
 func TestCallersAreLimitedToTheirShareOfSockets(t *testing.T) {
 	n := &Node{options: Options{Count: func(string, string) {}}}
 	open, err := listen(platform.Settings{
-		Frontend: "127.0.0.1:0", Ready: "127.0.0.1:0", Control: "127.0.0.1:0", MaxSockets: 2 * callerSocketDivisor,
+		FrontendAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ControlAddress: "127.0.0.1:0", MaxSockets: 2 * callerSocketDivisor,
 	}, n)
 	must.NoError(t, err)
 	var serving errgroup.Group
--- a/node/settings.go
+++ b/node/settings.go
@@ -36,10 +36,10 @@
 	}
 	changed := !reflect.DeepEqual(s, n.settings)
 	if signalled || changed {
-		n.log.Info("settings read again", "asked", signalled, "changed", changed, "store", s.Store)
+		n.log.Info("settings read again", "asked", signalled, "changed", changed, "store", s.StoreAddress)
 	}
-	if s.Store != n.settings.Store {
-		n.store.Move(s.Store)
+	if s.StoreAddress != n.settings.StoreAddress {
+		n.store.SetAddress(s.StoreAddress)
 	}
 	n.settings = s
 }
--- a/owner/durable.go
+++ b/owner/durable.go
@@ -89,7 +89,7 @@
 }
 
 // resumeJobs continues the durable jobs of previous owners and starts accepting new ones.
-func (o *Owner) resumeJobs(now time.Duration, jobs []jobstore.Kept) {
+func (o *Owner) resumeJobs(now time.Duration, jobs []jobstore.DurableJob) {
 	o.durable.accepting = true
 	o.options.Log.Info("kept jobs taken over", "group", o.options.Group, "jobs", len(jobs))
 	clock, _ := o.options.StoreClock()
@@ -98,15 +98,15 @@
 		o.state.ResumeJob(now, scheduler.Submission{
 			Ref: o.lastRef, Job: job.Job, Queue: job.Queue, Age: max(clock-job.Arrived, 0),
 		}, scheduler.Progress{
-			Done: job.Progress.Done, Fails: job.Progress.Fails, LastFailed: job.Progress.LastFailed, Saved: job.Progress.Saved,
-			Crashed: schedulerCrashes(job.Progress.Crashed),
+			Done: job.Progress.Done, Fails: job.Progress.Failures, LastFailed: job.Progress.LastFailedRun, Saved: job.Progress.Saved,
+			Crashed: schedulerCrashes(job.Progress.TargetLosses),
 		})
 	}
 	o.state.FinishResume(now)
 }
 
 // schedulerCrashes converts the stored target losses, by task, to the scheduler's type.
-func schedulerCrashes(stored map[int][]jobstore.Crash) map[int][]scheduler.Crash {
+func schedulerCrashes(stored map[int][]jobstore.TargetLoss) map[int][]scheduler.Crash {
 	crashes := map[int][]scheduler.Crash{}
 	for task, list := range stored {
 		for _, crash := range list {
@@ -134,31 +134,31 @@
 	switch e := effect.(type) {
 	case scheduler.StoreJob:
 		job := e.Submission.Job
-		o.options.Jobs.Accept(job, e.Submission.Queue, e.Submission.Age, func(r jobstore.Result) {
+		o.options.Jobs.Accept(job, e.Submission.Queue, e.Submission.Age, func(r jobstore.AcceptResult) {
 			o.post(ctx, func(now time.Duration) { o.jobStored(now, job.ID, r) })
 		})
 	case scheduler.TaskDone:
-		o.options.Jobs.TaskDone(e.Job, e.Task, func() { o.completionRecorded(ctx, e.Completion) })
+		o.options.Jobs.RecordTaskDone(e.Job, e.Task, func() { o.completionRecorded(ctx, e.Completion) })
 	case scheduler.TaskFailed:
-		o.options.Jobs.TaskFailed(e.Job, e.Task, e.Run, func() { o.completionRecorded(ctx, e.Completion) })
+		o.options.Jobs.RecordTaskFailed(e.Job, e.Task, e.Run, func() { o.completionRecorded(ctx, e.Completion) })
 	case scheduler.TaskCrashed:
-		o.options.Jobs.TaskCrashed(e.Job, e.Task, jobstore.Crash(e.Crash))
+		o.options.Jobs.RecordTargetLoss(e.Job, e.Task, jobstore.TargetLoss(e.Crash))
 	case scheduler.TaskSaved:
-		o.options.Jobs.TaskSaved(e.Job, e.Task, e.Saved)
+		o.options.Jobs.RecordSavedState(e.Job, e.Task, e.Saved)
 	case scheduler.JobEnded:
 		o.durable.ending[e.Job] = true
 		o.options.Count("kept_jobs", e.State.String())
 		o.observeTimes(e.Times)
-		o.options.Jobs.End(e.Job, e.State, func() {
+		o.options.Jobs.RecordEnd(e.Job, e.State, func() {
 			o.post(ctx, func(time.Duration) { o.jobEndRecorded(e.Job) })
 		})
 	}
 }
 
 // jobStored gives the State the result of storing a job, or that the result is not known yet.
-func (o *Owner) jobStored(now time.Duration, id string, r jobstore.Result) {
+func (o *Owner) jobStored(now time.Duration, id string, r jobstore.AcceptResult) {
 	o.options.Count("acceptances", r.String())
-	if r == jobstore.Doubtful {
+	if r == jobstore.Unconfirmed {
 		o.state.HandleJobStoreUncertain(id)
 		return
 	}
@@ -171,9 +171,9 @@
 }
 
 // storeOutcome returns the outcome that the caller gets for the result of storing its job.
-func storeOutcome(r jobstore.Result) work.Outcome {
+func storeOutcome(r jobstore.AcceptResult) work.Outcome {
 	switch r {
-	case jobstore.Stored, jobstore.Known:
+	case jobstore.Stored, jobstore.AlreadyStored:
 		return work.Outcome{Result: work.Accepted}
 	case jobstore.NotStored:
 		return work.Outcome{Result: work.Refused, Reason: "the store takes no jobs", RetryAfter: unstoredRetryAfter}
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -86,7 +86,7 @@
 	// Delegate has another owner run a part of a job and returns the outcome of the part.
 	Delegate func(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome
 	// Jobs stores the durable jobs; nil if none are accepted.
-	Jobs *jobstore.Keeper
+	Jobs *jobstore.Writer
 	// StoreAnswered is called when the store has answered about the registry; it may be nil.
 	StoreAnswered func(now time.Duration)
 	// StoreClock returns the store's clock, if it is known.
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -27,7 +27,7 @@
 
 func (oneTarget) Read(context.Context, platform.Table) (platform.Rows, error) {
 	value, err := json.Marshal(wire.Target{
-		Service: "service", Address: "127.0.0.1:1", Zone: "domain", State: wire.Ready,
+		Service: "service", Address: "127.0.0.1:1", Zone: "domain", State: wire.StateReady,
 		Capacity: wire.Capacity{Resources: wire.Resources{CPU: 4000, MemoryMB: 4000}},
 	})
 	return platform.Rows{Version: 1, Rows: []platform.Row{{Key: targetID, Value: value, Version: 1}}}, err
--- a/owner/reader_test.go
+++ b/owner/reader_test.go
@@ -26,12 +26,12 @@
 	heartbeats := func(snapshot bool, draining int) mirror.Update {
 		u := mirror.Update{Snapshot: snapshot}
 		for i := range rows {
-			domain, state := "domain", wire.Ready
+			domain, state := "domain", wire.StateReady
 			if i%3 > 0 {
 				domain = "elsewhere"
 			}
 			if i == draining {
-				state = wire.Draining
+				state = wire.StateDraining
 			}
 			u.Rows.Rows = append(u.Rows.Rows, platform.Row{Key: fmt.Sprint("i-", i), Value: registryEntry(t, domain, state)})
 		}
@@ -49,7 +49,7 @@
 
 // Of several changes of one entry in one answer, the last one applies.
 func TestLastChangeOfAnEntryApplies(t *testing.T) {
-	listed := platform.Row{Key: "i", Value: registryEntry(t, "domain", wire.Ready)}
+	listed := platform.Row{Key: "i", Value: registryEntry(t, "domain", wire.StateReady)}
 	gone := platform.Row{Key: "i", Deleted: true}
 	for name, test := range map[string]struct {
 		rows []platform.Row
@@ -71,7 +71,7 @@
 func TestWarmUpProgressIsNoChange(t *testing.T) {
 	cold := func(ms float64) mirror.Update {
 		value, err := json.Marshal(wire.Target{
-			Service: "service", Address: "127.0.0.1:1", Zone: "domain", State: wire.Ready, Capacity: wire.Capacity{Resources: wire.Resources{CPU: 4000}}, ColdLeftMS: ms,
+			Service: "service", Address: "127.0.0.1:1", Zone: "domain", State: wire.StateReady, Capacity: wire.Capacity{Resources: wire.Resources{CPU: 4000}}, ColdLeftMS: ms,
 		})
 		must.NoError(t, err)
 		return mirror.Update{Rows: platform.Rows{Rows: []platform.Row{{Key: "i", Value: value}}}}
--- a/owner/registry_test.go
+++ b/owner/registry_test.go
@@ -50,13 +50,13 @@
 		"not readable":           []byte("\xff"),
 		"empty":                  nil,
 		"a state without a name": registryEntry(t, "domain", "resting"),
-		"another failure domain": registryEntry(t, "elsewhere", wire.Ready),
+		"another failure domain": registryEntry(t, "elsewhere", wire.StateReady),
 	} {
 		for _, snapshot := range []bool{false, true} {
 			o, unreadable := newIdleOwner(t)
 			now := time.Second
-			o.applyRegistryChanges(now, o.reader.read(updateOfOne(true, targetID, registryEntry(t, "domain", wire.Ready))))
-			o.applyRegistryChanges(now, o.reader.read(updateOfOne(false, "other", registryEntry(t, "domain", wire.Ready))))
+			o.applyRegistryChanges(now, o.reader.read(updateOfOne(true, targetID, registryEntry(t, "domain", wire.StateReady))))
+			o.applyRegistryChanges(now, o.reader.read(updateOfOne(false, "other", registryEntry(t, "domain", wire.StateReady))))
 			must.MapLen(t, 2, o.registry.listed)
 			o.applyRegistryChanges(now, o.reader.read(updateOfOne(snapshot, targetID, value)))
 			must.MapNotContainsKey(t, o.registry.listed, targetID, must.Sprint(name))
@@ -76,7 +76,7 @@
 	o.applyRegistryChanges(time.Second, o.reader.read(updateOfOne(true, targetID, []byte("{"))))
 	must.Eq(t, 0, o.state.Summary().Targets)
 	must.Eq(t, 1, *unreadable)
-	o.applyRegistryChanges(time.Second, o.reader.read(updateOfOne(false, targetID, registryEntry(t, "domain", wire.Draining))))
+	o.applyRegistryChanges(time.Second, o.reader.read(updateOfOne(false, targetID, registryEntry(t, "domain", wire.StateDraining))))
 	must.Eq(t, 1, o.state.Summary().Draining)
 }
 
@@ -90,7 +90,7 @@
 	unreadableValues := [][]byte{[]byte("\xff\x00"), nil, []byte("null"), []byte("[]"), []byte(`{"address":7}`), registryEntry(t, "domain", "resting")}
 	var read platform.Rows
 	for i := range rows {
-		value := registryEntry(t, "domain", wire.Ready)
+		value := registryEntry(t, "domain", wire.StateReady)
 		if i%3 == 0 {
 			value = unreadableValues[i/3%len(unreadableValues)]
 		}
@@ -104,6 +104,6 @@
 	must.Eq(t, maxUnreadableRowLogs+1, strings.Count(lines.String(), "\n"))
 	must.StrContains(t, lines.String(), fmt.Sprintf(`"rows":%d`, rows-readable-maxUnreadableRowLogs))
 	// A row that becomes readable is used again.
-	o.applyRegistryChanges(2*time.Second, o.reader.read(updateOfOne(false, "i-0000", registryEntry(t, "domain", wire.Ready))))
+	o.applyRegistryChanges(2*time.Second, o.reader.read(updateOfOne(false, "i-0000", registryEntry(t, "domain", wire.StateReady))))
 	must.Eq(t, readable+1, o.state.Summary().Targets)
 }
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -85,11 +85,11 @@
 }
 
 func (s *fakeStore) Read(context.Context, platform.Table) (platform.Rows, error) {
-	return platform.Rows{}, platform.ErrStoreAway.Errorf("away")
+	return platform.Rows{}, platform.ErrStoreUnavailable.Errorf("away")
 }
 
 func (s *fakeStore) Feed(context.Context, platform.Table, int64, time.Duration) (platform.Rows, error) {
-	return platform.Rows{}, platform.ErrStoreAway.Errorf("away")
+	return platform.Rows{}, platform.ErrStoreUnavailable.Errorf("away")
 }
 
 func (s *fakeStore) Get(_ context.Context, _ platform.Table, _, key string) (platform.Rows, error) {
@@ -145,7 +145,7 @@
 
 // After a lost answer to a write, the row in the store shows who owns the group.
 func TestLostAnswerIsResolvedByTheRow(t *testing.T) {
-	store := &fakeStore{err: platform.ErrStoreUnknown.Errorf("lost")}
+	store := &fakeStore{err: platform.ErrWriteUnconfirmed.Errorf("lost")}
 	k := newKeeper(store, func([]GroupClaim) {})
 	k.started -= time.Minute
 	k.readNothing()
@@ -198,7 +198,7 @@
 // While the store is away, the owner hands its claim over directly under the same token. The
 // successor writes it to the store once the store is back.
 func TestHandOverWithoutTheStore(t *testing.T) {
-	store := &fakeStore{version: 5, err: platform.ErrStoreAway.Errorf("away")}
+	store := &fakeStore{version: 5, err: platform.ErrStoreUnavailable.Errorf("away")}
 	k := newKeeper(store, func([]GroupClaim) {})
 	k.Merge([]GroupClaim{{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: "v", Life: 1}}})
 	sender := &fakeClaimSender{}
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -60,11 +60,11 @@
 // Crash names the incarnation of a target that was lost under a task. Life is 0 if the target
 // doesn't report its incarnation.
 type Crash struct {
-	Target string
-	Life   int64
-	// Excused marks a correlated loss. Alone says that the task ran isolated there, and was known
+	Target      string
+	Incarnation int64
+	// Correlated marks a correlated loss. Alone says that the task ran isolated there, and was known
 	// to have started.
-	Excused, Alone bool
+	Correlated, Isolated bool
 }
 
 // targetLossEvent is a target that fell silent or whose incarnation ended.
@@ -189,11 +189,11 @@
 	if tk.correlatedLosses == 0 && s.isCorrelated(t, tk.job) {
 		tk.correlatedLosses++
 		tk.job.record(now, "target lost with others", tk.name, t.ID, "")
-		s.storeLoss(tk, Crash{Target: t.ID, Life: t.Incarnation, Excused: true})
+		s.storeLoss(tk, Crash{Target: t.ID, Incarnation: t.Incarnation, Correlated: true})
 		s.rememberLosses(now, tk)
 		return
 	}
-	loss := &targetLoss{Crash: Crash{Target: t.ID, Life: t.Incarnation, Alone: r.isolated && r.state == running}, at: now, after: now - r.ordered, task: tk}
+	loss := &targetLoss{Crash: Crash{Target: t.ID, Incarnation: t.Incarnation, Isolated: r.isolated && r.state == running}, at: now, after: now - r.ordered, task: tk}
 	tk.step.hasSuspects = true
 	tk.losses = append(tk.currentLosses(), loss)
 	s.crashes.unresolved[t.ID] = append(s.crashes.unresolved[t.ID], loss)
@@ -238,7 +238,7 @@
 	if tk.job.ended || len(losses) < lossesToFail || tk.hasUnresolvedLoss() {
 		return
 	}
-	if !losses[len(losses)-1].Alone && len(losses) < maxLosses {
+	if !losses[len(losses)-1].Isolated && len(losses) < maxLosses {
 		return
 	}
 	targets := make([]string, len(losses))
@@ -300,7 +300,7 @@
 // targets' incarnations have ended is still to be found out.
 func (s *State) restoreStoredLosses(now time.Duration, tk *task, targets []Crash) {
 	for _, c := range targets {
-		if c.Excused {
+		if c.Correlated {
 			tk.correlatedLosses++
 			continue
 		}
@@ -317,7 +317,7 @@
 	for _, target := range slices.Sorted(maps.Keys(c.unresolved)) {
 		t := s.targets[target]
 		switch {
-		case t == nil && s.registryRead, t != nil && c.unresolved[target][0].Life < t.Incarnation:
+		case t == nil && s.registryRead, t != nil && c.unresolved[target][0].Incarnation < t.Incarnation:
 			s.confirmLosses(now, target)
 		case t != nil && now-c.unresolved[target][0].at > lossTimeout:
 			// The registry still lists the target, so its incarnation goes on.
--- a/settings/check.go
+++ b/settings/check.go
@@ -32,8 +32,8 @@
 	// baseMemoryBytes is the memory of a daemon without answers and records, with the requests in
 	// flight at the size that CONTRIBUTING.md names. recordMemoryBytes is the memory of one record
 	// of a claimed key.
-	baseBytes   = 32 << 20
-	recordBytes = 55
+	baseMemoryBytes   = 32 << 20
+	recordMemoryBytes = 55
 )
 
 // checker collects the problems of settings.
@@ -42,63 +42,63 @@
 // Check returns all faults of the values in the order of the fields.
 func (s *Settings) Check() []Problem {
 	c := &checker{}
-	c.identity(s)
-	c.addresses(s)
-	c.platform(&s.Platform)
-	c.membership(&s.Membership)
-	c.reclaim(s)
-	c.limits(&s.Limits)
-	c.memory(s)
-	oneOf(c, "dispatch.order", s.Dispatch.Order, OrderFair, OrderFIFO, OrderDeadline)
-	oneOf(c, "dispatch.policy", s.Dispatch.Policy, PolicyShared, PolicyRandom, PolicyRoundRobin, PolicyLeastOutstanding)
-	c.atLeast("drain_timeout", s.DrainTimeout, minInterval)
-	oneOf(c, "log.level", s.Log.Level, "debug", "info", "warn", "error")
-	oneOf(c, "log.format", s.Log.Format, "json", "text")
-	c.trace(&s.Trace)
+	c.checkIdentity(s)
+	c.checkAddresses(s)
+	c.checkPlatform(&s.Platform)
+	c.checkMembership(&s.Membership)
+	c.checkReclaim(s)
+	c.checkLimits(&s.Limits)
+	c.checkMemory(s)
+	checkOneOf(c, "dispatch.order", s.Dispatch.Order, OrderFair, OrderFIFO, OrderDeadline)
+	checkOneOf(c, "dispatch.policy", s.Dispatch.Policy, PolicyShared, PolicyRandom, PolicyRoundRobin, PolicyLeastOutstanding)
+	c.checkAtLeast("drain_timeout", s.DrainTimeout, minInterval)
+	checkOneOf(c, "log.level", s.Log.Level, "debug", "info", "warn", "error")
+	checkOneOf(c, "log.format", s.Log.Format, "json", "text")
+	c.checkTrace(&s.Trace)
 	return c.problems
 }
 
 // checkIdentity checks the names of the VM and the failure domains.
-func (c *checker) identity(s *Settings) {
-	c.name("vm_id", s.VMID)
-	c.name("failure_domain", s.FailureDomain)
+func (c *checker) checkIdentity(s *Settings) {
+	c.checkName("vm_id", s.VMID)
+	c.checkName("failure_domain", s.FailureDomain)
 	if len(s.FailureDomains) == 0 {
-		c.add("failure_domains", "", "is missing", "list every failure domain of the deployment; quotas are divided among them")
+		c.addProblem("failure_domains", "", "is missing", "list every failure domain of the deployment; quotas are divided among them")
 		return
 	}
 	for i, domain := range s.FailureDomains {
 		path := fmt.Sprintf("failure_domains[%d]", i)
-		c.name(path, domain)
+		c.checkName(path, domain)
 		if slices.Contains(s.FailureDomains[:i], domain) {
-			c.add(path, quote(domain), "is listed twice", "list each failure domain once")
+			c.addProblem(path, quote(domain), "is listed twice", "list each failure domain once")
 		}
 	}
 	if s.FailureDomain != "" && !slices.Contains(s.FailureDomains, s.FailureDomain) {
-		c.add("failure_domain", quote(s.FailureDomain), "is not in failure_domains", "add it there, or correct its spelling")
+		c.addProblem("failure_domain", quote(s.FailureDomain), "is not in failure_domains", "add it there, or correct its spelling")
 	}
 }
 
 // checkName checks a name that occurs in submission keys or URLs.
-func (c *checker) name(path, value string) {
+func (c *checker) checkName(path, value string) {
 	switch {
 	case value == "":
-		c.add(path, "", "is missing", "give a name of letters, digits, '-' and '_'")
+		c.addProblem(path, "", "is missing", "give a name of letters, digits, '-' and '_'")
 	case len(value) > key.MaxDomain:
-		c.add(path, quote(value), fmt.Sprintf("is longer than %d characters", key.MaxDomain), "give a shorter name")
-	case strings.ContainsFunc(value, notNameRune):
-		c.add(path, quote(value), "has characters that are not allowed in names", "use letters, digits, '-' and '_' only")
+		c.addProblem(path, quote(value), fmt.Sprintf("is longer than %d characters", key.MaxDomain), "give a shorter name")
+	case strings.ContainsFunc(value, isForbiddenInName):
+		c.addProblem(path, quote(value), "has characters that are not allowed in names", "use letters, digits, '-' and '_' only")
 	}
 }
 
 // isForbiddenInName reports whether a name may not have a character.
-func notNameRune(r rune) bool {
+func isForbiddenInName(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	digit := r >= '0' && r <= '9'
 	return !letter && !digit && r != '-' && r != '_'
 }
 
 // checkAddresses checks the addresses of the VM and of its seeds.
-func (c *checker) addresses(s *Settings) {
+func (c *checker) checkAddresses(s *Settings) {
 	taken := map[netip.AddrPort]string{}
 	for _, a := range []struct {
 		name              string
@@ -109,46 +109,46 @@
 		{"admin", s.Listen.Admin, s.Advertise.Admin},
 	} {
 		path := "listen." + a.name
-		if !c.address(path, a.listen) {
+		if !c.checkAddress(path, a.listen) {
 			continue
 		}
 		if other, twice := taken[a.listen]; twice {
-			c.add(path, quote(a.listen), "is the same as "+other, "give each port an address of its own")
+			c.addProblem(path, quote(a.listen), "is the same as "+other, "give each port an address of its own")
 		}
 		taken[a.listen] = path
-		c.advertised("advertise."+a.name, a.advertise)
+		c.checkAdvertised("advertise."+a.name, a.advertise)
 	}
 	for i, seed := range s.Peers.Seeds {
-		c.address(fmt.Sprintf("peers.seeds[%d]", i), seed)
+		c.checkAddress(fmt.Sprintf("peers.seeds[%d]", i), seed)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.Peers.DomainSeeds)) {
-		c.domainSeeds(s, domain, s.Peers.DomainSeeds[domain])
+		c.checkDomainSeeds(s, domain, s.Peers.DomainSeeds[domain])
 	}
 }
 
 // checkDomainSeeds checks the seed addresses of another failure domain.
-func (c *checker) domainSeeds(s *Settings, domain string, seeds []netip.AddrPort) {
+func (c *checker) checkDomainSeeds(s *Settings, domain string, seeds []netip.AddrPort) {
 	path := "peers.domain_seeds." + domain
 	switch {
 	case domain == s.FailureDomain:
-		c.add(path, "", "names the VM's own failure domain", "list its addresses in peers.seeds")
+		c.addProblem(path, "", "names the VM's own failure domain", "list its addresses in peers.seeds")
 	case !slices.Contains(s.FailureDomains, domain):
-		c.add(path, "", "is not in failure_domains", "add it there, or correct its spelling")
+		c.addProblem(path, "", "is not in failure_domains", "add it there, or correct its spelling")
 	case len(seeds) > maxDomainSeeds:
-		c.add(path, "", fmt.Sprintf("has more than %d addresses", maxDomainSeeds), "remove some")
+		c.addProblem(path, "", fmt.Sprintf("has more than %d addresses", maxDomainSeeds), "remove some")
 	}
 	for i, seed := range seeds {
-		c.address(fmt.Sprintf("%s[%d]", path, i), seed)
+		c.checkAddress(fmt.Sprintf("%s[%d]", path, i), seed)
 	}
 }
 
 // checkAddress checks an address and reports whether it is valid.
-func (c *checker) address(path string, address netip.AddrPort) bool {
+func (c *checker) checkAddress(path string, address netip.AddrPort) bool {
 	switch {
 	case !address.Addr().IsValid():
-		c.add(path, "", "is missing", `write IP:port, such as "192.0.2.7:7100"`)
+		c.addProblem(path, "", "is missing", `write IP:port, such as "192.0.2.7:7100"`)
 	case address.Port() == 0:
-		c.add(path, quote(address), "has no fixed port", "give a port from 1 to 65535, so that others can find it")
+		c.addProblem(path, quote(address), "has no fixed port", "give a port from 1 to 65535, so that others can find it")
 	default:
 		return true
 	}
@@ -156,39 +156,39 @@
 }
 
 // checkAdvertised checks an address that others connect to.
-func (c *checker) advertised(path string, address netip.AddrPort) {
-	if !c.address(path, address) {
+func (c *checker) checkAdvertised(path string, address netip.AddrPort) {
+	if !c.checkAddress(path, address) {
 		return
 	}
 	if address.Addr().IsUnspecified() {
-		c.add(path, quote(address), "is an address that others can't reach", "set "+path+" to the VM's own IP:port")
+		c.addProblem(path, quote(address), "is an address that others can't reach", "set "+path+" to the VM's own IP:port")
 	}
 }
 
 // checkPlatform checks how the platform is reached.
-func (c *checker) platform(p *Platform) {
-	c.url(platformURL, p.URL)
-	c.atLeast("platform.poll_interval", p.PollInterval, minInterval)
-	c.atLeast("platform.timeout", p.Timeout, minInterval)
+func (c *checker) checkPlatform(p *Platform) {
+	c.checkURL(platformURL, p.URL)
+	c.checkAtLeast("platform.poll_interval", p.PollInterval, minInterval)
+	c.checkAtLeast("platform.timeout", p.Timeout, minInterval)
 }
 
 // checkURL checks an HTTP base URL, whose host has to be an IP address.
-func (c *checker) url(path, value string) {
+func (c *checker) checkURL(path, value string) {
 	const remedy = `write a URL with an IP address, such as "http://192.0.2.9:7000"`
 	if value == "" {
-		c.add(path, "", "is missing", remedy)
+		c.addProblem(path, "", "is missing", remedy)
 		return
 	}
 	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
-		c.add(path, quote(value), "is not an HTTP URL", remedy)
+		c.addProblem(path, quote(value), "is not an HTTP URL", remedy)
 		return
 	}
 	if _, err := netip.ParseAddr(u.Hostname()); err != nil {
-		c.add(path, quote(value), "has a host that is not an IP address", remedy)
+		c.addProblem(path, quote(value), "has a host that is not an IP address", remedy)
 	}
 	if u.Scheme == "https" && path == platformURL {
-		c.add(path, quote(value), "asks for TLS, which the platform's client does not speak", remedy)
+		c.addProblem(path, quote(value), "asks for TLS, which the platform's client does not speak", remedy)
 	}
 }
 
@@ -196,83 +196,83 @@
 const platformURL = "platform.url"
 
 // checkMembership checks the times and sizes of the view, the epochs and their records.
-func (c *checker) membership(m *Membership) {
-	c.atLeast("membership.heartbeat_interval", m.HeartbeatInterval, minInterval)
-	c.atLeast("membership.probe_timeout", m.ProbeTimeout, minInterval)
-	inRange(c, "membership.probe_attempts", m.ProbeAttempts, 1, 20)
+func (c *checker) checkMembership(m *Membership) {
+	c.checkAtLeast("membership.heartbeat_interval", m.HeartbeatInterval, minInterval)
+	c.checkAtLeast("membership.probe_timeout", m.ProbeTimeout, minInterval)
+	checkRange(c, "membership.probe_attempts", m.ProbeAttempts, 1, 20)
 	if bound := leaseHeartbeats * m.HeartbeatInterval; m.ViewLease <= bound {
-		c.add("membership.view_lease", quote(m.ViewLease),
+		c.addProblem("membership.view_lease", quote(m.ViewLease),
 			fmt.Sprintf("does not outlast %d heartbeat intervals", leaseHeartbeats),
 			fmt.Sprintf("set it to more than %q, or shorten membership.heartbeat_interval", bound))
 	}
-	c.atLeast("membership.epoch_length", m.EpochLength, minEpochLength)
-	inRange(c, "membership.retained_epochs", m.RetainedEpochs, minRetainedEpochs, 1000)
-	inRange(c, "membership.record_limit", m.RecordLimit, 1000, 10_000_000)
+	c.checkAtLeast("membership.epoch_length", m.EpochLength, minEpochLength)
+	checkRange(c, "membership.retained_epochs", m.RetainedEpochs, minRetainedEpochs, 1000)
+	checkRange(c, "membership.record_limit", m.RecordLimit, 1000, 10_000_000)
 }
 
 // checkReclaim checks that a lost VM's lease has lapsed before its units are used again.
-func (c *checker) reclaim(s *Settings) {
+func (c *checker) checkReclaim(s *Settings) {
 	if s.Leases.ReclaimAfter < s.Membership.ViewLease {
-		c.add("leases.reclaim_after", quote(s.Leases.ReclaimAfter),
+		c.addProblem("leases.reclaim_after", quote(s.Leases.ReclaimAfter),
 			"is less than membership.view_lease, so that two VMs could use the same unit",
 			fmt.Sprintf("set it to at least %q", s.Membership.ViewLease))
 	}
 }
 
 // checkLimits checks the bounds of requests, answers and submissions.
-func (c *checker) limits(l *Limits) {
-	inRange(c, "limits.max_body_bytes", l.MaxBodyBytes, minHeaderBytes, api.MaxBodyBytes)
-	inRange(c, "limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, 1<<20)
-	inRange(c, "limits.max_in_flight", l.MaxInFlight, 1, 1_000_000)
-	c.atLeast("limits.read_timeout", l.ReadTimeout, minInterval)
-	inRange(c, "limits.answer_bytes", l.AnswerBytes, 0, 1<<30)
-	inRange(c, "limits.submissions", l.Submissions, 1, 1_000_000)
+func (c *checker) checkLimits(l *Limits) {
+	checkRange(c, "limits.max_body_bytes", l.MaxBodyBytes, minHeaderBytes, api.MaxBodyBytes)
+	checkRange(c, "limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, 1<<20)
+	checkRange(c, "limits.max_in_flight", l.MaxInFlight, 1, 1_000_000)
+	c.checkAtLeast("limits.read_timeout", l.ReadTimeout, minInterval)
+	checkRange(c, "limits.answer_bytes", l.AnswerBytes, 0, 1<<30)
+	checkRange(c, "limits.submissions", l.Submissions, 1, 1_000_000)
 }
 
 // checkMemory checks that the answers and records that the daemon may hold fit below the memory
 // limit. Otherwise the garbage collector would run all the time.
-func (c *checker) memory(s *Settings) {
+func (c *checker) checkMemory(s *Settings) {
 	records := int64(s.Membership.RecordLimit)
-	least := baseBytes + s.Limits.AnswerBytes + (records+records/4)*recordBytes
+	least := baseMemoryBytes + s.Limits.AnswerBytes + (records+records/4)*recordMemoryBytes
 	if s.Limits.MemoryBytes != 0 && s.Limits.MemoryBytes < least {
-		c.add("limits.memory_bytes", fmt.Sprint(s.Limits.MemoryBytes),
+		c.addProblem("limits.memory_bytes", fmt.Sprint(s.Limits.MemoryBytes),
 			"is less than the daemon, limits.answer_bytes and membership.record_limit may take",
 			fmt.Sprintf("give at least %d, or 0 for no limit, or lower the other two", least))
 	}
 }
 
 // checkTrace checks the export of spans.
-func (c *checker) trace(t *Trace) {
-	oneOf(c, "trace.exporter", t.Exporter, ExporterNone, ExporterStdout, ExporterOTLP)
+func (c *checker) checkTrace(t *Trace) {
+	checkOneOf(c, "trace.exporter", t.Exporter, ExporterNone, ExporterStdout, ExporterOTLP)
 	if t.Exporter == ExporterOTLP {
-		c.url("trace.endpoint", t.Endpoint)
+		c.checkURL("trace.endpoint", t.Endpoint)
 	}
 	// The condition is negated so that NaN fails as well.
 	if !(t.Ratio >= 0 && t.Ratio <= 1) {
-		c.add("trace.ratio", fmt.Sprint(t.Ratio), "is not a share", "give a number from 0 to 1")
+		c.addProblem("trace.ratio", fmt.Sprint(t.Ratio), "is not a share", "give a number from 0 to 1")
 	}
 }
 
 // checkAtLeast adds a problem if a duration is below its least value.
-func (c *checker) atLeast(path string, value, least time.Duration) {
+func (c *checker) checkAtLeast(path string, value, least time.Duration) {
 	if value < least {
-		c.add(path, quote(value), fmt.Sprintf("is less than %q", least), fmt.Sprintf("give at least %q", least))
+		c.addProblem(path, quote(value), fmt.Sprintf("is less than %q", least), fmt.Sprintf("give at least %q", least))
 	}
 }
 
-func (c *checker) add(path, value, fault, remedy string) {
+func (c *checker) addProblem(path, value, fault, remedy string) {
 	c.problems = append(c.problems, Problem{Path: path, Value: value, Fault: fault, Remedy: remedy})
 }
 
 // checkRange adds a problem if a value is not from least to most.
-func inRange[T cmp.Ordered](c *checker, path string, value, least, most T) {
+func checkRange[T cmp.Ordered](c *checker, path string, value, least, most T) {
 	if value < least || value > most {
-		c.add(path, fmt.Sprint(value), "is out of range", fmt.Sprintf("give a number from %v to %v", least, most))
+		c.addProblem(path, fmt.Sprint(value), "is out of range", fmt.Sprintf("give a number from %v to %v", least, most))
 	}
 }
 
 // checkOneOf adds a problem if a value is not among the allowed ones.
-func oneOf[T ~string](c *checker, path string, value T, allowed ...T) {
+func checkOneOf[T ~string](c *checker, path string, value T, allowed ...T) {
 	if slices.Contains(allowed, value) {
 		return
 	}
@@ -280,7 +280,7 @@
 	for i, a := range allowed {
 		names[i] = quote(a)
 	}
-	c.add(path, quote(value), "is not a known value", "use one of "+strings.Join(names, ", "))
+	c.addProblem(path, quote(value), "is not a known value", "use one of "+strings.Join(names, ", "))
 }
 
 // quote writes a value as a string of the file.
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -40,7 +40,7 @@
 func merge(decoded, checked []Problem, lines map[string]int) []Problem {
 	all := slices.Clone(decoded)
 	for _, p := range checked {
-		if jsonc.Covered(decoded, p.Path) {
+		if jsonc.IsCovered(decoded, p.Path) {
 			continue
 		}
 		p.Line = lines[p.Path]
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -260,12 +260,12 @@
 func Parse(text []byte) (*Settings, []Problem) {
 	s := Default()
 	decoded := jsonc.Decode(text, s)
-	s.completeAdvertise()
+	s.defaultAdvertise()
 	return s, merge(decoded.Problems, s.Check(), decoded.Lines)
 }
 
 // defaultAdvertise sets each missing advertised address to the address to listen on.
-func (s *Settings) completeAdvertise() {
+func (s *Settings) defaultAdvertise() {
 	for _, pair := range []struct{ advertise, listen *netip.AddrPort }{
 		{&s.Advertise.Callers, &s.Listen.Callers},
 		{&s.Advertise.Peers, &s.Listen.Peers},
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -109,7 +109,7 @@
 }
 
 // Without a memory limit, any size of answers and records is accepted.
-func TestMemoryLimitCanBeOff(t *testing.T) {
+func TestNoMemoryLimitAcceptsAnySize(t *testing.T) {
 	text := strings.Replace(valid, `"vm_id"`, `"limits": {"memory_bytes": 0, "answer_bytes": 1073741824}, "vm_id"`, 1)
 	_, problems := settings.Parse([]byte(text))
 	must.SliceEmpty(t, problems)
@@ -132,7 +132,7 @@
 	must.StrContains(t, err.Error(), path+": 4 problems\n  line 3: vm_id")
 }
 
-func TestLoadNeedsAFile(t *testing.T) {
+func TestLoadOfMissingFileIsAnError(t *testing.T) {
 	_, err := settings.Load(filepath.Join(t.TempDir(), "none.jsonc"))
 	must.ErrorIs(t, err, os.ErrNotExist)
 	must.StrContains(t, err.Error(), "give the path")
