--- a/lab/compare/compare.go
+++ b/lab/compare/compare.go
@@ -21,13 +21,13 @@
 
 // Defaults of a comparison.
 const (
-	domain          = "hall-a"
-	vmsOfDomain     = 3
-	targetsOfDomain = 16
-	slotsOfTarget   = 8
-	defaultLength   = 8 * time.Second
+	domain         = "hall-a"
+	defaultVMs     = 3
+	defaultTargets = 16
+	defaultSlots   = 8
+	defaultLength  = 8 * time.Second
 	// faultStartDivisor divides the length of a cell into the time at which its fault begins.
-	faultPart = 4
+	faultStartDivisor = 4
 )
 
 // The names of the spreads of load over entry VMs.
@@ -57,14 +57,14 @@
 			&cli.StringFlag{Name: "retry", Value: string(load.RetryNever), Usage: "how callers retry after a refusal: never, honour or impatient"},
 			&cli.DurationFlag{Name: "deadline", Value: experiment.DefaultDeadline, Usage: "deadline of every submission"},
 			&cli.DurationFlag{Name: "length", Value: defaultLength, Usage: "time during which jobs arrive in each cell"},
-			&cli.IntFlag{Name: "vms", Value: vmsOfDomain, Usage: "number of entry VMs"},
-			&cli.IntFlag{Name: "targets", Value: targetsOfDomain, Usage: "number of targets"},
-			&cli.IntFlag{Name: "slots", Value: slotsOfTarget, Usage: "number of slots of each target"},
+			&cli.IntFlag{Name: "vms", Value: defaultVMs, Usage: "number of entry VMs"},
+			&cli.IntFlag{Name: "targets", Value: defaultTargets, Usage: "number of targets"},
+			&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "number of slots of each target"},
 			&cli.FloatFlag{Name: "duplicates", Usage: "share of jobs that are sent to two VMs at once, from 0 to 1"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the traces"},
 			&cli.StringFlag{Name: "format", Value: formatText, Usage: "format of the table: text, markdown or json"},
 		},
-		Action: run,
+		Action: runCells,
 	}
 }
 
@@ -78,12 +78,12 @@
 
 // runCells runs the cells that the flags select and writes the table, also of the cells before
 // a cancellation.
-func run(ctx context.Context, c *cli.Command) error {
+func runCells(ctx context.Context, c *cli.Command) error {
 	base, err := baseOptions(c)
 	if err != nil {
 		return err
 	}
-	cells, err := cellsOf(c)
+	cells, err := cellsFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		Duplicates: c.Float("duplicates"),
 		Retry:      retry,
 		Deadline:   c.Duration("deadline"),
-		FaultAfter: c.Duration("length") / faultPart,
+		FaultAfter: c.Duration("length") / faultStartDivisor,
 	}, nil
 }
 
@@ -150,7 +150,7 @@
 
 // cellsFromFlags returns a cell for each combination of choices. Policies vary fastest, so that
 // the cells of one trace run one after the other.
-func cellsOf(c *cli.Command) ([]Cell, error) {
+func cellsFromFlags(c *cli.Command) ([]Cell, error) {
 	var cells []Cell
 	for _, fault := range c.StringSlice("fault") {
 		for _, spread := range c.StringSlice("spread") {
--- a/lab/compare/compare_test.go
+++ b/lab/compare/compare_test.go
@@ -16,14 +16,14 @@
 func cellsFor(t *testing.T, args ...string) (cells []Cell, err error) {
 	command := Command()
 	command.Action = func(_ context.Context, c *cli.Command) error {
-		cells, err = cellsOf(c)
+		cells, err = cellsFromFlags(c)
 		return nil
 	}
 	must.NoError(t, command.Run(t.Context(), append([]string{"compare"}, args...)))
 	return cells, err
 }
 
-func TestCells(t *testing.T) {
+func TestCellsCombineAllChoices(t *testing.T) {
 	cells, err := cellsFor(t, "--policy", "shared,random", "--load", "0.5,1.2", "--spread", "even,uneven", "--fault", "none,kill")
 	must.NoError(t, err)
 	must.Len(t, 16, cells)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestTableHasEachRowInEachFormat(t *testing.T) {
 	cell := Cell{Policy: "shared", Load: 0.8, Spread: "even", Fault: experiment.FaultNone}
 	rep := &report.Report{Jobs: 10, Answered: 6, NotRun: 3, Started: 4, RefusedStarts: map[string]uint64{"full": 1, "leaving": 1}}
 	rep.Total.Ratio.P99 = 1.5
--- a/lab/ideal/ideal_test.go
+++ b/lab/ideal/ideal_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestResponseTimes(t *testing.T) {
+func TestResponseTimesOfSharedFIFOQueue(t *testing.T) {
 	tests := []struct {
 		name  string
 		slots int
--- a/lab/losses/command.go
+++ b/lab/losses/command.go
@@ -38,22 +38,22 @@
 			if err != nil {
 				return err
 			}
-			if err := table(os.Stdout, "queue", found, ByQueue); err != nil {
+			if err := writeTable(os.Stdout, "queue", found, ByQueue); err != nil {
 				return err
 			}
 			fmt.Println()
-			return table(os.Stdout, "ended", found, ByWindow(cmd.Duration("window")))
+			return writeTable(os.Stdout, "ended", found, ByWindow(cmd.Duration("window")))
 		},
 	}
 }
 
 // writeTable writes a row for each cause that occurs, and a column for each group, headed by
 // head and the group's name.
-func table(to io.Writer, head string, found []Loss, groupOf func(Loss) string) error {
+func writeTable(to io.Writer, head string, found []Loss, groupOf func(Loss) string) error {
 	counts := Count(found, groupOf)
 	groups, causes := map[string]int{}, map[Cause]int{}
 	for cell, n := range counts {
-		groups[cell.Of] += n
+		groups[cell.Group] += n
 		causes[cell.Cause] += n
 	}
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/lab/losses/losses.go
+++ b/lab/losses/losses.go
@@ -26,7 +26,7 @@
 	// GivenUp jobs were refused later, before any of their runs started.
 	GivenUp Cause = "given up before it began"
 	// CallerLeft jobs ended because the caller left or its deadline passed.
-	Left Cause = "its caller left, or its deadline passed"
+	CallerLeft Cause = "its caller left, or its deadline passed"
 	// OwnerLost jobs ended with the loss or pause of their owner, of an owner that ran a part,
 	// or of their entry VM.
 	OwnerLost Cause = "its owner was lost"
@@ -35,26 +35,26 @@
 	// StartUnanswered, RunStopped, RunLost and RunFailed jobs completed late after one of their
 	// tasks had to be restarted: its start had no answer, its run was stopped (as when a slow
 	// run moves to another target), its run was lost with its target, or its run failed.
-	Unanswered Cause = "late: a start had no answer"
-	Moved      Cause = "late: a run was moved from a bad target"
-	Lost       Cause = "late: a run was lost"
-	Again      Cause = "late: a run failed"
+	StartUnanswered Cause = "late: a start had no answer"
+	RunStopped      Cause = "late: a run was moved from a bad target"
+	RunLost         Cause = "late: a run was lost"
+	RunFailed       Cause = "late: a run failed"
 	// LateStart jobs completed late after they waited longer than longWait for their first
 	// start.
-	Waited Cause = "late: waited for places"
+	LateStart Cause = "late: waited for places"
 	// SlowRun jobs completed late although they started soon: a run took longer than expected.
-	Ran Cause = "late: a run took long"
+	SlowRun Cause = "late: a run took long"
 	// Other jobs ended with another result.
 	Other Cause = "other"
 )
 
 // Causes lists all causes in the order of the tables.
 func Causes() []Cause {
-	return []Cause{Refused, GivenUp, Left, OwnerLost, Failed, Unanswered, Moved, Lost, Again, Waited, Ran, Other}
+	return []Cause{Refused, GivenUp, CallerLeft, OwnerLost, Failed, StartUnanswered, RunStopped, RunLost, RunFailed, LateStart, SlowRun, Other}
 }
 
 // longWait is a third of the slack of the shortest kind of job.
-const waitedTime = 20 * time.Millisecond
+const longWait = 20 * time.Millisecond
 
 // Loss is a job that was not answered in time.
 type Loss struct {
@@ -68,7 +68,7 @@
 }
 
 // logLine is a line of a daemon's log.
-type line struct {
+type logLine struct {
 	Time      time.Time     `json:"time"`
 	Message   string        `json:"msg"`
 	Job       string        `json:"job"`
@@ -77,11 +77,11 @@
 	Reason    string        `json:"reason"`
 	Took      time.Duration `json:"took"`
 	Objective time.Duration `json:"objective"`
-	Trail     []string      `json:"trail"`
+	History   []string      `json:"trail"`
 }
 
 // jobEndedMessage is the message of the lines from which losses are found.
-const jobEnded = "job ended"
+const jobEndedMessage = "job ended"
 
 // ErrNoLines reports logs without any ended job.
 var ErrNoLines = errors.New(`no log line with the message "job ended": expected the daemons' logs, one JSON object per line, which other text may precede`)
@@ -91,26 +91,26 @@
 // precedence over other results, these over a refusal, and the longest time decides among equals.
 func Read(logs io.Reader) ([]Loss, error) {
 	var first time.Time
-	last := map[string]line{}
+	last := map[string]logLine{}
 	var order []string
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		l, ok := parse(scanner.Bytes())
+		l, ok := parseLine(scanner.Bytes())
 		if !ok {
 			continue
 		}
 		if first.IsZero() || l.Time.Before(first) {
 			first = l.Time
 		}
-		if l.Message != jobEnded {
+		if l.Message != jobEndedMessage {
 			continue
 		}
 		before, known := last[l.Job]
 		if !known {
 			order = append(order, l.Job)
 		}
-		if !known || rank(l) > rank(before) || rank(l) == rank(before) && l.Took >= before.Took {
+		if !known || resultRank(l) > resultRank(before) || resultRank(l) == resultRank(before) && l.Took >= before.Took {
 			last[l.Job] = l
 		}
 	}
@@ -132,20 +132,20 @@
 }
 
 // maxLineBytes is more than the length of any log line.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // parseLine decodes the JSON object of a line, and reports whether it is a log line of a daemon.
-func parse(text []byte) (line, bool) {
-	var l line
+func parseLine(text []byte) (logLine, bool) {
+	var l logLine
 	at := bytes.IndexByte(text, '{')
 	if at < 0 || json.Unmarshal(text[at:], &l) != nil || l.Message == "" {
-		return line{}, false
+		return logLine{}, false
 	}
 	return l, true
 }
 
 // resultRank orders the results that several owners logged for one job; the highest counts.
-func rank(l line) int {
+func resultRank(l logLine) int {
 	switch l.Result {
 	case "completed":
 		return 2
@@ -157,8 +157,8 @@
 
 // causeOf returns the cause of a loss: by result and reason if the job did not complete,
 // otherwise by the events of its history.
-func causeOf(l line) Cause {
-	history := strings.Join(l.Trail, "\n")
+func causeOf(l logLine) Cause {
+	history := strings.Join(l.History, "\n")
 	has := func(words ...string) bool {
 		for _, word := range words {
 			if strings.Contains(history, word) {
@@ -173,7 +173,7 @@
 	case l.Result == "refused":
 		return GivenUp
 	case strings.Contains(l.Reason, "caller"):
-		return Left
+		return CallerLeft
 	case strings.Contains(l.Reason, "lost") || strings.Contains(l.Reason, "stood still") || strings.Contains(l.Reason, "silent"):
 		return OwnerLost
 	case l.Result == "failed":
@@ -181,22 +181,22 @@
 	case l.Result != "completed":
 		return Other
 	case has(" start unanswered "):
-		return Unanswered
+		return StartUnanswered
 	case has(" stopped "):
-		return Moved
+		return RunStopped
 	case has(" lost "):
-		return Lost
+		return RunLost
 	case has(" failed "):
-		return Again
-	case firstPlace(l.Trail) > waitedTime:
-		return Waited
+		return RunFailed
+	case timeToFirstStart(l.History) > longWait:
+		return LateStart
 	}
-	return Ran
+	return SlowRun
 }
 
 // timeToFirstStart is the time from a job's submission to the first start or delegation in its
 // history; 0 if it has none.
-func firstPlace(history []string) time.Duration {
+func timeToFirstStart(history []string) time.Duration {
 	for _, entry := range history {
 		at, rest, _ := strings.Cut(entry, " ")
 		if strings.HasPrefix(rest, "started ") || strings.HasPrefix(rest, "lent ") {
@@ -214,7 +214,7 @@
 type Cell struct {
 	Cause Cause
 	// Group is a queue, or a window of time.
-	Of string
+	Group string
 }
 
 // Count counts losses by cause and by the group that groupOf returns.
--- a/lab/losses/losses_test.go
+++ b/lab/losses/losses_test.go
@@ -26,7 +26,7 @@
 {"time":"2026-01-01T00:00:04Z","msg":"job ended","job":"bad","queue":"q","result":"failed","reason":"a task failed as often as its queue allows","took":900,"objective":200,"trail":["0ms taken"]}
 `
 
-func TestEachJobCountsOnceByItsCause(t *testing.T) {
+func TestEachJobCountsOnceUnderItsCause(t *testing.T) {
 	found, err := Read(strings.NewReader(logs))
 	must.NoError(t, err)
 	causes := map[string]Cause{}
@@ -34,18 +34,18 @@
 		causes[l.Job] = l.Cause
 	}
 	must.Eq(t, map[string]Cause{
-		"slow": Ran, "crowd": Waited, "moved": Moved, "doubt": Unanswered, "full": Refused, "vain": GivenUp,
-		"left": Left, "owner": OwnerLost, "bad": Failed,
+		"slow": SlowRun, "crowd": LateStart, "moved": RunStopped, "doubt": StartUnanswered, "full": Refused, "vain": GivenUp,
+		"left": CallerLeft, "owner": OwnerLost, "bad": Failed,
 	}, causes)
-	must.Eq(t, 2, Count(found, ByQueue)[Cell{Ran, "q"}]+Count(found, ByQueue)[Cell{Moved, "p"}])
-	must.Eq(t, 4, Count(found, ByWindow(2*time.Second))[Cell{Ran, "   2s"}]+3)
+	must.Eq(t, 2, Count(found, ByQueue)[Cell{SlowRun, "q"}]+Count(found, ByQueue)[Cell{RunStopped, "p"}])
+	must.Eq(t, 4, Count(found, ByWindow(2*time.Second))[Cell{SlowRun, "   2s"}]+3)
 	var out bytes.Buffer
-	must.NoError(t, table(&out, "queue", found, ByQueue))
+	must.NoError(t, writeTable(&out, "queue", found, ByQueue))
 	must.StrContains(t, out.String(), string(GivenUp))
-	must.StrNotContains(t, out.String(), string(Lost))
+	must.StrNotContains(t, out.String(), string(RunLost))
 }
 
-func TestLogsWithoutJobsAreAnError(t *testing.T) {
+func TestLogsWithoutEndedJobsAreAnError(t *testing.T) {
 	_, err := Read(strings.NewReader("nothing\n{}\n"))
 	must.ErrorIs(t, err, ErrNoLines)
 }
--- a/lab/prepared/adviser.go
+++ b/lab/prepared/adviser.go
@@ -16,14 +16,14 @@
 const (
 	// adviceTime is the time of an answer, adviceTimePerTarget the additional time for each
 	// target in the request.
-	adviceTime = 5 * time.Millisecond
-	adviceEach = 500 * time.Microsecond
+	adviceTime          = 5 * time.Millisecond
+	adviceTimePerTarget = 500 * time.Microsecond
 	// ticketLifetime is how long a ticket is valid.
-	ticketTime = 2 * time.Second
+	ticketLifetime = 2 * time.Second
 )
 
 // maxWaitingCalls is how many calls of a VM may wait for their turn.
-const maxAdvice = 32
+const maxWaitingCalls = 32
 
 // Adviser simulates the service that decides which targets may run a step of a queue with advice,
 // and gives tickets for them. It allows two of three targets for each step, and answers one call
@@ -43,7 +43,7 @@
 
 // mayRun reports whether a target may run a step. It depends on the two names alone, so that it
 // never changes.
-func may(step, target string) bool {
+func mayRun(step, target string) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(step + target))
 	return hash.Sum32()%3 > 0
@@ -57,23 +57,23 @@
 		return
 	}
 	vm, _, _ := strings.Cut(r.RemoteAddr, ":")
-	turn, ok := a.enter(vm)
+	turn, ok := a.enterQueue(vm)
 	if !ok {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
 	turn.Lock()
-	time.Sleep(adviceTime + time.Duration(len(in.Workers))*adviceEach)
+	time.Sleep(adviceTime + time.Duration(len(in.Workers))*adviceTimePerTarget)
 	turn.Unlock()
 	_ = json.NewEncoder(w).Encode(a.answer(vm, in))
 }
 
 // enterQueue counts a VM's waiting call and returns the mutex of its turns; false if too many calls
 // of the VM wait.
-func (a *Adviser) enter(vm string) (*sync.Mutex, bool) {
+func (a *Adviser) enterQueue(vm string) (*sync.Mutex, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.waiting[vm] > maxAdvice {
+	if a.waiting[vm] > maxWaitingCalls {
 		return nil, false
 	}
 	a.waiting[vm]++
@@ -88,10 +88,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.waiting[vm]--
-	advice := wire.Advice{Good: [][2]string{}, ValidMS: float64(ticketTime.Milliseconds())}
-	until := time.Now().Add(ticketTime)
+	advice := wire.Advice{Good: [][2]string{}, ValidMS: float64(ticketLifetime.Milliseconds())}
+	until := time.Now().Add(ticketLifetime)
 	for _, target := range in.Workers {
-		if may(in.Step, target) {
+		if mayRun(in.Step, target) {
 			ticket := fmt.Sprintf("%s@%s@%d", in.Step, target, until.UnixNano())
 			a.tickets[ticket] = until
 			advice.Good = append(advice.Good, [2]string{target, ticket})
@@ -101,7 +101,7 @@
 }
 
 // isValidTicket reports whether a ticket allows a target to start a task now.
-func (a *Adviser) admits(ticket, task, target string) bool {
+func (a *Adviser) isValidTicket(ticket, task, target string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	step := task[:strings.LastIndex(task, ".")]
--- a/lab/prepared/callers.go
+++ b/lab/prepared/callers.go
@@ -15,7 +15,7 @@
 )
 
 // retryDelay is how long callers wait before they send a job again.
-const resendAfter = 1300 * time.Millisecond
+const retryDelay = 1300 * time.Millisecond
 
 // maxSends is how often a caller sends one job.
 const maxSends = 4
@@ -29,7 +29,7 @@
 	// Resent counts the sends after each job's first.
 	Resent int
 	// FalseRefusals lists jobs that were refused at their first send although a task had started.
-	Untrue []string
+	FalseRefusals []string
 	// Slowest is the longest time to an answer to a first send.
 	Slowest time.Duration
 }
@@ -57,37 +57,37 @@
 			callers.Wait()
 			return tally
 		case <-ticker.C:
-			callers.Go(func() { d.call(client, tally) })
+			callers.Go(func() { d.submitJob(client, tally) })
 		}
 	}
 }
 
 // submitJob submits one job, and sends it again after retryDelay while it has no answer.
-func (d *Deployment) call(client *http.Client, tally *Tally) {
-	id := fmt.Sprintf("%s%015x", otherDigit, rand.Uint64()>>4)
+func (d *Deployment) submitJob(client *http.Client, tally *Tally) {
+	id := fmt.Sprintf("%s%015x", bestEffortPrefix, rand.Uint64()>>4)
 	domain := domainName(rand.IntN(d.options.Domains))
-	body := jobBody(true, 150, 4)
+	body := drawJobBody(true, 150, 4)
 	began := time.Now()
 	for send := range maxSends {
 		if send > 0 {
-			time.Sleep(resendAfter)
-			tally.add(func() { tally.Resent++ })
+			time.Sleep(retryDelay)
+			tally.update(func() { tally.Resent++ })
 		}
-		vm := d.pick(domain)
+		vm := d.pickVM(domain)
 		status, state := post(client, vm, Path+id, body)
-		if d.judge(tally, id, status, state, send) {
+		if d.countAnswer(tally, id, status, state, send) {
 			if took := time.Since(began); send == 0 {
-				tally.add(func() { tally.Slowest = max(tally.Slowest, took) })
+				tally.update(func() { tally.Slowest = max(tally.Slowest, took) })
 			}
 			return
 		}
 	}
-	tally.add(func() { tally.Lost++ })
+	tally.update(func() { tally.Lost++ })
 }
 
 // drawJobBody draws a job of up to maxTasks tasks whose run time is between 20 ms and 20 ms plus
 // runRange.
-func jobBody(bestEffort bool, runRange, maxTasks int) []byte {
+func drawJobBody(bestEffort bool, runRange, maxTasks int) []byte {
 	run := 20 + rand.IntN(runRange)
 	body, err := json.Marshal(wire.Job{
 		Spec: fmt.Sprint(run), BestEffort: bestEffort,
@@ -100,7 +100,7 @@
 }
 
 // update changes the counts under the mutex.
-func (t *Tally) add(change func()) {
+func (t *Tally) update(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
@@ -109,18 +109,18 @@
 // countAnswer counts a final answer and reports whether it was one. A refusal of the first send
 // promises that nothing has started. A refusal of a later send does not, since an earlier send
 // without an answer may have started the job.
-func (d *Deployment) judge(tally *Tally, id string, status int, state string, send int) bool {
+func (d *Deployment) countAnswer(tally *Tally, id string, status int, state string, send int) bool {
 	switch {
 	case status == http.StatusOK && state == "completed":
-		tally.add(func() { tally.Completed++ })
+		tally.update(func() { tally.Completed++ })
 	case status == http.StatusOK:
-		tally.add(func() { tally.Failed++ })
+		tally.update(func() { tally.Failed++ })
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		started := d.Recorder.Started(id)
-		tally.add(func() {
+		started := d.Recorder.HasStarted(id)
+		tally.update(func() {
 			tally.Refused++
 			if started && send == 0 {
-				tally.Untrue = append(tally.Untrue, id)
+				tally.FalseRefusals = append(tally.FalseRefusals, id)
 			}
 		})
 	default:
@@ -130,7 +130,7 @@
 }
 
 // pickVM draws a VM of a failure domain that is in rotation, or any VM of it if none is.
-func (d *Deployment) pick(domain string) *VM {
+func (d *Deployment) pickVM(domain string) *VM {
 	var all, ready []*VM
 	for _, vm := range d.VMs {
 		if vm.Domain != domain {
@@ -172,7 +172,7 @@
 }
 
 // SubmitOversized submits a job with a task that needs more than the capacity of any target.
-func (d *Deployment) Oversized() {
+func (d *Deployment) SubmitOversized() {
 	body, err := json.Marshal(wire.Job{BestEffort: true, Steps: []wire.Step{{Count: 1, CPU: 2 * targetCPU, EstimateMS: 50}}})
 	if err != nil {
 		panic("encode job: " + err.Error())
--- a/lab/prepared/command.go
+++ b/lab/prepared/command.go
@@ -17,13 +17,13 @@
 	// demoVMs and demoTargets are numbers in each failure domain.
 	demoDomains, demoVMs, demoTargets = 3, 3, 4
 	// demoJobsPerSecond is the rate of jobs.
-	demoLoad = 60
+	demoJobsPerSecond = 60
 	// demoStartTimeout is how long the VMs have to become ready.
-	demoStart = 5 * time.Second
+	demoStartTimeout = 5 * time.Second
 	// demoStepTime is the time between two faults.
-	demoStep = 3 * time.Second
+	demoStepTime = 3 * time.Second
 	// demoMaxLost is how many jobs may stay without an answer.
-	demoLost = 20
+	demoMaxLost = 20
 )
 
 // Command is the command that runs the demo: load under a fixed sequence of faults.
@@ -54,46 +54,46 @@
 		return err
 	}
 	defer d.Stop()
-	if !d.WaitReady(demoStart) {
+	if !d.WaitReady(demoStartTimeout) {
 		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	fmt.Printf("%d VMs in %d failure domains with %d targets are ready\n", len(d.VMs), demoDomains, len(d.Targets))
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	tally := make(chan *Tally, 1)
-	go func() { tally <- d.Load(load, demoLoad) }()
-	d.trouble(ctx)
+	go func() { tally <- d.Load(load, demoJobsPerSecond) }()
+	d.injectFaults(ctx)
 	stop()
 	return d.report(<-tally)
 }
 
 // injectFaults plays a planned stop of an owner, a killed owner, a cordon and an outage of the
 // store, one after the other.
-func (d *Deployment) trouble(ctx context.Context) {
-	pause(ctx, demoStep)
+func (d *Deployment) injectFaults(ctx context.Context) {
+	pause(ctx, demoStepTime)
 	if owner := d.Owner(0); owner != nil {
 		fmt.Println("planned stop of the owner", owner.Name)
 		owner.Signal(syscall.SIGTERM)
 		_ = owner.Wait(ctx)
 		_ = owner.Start()
 	}
-	pause(ctx, demoStep)
+	pause(ctx, demoStepTime)
 	if owner := d.Owner(1); owner != nil {
 		fmt.Println("kill of the owner", owner.Name)
 		owner.Kill()
 		_ = owner.Start()
 	}
-	pause(ctx, demoStep)
+	pause(ctx, demoStepTime)
 	fmt.Println("cordon of", domainName(2))
-	d.Cordon(domainName(2), true)
-	pause(ctx, demoStep)
-	d.Cordon(domainName(2), false)
-	pause(ctx, demoStep)
+	d.SetCordon(domainName(2), true)
+	pause(ctx, demoStepTime)
+	d.SetCordon(domainName(2), false)
+	pause(ctx, demoStepTime)
 	fmt.Println("outage of the store")
-	d.Store.Away("", true)
-	pause(ctx, demoStep)
-	d.Store.Away("", false)
-	pause(ctx, demoStep)
+	d.Store.SetUnavailable("", true)
+	pause(ctx, demoStepTime)
+	d.Store.SetUnavailable("", false)
+	pause(ctx, demoStepTime)
 }
 
 // pause waits for a time or the end of the context.
@@ -111,9 +111,9 @@
 	switch {
 	case len(doubled) > 0:
 		return fmt.Errorf("tasks ran twice at the same time: %v", doubled)
-	case len(tally.Untrue) > 0:
-		return fmt.Errorf("jobs were refused although they had started: %v", tally.Untrue)
-	case tally.Lost > demoLost:
+	case len(tally.FalseRefusals) > 0:
+		return fmt.Errorf("jobs were refused although they had started: %v", tally.FalseRefusals)
+	case tally.Lost > demoMaxLost:
 		return fmt.Errorf("%d jobs had no answer", tally.Lost)
 	}
 	fmt.Println("no task ran twice at the same time, no refused job had started")
--- a/lab/prepared/cordon.go
+++ b/lab/prepared/cordon.go
@@ -24,7 +24,7 @@
 }
 
 // SetCordon writes or removes the cordon of a failure domain.
-func (d *Deployment) Cordon(domain string, cordoned bool) {
+func (d *Deployment) SetCordon(domain string, cordoned bool) {
 	key := wire.CordonPrefix + domain
 	d.cordons.mu.Lock()
 	defer d.cordons.mu.Unlock()
@@ -40,14 +40,14 @@
 // checkStart records a violation if a task starts in a failure domain that has been cordoned longer
 // than cordonBound. The bound counts from the end of the store's last outage if that is later,
 // since processes learn of no cordon during one.
-func (d *Deployment) started(domain, task string) {
+func (d *Deployment) checkStart(domain, task string) {
 	d.cordons.mu.Lock()
 	since, cordoned := d.cordons.since[domain]
 	d.cordons.mu.Unlock()
-	if away := d.Store.lastAway(); away.After(since) {
+	if away := d.Store.lastUnavailable(); away.After(since) {
 		since = away
 	}
 	if cordoned && time.Since(since) > cordonBound {
-		d.Recorder.wrong(fmt.Sprintf("%s was started %v after %s was cordoned", task, time.Since(since), domain))
+		d.Recorder.addViolation(fmt.Sprintf("%s was started %v after %s was cordoned", task, time.Since(since), domain))
 	}
 }
--- a/lab/prepared/deployment.go
+++ b/lab/prepared/deployment.go
@@ -31,7 +31,7 @@
 }
 
 // defaultCPUShare is that of the smallest VM of the sites kasa and thapa.
-const usualCPUShare = 0.4
+const defaultCPUShare = 0.4
 
 // Ports of the VMs. Each VM has a loopback address of its own.
 const (
@@ -62,29 +62,29 @@
 	Recorder *Recorder
 	Adviser  *Adviser
 	// adviserAddress is where the adviser listens.
-	adviser string
-	Targets []*Target
-	VMs     []*VM
-	servers []*http.Server
-	version int64
-	cordons cordons
+	adviserAddress string
+	Targets        []*Target
+	VMs            []*VM
+	servers        []*http.Server
+	version        int64
+	cordons        cordons
 	// lastingDraws counts the draws of lasting jobs, also those above maxLasting.
-	lasting atomic.Int64
-	stopped chan struct{}
+	lastingDraws atomic.Int64
+	stopped      chan struct{}
 }
 
 // VM is an entry VM with its process.
 type VM struct {
 	Name, Domain, IP string
 	// StoreIP is the store's address for this VM alone, so that an outage can affect one VM.
-	StoreIP     string
-	dir, binary string
-	store       string
-	adviser     string
-	seeds       string
-	domains     int
-	cpuShare    float64
-	inRotation  atomic.Bool
+	StoreIP        string
+	dir, binary    string
+	storeAddress   string
+	adviserAddress string
+	seeds          string
+	domains        int
+	cpuShare       float64
+	inRotation     atomic.Bool
 
 	mu      sync.Mutex
 	process *exec.Cmd
@@ -97,7 +97,7 @@
 // Start starts the simulated platform and the processes of all VMs.
 func Start(o Options) (*Deployment, error) {
 	if o.CPUShare == 0 {
-		o.CPUShare = usualCPUShare
+		o.CPUShare = defaultCPUShare
 	}
 	d := &Deployment{options: o, Store: NewStore(), Recorder: NewRecorder(), Adviser: NewAdviser(), stopped: make(chan struct{})}
 	d.cordons.since = map[string]time.Time{}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.adviser = adviser
+	d.adviserAddress = adviser
 	for domain := range o.Domains {
 		for i := range o.Targets {
 			if err := d.addTarget(domain, i); err != nil {
@@ -120,7 +120,7 @@
 			}
 			d.VMs = append(d.VMs, &VM{
 				Name: fmt.Sprintf("vm-%d-%d", domain, i), Domain: domainName(domain),
-				IP: fmt.Sprintf("127.0.%d.%d", 10+domain, 1+i), dir: o.Dir, binary: o.Binary, store: store, StoreIP: storeIP, adviser: d.adviser,
+				IP: fmt.Sprintf("127.0.%d.%d", 10+domain, 1+i), dir: o.Dir, binary: o.Binary, storeAddress: store, StoreIP: storeIP, adviserAddress: d.adviserAddress,
 			})
 		}
 	}
@@ -144,11 +144,11 @@
 
 // rotationInterval is the time between two readiness checks of a VM. That of the platform is one
 // second.
-const rotationPause = 200 * time.Millisecond
+const rotationInterval = 200 * time.Millisecond
 
 // rotate puts a VM into rotation while it is ready, and takes it out otherwise.
 func (d *Deployment) rotate(vm *VM) {
-	ticker := time.NewTicker(rotationPause)
+	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -200,7 +200,7 @@
 			Name: "queue", Host: Host, PathPrefix: Path, Service: "service", Attempts: 3, Stretch: 3, TargetLatencyMS: 500,
 		}, {
 			Name: "advised", Host: Host, PathPrefix: AdvisedPath, Service: "service", Attempts: 3, Stretch: 3, TargetLatencyMS: 500,
-			Advice: &wire.AdvicePolicy{DecideMS: float64(adviceTime.Milliseconds()), EachMS: 0.5, ValidMS: float64(ticketTime.Milliseconds())},
+			Advice: &wire.AdvicePolicy{DecideMS: float64(adviceTime.Milliseconds()), EachMS: 0.5, ValidMS: float64(ticketLifetime.Milliseconds())},
 		}},
 	})
 	return d.version
@@ -229,14 +229,14 @@
 		Service: "service", Address: address, Zone: domainName(domain), State: wire.StateReady,
 		Capacity: wire.Capacity{Resources: wire.Resources{CPU: targetCPU, MemoryMB: 1 << 10}},
 	}
-	t.started = func(task string) { d.started(t.entry.Zone, task) }
+	t.onStart = func(task string) { d.checkStart(t.entry.Zone, task) }
 	d.Targets = append(d.Targets, t)
-	d.list(t)
+	d.register(t)
 	return nil
 }
 
 // register writes a target's row of the registry.
-func (d *Deployment) list(t *Target) { d.Store.Write(wire.TargetsTable, t.ID, t.entry) }
+func (d *Deployment) register(t *Target) { d.Store.Write(wire.TargetsTable, t.ID, t.entry) }
 
 // Stop kills all processes and closes all servers.
 func (d *Deployment) Stop() {
@@ -285,7 +285,7 @@
 		fmt.Sprintf("listen.ready=%s:%d", v.IP, readyPort),
 		fmt.Sprintf("listen.control_plane=%s:%d", v.IP, controlPort),
 		fmt.Sprintf("port_range=%d,%d", firstPort, lastPort),
-		"seeds=" + v.seeds, "platform.address=" + v.store, "advice=" + v.adviser,
+		"seeds=" + v.seeds, "platform.address=" + v.storeAddress, "advice=" + v.adviserAddress,
 		fmt.Sprintf("limits.cpu_share=%g", v.cpuShare), "limits.memory_mb=284", "bounds.grace_s=6", "unknown.key=ignored",
 	}
 	for i := range v.domains {
--- a/lab/prepared/e2e/e2e_test.go
+++ b/lab/prepared/e2e/e2e_test.go
@@ -40,7 +40,7 @@
 }
 
 // readyTimeout is ample for a start on a busy machine.
-const readyTime = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 // start starts a deployment with three targets in each failure domain.
 func start(t *testing.T, domains, vms int) *prepared.Deployment {
@@ -63,13 +63,13 @@
 			}
 		}
 	})
-	must.True(t, d.WaitReady(readyTime))
+	must.True(t, d.WaitReady(readyTimeout))
 	return d
 }
 
 // withLoad calls inject during a load of best-effort jobs and returns their outcomes. No task may
 // run twice at the same time, no refused job may have started, and each job must have an answer.
-func under(t *testing.T, d *prepared.Deployment, inject func()) *prepared.Tally {
+func withLoad(t *testing.T, d *prepared.Deployment, inject func()) *prepared.Tally {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -80,136 +80,136 @@
 	result := <-tally
 	t.Log(result)
 	must.SliceEmpty(t, d.Recorder.Doubled())
-	must.SliceEmpty(t, result.Untrue)
+	must.SliceEmpty(t, result.FalseRefusals)
 	must.Eq(t, 0, result.Lost)
 	must.Positive(t, result.Completed)
 	return result
 }
 
 // wait waits for a time while the load goes on.
-func let(d time.Duration) { <-time.After(d) }
+func wait(d time.Duration) { <-time.After(d) }
 
-func TestCalmLoadIsServedWhole(t *testing.T) {
+func TestLoadWithoutFaultsIsServedCompletely(t *testing.T) {
 	d := start(t, 2, 2)
-	result := under(t, d, func() { let(2 * time.Second) })
+	result := withLoad(t, d, func() { wait(2 * time.Second) })
 	must.Eq(t, 0, result.Refused+result.Failed+result.Resent)
 }
 
-func TestPlannedStopOfTheOwnerCutsNothing(t *testing.T) {
+func TestPlannedStopOfOwnerInterruptsNoJob(t *testing.T) {
 	d := start(t, 1, 3)
-	result := under(t, d, func() {
-		let(time.Second)
+	result := withLoad(t, d, func() {
+		wait(time.Second)
 		owner := d.Owner(0)
 		owner.Signal(syscall.SIGTERM)
 		must.NoError(t, owner.Wait(t.Context()))
 		must.NotEq(t, owner, d.Owner(0))
-		let(time.Second)
+		wait(time.Second)
 	})
 	must.Eq(t, 0, result.Failed+result.Resent)
 }
 
 // During an outage of the store the owner hands over its claim by a message to the successor.
-func TestPlannedStopOfTheOwnerWhileTheStoreIsAway(t *testing.T) {
+func TestPlannedStopOfOwnerDuringStoreOutageInterruptsNoJob(t *testing.T) {
 	d := start(t, 1, 3)
-	result := under(t, d, func() {
-		let(time.Second)
+	result := withLoad(t, d, func() {
+		wait(time.Second)
 		owner := d.Owner(0)
-		d.Store.Away("", true)
+		d.Store.SetUnavailable("", true)
 		owner.Signal(syscall.SIGTERM)
 		must.NoError(t, owner.Wait(t.Context()))
-		let(2 * time.Second)
-		d.Store.Away("", false)
-		let(2 * time.Second)
+		wait(2 * time.Second)
+		d.Store.SetUnavailable("", false)
+		wait(2 * time.Second)
 	})
 	must.Eq(t, 0, result.Failed+result.Resent)
 }
 
 func TestKilledOwnerIsReplaced(t *testing.T) {
 	d := start(t, 1, 3)
-	under(t, d, func() {
-		let(time.Second)
+	withLoad(t, d, func() {
+		wait(time.Second)
 		owner := d.Owner(0)
 		owner.Kill()
-		let(2 * time.Second)
+		wait(2 * time.Second)
 		must.NotEq(t, owner, d.Owner(0))
 	})
 }
 
-func TestStoppedOwnerIsReplacedAndStepsDown(t *testing.T) {
+func TestFrozenOwnerIsReplacedAndStepsDown(t *testing.T) {
 	d := start(t, 1, 3)
-	under(t, d, func() {
-		let(time.Second)
+	withLoad(t, d, func() {
+		wait(time.Second)
 		owner := d.Owner(0)
 		owner.Signal(syscall.SIGSTOP)
-		let(2 * time.Second)
+		wait(2 * time.Second)
 		owner.Signal(syscall.SIGCONT)
-		let(2 * time.Second)
+		wait(2 * time.Second)
 		must.NotEq(t, owner, d.Owner(0))
 	})
 }
 
-func TestAllKilledServeAgain(t *testing.T) {
+func TestDeploymentServesAfterAllVMsAreKilled(t *testing.T) {
 	d := start(t, 2, 2)
-	under(t, d, func() {
-		let(time.Second)
+	withLoad(t, d, func() {
+		wait(time.Second)
 		for _, vm := range d.VMs {
 			vm.Kill()
 		}
 		for _, vm := range d.VMs {
 			must.NoError(t, vm.Start())
 		}
-		must.True(t, d.WaitReady(readyTime))
-		let(time.Second)
+		must.True(t, d.WaitReady(readyTimeout))
+		wait(time.Second)
 	})
 }
 
 // A new owner is found although the store applies writes without answering them, and later loses
 // its history.
-func TestLostAnswersOfTheStore(t *testing.T) {
+func TestOwnerIsReplacedDespiteLostStoreAnswers(t *testing.T) {
 	d := start(t, 1, 2)
-	under(t, d, func() {
-		let(500 * time.Millisecond)
+	withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
 		d.Store.LoseAnswers(2)
 		d.Owner(0).Kill()
-		let(4 * time.Second)
+		wait(4 * time.Second)
 		d.Store.Compact()
-		let(time.Second)
+		wait(time.Second)
 	})
 }
 
-func TestSilentAndHungTargets(t *testing.T) {
+func TestJobsAreAnsweredDespiteSilentAndHungTargets(t *testing.T) {
 	d := start(t, 1, 2)
-	under(t, d, func() {
-		let(500 * time.Millisecond)
-		d.Targets[0].Silence(true)
-		d.Targets[1].Hang(true)
-		let(2 * time.Second)
-		d.Targets[0].Silence(false)
-		d.Targets[1].Hang(false)
-		let(time.Second)
+	withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
+		d.Targets[0].SetSilent(true)
+		d.Targets[1].SetHung(true)
+		wait(2 * time.Second)
+		d.Targets[0].SetSilent(false)
+		d.Targets[1].SetHung(false)
+		wait(time.Second)
 	})
 }
 
 // Some orders get no answer, and some of these are carried out only after later runs have started.
-func TestLateAndLostOrders(t *testing.T) {
+func TestJobsAreAnsweredDespiteLateAndLostOrders(t *testing.T) {
 	d := start(t, 1, 2)
-	under(t, d, func() {
-		d.Disturb(0.06, 0.04)
-		let(4 * time.Second)
-		d.Disturb(0, 0)
-		let(2 * time.Second)
+	withLoad(t, d, func() {
+		d.SetOrderFaults(0.06, 0.04)
+		wait(4 * time.Second)
+		d.SetOrderFaults(0, 0)
+		wait(2 * time.Second)
 	})
 }
 
 // SIGHUP makes a VM read its settings again and interrupts no job.
-func TestHangupReadsTheSettingsAgain(t *testing.T) {
+func TestHangupRereadsSettingsAndInterruptsNoJob(t *testing.T) {
 	d := start(t, 1, 2)
-	result := under(t, d, func() {
-		let(500 * time.Millisecond)
+	result := withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
 		for _, vm := range d.VMs {
 			vm.Signal(syscall.SIGHUP)
 		}
-		let(time.Second)
+		wait(time.Second)
 	})
 	must.Eq(t, 0, result.Failed+result.Resent+result.Refused)
 	for _, vm := range d.VMs {
@@ -220,13 +220,13 @@
 }
 
 // A VM for which the store is unavailable gets the configuration from the other VMs.
-func TestConfigurationReachesVMsThatTheStoreTurnsAway(t *testing.T) {
+func TestConfigurationReachesVMWithoutStore(t *testing.T) {
 	d := start(t, 1, 2)
 	vm := d.VMs[1]
 	if d.Owner(0) == vm {
 		vm = d.VMs[0]
 	}
-	d.Store.Away(vm.StoreIP, true)
+	d.Store.SetUnavailable(vm.StoreIP, true)
 	version := d.Configure()
 	want := fmt.Sprintf(`"configuration in force","version":%d`, version)
 	deadline := time.Now().Add(5 * time.Second)
@@ -234,16 +234,16 @@
 		log, err := os.ReadFile(vm.Log())
 		must.NoError(t, err)
 		if strings.Contains(string(log), want) {
-			must.StrNotContains(t, line(string(log), want), `"from":"store"`)
+			must.StrNotContains(t, restOfLine(string(log), want), `"from":"store"`)
 			return
 		}
 		must.True(t, time.Now().Before(deadline))
-		let(20 * time.Millisecond)
+		wait(20 * time.Millisecond)
 	}
 }
 
 // restOfLine returns the first occurrence of a text in a log and what follows it in its line.
-func line(log, from string) string {
+func restOfLine(log, from string) string {
 	tail := log[strings.Index(log, from):]
 	rest, _, _ := strings.Cut(tail, "\n")
 	return rest
--- a/lab/prepared/e2e/metrics_test.go
+++ b/lab/prepared/e2e/metrics_test.go
@@ -14,7 +14,7 @@
 )
 
 // readMetrics returns the metrics that a VM serves.
-func metrics(t *testing.T, vm *prepared.VM) string {
+func readMetrics(t *testing.T, vm *prepared.VM) string {
 	t.Helper()
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", vm.IP, prepared.MetricsPort))
 	must.NoError(t, err)
@@ -26,14 +26,14 @@
 
 // The metrics have waiting and run times of jobs, answers of orders, causes of refusals, and the
 // age of the configuration, the claims and the registry.
-func TestMetricsTellWaitsCausesAndAges(t *testing.T) {
+func TestMetricsReportTimesCausesAndAges(t *testing.T) {
 	d := start(t, 1, 2)
-	under(t, d, func() { let(2500 * time.Millisecond) })
-	underKept(t, d, func() { let(time.Second) })
+	withLoad(t, d, func() { wait(2500 * time.Millisecond) })
+	withDurableLoad(t, d, func() { wait(time.Second) })
 	// A task that fits no target is refused.
-	d.Oversized()
-	let(1500 * time.Millisecond)
-	all := metrics(t, d.VMs[0]) + metrics(t, d.VMs[1])
+	d.SubmitOversized()
+	wait(1500 * time.Millisecond)
+	all := readMetrics(t, d.VMs[0]) + readMetrics(t, d.VMs[1])
 	for _, want := range []string{
 		`burdockward_entry_job_wait_seconds_count`, `burdockward_entry_job_run_seconds_count`, `burdockward_entry_start_answer_seconds_count`,
 		`burdockward_entry_starts_total{kind="done"}`, `burdockward_entry_looks_total{kind="done"}`,
--- a/lab/prepared/e2e/relay_test.go
+++ b/lab/prepared/e2e/relay_test.go
@@ -14,14 +14,14 @@
 
 // relayingCPUShare is the share of a core at which a VM can serve three targets, so that owners
 // need relays.
-const tinyShare = 0.01
+const relayingCPUShare = 0.01
 
 // startWithRelays starts a deployment and waits until two VMs relay orders.
 func startWithRelays(t *testing.T) *prepared.Deployment {
 	t.Helper()
-	d := startWith(t, prepared.Options{Domains: 2, VMs: 4, Targets: 8, CPUShare: tinyShare})
-	for deadline := time.Now().Add(readyTime); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if len(relays(t, d)) >= 2 {
+	d := startWith(t, prepared.Options{Domains: 2, VMs: 4, Targets: 8, CPUShare: relayingCPUShare})
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if len(findRelays(t, d)) >= 2 {
 			return d
 		}
 	}
@@ -30,7 +30,7 @@
 }
 
 // findRelays returns the VMs that have relayed orders for an owner and own no targets now.
-func relays(t *testing.T, d *prepared.Deployment) []*prepared.VM {
+func findRelays(t *testing.T, d *prepared.Deployment) []*prepared.VM {
 	t.Helper()
 	var found []*prepared.VM
 	for _, vm := range d.VMs {
@@ -43,45 +43,45 @@
 	return found
 }
 
-func TestRelaysServeACalmLoadWhole(t *testing.T) {
+func TestLoadThroughRelaysIsServedCompletely(t *testing.T) {
 	d := startWithRelays(t)
-	result := under(t, d, func() { let(2 * time.Second) })
+	result := withLoad(t, d, func() { wait(2 * time.Second) })
 	must.Eq(t, 0, result.Refused+result.Failed+result.Resent)
 }
 
-func TestLostAndStoppedRelays(t *testing.T) {
+func TestJobsAreAnsweredDespiteLostAndFrozenRelays(t *testing.T) {
 	d := startWithRelays(t)
-	under(t, d, func() {
-		let(500 * time.Millisecond)
-		serving := relays(t, d)
+	withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
+		serving := findRelays(t, d)
 		serving[0].Kill()
 		serving[1].Signal(syscall.SIGSTOP)
-		let(1500 * time.Millisecond)
+		wait(1500 * time.Millisecond)
 		serving[1].Signal(syscall.SIGCONT)
 		must.NoError(t, serving[0].Start())
-		let(1500 * time.Millisecond)
+		wait(1500 * time.Millisecond)
 	})
 }
 
-func TestPlannedStopOfARelayCutsNothing(t *testing.T) {
+func TestPlannedStopOfRelayInterruptsNoJob(t *testing.T) {
 	d := startWithRelays(t)
-	result := under(t, d, func() {
-		let(500 * time.Millisecond)
-		vm := relays(t, d)[0]
+	result := withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
+		vm := findRelays(t, d)[0]
 		vm.Signal(syscall.SIGTERM)
 		must.NoError(t, vm.Wait(t.Context()))
-		let(time.Second)
+		wait(time.Second)
 	})
 	must.Eq(t, 0, result.Failed+result.Resent)
 }
 
-func TestKilledOwnerOfRelaysIsReplaced(t *testing.T) {
+func TestKilledOwnerWithRelaysIsReplaced(t *testing.T) {
 	d := startWithRelays(t)
-	under(t, d, func() {
-		let(500 * time.Millisecond)
+	withLoad(t, d, func() {
+		wait(500 * time.Millisecond)
 		owner := d.Owner(0)
 		owner.Kill()
-		let(2 * time.Second)
+		wait(2 * time.Second)
 		must.NotEq(t, owner, d.Owner(0))
 	})
 }
--- a/lab/prepared/foreign.go
+++ b/lab/prepared/foreign.go
@@ -28,7 +28,7 @@
 
 // writeForeignRows adds unreadable rows to the tables and overwrites the row of a target with one.
 // The returned function removes them and restores the target's row.
-func (s *soaker) foreignRows() (end func()) {
+func (s *soaker) writeForeignRows() (end func()) {
 	for i, value := range foreignValues {
 		for _, table := range foreignTables {
 			s.Store.WriteRaw(table, fmt.Sprintf("foreign-%d", i), value)
@@ -37,7 +37,7 @@
 	target := s.Targets[s.random.IntN(len(s.Targets))]
 	s.Store.WriteRaw(wire.TargetsTable, target.ID, foreignValues[s.random.IntN(len(foreignValues))])
 	return func() {
-		s.list(target)
+		s.register(target)
 		for i := range foreignValues {
 			for _, table := range foreignTables {
 				s.Store.Remove(table, fmt.Sprintf("foreign-%d", i))
--- a/lab/prepared/plan.go
+++ b/lab/prepared/plan.go
@@ -15,7 +15,7 @@
 // milliseconds, then the words of payload for the other properties.
 type plan struct {
 	// runTime is the work of the task; a gang does it once.
-	length time.Duration
+	runTime time.Duration
 	// gang is the number of members of its gang; 0 without a gang.
 	gang int
 	// lasting tasks run until they are cancelled, and fail now and then.
@@ -24,17 +24,17 @@
 	advised bool
 	// background tasks take none of a target's capacity, and must not run on a target beside
 	// latency-sensitive ones.
-	fills, serves bool
+	background, latencySensitive bool
 	// saves has the task save its progress.
 	saves bool
 	// due is when the first occurrence is due, since 1970, and interval the time between two
 	// occurrences.
-	due, every time.Duration
+	due, interval time.Duration
 }
 
 // payload encodes a plan.
 func (p plan) payload() string {
-	words := []string{strconv.FormatInt(p.length.Milliseconds(), 10)}
+	words := []string{strconv.FormatInt(p.runTime.Milliseconds(), 10)}
 	if p.gang > 0 {
 		words = append(words, "gang", strconv.Itoa(p.gang))
 	}
@@ -47,20 +47,20 @@
 	if p.advised {
 		words = append(words, "advised")
 	}
-	if p.fills {
+	if p.background {
 		words = append(words, "fills")
 	}
-	if p.serves {
+	if p.latencySensitive {
 		words = append(words, "serves")
 	}
 	if p.due > 0 {
-		words = append(words, "due", strconv.FormatInt(p.due.Milliseconds(), 10), "every", strconv.FormatInt(p.every.Milliseconds(), 10))
+		words = append(words, "due", strconv.FormatInt(p.due.Milliseconds(), 10), "every", strconv.FormatInt(p.interval.Milliseconds(), 10))
 	}
 	return strings.Join(words, " ")
 }
 
 // parsePlan decodes a plan. A payload that is none stands for a task that ends at once.
-func planOf(payload string) plan {
+func parsePlan(payload string) plan {
 	var p plan
 	words := strings.Fields(payload)
 	number := func(i int) int64 {
@@ -81,16 +81,16 @@
 		case "advised":
 			p.advised = true
 		case "fills":
-			p.fills = true
+			p.background = true
 		case "serves":
-			p.serves = true
+			p.latencySensitive = true
 		case "due":
 			p.due = time.Duration(number(i+1)) * time.Millisecond
 		case "every":
-			p.every = time.Duration(number(i+1)) * time.Millisecond
+			p.interval = time.Duration(number(i+1)) * time.Millisecond
 		}
 	}
-	p.length = time.Duration(number(0)) * time.Millisecond
+	p.runTime = time.Duration(number(0)) * time.Millisecond
 	return p
 }
 
@@ -100,7 +100,7 @@
 		return 0
 	}
 	occurrence, _ := strconv.Atoi(strings.Split(task, ".")[1])
-	return p.due + time.Duration(occurrence)*p.every
+	return p.due + time.Duration(occurrence)*p.interval
 }
 
 // Times of special tasks.
@@ -108,9 +108,9 @@
 	// saveInterval is the work that a task does between two saves.
 	saveInterval = 100 * time.Millisecond
 	// gangTimeout is how long a member of a gang waits for the others to start.
-	gangWait = 3 * time.Second
+	gangTimeout = 3 * time.Second
 	// maxLastingRun is the longest time that a lasting task runs before it fails.
-	lastingLife = 6 * time.Second
+	maxLastingRun = 6 * time.Second
 )
 
 // worker is the progress of a run of a plan.
@@ -174,7 +174,7 @@
 }
 
 // remove removes a gang because one member ended, and returns its other members.
-func (g *gangs) leave(key, task string) map[string]*Target {
+func (g *gangs) remove(key, task string) map[string]*Target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	others := g.members[key]
@@ -185,27 +185,27 @@
 
 // drawDurableJob draws a durable job and its plan: a gang, a recurring job of two steps, a task
 // that saves its progress, a lasting task, background tasks, or plain tasks.
-func (d *Deployment) keptJob() (wire.Job, plan) {
-	p := plan{length: time.Duration(20+rand.IntN(300)) * time.Millisecond}
-	step := wire.Step{Count: 1 + rand.IntN(3), CPU: taskCPU, MemoryMB: 64, EstimateMS: float64(p.length.Milliseconds())}
+func (d *Deployment) drawDurableJob() (wire.Job, plan) {
+	p := plan{runTime: time.Duration(20+rand.IntN(300)) * time.Millisecond}
+	step := wire.Step{Count: 1 + rand.IntN(3), CPU: taskCPU, MemoryMB: 64, EstimateMS: float64(p.runTime.Milliseconds())}
 	job := wire.Job{Steps: []wire.Step{step}}
 	switch kind := rand.IntN(12); {
 	case kind < 2:
 		p.gang, p.saves = 2, true
 		job.Steps[0].Count, job.Steps[0].Gang = p.gang, true
 	case kind == 2:
-		p.due, p.every = time.Duration(time.Now().UnixNano())+500*time.Millisecond, 200*time.Millisecond
-		job.RepeatCount, job.FirstRunMS, job.IntervalMS = 2, float64(p.due.Milliseconds()), float64(p.every.Milliseconds())
+		p.due, p.interval = time.Duration(time.Now().UnixNano())+500*time.Millisecond, 200*time.Millisecond
+		job.RepeatCount, job.FirstRunMS, job.IntervalMS = 2, float64(p.due.Milliseconds()), float64(p.interval.Milliseconds())
 		job.Steps[0].Count, step.Count, step.After = 1, 1, []int{0}
 		job.Steps = append(job.Steps, step)
 	case kind < 5:
-		p.length, p.saves = p.length+time.Second, true
-		job.Steps[0].Count, job.Steps[0].EstimateMS = 1, float64(p.length.Milliseconds())
-	case kind == 5 && d.mayLast():
-		p.lasting, p.serves = true, true
-		job.Steps[0].Count, job.Steps[0].LongRunning, job.Steps[0].TargetMS = 1, true, servingTarget
+		p.runTime, p.saves = p.runTime+time.Second, true
+		job.Steps[0].Count, job.Steps[0].EstimateMS = 1, float64(p.runTime.Milliseconds())
+	case kind == 5 && d.mayDrawLasting():
+		p.lasting, p.latencySensitive = true, true
+		job.Steps[0].Count, job.Steps[0].LongRunning, job.Steps[0].TargetMS = 1, true, tailLatencyTargetMS
 	case kind == 6:
-		p.fills = true
+		p.background = true
 		job.Steps[0].Background = true
 	}
 	p.advised = !p.lasting && rand.IntN(4) == 0
@@ -222,10 +222,10 @@
 }
 
 // tailLatencyTargetMS is the declared target of the tail latency of latency-sensitive tasks.
-const servingTarget = 50
+const tailLatencyTargetMS = 50
 
 // maxLasting is the number of lasting jobs of a deployment. It leaves capacity for other work.
-const mostLasting = 2
+const maxLasting = 2
 
 // mayDrawLasting reports whether one more lasting job may be drawn, and counts it.
-func (d *Deployment) mayLast() bool { return d.lasting.Add(1) <= mostLasting }
+func (d *Deployment) mayDrawLasting() bool { return d.lastingDraws.Add(1) <= maxLasting }
--- a/lab/prepared/recorder.go
+++ b/lab/prepared/recorder.go
@@ -21,8 +21,8 @@
 	// startedAt is when each task was last started.
 	startedAt map[string]time.Time
 	// violations are other breaches.
-	wrongs []string
-	gangs  gangs
+	violations []string
+	gangs      gangs
 }
 
 // NewRecorder returns an empty recorder.
@@ -34,30 +34,30 @@
 }
 
 // addViolation records a breach of a rule.
-func (r *Recorder) wrong(what string) {
+func (r *Recorder) addViolation(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wrongs = append(r.wrongs, what)
+	r.violations = append(r.violations, what)
 }
 
 // Violations lists breaches other than doubled and repeated tasks: starts that came too early, that
 // passed the saved state of another task, that put a background task beside a latency-sensitive
 // one, or that came into a cordoned failure domain.
-func (r *Recorder) Wrong() []string {
+func (r *Recorder) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.wrongs)
+	return slices.Clone(r.violations)
 }
 
 // IsRunning reports whether a task runs on any target.
-func (r *Recorder) Running(task string) bool {
+func (r *Recorder) IsRunning(task string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running[task] > 0
 }
 
 // recordStart records the start of a run.
-func (r *Recorder) began(task string) {
+func (r *Recorder) recordStart(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts[task]++
@@ -71,7 +71,7 @@
 }
 
 // recordEnd records the end of a run.
-func (r *Recorder) ended(task string) {
+func (r *Recorder) recordEnd(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running[task]--
@@ -80,7 +80,7 @@
 
 // recordAcknowledgement records that the owner has acknowledged the completion of a task. A start
 // after the completion counts as a repetition.
-func (r *Recorder) finish(task string, ended time.Time) {
+func (r *Recorder) recordAcknowledgement(task string, ended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.done[task] = true
@@ -105,7 +105,7 @@
 }
 
 // HasStarted reports whether any task of a job was started.
-func (r *Recorder) Started(job string) bool {
+func (r *Recorder) HasStarted(job string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.starts {
--- a/lab/prepared/recover.go
+++ b/lab/prepared/recover.go
@@ -27,7 +27,7 @@
 	// recoverDue is the time until the jobs are due, so that none starts during the measurement.
 	recoverDue = time.Hour
 	// recoverTimeout is how long the VMs have to know all jobs again.
-	recoverLimit = 30 * time.Second
+	recoverTimeout = 30 * time.Second
 )
 
 // RecoverCommand is the command that measures how long it takes until durable jobs are known again
@@ -41,14 +41,14 @@
 			&cli.IntFlag{Name: "jobs", Usage: "number of durable jobs", Value: 10_000},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return recoverAll(ctx, cmd.String("binary"), cmd.Int("jobs"))
+			return measureRecovery(ctx, cmd.String("binary"), cmd.Int("jobs"))
 		},
 	}
 }
 
 // measureRecovery submits jobs, kills and restarts all VMs, and prints the times until the VMs are
 // ready and the jobs are pending again.
-func recoverAll(ctx context.Context, binary string, jobs int) error {
+func measureRecovery(ctx context.Context, binary string, jobs int) error {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
 		return err
@@ -63,11 +63,11 @@
 		return err
 	}
 	defer d.Stop()
-	if !d.WaitReady(demoStart) {
+	if !d.WaitReady(demoStartTimeout) {
 		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	began := time.Now()
-	ids := d.handInWaiting(jobs)
+	ids := d.submitFutureJobs(jobs)
 	fmt.Printf("%d of %d jobs accepted in %v\n", len(ids), jobs, time.Since(began).Round(time.Millisecond))
 	for _, vm := range d.VMs {
 		vm.Kill()
@@ -78,20 +78,20 @@
 			return err
 		}
 	}
-	if !d.WaitReady(demoStart) {
+	if !d.WaitReady(demoStartTimeout) {
 		return errors.New("not all VMs are ready again in time")
 	}
 	fmt.Printf("all VMs ready after %v\n", time.Since(began).Round(time.Millisecond))
-	if missing := d.pendingBy(ctx, len(ids), recoverLimit); missing > 0 {
-		return fmt.Errorf("%d jobs are not pending again after %v", missing, recoverLimit)
+	if missing := d.awaitPending(ctx, len(ids), recoverTimeout); missing > 0 {
+		return fmt.Errorf("%d jobs are not pending again after %v", missing, recoverTimeout)
 	}
 	fmt.Printf("all jobs pending again after %v\n", time.Since(began).Round(time.Millisecond))
-	return d.eachKnown(ids)
+	return d.checkQueued(ids)
 }
 
 // submitFutureJobs submits durable jobs that are due after recoverDue, and returns the IDs of the
 // accepted ones.
-func (d *Deployment) handInWaiting(jobs int) []string {
+func (d *Deployment) submitFutureJobs(jobs int) []string {
 	due := time.Now().Add(recoverDue)
 	body, err := json.Marshal(wire.Job{
 		Spec: "20", Steps: []wire.Step{{Count: 2, CPU: taskCPU, MemoryMB: 64, EstimateMS: 20}},
@@ -109,7 +109,7 @@
 	for range recoverSenders {
 		senders.Go(func() {
 			for next.Add(1) <= int64(jobs) {
-				id := fmt.Sprintf("%s%015x", keptDigit, rand.Uint64()>>4)
+				id := fmt.Sprintf("%s%015x", durablePrefix, rand.Uint64()>>4)
 				if status, _ := post(client, d.VMs[rand.IntN(len(d.VMs))], Path+id, body); status == http.StatusOK {
 					mu.Lock()
 					ids = append(ids, id)
@@ -124,11 +124,11 @@
 
 // awaitPending waits until the first VM reports all jobs as pending, and returns how many are
 // missing at the timeout.
-func (d *Deployment) pendingBy(ctx context.Context, jobs int, timeout time.Duration) int {
+func (d *Deployment) awaitPending(ctx context.Context, jobs int, timeout time.Duration) int {
 	client := &http.Client{}
 	pending := 0
 	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		if pending = d.pending(client); pending >= jobs {
+		if pending = d.requestPending(client); pending >= jobs {
 			return 0
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // requestPending asks the first VM for the number of pending jobs; 0 without an answer.
-func (d *Deployment) pending(client *http.Client) int {
+func (d *Deployment) requestPending(client *http.Client) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+d.VMs[0].Frontend()+Path, http.NoBody)
 	if err != nil {
 		return 0
@@ -153,7 +153,7 @@
 }
 
 // checkQueued requests the state of each job, and returns an error unless all are queued.
-func (d *Deployment) eachKnown(ids []string) error {
+func (d *Deployment) checkQueued(ids []string) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: recoverSenders}}
 	defer client.CloseIdleConnections()
 	var unknown, next atomic.Int64
@@ -165,7 +165,7 @@
 				if i >= int64(len(ids)) {
 					return
 				}
-				if status, state := d.ask(client, http.MethodGet, domainName(int(i)%recoverDomains), ids[i]); status != http.StatusOK || state != "queued" {
+				if status, state := d.requestState(client, http.MethodGet, domainName(int(i)%recoverDomains), ids[i]); status != http.StatusOK || state != "queued" {
 					unknown.Add(1)
 				}
 			}
--- a/lab/prepared/soak.go
+++ b/lab/prepared/soak.go
@@ -21,14 +21,14 @@
 const (
 	// soakJobsPerSecond is the rate of best-effort jobs, soakDurablePerSecond that of durable
 	// ones.
-	soakLoad, soakKept = 60, 15
+	soakJobsPerSecond, soakDurablePerSecond = 60, 15
 	// soakMaxPause is the longest time between the starts of two faults, soakMaxFault the longest
 	// fault. Faults often overlap, since a fault may last longer than a pause.
-	soakPause = 3 * time.Second
-	soakFault = 4 * time.Second
+	soakMaxPause = 3 * time.Second
+	soakMaxFault = 4 * time.Second
 	// soakMaxLostShare is the share of best-effort jobs that may have no answer because the VMs
 	// that their callers called were lost.
-	soakLost = 0.02
+	soakMaxLostShare = 0.02
 )
 
 // SoakCommand is the command that runs the soak test: load under random faults.
@@ -39,7 +39,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "binary", Usage: "`PATH` of the daemon's binary", Value: "bin/burdockward"},
 			&cli.DurationFlag{Name: "for", Usage: "time during which faults begin", Value: 2 * time.Minute},
-			&cli.FloatFlag{Name: "cpu-share", Usage: "share of a core of each VM; with 0.01 owners need relays", Value: usualCPUShare},
+			&cli.FloatFlag{Name: "cpu-share", Usage: "share of a core of each VM; with 0.01 owners need relays", Value: defaultCPUShare},
 			&cli.Uint64Flag{Name: "seed", Usage: "seed of the faults; equal seeds draw equal faults", Value: 1},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -64,22 +64,22 @@
 		return err
 	}
 	defer d.Stop()
-	if !d.WaitReady(demoStart) {
+	if !d.WaitReady(demoStartTimeout) {
 		return errors.New("not all VMs are ready in time: check that their loopback addresses are free")
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
-	tally, durable := make(chan *Tally, 1), make(chan *KeptTally, 1)
-	go func() { tally <- d.Load(load, soakLoad) }()
-	go func() { durable <- d.LoadKept(load, soakKept) }()
-	s := &soaker{Deployment: d, random: rand.New(rand.NewPCG(seed, 0)), hurt: map[*VM]bool{}}
-	counts := s.play(ctx, length)
+	tally, durable := make(chan *Tally, 1), make(chan *DurableTally, 1)
+	go func() { tally <- d.Load(load, soakJobsPerSecond) }()
+	go func() { durable <- d.LoadDurable(load, soakDurablePerSecond) }()
+	s := &soaker{Deployment: d, random: rand.New(rand.NewPCG(seed, 0)), faulty: map[*VM]bool{}}
+	counts := s.injectRandomFaults(ctx, length)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Printf("%4d %s\n", counts[name], name)
 	}
-	pause(ctx, demoStep)
+	pause(ctx, demoStepTime)
 	stop()
-	if err := d.judgeSoak(<-tally, <-durable); err != nil {
+	if err := d.checkSoak(<-tally, <-durable); err != nil {
 		return fmt.Errorf("%w; logs are in %s", err, dir)
 	}
 	return os.RemoveAll(dir)
@@ -92,17 +92,17 @@
 
 	mu sync.Mutex
 	// faulty has the VMs whose process has a fault.
-	hurt map[*VM]bool
+	faulty map[*VM]bool
 }
 
 // reserve marks a VM as faulty and reports whether it was not before.
-func (s *soaker) take(vm *VM) bool {
+func (s *soaker) reserve(vm *VM) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if vm == nil || s.hurt[vm] {
+	if vm == nil || s.faulty[vm] {
 		return false
 	}
-	s.hurt[vm] = true
+	s.faulty[vm] = true
 	return true
 }
 
@@ -110,12 +110,12 @@
 func (s *soaker) release(vm *VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.hurt, vm)
+	delete(s.faulty, vm)
 }
 
 // injectInto begins a fault of a VM's process unless it has one, and returns what ends the fault.
-func (s *soaker) on(vm *VM, begin, heal func(*VM)) (end func()) {
-	if !s.take(vm) {
+func (s *soaker) injectInto(vm *VM, begin, heal func(*VM)) (end func()) {
+	if !s.reserve(vm) {
 		return nothing
 	}
 	begin(vm)
@@ -126,7 +126,7 @@
 }
 
 // drawVM draws a VM.
-func (s *soaker) any() *VM { return s.VMs[s.random.IntN(len(s.VMs))] }
+func (s *soaker) drawVM() *VM { return s.VMs[s.random.IntN(len(s.VMs))] }
 
 func kill(vm *VM) { vm.Kill() }
 
@@ -145,20 +145,20 @@
 
 // soakFaults are the faults of the soak test, each drawn with the same probability.
 var soakFaults = []fault{
-	{"VM killed", func(s *soaker) func() { return s.on(s.any(), kill, restart) }},
-	{"owner killed", func(s *soaker) func() { return s.on(s.Owner(s.random.IntN(s.options.Domains)), kill, restart) }},
+	{"VM killed", func(s *soaker) func() { return s.injectInto(s.drawVM(), kill, restart) }},
+	{"owner killed", func(s *soaker) func() { return s.injectInto(s.Owner(s.random.IntN(s.options.Domains)), kill, restart) }},
 	{"VM frozen", func(s *soaker) func() {
-		return s.on(s.any(), func(vm *VM) { vm.Signal(syscall.SIGSTOP) }, func(vm *VM) { vm.Signal(syscall.SIGCONT) })
+		return s.injectInto(s.drawVM(), func(vm *VM) { vm.Signal(syscall.SIGSTOP) }, func(vm *VM) { vm.Signal(syscall.SIGCONT) })
 	}},
 	{"VM stopped as planned", func(s *soaker) func() {
-		return s.on(s.any(), func(vm *VM) { vm.Signal(syscall.SIGTERM) }, restart)
+		return s.injectInto(s.drawVM(), func(vm *VM) { vm.Signal(syscall.SIGTERM) }, restart)
 	}},
 	{"failure domain killed", func(s *soaker) func() {
 		domain := domainName(s.random.IntN(s.options.Domains))
 		var ends []func()
 		for _, vm := range s.VMs {
 			if vm.Domain == domain {
-				ends = append(ends, s.on(vm, kill, restart))
+				ends = append(ends, s.injectInto(vm, kill, restart))
 			}
 		}
 		return func() {
@@ -168,13 +168,13 @@
 		}
 	}},
 	{"store away", func(s *soaker) func() {
-		s.Store.Away("", true)
-		return func() { s.Store.Away("", false) }
+		s.Store.SetUnavailable("", true)
+		return func() { s.Store.SetUnavailable("", false) }
 	}},
 	{"store away for one VM", func(s *soaker) func() {
-		vm := s.any()
-		s.Store.Away(vm.StoreIP, true)
-		return func() { s.Store.Away(vm.StoreIP, false) }
+		vm := s.drawVM()
+		s.Store.SetUnavailable(vm.StoreIP, true)
+		return func() { s.Store.SetUnavailable(vm.StoreIP, false) }
 	}},
 	{"answers of the store lost", func(s *soaker) func() {
 		s.Store.LoseAnswers(1 + s.random.IntN(4))
@@ -186,25 +186,25 @@
 	}},
 	{"target silent", func(s *soaker) func() {
 		target := s.Targets[s.random.IntN(len(s.Targets))]
-		target.Silence(true)
-		return func() { target.Silence(false) }
+		target.SetSilent(true)
+		return func() { target.SetSilent(false) }
 	}},
 	{"target hung", func(s *soaker) func() {
 		target := s.Targets[s.random.IntN(len(s.Targets))]
-		target.Hang(true)
-		return func() { target.Hang(false) }
+		target.SetHung(true)
+		return func() { target.SetHung(false) }
 	}},
 	{"orders late and lost", func(s *soaker) func() {
-		s.Disturb(0.04, 0.04)
-		return func() { s.Disturb(0, 0) }
+		s.SetOrderFaults(0.04, 0.04)
+		return func() { s.SetOrderFaults(0, 0) }
 	}},
-	{"rows of another writer", func(s *soaker) func() { return s.foreignRows() }},
+	{"rows of another writer", func(s *soaker) func() { return s.writeForeignRows() }},
 	{"failure domain cordoned", func(s *soaker) func() {
 		domain := domainName(s.random.IntN(s.options.Domains))
-		s.Cordon(domain, true)
+		s.SetCordon(domain, true)
 		return func() {
 			time.Sleep(cordonedTime)
-			s.Cordon(domain, false)
+			s.SetCordon(domain, false)
 		}
 	}},
 	{"new configuration", func(s *soaker) func() {
@@ -215,14 +215,14 @@
 
 // injectRandomFaults injects random faults for a time, several at once, waits until all have ended,
 // and counts them by name.
-func (s *soaker) play(ctx context.Context, length time.Duration) map[string]int {
+func (s *soaker) injectRandomFaults(ctx context.Context, length time.Duration) map[string]int {
 	counts := map[string]int{}
 	ended := make(chan struct{}, len(soakFaults))
 	open := 0
 	for end := time.Now().Add(length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := soakFaults[s.random.IntN(len(soakFaults))]
-		duration := time.Duration(s.random.Int64N(int64(soakFault)))
-		next := time.Duration(s.random.Int64N(int64(soakPause)))
+		duration := time.Duration(s.random.Int64N(int64(soakMaxFault)))
+		next := time.Duration(s.random.Int64N(int64(soakMaxPause)))
 		counts[f.name]++
 		heal := f.begin(s)
 		open++
@@ -243,22 +243,22 @@
 }
 
 // checkSoak prints the counts and returns an error for the first outcome that must not occur.
-func (d *Deployment) judgeSoak(tally *Tally, durable *KeptTally) error {
+func (d *Deployment) checkSoak(tally *Tally, durable *DurableTally) error {
 	fmt.Println("best effort:", tally)
 	fmt.Println("durable:", durable)
 	jobs := tally.Completed + tally.Failed + tally.Refused + tally.Lost
 	switch doubled, repeated := d.Recorder.Doubled(), d.Recorder.Repeated(); {
 	case len(doubled) > 0:
 		return fmt.Errorf("tasks ran twice at the same time: %v", doubled)
-	case len(tally.Untrue) > 0:
-		return fmt.Errorf("jobs were refused although they had started: %v", tally.Untrue)
-	case len(d.Recorder.Wrong()) > 0:
-		return fmt.Errorf("starts broke rules: %v", d.Recorder.Wrong())
-	case len(durable.Wrong) > 0:
-		return fmt.Errorf("durable jobs had wrong outcomes: %v", durable.Wrong)
-	case len(ofKept(repeated)) > 0:
-		return fmt.Errorf("tasks of durable jobs started again after they were done: %v", ofKept(repeated))
-	case float64(tally.Lost) > soakLost*float64(jobs):
+	case len(tally.FalseRefusals) > 0:
+		return fmt.Errorf("jobs were refused although they had started: %v", tally.FalseRefusals)
+	case len(d.Recorder.Violations()) > 0:
+		return fmt.Errorf("starts broke rules: %v", d.Recorder.Violations())
+	case len(durable.Violations) > 0:
+		return fmt.Errorf("durable jobs had wrong outcomes: %v", durable.Violations)
+	case len(tasksOfDurable(repeated)) > 0:
+		return fmt.Errorf("tasks of durable jobs started again after they were done: %v", tasksOfDurable(repeated))
+	case float64(tally.Lost) > soakMaxLostShare*float64(jobs):
 		return fmt.Errorf("%d of %d jobs had no answer", tally.Lost, jobs)
 	}
 	fmt.Println("no task ran twice at the same time, no accepted job was lost, no refused job had started")
@@ -267,10 +267,10 @@
 
 // tasksOfDurable returns the tasks of durable jobs. Tasks of other jobs may run again when their
 // callers send them again.
-func ofKept(tasks []string) []string {
+func tasksOfDurable(tasks []string) []string {
 	var durable []string
 	for _, task := range tasks {
-		if strings.HasPrefix(task, keptDigit) {
+		if strings.HasPrefix(task, durablePrefix) {
 			durable = append(durable, task)
 		}
 	}
--- a/lab/prepared/store.go
+++ b/lab/prepared/store.go
@@ -40,11 +40,11 @@
 	began   time.Time
 	// unavailable has the addresses of the store that answer each call with 503; "" stands for
 	// all.
-	away map[string]bool
+	unavailable map[string]bool
 	// availableSince is when an outage last ended.
-	wentBack time.Time
+	availableSince time.Time
 	// lostAnswers is the number of further writes that are applied and not answered.
-	lost int
+	lostAnswers int
 }
 
 // clockBase is the store's clock at its start. It is far from the clock of any VM, so that a
@@ -53,38 +53,38 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{rows: map[string]wire.Row{}, changed: make(chan struct{}), began: time.Now(), away: map[string]bool{}}
+	return &Store{rows: map[string]wire.Row{}, changed: make(chan struct{}), began: time.Now(), unavailable: map[string]bool{}}
 }
 
 // SetUnavailable begins or ends an outage for the callers of one of the store's addresses; ""
 // stands for all addresses.
-func (s *Store) Away(host string, unavailable bool) {
+func (s *Store) SetUnavailable(host string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away[host] && !unavailable {
-		s.wentBack = time.Now()
+	if s.unavailable[host] && !unavailable {
+		s.availableSince = time.Now()
 	}
-	s.away[host] = unavailable
+	s.unavailable[host] = unavailable
 	s.wake()
 }
 
 // lastUnavailable is the end of the last outage, or now during one.
-func (s *Store) lastAway() time.Time {
+func (s *Store) lastUnavailable() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, unavailable := range s.away {
+	for _, unavailable := range s.unavailable {
 		if unavailable {
 			return time.Now()
 		}
 	}
-	return s.wentBack
+	return s.availableSince
 }
 
 // LoseAnswers has the next count writes be applied and not answered.
 func (s *Store) LoseAnswers(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost = count
+	s.lostAnswers = count
 }
 
 // Compact discards the history, so that feeds from an older version are answered with 410.
@@ -123,12 +123,12 @@
 }
 
 // rowID identifies a row of a partition of a table.
-func place(table, partition, key string) string { return table + "/" + partition + "/" + key }
+func rowID(table, partition, key string) string { return table + "/" + partition + "/" + key }
 
 // put applies a row or its deletion at the current version. The caller holds s.mu.
 func (s *Store) put(row wire.Row) {
 	row.Version = s.version
-	id := place(row.Table, row.Partition, row.Key)
+	id := rowID(row.Table, row.Partition, row.Key)
 	if row.Deleted {
 		delete(s.rows, id)
 	} else {
@@ -147,7 +147,7 @@
 // claim returns the claim of a group of targets; nil without a readable one.
 func (s *Store) claim(group string) *linkpb.Claim {
 	s.mu.Lock()
-	row, ok := s.rows[place("owners", "", group)]
+	row, ok := s.rows[rowID("owners", "", group)]
 	s.mu.Unlock()
 	if !ok {
 		return nil
@@ -162,7 +162,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.turnsAway(r) {
+	if s.isUnavailable(r) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -179,27 +179,27 @@
 }
 
 // isUnavailable reports whether a request came in on an address with an outage.
-func (s *Store) turnsAway(r *http.Request) bool {
+func (s *Store) isUnavailable(r *http.Request) bool {
 	host := ""
 	if local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		host, _, _ = net.SplitHostPort(local.String())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away[""] || s.away[host]
+	return s.unavailable[""] || s.unavailable[host]
 }
 
 // pageSize is the number of rows of a read without a limit.
-const readLimit = 500
+const pageSize = 500
 
 // answer writes all rows as the answer.
 func (s *Store) answer(w http.ResponseWriter, status int, rows []wire.Row) {
-	s.page(w, status, rows, false)
+	s.writePage(w, status, rows, false)
 }
 
 // writePage writes rows as the answer, with the store's version and clock, and whether more rows
 // follow.
-func (s *Store) page(w http.ResponseWriter, status int, rows []wire.Row, truncated bool) {
+func (s *Store) writePage(w http.ResponseWriter, status int, rows []wire.Row, truncated bool) {
 	s.mu.Lock()
 	body := wire.Rows{Rows: rows, Truncated: truncated, Version: s.version, NowMS: (clockBase + time.Since(s.began)).Milliseconds()}
 	s.mu.Unlock()
@@ -212,7 +212,7 @@
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get(wire.LimitParameter))
 	if err != nil {
-		limit = readLimit
+		limit = pageSize
 	}
 	s.mu.Lock()
 	var rows []wire.Row
@@ -223,7 +223,7 @@
 	}
 	s.mu.Unlock()
 	slices.SortFunc(rows, func(a, b wire.Row) int { return strings.Compare(a.Key, b.Key) })
-	s.page(w, http.StatusOK, rows[:min(limit, len(rows))], limit < len(rows))
+	s.writePage(w, http.StatusOK, rows[:min(limit, len(rows))], limit < len(rows))
 }
 
 // feed answers with the changes of a table after a version. It waits for one up to the caller's
@@ -244,7 +244,7 @@
 			}
 		}
 		s.mu.Unlock()
-		if s.turnsAway(r) {
+		if s.isUnavailable(r) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -293,7 +293,7 @@
 	defer s.mu.Unlock()
 	conflict := false
 	for _, expected := range tx.Expected {
-		row, ok := s.rows[place(expected.Table, expected.Partition, expected.Key)]
+		row, ok := s.rows[rowID(expected.Table, expected.Partition, expected.Key)]
 		conflict = conflict || row.Version != expected.Version
 		if ok {
 			current = append(current, row)
@@ -310,8 +310,8 @@
 		row.Deleted = true
 		s.put(row)
 	}
-	if s.lost > 0 {
-		s.lost--
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return current, true, true
 	}
 	return current, true, false
--- a/lab/prepared/target.go
+++ b/lab/prepared/target.go
@@ -14,7 +14,7 @@
 )
 
 // maxLease is the longest lease that a target grants.
-const leaseMax = time.Second
+const maxLease = time.Second
 
 // Target simulates a target: starts and stops under fencing tokens, one lease for all its runs, and
 // completions that it keeps until they are acknowledged. The payload of a task is a plan, which
@@ -26,26 +26,26 @@
 	capacity int64
 	recorder *Recorder
 	// onStart is called at each start.
-	started func(task string)
+	onStart func(task string)
 	adviser *Adviser
 
 	mu   sync.Mutex
 	free int64
 	// highestToken is the highest fencing token seen; orders with a lower one are refused.
-	fence int64
+	highestToken int64
 	// leaseUntil is the end of the lease, by the target's clock.
-	until int64
+	leaseUntil int64
 	// highestRun is the highest run number of each task that ended or was stopped; starts of
 	// this one and earlier ones are refused.
-	highest map[string]int64
-	running map[string]*running
+	highestRun map[string]int64
+	running    map[string]*activeRun
 	// completions are those not acknowledged yet, lastCompletion is the number of the newest one.
-	ended  []wire.Completion
-	number int64
+	completions    []wire.Completion
+	lastCompletion int64
 	// endedAt is when each unacknowledged completion ended, lapsedAt when the lease was last
 	// renewed after it had lapsed.
-	endedAt map[int64]time.Time
-	lapsed  time.Time
+	endedAt  map[int64]time.Time
+	lapsedAt time.Time
 	// changed is closed and replaced at each completion.
 	changed chan struct{}
 	began   time.Time
@@ -61,21 +61,21 @@
 const lateDelay = 1500 * time.Millisecond
 
 // SetOrderFaults sets the shares of orders that are late and that are lost.
-func (t *Target) Disturb(late, lost float64) {
+func (t *Target) SetOrderFaults(late, lost float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lateShare, t.lostShare = late, lost
 }
 
 // SetOrderFaults sets the shares of orders that are late and that are lost at all targets.
-func (d *Deployment) Disturb(late, lost float64) {
+func (d *Deployment) SetOrderFaults(late, lost float64) {
 	for _, target := range d.Targets {
-		target.Disturb(late, lost)
+		target.SetOrderFaults(late, lost)
 	}
 }
 
 // drawOrderFault draws whether an order is late, lost or neither.
-func (t *Target) disturbs() (late, lost bool) {
+func (t *Target) drawOrderFault() (late, lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	draw := rand.Float64()
@@ -83,7 +83,7 @@
 }
 
 // activeRun is a run of a task on a target.
-type running struct {
+type activeRun struct {
 	run  int64
 	cpu  int64
 	stop *time.Timer
@@ -94,20 +94,20 @@
 func NewTarget(id string, capacity int64, recorder *Recorder, adviser *Adviser) *Target {
 	return &Target{
 		ID: id, capacity: capacity, free: capacity, recorder: recorder, adviser: adviser,
-		highest: map[string]int64{}, running: map[string]*running{}, endedAt: map[int64]time.Time{}, changed: make(chan struct{}), began: time.Now(),
+		highestRun: map[string]int64{}, running: map[string]*activeRun{}, endedAt: map[int64]time.Time{}, changed: make(chan struct{}), began: time.Now(),
 	}
 }
 
 // SetHung sets whether the target is hung. A run whose next step is due meanwhile never ends by
 // itself.
-func (t *Target) Hang(hung bool) {
+func (t *Target) SetHung(hung bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hung = hung
 }
 
 // SetSilent sets whether the target leaves requests unanswered.
-func (t *Target) Silence(silent bool) {
+func (t *Target) SetSilent(silent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silent = silent
@@ -120,14 +120,14 @@
 	defer t.mu.Unlock()
 	t.silent = true
 	for task, r := range t.running {
-		t.recorder.ended(task)
-		t.apart(task, r)
+		t.recorder.recordEnd(task)
+		t.endGang(task, r)
 	}
-	t.running = map[string]*running{}
+	t.running = map[string]*activeRun{}
 }
 
 // clockMS is the target's clock in milliseconds. It is 1000 at the start.
-func (t *Target) clock() int64 { return 1000 + time.Since(t.began).Milliseconds() }
+func (t *Target) clockMS() int64 { return 1000 + time.Since(t.began).Milliseconds() }
 
 // ServeHTTP implements http.Handler.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +142,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if late, lost := t.disturbs(); late || lost {
+	if late, lost := t.drawOrderFault(); late || lost {
 		t.leaveUnanswered(r, late)
 		return
 	}
@@ -205,26 +205,26 @@
 }
 
 // orderAnswer returns the answer to an order; an empty reason stands for done.
-func (t *Target) answer(reason string) (wire.OrderAnswer, string) {
-	return wire.OrderAnswer{ClockMS: t.clock(), Reason: reason}, reason
+func (t *Target) orderAnswer(reason string) (wire.OrderAnswer, string) {
+	return wire.OrderAnswer{ClockMS: t.clockMS(), Reason: reason}, reason
 }
 
 // refusesToken reports whether a token is lower than the highest one seen, and otherwise records it
 // as the highest.
-func (t *Target) fenced(token int64) bool {
-	if token < t.fence {
+func (t *Target) refusesToken(token int64) bool {
+	if token < t.highestToken {
 		return true
 	}
-	t.fence = token
+	t.highestToken = token
 	return false
 }
 
 // renewLease extends the lease up to a time of the target's clock, at most by maxLease from now.
-func (t *Target) prolong(until int64) {
-	if t.clock() > t.until {
-		t.lapsed = time.Now()
+func (t *Target) renewLease(until int64) {
+	if t.clockMS() > t.leaseUntil {
+		t.lapsedAt = time.Now()
 	}
-	t.until = max(t.until, min(until, t.clock()+leaseMax.Milliseconds()))
+	t.leaseUntil = max(t.leaseUntil, min(until, t.clockMS()+maxLease.Milliseconds()))
 }
 
 // taskCPU is the processor need of each task that is not a background task, in thousandths of a
@@ -236,58 +236,58 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch r := t.running[in.Task]; {
-	case t.fenced(in.Token):
-		return t.answer(wire.ReasonFence)
+	case t.refusesToken(in.Token):
+		return t.orderAnswer(wire.ReasonFence)
 	case r != nil && r.run == in.Run:
-		return t.answer("")
-	case in.UntilMS <= t.clock():
-		return t.answer(wire.ReasonLate)
-	case in.Run <= t.highest[in.Task]:
-		return t.answer(wire.ReasonOld)
-	case planOf(in.Spec).advised && !t.adviser.admits(in.Ticket, in.Task, t.ID):
-		return t.answer(wire.ReasonTicket)
-	case r != nil || t.free < takes(planOf(in.Spec)):
-		return t.answer(wire.ReasonRoom)
+		return t.orderAnswer("")
+	case in.UntilMS <= t.clockMS():
+		return t.orderAnswer(wire.ReasonLate)
+	case in.Run <= t.highestRun[in.Task]:
+		return t.orderAnswer(wire.ReasonOld)
+	case parsePlan(in.Spec).advised && !t.adviser.isValidTicket(in.Ticket, in.Task, t.ID):
+		return t.orderAnswer(wire.ReasonTicket)
+	case r != nil || t.free < cpuNeed(parsePlan(in.Spec)):
+		return t.orderAnswer(wire.ReasonRoom)
 	}
-	t.prolong(in.UntilMS)
-	t.begin(in)
-	return t.answer("")
+	t.renewLease(in.UntilMS)
+	t.startRun(in)
+	return t.orderAnswer("")
 }
 
 // startRun starts a run and records each rule that the start breaks: a background task beside a
 // latency-sensitive one, the saved state of another task, a start before the due time.
-func (t *Target) begin(in wire.Start) {
-	w, ownState := newWorker(planOf(in.Spec), in.Task, in.Checkpoint)
-	r := &running{run: in.Run, cpu: takes(w.plan), worker: w}
+func (t *Target) startRun(in wire.Start) {
+	w, ownState := newWorker(parsePlan(in.Spec), in.Task, in.Checkpoint)
+	r := &activeRun{run: in.Run, cpu: cpuNeed(w.plan), worker: w}
 	t.running[in.Task] = r
 	t.free -= r.cpu
 	for task, other := range t.running {
-		if other.fills && r.serves || other.serves && r.fills {
-			t.recorder.wrong(in.Task + " was started beside " + task + ", one a background task, the other latency-sensitive")
+		if other.background && r.latencySensitive || other.latencySensitive && r.background {
+			t.recorder.addViolation(in.Task + " was started beside " + task + ", one a background task, the other latency-sensitive")
 		}
 	}
-	t.recorder.began(in.Task)
-	t.started(in.Task)
+	t.recorder.recordStart(in.Task)
+	t.onStart(in.Task)
 	if !ownState {
-		t.recorder.wrong(in.Task + " was started with the saved state of another task: " + in.Checkpoint)
+		t.recorder.addViolation(in.Task + " was started with the saved state of another task: " + in.Checkpoint)
 	}
 	if early := w.dueAt(in.Task) - time.Duration(time.Now().UnixNano()); early > 0 {
-		t.recorder.wrong(fmt.Sprintf("%s was started %v before it was due", in.Task, early))
+		t.recorder.addViolation(fmt.Sprintf("%s was started %v before it was due", in.Task, early))
 	}
-	t.goOn(in.Task, r)
-	t.watch(in.Task, r)
+	t.proceed(in.Task, r)
+	t.endOnLapse(in.Task, r)
 }
 
 // proceed begins a run's work. A lasting task fails after a random time between half and all of
 // maxLastingRun. A member of a gang waits until all members run, and ends after gangTimeout.
-func (t *Target) goOn(task string, r *running) {
+func (t *Target) proceed(task string, r *activeRun) {
 	switch {
 	case r.lasting:
-		t.after(task, r, lastingLife/2+time.Duration(rand.Int64N(int64(lastingLife/2))), func() { t.end(task, r, "failed") })
+		t.afterUnlessHung(task, r, maxLastingRun/2+time.Duration(rand.Int64N(int64(maxLastingRun/2))), func() { t.end(task, r, "failed") })
 	case r.gang > 0:
 		key := gangKey(r.key, r.run)
 		if !t.recorder.gangs.join(key, task, t, r.gang) {
-			t.after(task, r, gangWait, func() {
+			t.afterUnlessHung(task, r, gangTimeout, func() {
 				if t.recorder.gangs.size(key) < r.gang {
 					t.end(task, r, "alone")
 				}
@@ -302,13 +302,13 @@
 
 // work does a part of a run's work, saves the progress if the task saves, and ends the run when all
 // is done. In a gang only the member that started last works, for all members.
-func (t *Target) work(task string, r *running) {
-	part := r.length - r.done
+func (t *Target) work(task string, r *activeRun) {
+	part := r.runTime - r.done
 	if r.saves {
 		part = min(part, saveInterval)
 	}
-	t.after(task, r, max(part, 0), func() {
-		if r.done+part >= r.length {
+	t.afterUnlessHung(task, r, max(part, 0), func() {
+		if r.done+part >= r.runTime {
 			t.end(task, r, "done")
 			return
 		}
@@ -318,7 +318,7 @@
 }
 
 // afterUnlessHung calls do after a time if the run still goes on and the target is not hung.
-func (t *Target) after(task string, r *running, pause time.Duration, do func()) {
+func (t *Target) afterUnlessHung(task string, r *activeRun, pause time.Duration, do func()) {
 	r.stop = time.AfterFunc(pause, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -329,19 +329,19 @@
 }
 
 // endGang ends the other members of a run's gang: as done if the run was done, else as broken.
-func (t *Target) apart(task string, r *running, how ...string) {
+func (t *Target) endGang(task string, r *activeRun, how ...string) {
 	if r.gang == 0 {
 		return
 	}
-	for other, at := range t.recorder.gangs.leave(gangKey(r.key, r.run), task) {
+	for other, at := range t.recorder.gangs.remove(gangKey(r.key, r.run), task) {
 		// Another target may call endGang for this one at the same time. A goroutine avoids
 		// a deadlock of their mutexes.
-		go at.follow(other, r, len(how) > 0 && how[0] == "done")
+		go at.endMember(other, r, len(how) > 0 && how[0] == "done")
 	}
 }
 
 // endMember ends a member of a gang after another member has ended.
-func (t *Target) follow(task string, other *running, done bool) {
+func (t *Target) endMember(task string, other *activeRun, done bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.running[task]
@@ -356,44 +356,44 @@
 }
 
 // cpuNeed is the processor need of a task. Background tasks need none of the target's capacity.
-func takes(p plan) int64 {
-	if p.fills {
+func cpuNeed(p plan) int64 {
+	if p.background {
 		return 0
 	}
 	return taskCPU
 }
 
 // endOnLapse ends a run as soon as the lease has lapsed.
-func (t *Target) watch(task string, r *running) {
-	time.AfterFunc(time.Duration(t.until-t.clock()+1)*time.Millisecond, func() {
+func (t *Target) endOnLapse(task string, r *activeRun) {
+	time.AfterFunc(time.Duration(t.leaseUntil-t.clockMS()+1)*time.Millisecond, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if t.running[task] != r {
 			return
 		}
-		if t.clock() > t.until {
+		if t.clockMS() > t.leaseUntil {
 			t.end(task, r, "lapsed")
 			return
 		}
-		t.watch(task, r)
+		t.endOnLapse(task, r)
 	})
 }
 
 // end ends a run, adds its completion and ends the other members of its gang. The caller holds
 // t.mu.
-func (t *Target) end(task string, r *running, how string) {
+func (t *Target) end(task string, r *activeRun, how string) {
 	if t.running[task] != r {
 		return
 	}
 	r.stop.Stop()
 	delete(t.running, task)
 	t.free += r.cpu
-	t.highest[task] = max(t.highest[task], r.run)
-	t.number++
-	t.ended = append(t.ended, wire.Completion{Number: t.number, Task: task, Run: r.run, Outcome: how, Saved: r.saved})
-	t.recorder.ended(task)
-	t.apart(task, r, how)
-	t.endedAt[t.number] = time.Now()
+	t.highestRun[task] = max(t.highestRun[task], r.run)
+	t.lastCompletion++
+	t.completions = append(t.completions, wire.Completion{Number: t.lastCompletion, Task: task, Run: r.run, Outcome: how, Saved: r.saved})
+	t.recorder.recordEnd(task)
+	t.endGang(task, r, how)
+	t.endedAt[t.lastCompletion] = time.Now()
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -402,18 +402,18 @@
 func (t *Target) stop(in wire.Stop) (wire.OrderAnswer, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fenced(in.Token) {
-		return t.answer(wire.ReasonFence)
+	if t.refusesToken(in.Token) {
+		return t.orderAnswer(wire.ReasonFence)
 	}
-	t.highest[in.Task] = max(t.highest[in.Task], in.Run)
+	t.highestRun[in.Task] = max(t.highestRun[in.Task], in.Run)
 	if r := t.running[in.Task]; r != nil && r.run == in.Run {
 		t.end(in.Task, r, "stopped")
 	}
-	return t.answer("")
+	return t.orderAnswer("")
 }
 
 // holdAnswer is the answer to a hold request, or its refusal.
-type held struct {
+type holdAnswer struct {
 	wire.Held
 	Reason string `json:"reason,omitempty"`
 }
@@ -421,18 +421,18 @@
 // hold handles a long poll: it renews the lease, drops the completions that are acknowledged, and
 // answers with the running tasks and the other completions as soon as there is one or the wait is
 // over.
-func (t *Target) hold(in wire.Hold) (held, string) {
+func (t *Target) hold(in wire.Hold) (holdAnswer, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fenced(in.Token) {
-		return held{Held: wire.Held{ClockMS: t.clock()}, Reason: wire.ReasonFence}, wire.ReasonFence
+	if t.refusesToken(in.Token) {
+		return holdAnswer{Held: wire.Held{ClockMS: t.clockMS()}, Reason: wire.ReasonFence}, wire.ReasonFence
 	}
-	if in.UntilMS > t.clock() {
-		t.prolong(in.UntilMS)
+	if in.UntilMS > t.clockMS() {
+		t.renewLease(in.UntilMS)
 	}
-	t.forget(in.LastSeen)
+	t.acknowledge(in.LastSeen)
 	deadline := time.After(time.Duration(in.WaitMS) * time.Millisecond)
-	for waiting := in.WaitMS > 0; waiting && len(t.ended) == 0; {
+	for waiting := in.WaitMS > 0; waiting && len(t.completions) == 0; {
 		changed := t.changed
 		t.mu.Unlock()
 		select {
@@ -442,22 +442,22 @@
 		}
 		t.mu.Lock()
 	}
-	out := wire.Held{ClockMS: t.clock(), Running: []wire.RunningTask{}, Ended: slices.Clone(t.ended)}
+	out := wire.Held{ClockMS: t.clockMS(), Running: []wire.RunningTask{}, Ended: slices.Clone(t.completions)}
 	for task, r := range t.running {
 		out.Running = append(out.Running, wire.RunningTask{Task: task, Run: r.run, Saved: r.saved})
 	}
-	return held{Held: out}, ""
+	return holdAnswer{Held: out}, ""
 }
 
 // acknowledge drops the completions up to a number. A task that was done must not start again
 // after this, unless the lease lapsed between its completion and the acknowledgement.
-func (t *Target) forget(upTo int64) {
-	t.ended = slices.DeleteFunc(t.ended, func(e wire.Completion) bool {
+func (t *Target) acknowledge(upTo int64) {
+	t.completions = slices.DeleteFunc(t.completions, func(e wire.Completion) bool {
 		if e.Number > upTo {
 			return false
 		}
-		if ended := t.endedAt[e.Number]; e.Outcome == "done" && t.lapsed.Before(ended) && t.clock() <= t.until {
-			t.recorder.finish(e.Task, ended)
+		if ended := t.endedAt[e.Number]; e.Outcome == "done" && t.lapsedAt.Before(ended) && t.clockMS() <= t.leaseUntil {
+			t.recorder.recordAcknowledgement(e.Task, ended)
 		}
 		delete(t.endedAt, e.Number)
 		return true
--- a/lab/replay/baseline.go
+++ b/lab/replay/baseline.go
@@ -26,18 +26,18 @@
 )
 
 // callerTimeout is how long a caller waits for an answer.
-const callerWait = 1500 * time.Millisecond
+const callerTimeout = 1500 * time.Millisecond
 
 // queuedTask is a task that a baseline queues or runs.
-type lineTask struct {
+type queuedTask struct {
 	arrival *arrival
 	run     work.RunID
 	need    work.Resources
 	// started is its run; nil while it waits.
-	began *runSim
+	started *runSim
 	// target is where it runs, or waits under a policy with a queue for each target.
-	at   *targetSim
-	done bool
+	target *targetSim
+	done   bool
 }
 
 // baseline places tasks by one of the simple policies.
@@ -46,19 +46,19 @@
 	policy  Policy
 	targets []*targetSim
 	// queues has a queue for each target; FIFO's only queue has the key nil.
-	lines map[*targetSim][]*lineTask
+	queues map[*targetSim][]*queuedTask
 	// outstanding counts the tasks that run on a target or wait for it.
 	outstanding map[*targetSim]int
-	tasks       map[work.RunID]*lineTask
+	tasks       map[work.RunID]*queuedTask
 	// openTasks counts the tasks of a job that are not done. Jobs that are answered or given up
 	// have no entry.
-	open map[*arrival]int
+	openTasks map[*arrival]int
 }
 
 func newBaseline(w *world) *baseline {
 	b := &baseline{
-		world: w, policy: w.options.Policy, lines: map[*targetSim][]*lineTask{}, outstanding: map[*targetSim]int{},
-		tasks: map[work.RunID]*lineTask{}, open: map[*arrival]int{},
+		world: w, policy: w.options.Policy, queues: map[*targetSim][]*queuedTask{}, outstanding: map[*targetSim]int{},
+		tasks: map[work.RunID]*queuedTask{}, openTasks: map[*arrival]int{},
 	}
 	for _, id := range w.targetOrder {
 		b.targets = append(b.targets, w.targets[id])
@@ -67,22 +67,22 @@
 }
 
 // addJob queues the tasks of a job and starts what fits. The job is given up after callerTimeout.
-func (b *baseline) arrive(a *arrival) {
-	b.open[a] = len(a.runs)
-	var tasks []*lineTask
-	for i := range a.runs {
-		task := &lineTask{arrival: a, run: work.RunID{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].PerTask}
+func (b *baseline) addJob(a *arrival) {
+	b.openTasks[a] = len(a.runTimes)
+	var tasks []*queuedTask
+	for i := range a.runTimes {
+		task := &queuedTask{arrival: a, run: work.RunID{Task: taskName(a, i), Number: 1}, need: a.job.Steps[0].PerTask}
 		b.tasks[task.run] = task
 		tasks = append(tasks, task)
-		queue := b.lineFor(task)
-		b.lines[queue] = append(b.lines[queue], task)
+		queue := b.chooseQueue(task)
+		b.queues[queue] = append(b.queues[queue], task)
 	}
-	b.world.at(a.at+time.Second+callerWait, func() { b.leave(a, tasks) })
-	b.place()
+	b.world.scheduleAt(a.at+time.Second+callerTimeout, func() { b.giveUpJob(a, tasks) })
+	b.startWaiting()
 }
 
 // chooseQueue returns the target in whose queue a task waits; nil stands for FIFO's queue.
-func (b *baseline) lineFor(task *lineTask) *targetSim {
+func (b *baseline) chooseQueue(task *queuedTask) *targetSim {
 	var chosen *targetSim
 	switch b.policy {
 	case Random:
@@ -96,29 +96,29 @@
 	default:
 		return nil
 	}
-	task.at = chosen
+	task.target = chosen
 	b.outstanding[chosen]++
 	return chosen
 }
 
 // startWaiting starts tasks from the head of each queue until one does not fit.
-func (b *baseline) place() {
-	for len(b.lines[nil]) > 0 {
-		t := b.firstFit(b.lines[nil][0])
+func (b *baseline) startWaiting() {
+	for len(b.queues[nil]) > 0 {
+		t := b.firstFit(b.queues[nil][0])
 		if t == nil {
 			break
 		}
 		b.startFirst(nil, t)
 	}
 	for _, t := range b.targets {
-		for len(b.lines[t]) > 0 && b.lines[t][0].need.FitsIn(t.free) {
+		for len(b.queues[t]) > 0 && b.queues[t][0].need.FitsIn(t.free) {
 			b.startFirst(t, t)
 		}
 	}
 }
 
 // firstFit returns the first target with free capacity for a task, or nil.
-func (b *baseline) firstFit(task *lineTask) *targetSim {
+func (b *baseline) firstFit(task *queuedTask) *targetSim {
 	for _, t := range b.targets {
 		if task.need.FitsIn(t.free) {
 			return t
@@ -129,65 +129,65 @@
 
 // startFirst starts the first task of a queue on a target.
 func (b *baseline) startFirst(queue, t *targetSim) {
-	task := b.lines[queue][0]
-	b.lines[queue] = b.lines[queue][1:]
-	task.at = t
-	t.begin(task.run, task.arrival, task.need)
-	task.began = t.running[task.run]
+	task := b.queues[queue][0]
+	b.queues[queue] = b.queues[queue][1:]
+	task.target = t
+	t.beginRun(task.run, task.arrival, task.need)
+	task.started = t.running[task.run]
 }
 
 // handleRunEnd records the end of a run, and its job's completion if it was the last one, and
 // starts waiting tasks.
-func (b *baseline) ended(run work.RunID) {
+func (b *baseline) handleRunEnd(run work.RunID) {
 	task := b.tasks[run]
 	delete(b.tasks, run)
-	b.outstanding[task.at]--
+	b.outstanding[task.target]--
 	task.done = true
 	a := task.arrival
-	if remaining, isOpen := b.open[a]; isOpen && remaining == 1 {
-		delete(b.open, a)
-		b.world.completed(a, b.world.now-a.at-time.Second)
+	if remaining, isOpen := b.openTasks[a]; isOpen && remaining == 1 {
+		delete(b.openTasks, a)
+		b.world.recordCompletion(a, b.world.now-a.at-time.Second)
 	} else if isOpen {
-		b.open[a] = remaining - 1
+		b.openTasks[a] = remaining - 1
 	}
-	b.place()
+	b.startWaiting()
 }
 
 // giveUpJob ends the runs of a job whose caller has left, and removes its waiting tasks.
-func (b *baseline) leave(a *arrival, tasks []*lineTask) {
-	if _, isOpen := b.open[a]; !isOpen {
+func (b *baseline) giveUpJob(a *arrival, tasks []*queuedTask) {
+	if _, isOpen := b.openTasks[a]; !isOpen {
 		return
 	}
-	delete(b.open, a)
-	b.world.count(a, func(c *Counts) { c.Failed++ })
+	delete(b.openTasks, a)
+	b.world.countJob(a, func(c *Counts) { c.Failed++ })
 	for _, task := range tasks {
 		switch {
 		case task.done:
-		case task.began != nil:
-			task.at.end(task.run, task.began, work.CompletionStopped)
+		case task.started != nil:
+			task.target.endRun(task.run, task.started, work.CompletionStopped)
 		default:
-			b.unqueue(task)
+			b.dequeue(task)
 		}
 	}
-	b.place()
+	b.startWaiting()
 }
 
 // dequeue removes a waiting task from its queue.
-func (b *baseline) unqueue(task *lineTask) {
-	queue := task.at
+func (b *baseline) dequeue(task *queuedTask) {
+	queue := task.target
 	if b.policy == FIFO {
 		queue = nil
 	}
-	rest := b.lines[queue][:0]
-	for _, other := range b.lines[queue] {
+	rest := b.queues[queue][:0]
+	for _, other := range b.queues[queue] {
 		if other != task {
 			rest = append(rest, other)
 		}
 	}
-	b.lines[queue] = rest
+	b.queues[queue] = rest
 	delete(b.tasks, task.run)
-	if task.at != nil {
-		b.outstanding[task.at]--
+	if task.target != nil {
+		b.outstanding[task.target]--
 	}
 }
 
--- a/lab/replay/choose.go
+++ b/lab/replay/choose.go
@@ -8,13 +8,13 @@
 
 // chooseOwner returns the index of the owner that an entry VM of the caller's failure domain
 // chooses by entry.Choose. Owners in refused and cordoned ones count as full.
-func (w *world) choose(a *arrival, refused map[int]bool) int {
+func (w *world) chooseOwner(a *arrival, refused map[int]bool) int {
 	candidates := make([]entry.Candidate, len(w.owners))
 	for i, o := range w.owners {
 		candidates[i] = entry.Candidate{
 			Near:       w.options.OneOwner || i == a.domain,
-			Wait:       o.loads.Wait[w.options.Site.Kinds[a.kind].Priority],
-			FreeShare:  float64(o.loads.FreeCPU) / float64(max(o.loads.CPU, 1)),
+			Wait:       o.load.Wait[w.options.Site.Kinds[a.kind].Priority],
+			FreeShare:  float64(o.load.FreeCPU) / float64(max(o.load.CPU, 1)),
 			HasRefused: refused[i] || o.cordoned,
 		}
 	}
@@ -23,9 +23,9 @@
 
 // hasBetterOwner reports whether an owner outside refused has a shorter wait, at priority 0, than
 // the one that a refusal named.
-func (w *world) better(refused map[int]bool, wait time.Duration) bool {
+func (w *world) hasBetterOwner(refused map[int]bool, wait time.Duration) bool {
 	for i, o := range w.owners {
-		if !refused[i] && o.loads.Wait[0] < wait {
+		if !refused[i] && o.load.Wait[0] < wait {
 			return true
 		}
 	}
--- a/lab/replay/command.go
+++ b/lab/replay/command.go
@@ -31,19 +31,19 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "seed of the jobs and of the hung targets"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			site, err := siteOf(cmd.String("site"))
+			site, err := siteByName(cmd.String("site"))
 			if err != nil {
 				return err
 			}
-			site.Bursts = []Burst{{From: burstFrom, To: burstTo, Times: cmd.Float("burst")}}
+			site.Bursts = []Burst{{From: burstFrom, To: burstTo, Factor: cmd.Float("burst")}}
 			site.Faults = []Fault{{From: hungFrom, To: hungTo, Share: cmd.Float("hung"), Hang: true}}
-			return compare(os.Stdout, site, cmd.Uint64("seed"))
+			return comparePolicies(os.Stdout, site, cmd.Uint64("seed"))
 		},
 	}
 }
 
 // siteByName returns the site that a flag names.
-func siteOf(name string) (Site, error) {
+func siteByName(name string) (Site, error) {
 	for _, site := range []Site{Kasa(), Thapa()} {
 		if site.Name == name {
 			return site, nil
@@ -54,7 +54,7 @@
 
 // comparePolicies simulates a day under each policy. For each it writes a row for all jobs, for
 // each kind of request and for each failure domain.
-func compare(to io.Writer, site Site, seed uint64) error {
+func comparePolicies(to io.Writer, site Site, seed uint64) error {
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "policy\tof\tworth\ton time\tlate\trefused\tfailed")
 	for _, p := range []struct {
--- a/lab/replay/cordons_losses.go
+++ b/lab/replay/cordons_losses.go
@@ -13,28 +13,28 @@
 const (
 	// leaseLapseTime is how long runs continue after the loss of their owner, until their
 	// leases lapse.
-	lapseTime = 800 * time.Millisecond
+	leaseLapseTime = 800 * time.Millisecond
 	// resubmitSpread is the time over which callers submit their jobs again after a loss.
-	returnSpread = 300 * time.Millisecond
+	resubmitSpread = 300 * time.Millisecond
 	// movedRetryDelay is how long an entry VM waits before it submits a job again that its owner
 	// has returned as moved.
-	movedPause = 10 * time.Millisecond
+	movedRetryDelay = 10 * time.Millisecond
 )
 
 // scheduleCordonsAndLosses adds the events of the site's cordons and owner losses.
-func (w *world) plan() {
+func (w *world) scheduleCordonsAndLosses() {
 	for _, c := range w.options.Site.Cordons {
-		w.at(c.From+time.Second, func() { w.cordon(c.Domain, true) })
-		w.at(c.To+time.Second, func() { w.cordon(c.Domain, false) })
+		w.scheduleAt(c.From+time.Second, func() { w.setCordon(c.Domain, true) })
+		w.scheduleAt(c.To+time.Second, func() { w.setCordon(c.Domain, false) })
 	}
-	for _, l := range w.options.Site.Losses {
-		w.at(l.At+time.Second, w.lose)
-		w.at(l.At+l.For+time.Second, w.begin)
+	for _, l := range w.options.Site.OwnerLosses {
+		w.scheduleAt(l.At+time.Second, w.loseOwners)
+		w.scheduleAt(l.At+l.Outage+time.Second, w.restartOwners)
 	}
 }
 
 // setCordon cordons a failure domain or makes it usable again. Baselines ignore cordons.
-func (w *world) cordon(domain int, cordoned bool) {
+func (w *world) setCordon(domain int, cordoned bool) {
 	if w.baseline != nil {
 		return
 	}
@@ -46,33 +46,33 @@
 				w.owners[0].state.TargetListed(w.now, t.Target)
 			}
 		}
-		w.carryOut(w.owners[0])
+		w.applyEffects(w.owners[0])
 		return
 	}
 	o := w.owners[domain]
 	o.cordoned = cordoned
 	if !o.lost {
 		o.state.CordonReported(w.now, cordoned)
-		w.carryOut(o)
+		w.applyEffects(o)
 	}
 }
 
 // loseOwners ends the processes of all owners. Their callers submit their jobs again, and all
 // runs end when their leases lapse.
-func (w *world) lose() {
+func (w *world) loseOwners() {
 	for _, o := range w.owners {
 		o.lost = true
-		o.life++
+		o.incarnation++
 		for _, ref := range sortedRefs(o.callers) {
-			w.comeBack(o.callers[ref])
+			w.resubmitLater(o.callers[ref])
 		}
 		clear(o.callers)
-		clear(o.lenders)
-		clear(o.lent)
+		clear(o.partReplies)
+		clear(o.withdrawals)
 	}
-	w.after(lapseTime, func() {
+	w.scheduleAfter(leaseLapseTime, func() {
 		for _, id := range w.targetOrder {
-			w.targets[id].lapse()
+			w.targets[id].endAllRuns()
 		}
 	})
 }
@@ -88,32 +88,32 @@
 }
 
 // endAllRuns ends all runs of the target, in the order of their tasks' names.
-func (t *targetSim) lapse() {
+func (t *targetSim) endAllRuns() {
 	var runs []work.RunID
 	for run := range t.running {
 		runs = append(runs, run)
 	}
 	slices.SortFunc(runs, func(a, b work.RunID) int { return strings.Compare(a.Task, b.Task) })
 	for _, run := range runs {
-		t.end(run, t.running[run], work.CompletionStopped)
+		t.endRun(run, t.running[run], work.CompletionStopped)
 	}
 }
 
 // resubmitLater submits a caller's job again once owners run, after a random part of
 // resubmitSpread.
-func (w *world) comeBack(a *arrival) {
+func (w *world) resubmitLater(a *arrival) {
 	start := w.now
-	for _, l := range w.options.Site.Losses {
-		if end := l.At + l.For + time.Second; w.now >= l.At+time.Second && w.now <= end {
+	for _, l := range w.options.Site.OwnerLosses {
+		if end := l.At + l.Outage + time.Second; w.now >= l.At+time.Second && w.now <= end {
 			start = end
 		}
 	}
-	w.at(start+time.Duration(w.random.Int64N(int64(returnSpread))), func() { w.submit(a, map[int]bool{}) })
+	w.scheduleAt(start+time.Duration(w.random.Int64N(int64(resubmitSpread))), func() { w.submit(a, map[int]bool{}) })
 }
 
 // restartOwners gives each owner a new scheduler that knows the targets and the cordons, and no
 // job or run.
-func (w *world) begin() {
+func (w *world) restartOwners() {
 	for _, o := range w.owners {
 		o.lost = false
 		o.state = w.newState()
@@ -124,7 +124,7 @@
 			}
 		}
 		o.state.RegistryRead()
-		w.carryOut(o)
+		w.applyEffects(o)
 	}
 }
 
--- a/lab/replay/delegate.go
+++ b/lab/replay/delegate.go
@@ -10,27 +10,27 @@
 
 // capacityInterval is the shortest time between two requests of an owner for the free capacity
 // of the others.
-const askInterval = 8 * time.Millisecond
+const capacityInterval = 8 * time.Millisecond
 
 // requestCapacity asks all other owners for their free capacity if an owner has tasks to
 // delegate and has not asked within capacityInterval.
-func (w *world) askRoom(o *ownerSim) {
-	if w.options.Alone || !o.state.HasTasksToDelegate() || w.now < o.asked+askInterval {
+func (w *world) requestCapacity(o *ownerSim) {
+	if w.options.NoDelegation || !o.state.HasTasksToDelegate() || w.now < o.capacityAsked+capacityInterval {
 		return
 	}
-	o.asked = w.now
+	o.capacityAsked = w.now
 	for _, other := range w.owners {
 		if other == o {
 			continue
 		}
-		w.after(w.options.Site.Far+hop, func() {
+		w.scheduleAfter(w.options.Site.DomainDelay+processDelay, func() {
 			load := other.state.Load(w.now, "service")
-			w.after(w.options.Site.Far+hop, func() {
+			w.scheduleAfter(w.options.Site.DomainDelay+processDelay, func() {
 				if o.lost {
 					return
 				}
 				o.state.CapacityReported(w.now, strconv.Itoa(other.index), "service", load.FreeCapacity)
-				w.carryOut(o)
+				w.applyEffects(o)
 			})
 		})
 	}
@@ -39,39 +39,39 @@
 // delegate submits a part of a job to another owner and returns its outcome to the delegating
 // owner. A part for a lost owner is dropped, and so is an outcome or a withdrawal of an earlier
 // incarnation of the delegating owner.
-func (w *world) lend(o *ownerSim, e scheduler.Delegate) {
+func (w *world) delegate(o *ownerSim, e scheduler.Delegate) {
 	index, _ := strconv.Atoi(e.Owner)
 	other := w.owners[index]
-	delay := w.options.Site.Far + hop
-	incarnation := o.life
-	w.after(delay, func() {
-		if o.life != incarnation || other.lost {
+	delay := w.options.Site.DomainDelay + processDelay
+	incarnation := o.incarnation
+	w.scheduleAfter(delay, func() {
+		if o.incarnation != incarnation || other.lost {
 			return
 		}
-		other.refs++
-		ref := other.refs
+		other.lastRef++
+		ref := other.lastRef
 		sub := e.Submission
 		sub.Ref = ref
-		other.lenders[ref] = func(outcome work.Outcome) {
-			w.after(delay, func() {
-				if o.life != incarnation {
+		other.partReplies[ref] = func(outcome work.Outcome) {
+			w.scheduleAfter(delay, func() {
+				if o.incarnation != incarnation {
 					return
 				}
-				delete(o.lent, e.Part)
+				delete(o.withdrawals, e.Part)
 				o.state.PartReturned(w.now, e.Part, outcome)
-				w.carryOut(o)
+				w.applyEffects(o)
 			})
 		}
-		o.lent[e.Part] = func() {
-			w.after(delay, func() {
-				if o.life != incarnation {
+		o.withdrawals[e.Part] = func() {
+			w.scheduleAfter(delay, func() {
+				if o.incarnation != incarnation {
 					return
 				}
 				other.state.Cancel(w.now, ref)
-				w.carryOut(other)
+				w.applyEffects(other)
 			})
 		}
 		other.state.Submit(w.now, sub)
-		w.carryOut(other)
+		w.applyEffects(other)
 	})
 }
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -11,7 +11,7 @@
 
 // playMean simulates days with several seeds. It returns the means of Worth, LateRefusals and
 // Wasted, and the Kinds of all days.
-func play(t *testing.T, o Options) Report {
+func playMean(t *testing.T, o Options) Report {
 	t.Helper()
 	var mean Report
 	for seed := range seeds {
@@ -28,29 +28,29 @@
 
 var sites = []Site{Kasa(), Thapa()}
 
-func TestUsualLoadIsServedWhole(t *testing.T) {
+func TestUsualLoadEarnsNearlyAllWorth(t *testing.T) {
 	for _, site := range sites {
-		must.Greater(t, 0.97, play(t, Options{Site: site}).Worth)
+		must.Greater(t, 0.97, playMean(t, Options{Site: site}).Worth)
 	}
 }
 
 // Owners that delegate tasks to each other earn more under high load than owners that do not.
-func TestLendingEarnsMore(t *testing.T) {
+func TestDelegationEarnsMore(t *testing.T) {
 	for _, site := range sites {
-		alone := play(t, Options{Site: crowded(site), Alone: true})
-		delegating := play(t, Options{Site: crowded(site)})
+		alone := playMean(t, Options{Site: crowdedDay(site), NoDelegation: true})
+		delegating := playMean(t, Options{Site: crowdedDay(site)})
 		must.Greater(t, alone.Worth+0.005, delegating.Worth)
 	}
 }
 
 // Under faulty targets and high load, owners earn at least 93% of what one clairvoyant owner
 // without network delay earns. Few jobs are refused late and little processor time is wasted.
-func TestNearTheIdeal(t *testing.T) {
+func TestOwnersEarnNearlyTheIdeal(t *testing.T) {
 	for _, site := range sites {
-		for name, day := range map[string]func(Site) Site{"faulty": faulty, "crowded": crowded} {
+		for name, day := range map[string]func(Site) Site{"faulty": faultyDay, "crowded": crowdedDay} {
 			t.Run(site.Name+" "+name, func(t *testing.T) {
-				ideal := play(t, Options{Site: day(site), OneOwner: true, Clairvoyant: true})
-				real := play(t, Options{Site: day(site)})
+				ideal := playMean(t, Options{Site: day(site), OneOwner: true, Clairvoyant: true})
+				real := playMean(t, Options{Site: day(site)})
 				must.Greater(t, 0.93*ideal.Worth, real.Worth)
 				must.Less(t, 0.02, real.LateRefusals)
 				must.Less(t, 0.02, real.Wasted)
@@ -63,7 +63,7 @@
 // refusals are prompt.
 func TestFloodStarvesNoKind(t *testing.T) {
 	for _, site := range sites {
-		r := play(t, Options{Site: flooded(site)})
+		r := playMean(t, Options{Site: floodedDay(site)})
 		must.Less(t, 0.04, r.LateRefusals)
 		for _, kind := range r.Kinds {
 			must.Greater(t, 0.7, kind)
@@ -75,12 +75,12 @@
 // policies.
 func TestSimplePoliciesEarnLess(t *testing.T) {
 	for _, site := range sites {
-		for name, day := range map[string]func(Site) Site{"faulty": faulty, "crowded": crowded, "flooded": flooded} {
+		for name, day := range map[string]func(Site) Site{"faulty": faultyDay, "crowded": crowdedDay, "flooded": floodedDay} {
 			t.Run(site.Name+" "+name, func(t *testing.T) {
-				real := play(t, Options{Site: day(site)})
+				real := playMean(t, Options{Site: day(site)})
 				for _, policy := range []Policy{FIFO, Random, LeastOutstanding} {
 					t.Log(policy)
-					must.Greater(t, play(t, Options{Site: day(site), Policy: policy}).Worth+0.05, real.Worth)
+					must.Greater(t, playMean(t, Options{Site: day(site), Policy: policy}).Worth+0.05, real.Worth)
 				}
 			})
 		}
--- a/lab/replay/rounds.go
+++ b/lab/replay/rounds.go
@@ -18,20 +18,20 @@
 )
 
 // dayResult is the result of one simulated day.
-type played struct {
+type dayResult struct {
 	site, day string
 	seed      uint64
 	// worth is the earned share of the worth, worstKind the lowest such share of a kind of
 	// request. lateRefusals is the share of the worth that was refused late; callers would rather
 	// be refused at once.
-	worth, kind, late float64
+	worth, worstKind, lateRefusals float64
 }
 
 // key identifies a day by site, kind of day and seed.
-func (p played) key() string { return fmt.Sprintf("%s %s %d", p.site, p.day, p.seed) }
+func (p dayResult) key() string { return fmt.Sprintf("%s %s %d", p.site, p.day, p.seed) }
 
 // maxParallelDays is how many days are simulated at the same time.
-const maxPlays = 4
+const maxParallelDays = 4
 
 // RoundsCommand is the command that compares this build's scheduling decisions with those of
 // another build.
@@ -46,7 +46,7 @@
 			&cli.StringFlag{Name: "days", Usage: "names of days, separated by commas; empty stands for all"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			rows, err := playAll(ctx, cmd.Int("seeds"), named(cmd.String("sites")), named(cmd.String("days")))
+			rows, err := playAll(ctx, cmd.Int("seeds"), nameFilter(cmd.String("sites")), nameFilter(cmd.String("days")))
 			if err != nil {
 				return err
 			}
@@ -71,30 +71,30 @@
 
 // nameFilter returns a function that reports whether a name is in a list separated by commas.
 // An empty list contains all names.
-func named(list string) func(name string) bool {
+func nameFilter(list string) func(name string) bool {
 	names := strings.Split(list, ",")
 	return func(name string) bool { return list == "" || slices.Contains(names, name) }
 }
 
 // playAll simulates each selected day of each selected site with each seed. A cancelled context
 // ends it after the days that are being simulated.
-func playAll(ctx context.Context, seeds int, site, day func(string) bool) ([]played, error) {
-	var rows []played
-	for _, spec := range Sheets {
+func playAll(ctx context.Context, seeds int, site, day func(string) bool) ([]dayResult, error) {
+	var rows []dayResult
+	for _, spec := range SiteSpecs {
 		for _, d := range Days {
 			for seed := range seeds {
 				if site(spec.Name) && day(d.Name) {
-					rows = append(rows, played{site: spec.Name, day: d.Name, seed: uint64(seed)})
+					rows = append(rows, dayResult{site: spec.Name, day: d.Name, seed: uint64(seed)})
 				}
 			}
 		}
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxPlays)
+	g.SetLimit(maxParallelDays)
 	for i := range rows {
 		g.Go(func() error {
 			if ctx.Err() == nil {
-				rows[i].play()
+				rows[i].simulate()
 			}
 			return ctx.Err()
 		})
@@ -103,29 +103,29 @@
 }
 
 // simulate plays the day and fills in its result.
-func (p *played) play() {
-	spec := Sheets[slices.IndexFunc(Sheets, func(s Sheet) bool { return s.Name == p.site })]
+func (p *dayResult) simulate() {
+	spec := SiteSpecs[slices.IndexFunc(SiteSpecs, func(s SiteSpec) bool { return s.Name == p.site })]
 	day := Days[slices.IndexFunc(Days, func(d Day) bool { return d.Name == p.day })]
-	r := Play(Options{Site: day.of(spec.site()), Seed: p.seed})
-	p.worth, p.kind, p.late = r.Worth, slices.Min(r.Kinds), r.LateRefusals
+	r := Play(Options{Site: day.apply(spec.site()), Seed: p.seed})
+	p.worth, p.worstKind, p.lateRefusals = r.Worth, slices.Min(r.Kinds), r.LateRefusals
 }
 
 // writeRows writes one line for each day, for another build's readRows.
-func writeRows(to io.Writer, rows []played) error {
+func writeRows(to io.Writer, rows []dayResult) error {
 	out := bufio.NewWriter(to)
 	for _, p := range rows {
-		fmt.Fprintf(out, "%s %.5f %.5f %.5f\n", p.key(), p.worth, p.kind, p.late)
+		fmt.Fprintf(out, "%s %.5f %.5f %.5f\n", p.key(), p.worth, p.worstKind, p.lateRefusals)
 	}
 	return out.Flush()
 }
 
 // readRows reads what another build's writeRows has written.
-func readRows(from io.Reader) ([]played, error) {
-	var rows []played
+func readRows(from io.Reader) ([]dayResult, error) {
+	var rows []dayResult
 	scanner := bufio.NewScanner(from)
 	for scanner.Scan() {
-		var p played
-		if _, err := fmt.Sscan(scanner.Text(), &p.site, &p.day, &p.seed, &p.worth, &p.kind, &p.late); err != nil {
+		var p dayResult
+		if _, err := fmt.Sscan(scanner.Text(), &p.site, &p.day, &p.seed, &p.worth, &p.worstKind, &p.lateRefusals); err != nil {
 			return nil, fmt.Errorf("row %q of the other build: %w", scanner.Text(), err)
 		}
 		rows = append(rows, p)
@@ -135,12 +135,12 @@
 
 // writeRounds writes a table of the means of both builds by site and day, with the difference
 // and its standard deviation over the seeds.
-func writeRounds(to io.Writer, rows, theirs []played) error {
-	others := map[string]played{}
+func writeRounds(to io.Writer, rows, theirs []dayResult) error {
+	others := map[string]dayResult{}
 	for _, p := range theirs {
 		others[p.key()] = p
 	}
-	groups := map[string][]played{}
+	groups := map[string][]dayResult{}
 	var order []string
 	for _, p := range rows {
 		for _, group := range []string{p.site + "\t" + p.day, "all\t" + p.day, "all\tall"} {
@@ -151,7 +151,7 @@
 		}
 	}
 	slices.SortStableFunc(order, func(a, b string) int {
-		return strings.Compare(rank(a), rank(b))
+		return strings.Compare(sortKey(a), sortKey(b))
 	})
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "site\tday\tseeds\tworth\tworst kind\trefused late\tother's\tdifference\tspread\tof the kind\tof the late")
@@ -162,19 +162,19 @@
 			if !ok {
 				return fmt.Errorf("the other build did not play %s", p.key())
 			}
-			mine, kind, late = append(mine, p.worth), append(kind, p.kind), append(late, p.late)
+			mine, kind, late = append(mine, p.worth), append(kind, p.worstKind), append(late, p.lateRefusals)
 			theirWorth = append(theirWorth, o.worth)
-			difference, kinds, lates = append(difference, p.worth-o.worth), append(kinds, p.kind-o.kind), append(lates, p.late-o.late)
+			difference, kinds, lates = append(difference, p.worth-o.worth), append(kinds, p.worstKind-o.worstKind), append(lates, p.lateRefusals-o.lateRefusals)
 		}
 		fmt.Fprintf(out, "%s\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%+.4f\t%.4f\t%+.4f\t%+.4f\n",
-			group, len(mine), mean(mine), mean(kind), mean(late), mean(theirWorth), mean(difference), deviation(difference), mean(kinds), mean(lates))
+			group, len(mine), mean(mine), mean(kind), mean(late), mean(theirWorth), mean(difference), standardDeviation(difference), mean(kinds), mean(lates))
 	}
 	return out.Flush()
 }
 
 // sortKey orders the groups of all sites after those of each site, and the group of all days
 // last.
-func rank(group string) string {
+func sortKey(group string) string {
 	if strings.HasPrefix(group, "all\t") {
 		return "~" + strings.Replace(group, "\tall", "\t~", 1)
 	}
@@ -191,7 +191,7 @@
 }
 
 // standardDeviation is that of a sample.
-func deviation(values []float64) float64 {
+func standardDeviation(values []float64) float64 {
 	m, sum := mean(values), 0.0
 	for _, v := range values {
 		sum += (v - m) * (v - m)
--- a/lab/replay/site.go
+++ b/lab/replay/site.go
@@ -22,16 +22,16 @@
 type Kind struct {
 	Name string
 	// RatePerSecond is the mean number of jobs per second in the whole site.
-	PerS float64
+	RatePerSecond float64
 	// Worth is what a job of mean size earns if it is answered on time.
 	Worth    float64
 	Priority int
 	Attempts int
 	// Tasks is the mean number of tasks of a job. CPU is a task's mean need in thousandths of
 	// a core, RunTime its mean run time.
-	Tasks float64
-	CPU   float64
-	Run   time.Duration
+	Tasks   float64
+	CPU     float64
+	RunTime time.Duration
 }
 
 // Site is a deployment with its load, faults and operator actions on one day.
@@ -49,7 +49,7 @@
 	Length time.Duration
 	// DomainDelay is the one-way network delay between failure domains, TargetDelay the one
 	// between an owner and its targets.
-	Far, Near time.Duration
+	DomainDelay, TargetDelay time.Duration
 	// Bursts are times of higher load. Where they overlap, the highest factor applies.
 	Bursts []Burst
 	// Faults are times of faulty targets. Which targets a fault affects is drawn.
@@ -61,8 +61,8 @@
 	// its mean.
 	Swing float64
 	// Cordons are the cordons of failure domains, OwnerLosses the losses of all owners at once.
-	Cordons []Cordon
-	Losses  []Loss
+	Cordons     []Cordon
+	OwnerLosses []OwnerLoss
 }
 
 // Cordon is a time during which a failure domain is cordoned.
@@ -73,12 +73,12 @@
 
 // OwnerLoss ends the processes of all owners at once; new ones start after Outage. Callers
 // whose jobs were lost, and callers that arrive meanwhile, submit their jobs to the new owners.
-type Loss struct{ At, For time.Duration }
+type OwnerLoss struct{ At, Outage time.Duration }
 
 // Burst multiplies the load by a factor for some time.
 type Burst struct {
 	From, To time.Duration
-	Times    float64
+	Factor   float64
 }
 
 // Fault affects a share of the targets for some time.
@@ -87,12 +87,12 @@
 	// Share is the probability that a target is affected.
 	Share float64
 	// SlowFactor multiplies the run times of tasks that start meanwhile; up to 1 has no effect.
-	Slower float64
+	SlowFactor float64
 	// Hang keeps tasks that start meanwhile from ending.
 	Hang bool
 	Gone bool
 	// LostCalls is the share of calls that are neither carried out nor answered.
-	Lost float64
+	LostCalls float64
 }
 
 // Parameters of the load that all sites share.
@@ -100,32 +100,32 @@
 	// jobSpread is the standard deviation of the number of tasks and of the run times of jobs,
 	// cpuSpread that of the processor need of jobs, and taskSpread that of the run times of
 	// the tasks within a job, each as a share of the mean.
-	spread    = 0.4
-	cpuSpread = 0.2
-	uneven    = 0.15
+	jobSpread  = 0.4
+	cpuSpread  = 0.2
+	taskSpread = 0.15
 	// estimateError is the largest error of a declared run time, as a share of the job's mean run
 	// time.
-	estimateOff = 0.4
+	estimateError = 0.4
 	// defaultSwing is the amplitude and swingPeriod the period of the slow change of each
 	// failure domain's load.
-	usualSwing = 0.15
-	wavePeriod = 11 * time.Second
+	defaultSwing = 0.15
+	swingPeriod  = 11 * time.Second
 	// maxToMean bounds sizes and run times, as a multiple of the mean.
-	most = 4
+	maxToMean = 4
 	// A job's objective is stretch times the run time of its longest task, plus allowance.
 	stretch   = 1.6
 	allowance = 60 * time.Millisecond
 	// An answer after usefulFactor times the objective is worth nothing. Callers wait the
 	// queue's timeout beyond that.
 	usefulFactor = 3
-	timeout      = 1500 * time.Millisecond
+	queueTimeout = 1500 * time.Millisecond
 )
 
 // Kasa is the site kasa on a day of high load.
 func Kasa() Site {
 	return Site{
-		Name: "kasa", Domains: 3, Targets: 16, CPU: 32000, Kinds: kinds(14000), Load: 154.6 / 140.65,
-		Length: 30 * time.Second, Far: 900 * time.Microsecond, Near: 100 * time.Microsecond, Swing: usualSwing,
+		Name: "kasa", Domains: 3, Targets: 16, CPU: 32000, Kinds: requestKinds(14000), Load: 154.6 / 140.65,
+		Length: 30 * time.Second, DomainDelay: 900 * time.Microsecond, TargetDelay: 100 * time.Microsecond, Swing: defaultSwing,
 	}
 }
 
@@ -133,8 +133,8 @@
 // failure domains are nearer to each other.
 func Thapa() Site {
 	return Site{
-		Name: "thapa", Domains: 3, Targets: 16, CPU: 64000, Kinds: kinds(27000), Load: 154.7 / 140.65,
-		Length: 30 * time.Second, Far: 500 * time.Microsecond, Near: 100 * time.Microsecond, Swing: usualSwing,
+		Name: "thapa", Domains: 3, Targets: 16, CPU: 64000, Kinds: requestKinds(27000), Load: 154.7 / 140.65,
+		Length: 30 * time.Second, DomainDelay: 500 * time.Microsecond, TargetDelay: 100 * time.Microsecond, Swing: defaultSwing,
 	}
 }
 
@@ -143,13 +143,13 @@
 // as long as none is resent.
 func Large(targets int, busy float64) Site {
 	site := Site{
-		Name: "large", Domains: 1, Targets: targets, CPU: 32000, Kinds: kinds(16000),
-		Load: float64(targets) * largeLoad, Length: 10 * time.Second, Far: 500 * time.Microsecond, Near: 100 * time.Microsecond, Swing: usualSwing,
+		Name: "large", Domains: 1, Targets: targets, CPU: 32000, Kinds: requestKinds(16000),
+		Load: float64(targets) * loadPerTarget, Length: 10 * time.Second, DomainDelay: 500 * time.Microsecond, TargetDelay: 100 * time.Microsecond, Swing: defaultSwing,
 	}
 	calls := 0.0
 	for _, k := range site.Kinds {
 		// A start and its answer, and the poll and its answer that report the completion.
-		calls += 4 * k.PerS * k.Tasks * site.Load
+		calls += 4 * k.RatePerSecond * k.Tasks * site.Load
 	}
 	site.CallTime = time.Duration(busy / calls * float64(time.Second))
 	return site
@@ -157,15 +157,15 @@
 
 // loadPerTarget is the load factor for each target at which a third of the capacity of Large
 // is occupied.
-const largeLoad = 0.0092
+const loadPerTarget = 0.0092
 
 // requestKinds returns the kinds of requests of Kasa and Thapa, with a mean need of processor
 // of each task.
-func kinds(cpu float64) []Kind {
+func requestKinds(cpu float64) []Kind {
 	return []Kind{
-		{Name: "short", PerS: 34.4, Worth: 0.0291, Priority: 0, Attempts: 2, Tasks: 8, CPU: cpu, Run: 60 * time.Millisecond},
-		{Name: "long", PerS: 6.25, Worth: 0.16, Priority: 2, Attempts: 3, Tasks: 4, CPU: cpu, Run: 900 * time.Millisecond},
-		{Name: "middle", PerS: 100, Worth: 0.01, Priority: 1, Attempts: 4, Tasks: 2, CPU: cpu, Run: 200 * time.Millisecond},
+		{Name: "short", RatePerSecond: 34.4, Worth: 0.0291, Priority: 0, Attempts: 2, Tasks: 8, CPU: cpu, RunTime: 60 * time.Millisecond},
+		{Name: "long", RatePerSecond: 6.25, Worth: 0.16, Priority: 2, Attempts: 3, Tasks: 4, CPU: cpu, RunTime: 900 * time.Millisecond},
+		{Name: "middle", RatePerSecond: 100, Worth: 0.01, Priority: 1, Attempts: 4, Tasks: 2, CPU: cpu, RunTime: 200 * time.Millisecond},
 	}
 }
 
@@ -177,22 +177,22 @@
 	kind   int
 	job    work.Job
 	// runTimes are the true run times of the tasks.
-	runs []time.Duration
+	runTimes []time.Duration
 	// objective is the longest response time that counts as on time.
 	objective time.Duration
 	worth     float64
 	// submittedAt is when the caller last submitted it.
-	handed time.Duration
+	submittedAt time.Duration
 }
 
 // drawArrivals draws all jobs of a day.
-func (s Site) arrivals(seed uint64) []arrival {
+func (s Site) drawArrivals(seed uint64) []arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var all []arrival
 	for domain := range s.Domains {
 		phase := r.Float64()
 		for kind := range s.Kinds {
-			all = append(all, s.stream(r, domain, kind, phase)...)
+			all = append(all, s.drawStream(r, domain, kind, phase)...)
 		}
 	}
 	return all
@@ -201,38 +201,38 @@
 // drawStream draws the jobs of one kind in one failure domain. Arrivals are a Poisson process
 // whose rate follows the swing and the bursts: candidates are drawn at the peak rate and kept
 // with the probability of the rate at their time.
-func (s Site) stream(r *rand.Rand, domain, kind int, phase float64) []arrival {
+func (s Site) drawStream(r *rand.Rand, domain, kind int, phase float64) []arrival {
 	var stream []arrival
-	rate := s.Kinds[kind].PerS * s.Load / float64(s.Domains)
-	peak := rate * (1 + s.Swing) * s.peakBurst()
+	rate := s.Kinds[kind].RatePerSecond * s.Load / float64(s.Domains)
+	peak := rate * (1 + s.Swing) * s.maxBurstFactor()
 	for at := time.Duration(0); ; {
 		at += time.Duration(r.ExpFloat64() / peak * float64(time.Second))
 		if at >= s.Length {
 			return stream
 		}
-		wave := 1 + s.Swing*math.Sin(2*math.Pi*(at.Seconds()/wavePeriod.Seconds()+phase))
-		if r.Float64()*peak > rate*wave*s.burstAt(at) {
+		wave := 1 + s.Swing*math.Sin(2*math.Pi*(at.Seconds()/swingPeriod.Seconds()+phase))
+		if r.Float64()*peak > rate*wave*s.burstFactorAt(at) {
 			continue
 		}
-		stream = append(stream, s.draw(r, at, domain, kind))
+		stream = append(stream, s.drawJob(r, at, domain, kind))
 	}
 }
 
 // maxBurstFactor is the highest factor of all bursts, and at least 1.
-func (s Site) peakBurst() float64 {
+func (s Site) maxBurstFactor() float64 {
 	peak := 1.0
 	for _, b := range s.Bursts {
-		peak = max(peak, b.Times)
+		peak = max(peak, b.Factor)
 	}
 	return peak
 }
 
 // burstFactorAt is the highest factor of the bursts at a time, and at least 1.
-func (s Site) burstAt(at time.Duration) float64 {
+func (s Site) burstFactorAt(at time.Duration) float64 {
 	factor := 1.0
 	for _, b := range s.Bursts {
 		if at >= b.From && at < b.To {
-			factor = max(factor, b.Times)
+			factor = max(factor, b.Factor)
 		}
 	}
 	return factor
@@ -240,26 +240,26 @@
 
 // drawJob draws a job's tasks, run times, worth and declared run time. Its worth grows with its
 // total run time, up to four times that of its kind.
-func (s Site) draw(r *rand.Rand, at time.Duration, domain, kind int) arrival {
+func (s Site) drawJob(r *rand.Rand, at time.Duration, domain, kind int) arrival {
 	k := s.Kinds[kind]
-	tasks := int(math.Round(around(r, k.Tasks, spread)))
-	run := around(r, float64(k.Run), spread)
+	tasks := int(math.Round(drawLogNormal(r, k.Tasks, jobSpread)))
+	run := drawLogNormal(r, float64(k.RunTime), jobSpread)
 	a := arrival{at: at, domain: domain, kind: kind}
 	longest, total := time.Duration(0), time.Duration(0)
 	for range max(tasks, 1) {
-		took := time.Duration(around(r, run, uneven))
-		a.runs = append(a.runs, took)
+		took := time.Duration(drawLogNormal(r, run, taskSpread))
+		a.runTimes = append(a.runTimes, took)
 		longest = max(longest, took)
 		total += took
 	}
 	a.objective = time.Duration(stretch*float64(longest)) + allowance
-	a.worth = min(k.Worth*(0.3+0.7*float64(total)/(k.Tasks*float64(k.Run))), 4*k.Worth)
+	a.worth = min(k.Worth*(0.3+0.7*float64(total)/(k.Tasks*float64(k.RunTime))), 4*k.Worth)
 	a.job = work.Job{
 		ID: fmt.Sprintf("%016x", r.Uint64()),
 		Steps: []work.Step{{
-			Tasks:           len(a.runs),
-			PerTask:         work.Resources{CPU: int64(min(around(r, k.CPU, cpuSpread), 1.45*k.CPU)), MemoryMB: 64},
-			DeclaredRunTime: time.Duration(run * (1 + estimateOff*(2*r.Float64()-1))),
+			Tasks:           len(a.runTimes),
+			PerTask:         work.Resources{CPU: int64(min(drawLogNormal(r, k.CPU, cpuSpread), 1.45*k.CPU)), MemoryMB: 64},
+			DeclaredRunTime: time.Duration(run * (1 + estimateError*(2*r.Float64()-1))),
 		}},
 	}
 	return a
@@ -267,8 +267,8 @@
 
 // drawLogNormal draws a value with a log-normal distribution of the given mean and a standard
 // deviation of spread times the mean. Values are cut at maxToMean times the mean.
-func around(r *rand.Rand, mean, spread float64) float64 {
+func drawLogNormal(r *rand.Rand, mean, spread float64) float64 {
 	sigma := math.Sqrt(math.Log(1 + spread*spread))
 	value := mean * math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)
-	return min(value, most*mean)
+	return min(value, maxToMean*mean)
 }
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -21,26 +21,26 @@
 	running map[work.RunID]*runSim
 	// completions are those that no poll has acknowledged yet, lastCompletion is the number of
 	// the newest one.
-	ended  []work.Completion
-	number int64
+	completions    []work.Completion
+	lastCompletion int64
 	// polls are the polls that wait for a completion.
-	polls []*poll
+	polls []*pendingPoll
 	// fault is the fault that affects the target now; nil if none does.
 	fault *Fault
 }
 
 // pendingPoll is a poll that waits for a completion.
-type poll struct {
+type pendingPoll struct {
 	answer func()
 	// answered reports whether its answer was sent.
-	over bool
+	answered bool
 }
 
 // runSim is a run on a target.
 type runSim struct {
-	need  work.Resources
-	began time.Duration
-	over  bool
+	need      work.Resources
+	startedAt time.Duration
+	ended     bool
 }
 
 // addTarget adds a target to a failure domain, lists it at its owner, and schedules the faults
@@ -66,51 +66,51 @@
 	for i := range w.options.Site.Faults {
 		fault := &w.options.Site.Faults[i]
 		if w.random.Float64() < fault.Share {
-			w.at(fault.From+time.Second, func() { t.strike(fault) })
-			w.at(fault.To+time.Second, func() { t.heal() })
+			w.scheduleAt(fault.From+time.Second, func() { t.beginFault(fault) })
+			w.scheduleAt(fault.To+time.Second, func() { t.endFault() })
 		}
 	}
 }
 
-func (t *targetSim) strike(f *Fault) { t.fault = f }
-func (t *targetSim) heal()           { t.fault = nil }
+func (t *targetSim) beginFault(f *Fault) { t.fault = f }
+func (t *targetSim) endFault()           { t.fault = nil }
 
 // clockMS is the target's clock in milliseconds. It is 5 s ahead of the owner's.
-func (t *targetSim) clock() int64 { return t.world.now.Milliseconds() + 5000 }
+func (t *targetSim) clockMS() int64 { return t.world.now.Milliseconds() + 5000 }
 
 // sendReply sends an answer to the owner, which handles it by do as soon as its processor is
 // free. An answer to an earlier incarnation of the owner is dropped.
-func (t *targetSim) reply(o *ownerSim, do func(now time.Duration)) {
-	incarnation := o.life
-	t.world.after(t.world.hop(), func() {
-		t.world.work(o, t.world.options.Site.CallTime, func() {
-			if o.life != incarnation {
+func (t *targetSim) sendReply(o *ownerSim, do func(now time.Duration)) {
+	incarnation := o.incarnation
+	t.world.scheduleAfter(t.world.targetDelay(), func() {
+		t.world.runOnCPU(o, t.world.options.Site.CallTime, func() {
+			if o.incarnation != incarnation {
 				return
 			}
 			do(t.world.now)
-			t.world.carryOut(o)
+			t.world.applyEffects(o)
 		})
 	})
 }
 
 // reportUnanswered calls do after a time, to report to the owner that a call has had no answer.
-func (t *targetSim) unanswered(o *ownerSim, after time.Duration, do func()) {
-	incarnation := o.life
-	t.world.after(after, func() {
-		t.world.work(o, 0, func() {
-			if o.life != incarnation {
+func (t *targetSim) reportUnanswered(o *ownerSim, after time.Duration, do func()) {
+	incarnation := o.incarnation
+	t.world.scheduleAfter(after, func() {
+		t.world.runOnCPU(o, 0, func() {
+			if o.incarnation != incarnation {
 				return
 			}
 			do()
-			t.world.carryOut(o)
+			t.world.applyEffects(o)
 		})
 	})
 }
 
 // handleStart starts a run if the target has free capacity for it, and answers the order. A
 // resent order for a run that is already running is answered as done.
-func (t *targetSim) start(o *ownerSim, e scheduler.StartRun, sent time.Duration) {
-	answer := work.OrderAnswer{ClockMS: t.clock(), Verdict: work.VerdictDone}
+func (t *targetSim) handleStart(o *ownerSim, e scheduler.StartRun, sent time.Duration) {
+	answer := work.OrderAnswer{ClockMS: t.clockMS(), Verdict: work.VerdictDone}
 	a := t.world.jobs[strings.SplitN(e.Run.Task, ".", 2)[0]]
 	need := a.job.Steps[0].PerTask
 	if t.running[e.Run] != nil {
@@ -118,9 +118,9 @@
 	} else if !need.FitsIn(t.free) {
 		answer.Verdict = work.VerdictNoCapacity
 	} else {
-		t.begin(e.Run, a, need)
+		t.beginRun(e.Run, a, need)
 	}
-	t.reply(o, func(now time.Duration) {
+	t.sendReply(o, func(now time.Duration) {
 		o.state.RecordAnswerTime(now - sent)
 		o.state.HandleStartAnswer(now, t.ID, e.Run, answer)
 	})
@@ -128,20 +128,20 @@
 
 // beginRun takes the capacity of a run and schedules its end at the true run time, or later
 // under a fault. A hung target never ends the run.
-func (t *targetSim) begin(run work.RunID, a *arrival, need work.Resources) {
-	r := &runSim{need: need, began: t.world.now}
+func (t *targetSim) beginRun(run work.RunID, a *arrival, need work.Resources) {
+	r := &runSim{need: need, startedAt: t.world.now}
 	t.running[run] = r
 	t.free = t.free.Sub(need)
-	took := a.runs[taskIndex(run.Task)]
+	took := a.runTimes[taskIndex(run.Task)]
 	if t.fault != nil {
 		if t.fault.Hang {
 			return
 		}
-		if t.fault.Slower > 1 {
-			took = time.Duration(float64(took) * t.fault.Slower)
+		if t.fault.SlowFactor > 1 {
+			took = time.Duration(float64(took) * t.fault.SlowFactor)
 		}
 	}
-	t.world.after(took, func() { t.end(run, r, work.CompletionDone) })
+	t.world.scheduleAfter(took, func() { t.endRun(run, r, work.CompletionDone) })
 }
 
 // taskIndex is the last part of a task's name: its place among the tasks of its job.
@@ -152,24 +152,24 @@
 
 // endRun ends a run, counts its processor time, and answers the waiting polls or notifies the
 // baseline.
-func (t *targetSim) end(run work.RunID, r *runSim, kind work.CompletionKind) {
-	if r.over {
+func (t *targetSim) endRun(run work.RunID, r *runSim, kind work.CompletionKind) {
+	if r.ended {
 		return
 	}
-	r.over = true
+	r.ended = true
 	delete(t.running, run)
 	t.free = t.free.Add(r.need)
-	spent := (t.world.now - r.began) * time.Duration(r.need.CPU)
-	t.world.used += spent
+	spent := (t.world.now - r.startedAt) * time.Duration(r.need.CPU)
+	t.world.cpuUsed += spent
 	if kind != work.CompletionDone {
-		t.world.wasted += spent
+		t.world.cpuWasted += spent
 	}
 	if t.world.baseline != nil {
-		t.world.order(func() { t.world.baseline.ended(run) })
+		t.world.scheduleAfterHop(func() { t.world.baseline.handleRunEnd(run) })
 		return
 	}
-	t.number++
-	t.ended = append(t.ended, work.Completion{Number: t.number, Run: run, Kind: kind})
+	t.lastCompletion++
+	t.completions = append(t.completions, work.Completion{Number: t.lastCompletion, Run: run, Kind: kind})
 	for _, p := range t.polls {
 		p.answer()
 	}
@@ -180,12 +180,12 @@
 const stopDelay = 20 * time.Millisecond
 
 // handleStop ends a run after stopDelay and answers the order at once.
-func (t *targetSim) stop(o *ownerSim, e scheduler.StopRun, sent time.Duration) {
+func (t *targetSim) handleStop(o *ownerSim, e scheduler.StopRun, sent time.Duration) {
 	if r := t.running[e.Run]; r != nil {
-		t.world.after(stopDelay, func() { t.end(e.Run, r, work.CompletionStopped) })
+		t.world.scheduleAfter(stopDelay, func() { t.endRun(e.Run, r, work.CompletionStopped) })
 	}
-	answer := work.OrderAnswer{ClockMS: t.clock(), Verdict: work.VerdictDone}
-	t.reply(o, func(now time.Duration) {
+	answer := work.OrderAnswer{ClockMS: t.clockMS(), Verdict: work.VerdictDone}
+	t.sendReply(o, func(now time.Duration) {
 		o.state.RecordAnswerTime(now - sent)
 		o.state.HandleStopAnswer(now, t.ID, e.Run, answer)
 	})
@@ -194,33 +194,33 @@
 // handlePoll drops the completions that the poll acknowledges, and answers it with the running
 // tasks and the other completions: at once if there are any or the poll does not wait, otherwise
 // at the next completion or when its wait is over.
-func (t *targetSim) look(o *ownerSim, e scheduler.Poll, sent time.Duration) {
-	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool { return end.Number <= e.AckUpTo })
-	p := &poll{}
+func (t *targetSim) handlePoll(o *ownerSim, e scheduler.Poll, sent time.Duration) {
+	t.completions = slices.DeleteFunc(t.completions, func(end work.Completion) bool { return end.Number <= e.AckUpTo })
+	p := &pendingPoll{}
 	p.answer = func() {
-		if p.over {
+		if p.answered {
 			return
 		}
-		p.over = true
-		held := work.PollAnswer{ClockMS: t.clock(), Completions: slices.Clone(t.ended)}
+		p.answered = true
+		held := work.PollAnswer{ClockMS: t.clockMS(), Completions: slices.Clone(t.completions)}
 		for run := range t.running {
 			held.Running = append(held.Running, work.RunningRun{Run: run})
 		}
 		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
-		t.reply(o, func(now time.Duration) {
+		t.sendReply(o, func(now time.Duration) {
 			if e.Wait == 0 {
 				o.state.RecordAnswerTime(now - sent)
 			}
 			o.state.HandlePollAnswer(now, t.ID, e.SentAt, held, work.VerdictDone)
 		})
 	}
-	if len(t.ended) > 0 || e.Wait == 0 {
+	if len(t.completions) > 0 || e.Wait == 0 {
 		p.answer()
 		return
 	}
 	t.polls = append(t.polls, p)
-	t.world.after(e.Wait, func() {
+	t.world.scheduleAfter(e.Wait, func() {
 		p.answer()
-		t.polls = slices.DeleteFunc(t.polls, func(other *poll) bool { return other == p })
+		t.polls = slices.DeleteFunc(t.polls, func(other *pendingPoll) bool { return other == p })
 	})
 }
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -17,7 +17,7 @@
 	// OneOwner puts all targets under one owner.
 	OneOwner bool
 	// NoDelegation keeps owners from delegating tasks to each other.
-	Alone bool
+	NoDelegation bool
 	// Clairvoyant gives the scheduler the longest true run time of each job as its
 	// estimate, and removes the network delay of calls to owners and targets.
 	Clairvoyant bool
@@ -56,9 +56,9 @@
 
 // event is an action at a simulated time. seq orders events at the same time.
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 // events is a heap of events by time.
@@ -88,7 +88,7 @@
 type world struct {
 	options Options
 	now     time.Duration
-	queue   events
+	events  events
 	seq     int
 	random  *rand.Rand
 	owners  []*ownerSim
@@ -101,59 +101,59 @@
 	report   Report
 	// possibleWorth is the worth of all jobs, earnedWorth what their answers earned, and
 	// lateRefusedWorth the worth of the jobs that were refused late.
-	owed    float64
-	earned  float64
-	late    float64
-	kinds   []share
-	domains []share
+	possibleWorth    float64
+	earnedWorth      float64
+	lateRefusedWorth float64
+	kindWorth        []worthSum
+	domainWorth      []worthSum
 	// cpuUsed is the sum of the run times multiplied by thousandths of a core, cpuWasted that of
 	// the runs that were stopped or failed.
-	used   time.Duration
-	wasted time.Duration
+	cpuUsed   time.Duration
+	cpuWasted time.Duration
 }
 
 // worthSum is the worth of some jobs, and how much of it was earned.
-type share struct{ owed, got float64 }
+type worthSum struct{ possible, earned float64 }
 
 // ownerSim is a simulated owner: the real scheduler state, and its open callers.
 type ownerSim struct {
 	state   *scheduler.State
 	index   int
 	callers map[scheduler.Ref]*arrival
-	refs    scheduler.Ref
+	lastRef scheduler.Ref
 	// load is the load that entry VMs know from its last heartbeat.
-	loads scheduler.Load
+	load scheduler.Load
 	// partReplies return the outcomes of the parts that this owner runs for others.
-	lenders map[scheduler.Ref]func(work.Outcome)
+	partReplies map[scheduler.Ref]func(work.Outcome)
 	// withdrawals cancel the parts that this owner has delegated.
-	lent map[scheduler.Part]func()
+	withdrawals map[scheduler.Part]func()
 	// capacityAsked is when it last asked the other owners for their free capacity.
-	asked time.Duration
+	capacityAsked time.Duration
 	// busyUntil is when its processor has done all work given to it so far.
-	busy time.Duration
+	busyUntil time.Duration
 	// incarnation counts the losses of its process; lost reports that no process runs now.
-	life int
-	lost bool
+	incarnation int
+	lost        bool
 	// cordoned reports whether its failure domain is cordoned.
 	cordoned bool
 }
 
 // Times of the simulated processes.
 const (
-	tick = scheduler.TickInterval
+	tickInterval = scheduler.TickInterval
 	// loadInterval is the time between two heartbeats with an owner's load.
-	beat = 80 * time.Millisecond
+	loadInterval = 80 * time.Millisecond
 	// processDelay is the one-way delay of a message in addition to the site's network delay.
-	hop = 300 * time.Microsecond
+	processDelay = 300 * time.Microsecond
 	// offerPeriod is how long after its arrival a refused job is offered to further owners.
-	offerTime = 10 * time.Millisecond
+	offerPeriod = 10 * time.Millisecond
 	// promptRefusalTime is the longest time to a refusal that does not count as late.
-	promptTime = 15 * time.Millisecond
+	promptRefusalTime = 15 * time.Millisecond
 	// drainPeriod plus the site's length is the end of the simulation. Jobs that are open then
 	// are not answered.
-	drainTime = 8 * time.Second
+	drainPeriod = 8 * time.Second
 	// orderTimeout is how long an owner waits for an answer. A poll's own wait comes on top.
-	orderTime = 120 * time.Millisecond
+	orderTimeout = 120 * time.Millisecond
 )
 
 // Play simulates a day and reports what its jobs earned. All times of the site count from one
@@ -162,33 +162,33 @@
 	w := &world{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 2)),
 		targets: map[string]*targetSim{}, jobs: map[string]*arrival{},
-		kinds: make([]share, len(o.Site.Kinds)), domains: make([]share, o.Site.Domains),
+		kindWorth: make([]worthSum, len(o.Site.Kinds)), domainWorth: make([]worthSum, o.Site.Domains),
 	}
 	w.report.ByKind = make([]Counts, len(o.Site.Kinds))
 	w.report.ByDomain = make([]Counts, o.Site.Domains)
 	w.build()
-	w.plan()
-	arrivals := o.Site.arrivals(o.Seed)
+	w.scheduleCordonsAndLosses()
+	arrivals := o.Site.drawArrivals(o.Seed)
 	for i := range arrivals {
-		w.at(arrivals[i].at+time.Second, func() { w.arrive(&arrivals[i]) })
+		w.scheduleAt(arrivals[i].at+time.Second, func() { w.handleArrival(&arrivals[i]) })
 	}
-	end := o.Site.Length + drainTime
-	for len(w.queue) > 0 && w.now < end {
-		next := heap.Pop(&w.queue).(event)
+	end := o.Site.Length + drainPeriod
+	for len(w.events) > 0 && w.now < end {
+		next := heap.Pop(&w.events).(event)
 		w.now = next.at
-		next.do()
+		next.action()
 	}
-	return w.sum()
+	return w.finishReport()
 }
 
 // scheduleAt adds an event; a time in the past stands for now.
-func (w *world) at(when time.Duration, do func()) {
+func (w *world) scheduleAt(when time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.queue, event{at: max(when, w.now), seq: w.seq, do: do})
+	heap.Push(&w.events, event{at: max(when, w.now), seq: w.seq, action: do})
 }
 
 // scheduleAfter adds an event after a time.
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *world) scheduleAfter(d time.Duration, do func()) { w.scheduleAt(w.now+d, do) }
 
 // build adds the owners and targets of the site, and begins the owners' ticks and heartbeats
 // or the baseline in their place.
@@ -201,7 +201,7 @@
 	for i := range count {
 		o := &ownerSim{
 			index: i, state: w.newState(), callers: map[scheduler.Ref]*arrival{},
-			lenders: map[scheduler.Ref]func(work.Outcome){}, lent: map[scheduler.Part]func(){},
+			partReplies: map[scheduler.Ref]func(work.Outcome){}, withdrawals: map[scheduler.Part]func(){},
 		}
 		o.state.RegistryRead()
 		w.owners = append(w.owners, o)
@@ -216,40 +216,40 @@
 		return
 	}
 	for _, o := range w.owners {
-		w.tick(o)
-		w.beat(o)
+		w.tickOwner(o)
+		w.updateLoad(o)
 	}
 }
 
 // tickOwner has an owner's scheduler act on the time, now and at each tick interval.
-func (w *world) tick(o *ownerSim) {
+func (w *world) tickOwner(o *ownerSim) {
 	if !o.lost {
-		w.work(o, 0, func() {
+		w.runOnCPU(o, 0, func() {
 			o.state.Tick(w.now)
-			w.carryOut(o)
+			w.applyEffects(o)
 		})
 	}
-	w.after(tick, func() { w.tick(o) })
+	w.scheduleAfter(tickInterval, func() { w.tickOwner(o) })
 }
 
 // runOnCPU occupies an owner's processor for some time after all its earlier work, and then
 // calls do. A site without CallTime calls do at once.
-func (w *world) work(o *ownerSim, takes time.Duration, do func()) {
+func (w *world) runOnCPU(o *ownerSim, takes time.Duration, do func()) {
 	if w.options.Site.CallTime == 0 {
 		do()
 		return
 	}
-	o.busy = max(o.busy, w.now) + takes
-	w.at(o.busy, do)
+	o.busyUntil = max(o.busyUntil, w.now) + takes
+	w.scheduleAt(o.busyUntil, do)
 }
 
 // callTarget sends a call to a target, which handles it by do. A fault of the target may lose
 // the call; then lost is called instead.
-func (w *world) call(o *ownerSim, target string, do, lost func(t *targetSim)) {
-	w.work(o, w.options.Site.CallTime, func() {
-		w.order(func() {
+func (w *world) callTarget(o *ownerSim, target string, do, lost func(t *targetSim)) {
+	w.runOnCPU(o, w.options.Site.CallTime, func() {
+		w.scheduleAfterHop(func() {
 			t := w.targets[target]
-			if t.fault != nil && t.fault.Lost > 0 && w.random.Float64() < t.fault.Lost {
+			if t.fault != nil && t.fault.LostCalls > 0 && w.random.Float64() < t.fault.LostCalls {
 				do = lost
 			}
 			do(t)
@@ -258,28 +258,28 @@
 }
 
 // updateLoad publishes an owner's load to the entry VMs, now and at each load interval.
-func (w *world) beat(o *ownerSim) {
-	o.loads = o.state.Load(w.now, "service")
-	w.after(beat, func() { w.beat(o) })
+func (w *world) updateLoad(o *ownerSim) {
+	o.load = o.state.Load(w.now, "service")
+	w.scheduleAfter(loadInterval, func() { w.updateLoad(o) })
 }
 
 // handleArrival counts a new job and submits it to the owner that an entry VM would choose, or
 // to the baseline.
-func (w *world) arrive(a *arrival) {
+func (w *world) handleArrival(a *arrival) {
 	w.jobs[a.job.ID] = a
 	if w.options.Clairvoyant {
 		longest := time.Duration(0)
-		for _, run := range a.runs {
+		for _, run := range a.runTimes {
 			longest = max(longest, run)
 		}
 		a.job.Steps[0].DeclaredRunTime = longest
 	}
-	w.count(a, func(c *Counts) { c.Jobs++ })
-	w.owed += a.worth
-	w.kinds[a.kind].owed += a.worth
-	w.domains[a.domain].owed += a.worth
+	w.countJob(a, func(c *Counts) { c.Jobs++ })
+	w.possibleWorth += a.worth
+	w.kindWorth[a.kind].possible += a.worth
+	w.domainWorth[a.domain].possible += a.worth
 	if w.baseline != nil {
-		w.order(func() { w.baseline.arrive(a) })
+		w.scheduleAfterHop(func() { w.baseline.addJob(a) })
 		return
 	}
 	w.submit(a, map[int]bool{})
@@ -289,34 +289,34 @@
 // another owner within offerPeriod if one is likely to take it.
 func (w *world) submit(a *arrival, refused map[int]bool) {
 	if len(refused) == 0 {
-		a.handed = w.now
+		a.submittedAt = w.now
 	}
-	index := w.choose(a, refused)
+	index := w.chooseOwner(a, refused)
 	o := w.owners[index]
-	delay := w.far(index, a.domain)
-	w.after(delay, func() {
+	delay := w.callerDelay(index, a.domain)
+	w.scheduleAfter(delay, func() {
 		if o.lost {
-			w.comeBack(a)
+			w.resubmitLater(a)
 			return
 		}
-		o.refs++
-		ref := o.refs
+		o.lastRef++
+		ref := o.lastRef
 		o.callers[ref] = a
 		o.state.Submit(w.now, scheduler.Submission{
-			Ref: ref, Job: a.job, Queue: w.queueOf(a.kind), Age: w.now - a.handed,
-			Wait: max(timeout+usefulFactor*a.objective-(a.handed-a.at-time.Second), time.Millisecond),
+			Ref: ref, Job: a.job, Queue: w.queueOf(a.kind), Age: w.now - a.submittedAt,
+			Wait: max(queueTimeout+usefulFactor*a.objective-(a.submittedAt-a.at-time.Second), time.Millisecond),
 		})
-		w.carryOutFor(o, func(answer scheduler.Answer) bool {
+		w.applyEffectsExcept(o, func(answer scheduler.Answer) bool {
 			if answer.Ref != ref || answer.Outcome.Result != work.Refused {
 				return false
 			}
 			refused[index] = true
-			late := w.now-a.at-time.Second > offerTime
-			if late || len(refused) >= len(w.owners) || !w.better(refused, answer.Outcome.RetryAfter) {
+			late := w.now-a.at-time.Second > offerPeriod
+			if late || len(refused) >= len(w.owners) || !w.hasBetterOwner(refused, answer.Outcome.RetryAfter) {
 				return false
 			}
 			delete(o.callers, ref)
-			w.after(delay, func() { w.submit(a, refused) })
+			w.scheduleAfter(delay, func() { w.submit(a, refused) })
 			return true
 		})
 	})
@@ -327,32 +327,32 @@
 	k := w.options.Site.Kinds[kind]
 	return work.Queue{
 		Name: k.Name, Service: "service", Priority: k.Priority, MaxAttempts: k.Attempts,
-		Stretch: stretch, Allowance: allowance, RequestTimeout: timeout,
+		Stretch: stretch, Allowance: allowance, RequestTimeout: queueTimeout,
 	}
 }
 
 // callerDelay is the one-way delay between a caller's failure domain and an owner.
-func (w *world) far(owner, domain int) time.Duration {
+func (w *world) callerDelay(owner, domain int) time.Duration {
 	switch {
 	case w.options.Clairvoyant:
 		return 0
 	case w.options.OneOwner:
-		return w.options.Site.Far
+		return w.options.Site.DomainDelay
 	case owner == domain:
-		return hop
+		return processDelay
 	default:
-		return hop + w.options.Site.Far
+		return processDelay + w.options.Site.DomainDelay
 	}
 }
 
 // applyEffects carries out all effects of an owner's scheduler.
-func (w *world) carryOut(o *ownerSim) {
-	w.carryOutFor(o, func(scheduler.Answer) bool { return false })
+func (w *world) applyEffects(o *ownerSim) {
+	w.applyEffectsExcept(o, func(scheduler.Answer) bool { return false })
 }
 
 // applyEffectsExcept carries out the effects of an owner's scheduler, except for the answers
 // for which handled returns true. A lost owner's effects are dropped.
-func (w *world) carryOutFor(o *ownerSim, handled func(scheduler.Answer) bool) {
+func (w *world) applyEffectsExcept(o *ownerSim, handled func(scheduler.Answer) bool) {
 	if o.lost {
 		return
 	}
@@ -360,50 +360,50 @@
 		switch e := effect.(type) {
 		case scheduler.Answer:
 			if !handled(e) {
-				w.answered(o, e)
+				w.handleAnswer(o, e)
 			}
 		case scheduler.Delegate:
-			w.lend(o, e)
+			w.delegate(o, e)
 		case scheduler.Withdraw:
-			if cancel := o.lent[e.Part]; cancel != nil {
+			if cancel := o.withdrawals[e.Part]; cancel != nil {
 				cancel()
 			}
 		case scheduler.StartRun:
 			sent := w.now
-			w.call(o, e.To.ID, func(t *targetSim) { t.start(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, orderTime, func() { o.state.HandleStartAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
+			w.callTarget(o, e.To.ID, func(t *targetSim) { t.handleStart(o, e, sent) }, func(t *targetSim) {
+				t.reportUnanswered(o, orderTimeout, func() { o.state.HandleStartAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
 			})
 		case scheduler.StopRun:
 			sent := w.now
-			w.call(o, e.To.ID, func(t *targetSim) { t.stop(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, orderTime, func() { o.state.HandleStopAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
+			w.callTarget(o, e.To.ID, func(t *targetSim) { t.handleStop(o, e, sent) }, func(t *targetSim) {
+				t.reportUnanswered(o, orderTimeout, func() { o.state.HandleStopAnswer(w.now, t.ID, e.Run, work.OrderAnswer{}) })
 			})
 		case scheduler.Poll:
 			sent := w.now
-			w.call(o, e.To.ID, func(t *targetSim) { t.look(o, e, sent) }, func(t *targetSim) {
-				t.unanswered(o, e.Wait+orderTime, func() { o.state.HandlePollAnswer(w.now, t.ID, e.SentAt, work.PollAnswer{}, work.VerdictUnknown) })
+			w.callTarget(o, e.To.ID, func(t *targetSim) { t.handlePoll(o, e, sent) }, func(t *targetSim) {
+				t.reportUnanswered(o, e.Wait+orderTimeout, func() { o.state.HandlePollAnswer(w.now, t.ID, e.SentAt, work.PollAnswer{}, work.VerdictUnknown) })
 			})
 		}
 	}
-	w.askRoom(o)
+	w.requestCapacity(o)
 }
 
 // scheduleAfterHop adds an event one message between an owner and a target later.
-func (w *world) order(do func()) { w.after(w.hop(), do) }
+func (w *world) scheduleAfterHop(do func()) { w.scheduleAfter(w.targetDelay(), do) }
 
 // targetDelay is the one-way delay between an owner and a target.
-func (w *world) hop() time.Duration {
+func (w *world) targetDelay() time.Duration {
 	if w.options.Clairvoyant {
 		return time.Microsecond
 	}
-	return w.options.Site.Near + hop
+	return w.options.Site.TargetDelay + processDelay
 }
 
 // handleAnswer passes the outcome of a part to its delegating owner, and counts the outcome of
 // a caller's job. A moved job is submitted again.
-func (w *world) answered(o *ownerSim, e scheduler.Answer) {
-	if reply := o.lenders[e.Ref]; reply != nil {
-		delete(o.lenders, e.Ref)
+func (w *world) handleAnswer(o *ownerSim, e scheduler.Answer) {
+	if reply := o.partReplies[e.Ref]; reply != nil {
+		delete(o.partReplies, e.Ref)
 		reply(e.Outcome)
 		return
 	}
@@ -415,60 +415,60 @@
 	took := w.now - a.at - time.Second
 	switch e.Outcome.Result {
 	case work.Completed:
-		w.completed(a, took)
+		w.recordCompletion(a, took)
 	case work.Moved:
-		w.after(movedPause, func() { w.submit(a, map[int]bool{}) })
+		w.scheduleAfter(movedRetryDelay, func() { w.submit(a, map[int]bool{}) })
 	case work.Refused:
-		w.count(a, func(c *Counts) { c.Refused++ })
-		if w.now-a.handed > promptTime {
-			w.late += a.worth
+		w.countJob(a, func(c *Counts) { c.Refused++ })
+		if w.now-a.submittedAt > promptRefusalTime {
+			w.lateRefusedWorth += a.worth
 		}
 	default:
-		w.count(a, func(c *Counts) { c.Failed++ })
+		w.countJob(a, func(c *Counts) { c.Failed++ })
 	}
 }
 
 // countJob updates the counts of all jobs, of the job's kind and of its failure domain.
-func (w *world) count(a *arrival, update func(*Counts)) {
+func (w *world) countJob(a *arrival, update func(*Counts)) {
 	update(&w.report.Counts)
 	update(&w.report.ByKind[a.kind])
 	update(&w.report.ByDomain[a.domain])
 }
 
 // lateWorthShare is the share of its worth that a job earns with a late answer.
-const lateWorth = 0.2
+const lateWorthShare = 0.2
 
 // recordCompletion counts a completed job and adds what it earns: all its worth within the
 // objective, a share of it up to usefulFactor times the objective, and nothing later.
-func (w *world) completed(a *arrival, took time.Duration) {
+func (w *world) recordCompletion(a *arrival, took time.Duration) {
 	earned := 0.0
 	switch {
 	case took <= a.objective:
-		w.count(a, func(c *Counts) { c.OnTime++ })
+		w.countJob(a, func(c *Counts) { c.OnTime++ })
 		earned = a.worth
 	case took <= usefulFactor*a.objective:
-		w.count(a, func(c *Counts) { c.Late++ })
-		earned = lateWorth * a.worth
+		w.countJob(a, func(c *Counts) { c.Late++ })
+		earned = lateWorthShare * a.worth
 	default:
-		w.count(a, func(c *Counts) { c.Failed++ })
+		w.countJob(a, func(c *Counts) { c.Failed++ })
 	}
-	w.earned += earned
-	w.kinds[a.kind].got += earned
-	w.domains[a.domain].got += earned
+	w.earnedWorth += earned
+	w.kindWorth[a.kind].earned += earned
+	w.domainWorth[a.domain].earned += earned
 }
 
 // finishReport computes the shares of the report.
-func (w *world) sum() Report {
-	w.report.Worth = w.earned / w.owed
-	for _, s := range w.kinds {
-		w.report.Kinds = append(w.report.Kinds, s.got/s.owed)
+func (w *world) finishReport() Report {
+	w.report.Worth = w.earnedWorth / w.possibleWorth
+	for _, s := range w.kindWorth {
+		w.report.Kinds = append(w.report.Kinds, s.earned/s.possible)
 	}
-	for _, s := range w.domains {
-		w.report.Domains = append(w.report.Domains, s.got/s.owed)
+	for _, s := range w.domainWorth {
+		w.report.Domains = append(w.report.Domains, s.earned/s.possible)
 	}
-	w.report.LateRefusals = w.late / w.owed
-	if w.used > 0 {
-		w.report.Wasted = float64(w.wasted) / float64(w.used)
+	w.report.LateRefusals = w.lateRefusedWorth / w.possibleWorth
+	if w.cpuUsed > 0 {
+		w.report.Wasted = float64(w.cpuWasted) / float64(w.cpuUsed)
 	}
 	return w.report
 }
