--- a/admission/admission.go
+++ b/admission/admission.go
@@ -92,22 +92,22 @@
 
 // State is the admission state of one entry VM.
 type State struct {
-	config   Config
-	capacity Capacity
-	queues   map[string]*queue
-	names    []string // of queues, sorted
-	subs     map[ID]*submission
-	waiting  int // tasks of all queues
-	wants    int // sum of the queues' wanted slots
-
-	ready    indexHeap[queue]      // queues with waiting tasks, by band and tag
-	served   indexHeap[queue]      // the same queues, least recently served first
-	aside    []*queue              // queues without free limit units
-	giveUps  indexHeap[submission] // all submissions, by giveUpAt
-	virtual  [bands]float64        // virtual time of each band
-	picks    uint64
-	arrivals uint64
-	refusals refusalRing
+	config      Config
+	capacity    Capacity
+	queues      map[string]*queue
+	names       []string // of queues, sorted
+	subs        map[ID]*submission
+	waiting     int // tasks of all queues
+	wantedSlots int // sum of the queues' wanted slots
+
+	ready          indexHeap[queue]      // queues with waiting tasks, by band and tag
+	leastServed    indexHeap[queue]      // the same queues, least recently served first
+	setAsideQueues []*queue              // queues without free limit units
+	giveUps        indexHeap[submission] // all submissions, by giveUpAt
+	virtual        [bands]float64        // virtual time of each band
+	picks          uint64
+	arrivals       uint64
+	refusals       refusalRing
 }
 
 // New makes an empty State. It admits nothing before SetProfiles.
@@ -121,8 +121,8 @@
 	s := &State{config: c, capacity: Capacity{Share: 1}}
 	s.queues = make(map[string]*queue)
 	s.subs = make(map[ID]*submission)
-	s.ready = indexHeap[queue]{less: goesBefore, place: func(q *queue) *int { return &q.readyPlace }}
-	s.served = indexHeap[queue]{less: servedBefore, place: func(q *queue) *int { return &q.servedPlace }}
+	s.ready = indexHeap[queue]{less: readyBefore, place: func(q *queue) *int { return &q.readyPlace }}
+	s.leastServed = indexHeap[queue]{less: servedBefore, place: func(q *queue) *int { return &q.servedPlace }}
 	s.giveUps = indexHeap[submission]{less: givenUpBefore, place: func(u *submission) *int { return &u.giveUpPlace }}
 	return s
 }
@@ -175,12 +175,12 @@
 // ProfileWantedSlots returns the number of slots that a profile could use now:
 // waiting tasks and those handed out, up to the profile's limit and its team's
 // quota.
-func (s *State) WantSlots(name string) int {
+func (s *State) ProfileWantedSlots(name string) int {
 	if q := s.queues[name]; q != nil {
-		return q.wants
+		return q.wantedSlots
 	}
 	return 0
 }
 
 // WantedSlots returns the sum of ProfileWantedSlots over all profiles.
-func (s *State) Wants() int { return s.wants }
+func (s *State) WantedSlots() int { return s.wantedSlots }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -47,8 +47,8 @@
 		must.Nil(t, s.Admit(now, sub, wholeDomain))
 		ref, ok := s.Next(now, anyUsable)
 		must.True(t, ok)
-		s.Started(now, ref)
-		s.Finished(now, ref, ran, OutcomeDone)
+		s.RecordStart(now, ref)
+		s.RecordEnd(now, ref, ran, OutcomeDone)
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	must.Eq(t, []string{"a 0", "a 1", "b 0"}, got)
 	must.Eq(t, 0, s.QueueLen())
-	must.Eq(t, 3, s.WantSlots("tiles"))
+	must.Eq(t, 3, s.ProfileWantedSlots("tiles"))
 }
 
 func TestAdmitRefusesUnknownProfile(t *testing.T) {
@@ -93,7 +93,7 @@
 		must.Eq(t, sub.ID == "d", strings.Contains(f.Message, "add the team"))
 	}
 	admit(t, s, 0, "f", "split", 20)
-	must.Eq(t, 4, s.WantSlots("split"), must.Sprint("10 over three failure domains, the first gets the remainder"))
+	must.Eq(t, 4, s.ProfileWantedSlots("split"), must.Sprint("10 over three failure domains, the first gets the remainder"))
 }
 
 func TestAdmitRefusesLongRunsByEvidenceOnly(t *testing.T) {
@@ -107,12 +107,12 @@
 	must.NotNil(t, f, must.Sprint("declared times are a fourth of the measured ones, so 3 s means 12 s"))
 	must.Eq(t, api.KindNeverRunnable, f.Kind)
 	long.ID = "later"
-	must.Nil(t, s.Admit(evidenceAge+time.Second, long, wholeDomain), must.Sprint("observations older than evidenceMaxAge refuse no work"))
+	must.Nil(t, s.Admit(evidenceMaxAge+time.Second, long, wholeDomain), must.Sprint("observations older than evidenceMaxAge refuse no work"))
 }
 
 // One submission of 170 tasks runs eight times longer than declared. Other
 // submissions must not be refused for that.
-func TestOneSubmissionIsNoEvidence(t *testing.T) {
+func TestOneSubmissionDoesNotRefuseOthers(t *testing.T) {
 	s := newState(testProfile("tiles"))
 	teach(t, s, 0, "tiles", 30, 100*ms, 100*ms)
 	odd := job("odd", "tiles", 170)
@@ -122,7 +122,7 @@
 	must.Nil(t, s.Admit(0, odd, wholeDomain))
 	for range odd.Tasks {
 		ref, _ := s.Next(0, anyUsable)
-		s.Finished(0, ref, 4*time.Second, OutcomeDone)
+		s.RecordEnd(0, ref, 4*time.Second, OutcomeDone)
 	}
 	long := job("long", "tiles", 1)
 	long.Tasks[0] = 3 * time.Second
@@ -131,7 +131,7 @@
 	must.Nil(t, short.Admit(0, odd, wholeDomain))
 	for range odd.Tasks {
 		ref, _ := short.Next(0, anyUsable)
-		short.Finished(0, ref, 4*time.Second, OutcomeDone)
+		short.RecordEnd(0, ref, 4*time.Second, OutcomeDone)
 	}
 	soon := job("soon", "tiles", 1)
 	soon.DeadlineAt = time.Second
@@ -148,8 +148,8 @@
 	f := s.Admit(0, soon, wholeDomain)
 	must.NotNil(t, f)
 	must.Eq(t, api.KindDeadlineTooShort, f.Kind)
-	soon.ID, soon.DeadlineAt = "later", evidenceAge+2*time.Second
-	must.Nil(t, s.Admit(evidenceAge+time.Second, soon, wholeDomain))
+	soon.ID, soon.DeadlineAt = "later", evidenceMaxAge+2*time.Second
+	must.Nil(t, s.Admit(evidenceMaxAge+time.Second, soon, wholeDomain))
 }
 
 func TestAdmitRefusesWhatWouldWaitTooLong(t *testing.T) {
@@ -175,7 +175,7 @@
 	must.GreaterEq(t, noTargetRetry.Milliseconds(), f.RetryAfterMS)
 }
 
-func TestStalledDrainIsNoticed(t *testing.T) {
+func TestAdmitRefusesWhenDrainStalls(t *testing.T) {
 	s := newState(testProfile("tiles"))
 	admit(t, s, 0, "a", "tiles", 100)
 	sub := job("b", "tiles", 1)
@@ -220,7 +220,7 @@
 	must.SliceEmpty(t, s.Expire(time.Minute))
 }
 
-func TestExpireLeavesWhatRunsUntilItsDeadline(t *testing.T) {
+func TestExpireKeepsRunningWorkUntilItsDeadline(t *testing.T) {
 	s := newState(testProfile("tiles"))
 	teach(t, s, 0, "tiles", 60, 2*time.Second, 0)
 	admit(t, s, 0, "a", "tiles", 1)
@@ -230,8 +230,8 @@
 	must.Len(t, 1, given)
 	must.Eq(t, api.Failed, given[0].Failure.Run)
 	must.Eq(t, []TaskRef{ref}, given[0].Out)
-	s.Finished(11*time.Second, ref, 11*time.Second, OutcomeStopped)
-	must.Eq(t, 0, s.Wants())
+	s.RecordEnd(11*time.Second, ref, 11*time.Second, OutcomeStopped)
+	must.Eq(t, 0, s.WantedSlots())
 }
 
 func TestProfileChangesKeepQueuedWork(t *testing.T) {
@@ -259,19 +259,19 @@
 		teach(t, s, 0, name, 60, 100*ms, 0)
 		admit(t, s, 0, name, name, 1)
 		ref, _ := s.Next(0, anyUsable)
-		s.Started(0, ref)
+		s.RecordStart(0, ref)
 	}
 	must.SliceEmpty(t, s.Stragglers(1900*ms))
 	found := s.Stragglers(2300 * ms)
 	must.Len(t, 1, found)
 	must.Eq(t, profile.StragglerStop, found[0].Action)
 	must.Eq(t, ID("tiles"), found[0].ID)
-	s.Started(2300*ms, found[0].TaskRef)
+	s.RecordStart(2300*ms, found[0].TaskRef)
 	must.SliceEmpty(t, s.Stragglers(time.Minute))
-	s.Finished(time.Minute, found[0].TaskRef, time.Minute, OutcomeStopped)
+	s.RecordEnd(time.Minute, found[0].TaskRef, time.Minute, OutcomeStopped)
 }
 
-func TestExplain(t *testing.T) {
+func TestExplainReportsPositionAndRefusals(t *testing.T) {
 	s := New(Config{Order: FIFO{}})
 	limited := testProfile("tiles")
 	limited.GuaranteedSlots = 1
@@ -285,12 +285,12 @@
 	_, ok := s.Next(0, func(string) bool { return false })
 	must.False(t, ok)
 	must.True(t, s.Explain(0, "b").LimitReached)
-	for i := range 2 * keptRefusals {
+	for i := range 2 * maxRefusals {
 		s.Admit(0, job(fmt.Sprint(i), "none", 1), wholeDomain)
 	}
 	must.Nil(t, s.Explain(0, "0").Refused)
-	must.NotNil(t, s.Explain(0, ID(fmt.Sprint(2*keptRefusals-1))).Refused)
-	must.MapLen(t, keptRefusals, s.refusals.failures)
+	must.NotNil(t, s.Explain(0, ID(fmt.Sprint(2*maxRefusals-1))).Refused)
+	must.MapLen(t, maxRefusals, s.refusals.failures)
 }
 
 func TestDeclaredTimesAreWeighedByTheirErrors(t *testing.T) {
@@ -303,6 +303,6 @@
 	must.Between(t, 1800*ms, good.expect(500*ms), 2200*ms)
 	mean := seconds(bad.mean)
 	must.Between(t, mean/3, bad.expect(8*time.Second), 3*mean)
-	must.Greater(t, 0.9, good.trust())
-	must.Less(t, 0.6, bad.trust())
+	must.Greater(t, 0.9, good.declaredWeight())
+	must.Less(t, 0.6, bad.declaredWeight())
 }
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -23,9 +23,9 @@
 	// noTargetRetry is the advised time while no target is usable.
 	noTargetRetry = 5 * time.Second
 	// maxAheadVisits bounds the search for the submissions before a new one.
-	aheadVisits = 64
+	maxAheadVisits = 64
 	// minDrainRate keeps predictions finite when nothing drains, in tasks a second.
-	leastRate = 0.01
+	minDrainRate = 0.01
 )
 
 // Admit adds a submission to the queue of its profile, or returns the final
@@ -36,7 +36,7 @@
 	if q != nil && sub.DeadlineAt == 0 {
 		sub.DeadlineAt = now + q.deadline()
 	}
-	f := s.check(now, q, &sub)
+	f := s.checkAndEnqueue(now, q, &sub)
 	if f != nil {
 		f.Key = string(sub.ID)
 		s.refusals.add(sub.ID, f)
@@ -45,7 +45,7 @@
 }
 
 // checkAndEnqueue adds a submission, or returns why it is refused.
-func (s *State) check(now time.Duration, q *queue, sub *Submission) *api.Failure {
+func (s *State) checkAndEnqueue(now time.Duration, q *queue, sub *Submission) *api.Failure {
 	if _, known := s.subs[sub.ID]; known {
 		return &api.Failure{Kind: api.KindInternal, Run: api.OutcomeUnknown,
 			Message: "the key was admitted before: ask for its outcome instead of submitting it again"}
@@ -56,11 +56,11 @@
 	if f := q.checkRunnable(now, sub); f != nil {
 		return f
 	}
-	if f := s.checkRoom(now, q, sub); f != nil {
+	if f := s.checkCapacity(now, q, sub); f != nil {
 		return f
 	}
 	u := s.newSubmission(now, q, sub)
-	if f := s.checkTime(now, q, u); f != nil {
+	if f := s.checkDeadline(now, q, u); f != nil {
 		return f
 	}
 	s.enqueue(now, u)
@@ -99,7 +99,7 @@
 	}
 	limit := milliseconds(p.MaxRunMS)
 	for i, declared := range sub.Tasks {
-		if q.runs.surelyBeyond(now, declared, limit) {
+		if q.runs.exceedsLimit(now, declared, limit) {
 			return refuse(api.KindNeverRunnable, "task %d is expected to run longer than the %d ms of profile %q, going by the declared and measured run times of earlier tasks: split the task, correct expected_ms, or pick a profile with longer runs", i, p.MaxRunMS, p.Name)
 		}
 	}
@@ -108,7 +108,7 @@
 
 // checkCapacity refuses a submission while no target is usable, or when it exceeds
 // the free length of its profile's queue or of the VM's.
-func (s *State) checkRoom(now time.Duration, q *queue, sub *Submission) *api.Failure {
+func (s *State) checkCapacity(now time.Duration, q *queue, sub *Submission) *api.Failure {
 	n := len(sub.Tasks)
 	if s.capacity.Slots <= 0 {
 		return s.overloaded(sub.ID, noTargetRetry, "no target of this failure domain is usable at present")
@@ -124,15 +124,15 @@
 }
 
 // checkDeadline refuses a submission that can't finish before its deadline.
-func (s *State) checkTime(now time.Duration, q *queue, u *submission) *api.Failure {
+func (s *State) checkDeadline(now time.Duration, q *queue, u *submission) *api.Failure {
 	left := u.deadlineAt - now
-	if left <= 0 || left < u.least {
-		return refuse(api.KindDeadlineTooShort, "the deadline is %d ms away, and such work takes at least %d ms: submit again under a new key with a later deadline", left.Milliseconds(), u.least.Milliseconds())
+	if left <= 0 || left < u.minTime {
+		return refuse(api.KindDeadlineTooShort, "the deadline is %d ms away, and such work takes at least %d ms: submit again under a new key with a later deadline", left.Milliseconds(), u.minTime.Milliseconds())
 	}
 	ahead := q.ahead(u)
 	wait := seconds(float64(ahead) / s.drainRate(now, q))
-	if wait+u.least > left {
-		return s.overloaded(u.id, wait+u.least-left, "%d tasks go first under profile %q, and the deadline would pass before this work could finish", ahead, q.profile.Name)
+	if wait+u.minTime > left {
+		return s.overloaded(u.id, wait+u.minTime-left, "%d tasks go first under profile %q, and the deadline would pass before this work could finish", ahead, q.profile.Name)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 // ahead returns the number of waiting tasks that go before a new submission. When
 // the search exceeds maxAheadVisits, it returns the number of all waiting tasks.
 func (q *queue) ahead(u *submission) int {
-	tasks, ok := q.subs.before(u, aheadVisits, waitingTasks)
+	tasks, ok := q.subs.sumBefore(u, maxAheadVisits, waitingTasks)
 	if !ok {
 		return q.waiting
 	}
@@ -151,7 +151,7 @@
 // second: the measured rate while there is a backlog, else expectedRate.
 func (s *State) drainRate(now time.Duration, q *queue) float64 {
 	if rate, ok := q.drain.current(now); ok {
-		return max(rate, leastRate)
+		return max(rate, minDrainRate)
 	}
 	return s.expectedRate(q)
 }
@@ -160,23 +160,23 @@
 // the slots would run a profile's tasks if no other profile used them.
 func (s *State) expectedRate(q *queue) float64 {
 	slots := float64(min(s.capacity.Slots, q.limit())) * s.capacity.Share
-	return max(slots/q.runs.mean, leastRate)
+	return max(slots/q.runs.mean, minDrainRate)
 }
 
 // newSubmission makes the record of a submission, without queueing it.
 func (s *State) newSubmission(now time.Duration, q *queue, sub *Submission) *submission {
 	u := &submission{id: sub.ID, queue: q, arrival: s.arrivals + 1, arrivedAt: now, deadlineAt: sub.DeadlineAt}
-	u.least = q.runs.leastTime(now, len(sub.Tasks))
+	u.minTime = q.runs.minTime(now, len(sub.Tasks))
 	u.tasks = make([]task, len(sub.Tasks))
 	u.waiting = len(sub.Tasks)
 	for i, declared := range sub.Tasks {
-		declared = min(max(declared, 0), longestRecorded)
+		declared = min(max(declared, 0), maxRecordedRun)
 		expected := q.runs.expect(declared)
 		u.tasks[i] = task{declared: declared, expected: expected}
 		u.work += expected
 		u.longest = max(u.longest, expected)
 	}
-	u.smaller = q.sizes.smaller(u.work)
+	u.smallerShare = q.sizes.smallerShare(u.work)
 	u.rank = s.config.Order.Rank(u.job())
 	return u
 }
@@ -192,8 +192,8 @@
 	s.waiting += u.waiting
 	q.waiting += u.waiting
 	q.sizes.observe(u.work)
-	q.drain.begin(now, seconds(q.runs.mean), s.expectedRate(q))
-	s.replace(u)
+	q.drain.beginBacklog(now, seconds(q.runs.mean), s.expectedRate(q))
+	s.reposition(u)
 	s.refresh(q)
 }
 
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -47,8 +47,8 @@
 					}
 				}
 				ref, _ := s.Next(now, anyUsable)
-				s.Started(now, ref)
-				s.Finished(now, ref, 300*ms, OutcomeDone)
+				s.RecordStart(now, ref)
+				s.RecordEnd(now, ref, 300*ms, OutcomeDone)
 			}
 		})
 	}
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -18,11 +18,11 @@
 	// minRuns and minJobs are the numbers of tasks and of submissions that must
 	// have been observed before the percentiles are used, or work is refused by
 	// them.
-	enoughRuns = 50
-	enoughJobs = 20
+	minRuns = 50
+	minJobs = 20
 	// evidenceMaxAge is the age of the newest observation beyond which no work is
 	// refused by it. Work is then admitted again, and corrects a wrong estimate.
-	evidenceAge = 30 * time.Second
+	evidenceMaxAge = 30 * time.Second
 	// windowRuns is the number of observations of one histogram window; the
 	// percentiles cover the newest one to two windows.
 	windowRuns = 4000
@@ -30,12 +30,12 @@
 	// percentiles.
 	refreshRuns = 100
 	// maxRecordedRun bounds the recorded run times.
-	longestRecorded = 15 * time.Minute
+	maxRecordedRun = 15 * time.Minute
 	// minFinishChance is the chance to finish in time below which work is refused.
-	hopelessChance = 0.05
+	minFinishChance = 0.05
 	// initialError is the assumed error, in natural logarithms, of declared times
 	// before the first comparison with run times: a factor of e.
-	startError = 1.0
+	initialError = 1.0
 )
 
 // runTimes learns the run times of one profile's tasks, and how well declared
@@ -52,18 +52,18 @@
 	declaredBias  float64
 	declaredError float64
 
-	window  *hdrhistogram.WindowedHistogram
-	merged  *hdrhistogram.Histogram
-	windowN int
+	window      *hdrhistogram.WindowedHistogram
+	merged      *hdrhistogram.Histogram
+	windowCount int
 }
 
 func newRunTimes() *runTimes {
 	return &runTimes{
 		mean:          seedRunTime.Seconds(),
 		logMean:       math.Log(seedRunTime.Seconds()),
-		logError:      startError,
-		declaredError: startError,
-		window:        hdrhistogram.NewWindowed(2, 1, longestRecorded.Milliseconds(), 1),
+		logError:      initialError,
+		declaredError: initialError,
+		window:        hdrhistogram.NewWindowed(2, 1, maxRecordedRun.Milliseconds(), 1),
 	}
 }
 
@@ -75,7 +75,7 @@
 // it is the first of its submission. Only that one is compared with its declared
 // time, since the declared times of one submission are wrong by the same factor.
 func (r *runTimes) observe(now, ran, declared time.Duration, first bool) {
-	ran = min(max(ran, time.Millisecond), longestRecorded)
+	ran = min(max(ran, time.Millisecond), maxRecordedRun)
 	r.lastAt = now
 	r.runs++
 	g := gain(r.runs, runGain)
@@ -103,10 +103,10 @@
 // record adds a run time to the histogram.
 func (r *runTimes) record(ran time.Duration) {
 	_ = r.window.Current.RecordValue(ran.Milliseconds())
-	r.windowN++
-	if r.windowN == windowRuns {
+	r.windowCount++
+	if r.windowCount == windowRuns {
 		r.window.Rotate()
-		r.windowN = 0
+		r.windowCount = 0
 	}
 	if r.runs%refreshRuns == 0 {
 		r.merged = nil
@@ -119,13 +119,13 @@
 	if declared <= 0 {
 		return seconds(r.mean)
 	}
-	weight := r.trust()
+	weight := r.declaredWeight()
 	l := math.Log(declared.Seconds()) + r.declaredBias
 	return seconds(math.Exp(weight*l + (1-weight)*math.Log(r.mean)))
 }
 
 // declaredWeight is the weight of declared times, 0 to 1.
-func (r *runTimes) trust() float64 {
+func (r *runTimes) declaredWeight() float64 {
 	d, l := r.declaredError*r.declaredError, r.logError*r.logError
 	if d+l == 0 {
 		return 1
@@ -136,7 +136,7 @@
 // percentile returns a percentile (0 to 100) of the learned run times, or 0
 // before there are enough observations.
 func (r *runTimes) percentile(p float64) time.Duration {
-	if !r.enough() {
+	if !r.hasEnough() {
 		return 0
 	}
 	if r.merged == nil {
@@ -146,31 +146,31 @@
 }
 
 // hasEnough reports whether enough tasks and submissions were observed.
-func (r *runTimes) enough() bool { return r.runs >= enoughRuns && r.jobs >= enoughJobs }
+func (r *runTimes) hasEnough() bool { return r.runs >= minRuns && r.jobs >= minJobs }
 
 // hasFreshEvidence reports whether there are enough recent observations to refuse
 // work by them.
-func (r *runTimes) fresh(now time.Duration) bool {
-	return r.enough() && now-r.lastAt <= evidenceAge
+func (r *runTimes) hasFreshEvidence(now time.Duration) bool {
+	return r.hasEnough() && now-r.lastAt <= evidenceMaxAge
 }
 
 // minTime returns the time below which a job of n tasks finishes with a chance
 // of less than minFinishChance, even when all its tasks start at once. It is 0
 // without fresh evidence. Tasks of one job tend to be alike, so the percentile is
 // never above the median.
-func (r *runTimes) leastTime(now time.Duration, n int) time.Duration {
-	if !r.fresh(now) {
+func (r *runTimes) minTime(now time.Duration, n int) time.Duration {
+	if !r.hasFreshEvidence(now) {
 		return 0
 	}
-	p := math.Pow(hopelessChance, 1/float64(n))
+	p := math.Pow(minFinishChance, 1/float64(n))
 	return r.percentile(100 * min(p, 0.5))
 }
 
 // exceedsLimit reports whether a task with this declared time is expected to run
 // longer than the limit, even if its declared time errs by twice the mean error of
 // past ones. A declared time without fresh observations is not enough.
-func (r *runTimes) surelyBeyond(now, declared, limit time.Duration) bool {
-	if declared <= 0 || limit <= 0 || !r.fresh(now) || r.compared < enoughJobs {
+func (r *runTimes) exceedsLimit(now, declared, limit time.Duration) bool {
+	if declared <= 0 || limit <= 0 || !r.hasFreshEvidence(now) || r.compared < minJobs {
 		return false
 	}
 	low := math.Log(declared.Seconds()) + r.declaredBias - 2*r.declaredError
--- a/admission/explain.go
+++ b/admission/explain.go
@@ -8,7 +8,7 @@
 )
 
 // maxRefusals is the number of refusals that Explain can report.
-const keptRefusals = 1024
+const maxRefusals = 1024
 
 // Explanation says where a submission stands, or why it was refused.
 type Explanation struct {
@@ -58,9 +58,9 @@
 	e.GiveUpMS = (u.giveUpAt - now).Milliseconds()
 	e.DrainRate = rate
 	e.UnderGuarantee = q.out < q.guarantee
-	e.LimitReached = q.isAside
+	e.LimitReached = q.isSetAside
 	if u.waiting > 0 {
-		e.Position, _ = q.subs.before(u, math.MaxInt, waitingTasks)
+		e.Position, _ = q.subs.sumBefore(u, math.MaxInt, waitingTasks)
 	}
 	e.ExpectedStartMS = seconds(float64(e.Position) / rate).Milliseconds()
 	last := seconds(float64(e.Position+u.waiting) / rate)
@@ -78,20 +78,20 @@
 // add stores a refusal, in place of the oldest one when there are maxRefusals.
 func (r *refusalRing) add(id ID, f *api.Failure) {
 	if r.failures == nil {
-		r.failures = make(map[ID]*api.Failure, keptRefusals)
+		r.failures = make(map[ID]*api.Failure, maxRefusals)
 	}
 	_, again := r.failures[id]
 	r.failures[id] = f
 	if again {
 		return
 	}
-	if len(r.ids) < keptRefusals {
+	if len(r.ids) < maxRefusals {
 		r.ids = append(r.ids, id)
 		return
 	}
 	delete(r.failures, r.ids[r.oldest])
 	r.ids[r.oldest] = id
-	r.oldest = (r.oldest + 1) % keptRefusals
+	r.oldest = (r.oldest + 1) % maxRefusals
 }
 
 func (r *refusalRing) find(id ID) *api.Failure { return r.failures[id] }
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -13,7 +13,7 @@
 	// a task is a straggler when the profile names none.
 	defaultStragglerFactor = 8
 	// minStragglerRunTime is the run time below which no task is a straggler.
-	leastStraggler = time.Second
+	minStragglerRunTime = time.Second
 )
 
 // Straggler is a task that runs far longer than others, with the action that its
@@ -34,7 +34,7 @@
 }
 
 // RecordStart records that a target has accepted a task.
-func (s *State) Started(now time.Duration, ref TaskRef) {
+func (s *State) RecordStart(now time.Duration, ref TaskRef) {
 	u, t := s.lookup(ref)
 	if u == nil || t.run.element != nil {
 		return
@@ -45,7 +45,7 @@
 
 // RecordEnd records the end of a task that was handed out, and learns from its run
 // time. It is called once for each such task, also when its submission is gone.
-func (s *State) Finished(now time.Duration, ref TaskRef, ran time.Duration, outcome Outcome) {
+func (s *State) RecordEnd(now time.Duration, ref TaskRef, ran time.Duration, outcome Outcome) {
 	u, t := s.lookup(ref)
 	if u == nil {
 		return
@@ -53,9 +53,9 @@
 	q := u.queue
 	q.tag[t.run.band] += (ran - t.run.charged).Seconds() / q.weight()
 	q.learn(now, u, t, ran, outcome)
-	q.unlist(t)
+	q.endRun(t)
 	u.finished++
-	s.release(u)
+	s.releaseTask(u)
 }
 
 // learn records a run time for predictions. The run time of a failed task does not
@@ -64,13 +64,13 @@
 func (q *queue) learn(now time.Duration, u *submission, t *task, ran time.Duration, outcome Outcome) {
 	longer := outcome == OutcomeStopped && ran > t.expected
 	if outcome == OutcomeDone || longer {
-		q.runs.observe(now, ran, t.declared, !u.learned)
-		u.learned = true
+		q.runs.observe(now, ran, t.declared, !u.runObserved)
+		u.runObserved = true
 	}
 }
 
 // endRun removes the run of a task from the started ones.
-func (q *queue) unlist(t *task) {
+func (q *queue) endRun(t *task) {
 	if t.run.element != nil {
 		q.started.Remove(t.run.element)
 	}
@@ -79,7 +79,7 @@
 
 // releaseTask subtracts a task that is no longer out from the counts, and deletes
 // its submission when it is gone or all its tasks have finished.
-func (s *State) release(u *submission) {
+func (s *State) releaseTask(u *submission) {
 	u.out--
 	u.queue.out--
 	if u.out == 0 && (u.gone || u.finished == len(u.tasks)) {
@@ -99,9 +99,9 @@
 	}
 	q := u.queue
 	q.tag[t.run.band] -= t.run.charged.Seconds() / q.weight()
-	q.unlist(t)
+	q.endRun(t)
 	if u.gone {
-		s.release(u)
+		s.releaseTask(u)
 		return
 	}
 	u.out--
@@ -111,7 +111,7 @@
 	u.work += t.expected
 	q.waiting++
 	s.waiting++
-	s.replace(u)
+	s.reposition(u)
 	s.refresh(q)
 }
 
@@ -156,7 +156,7 @@
 	s.waiting -= u.waiting
 	u.waiting = 0
 	if q.waiting == 0 {
-		q.drain.end(now)
+		q.drain.endBacklog(now)
 	}
 	if u.out == 0 {
 		delete(s.subs, u.id)
@@ -169,7 +169,7 @@
 func (s *State) Expire(now time.Duration) []GivenUp {
 	var given []GivenUp
 	for u := s.giveUps.top(); u != nil && u.giveUpAt <= now; u = s.giveUps.top() {
-		given = append(given, GivenUp{ID: u.id, Failure: s.expired(now, u), Out: u.outRefs()})
+		given = append(given, GivenUp{ID: u.id, Failure: s.expiryFailure(now, u), Out: u.outRefs()})
 		s.drop(now, u)
 		s.forgetIdle(u.queue)
 	}
@@ -177,13 +177,13 @@
 }
 
 // expiryFailure returns the failure of a submission given up for its deadline.
-func (s *State) expired(now time.Duration, u *submission) *api.Failure {
+func (s *State) expiryFailure(now time.Duration, u *submission) *api.Failure {
 	q := u.queue
 	wait := seconds(float64(q.waiting) / s.drainRate(now, q))
 	f := &api.Failure{Kind: api.KindDeadlineExceeded, Run: api.NotRun, Key: string(u.id)}
 	f.RetryAfterMS = retryAfterMS(u.id, wait)
 	f.Message = "the work can't finish before its deadline and was not run: submit it again under a new key when retry_after_ms have passed, or with a later deadline"
-	if u.begun() {
+	if u.hasBegun() {
 		f.Run = api.Failed
 		f.Message = "the work can't finish before its deadline, and some of its tasks were started: submit it again under a new key only if it is idempotent, with a later deadline"
 	}
@@ -191,7 +191,7 @@
 }
 
 // removedProfileFailure returns the failure of a submission whose profile was removed.
-func removedProfile(u *submission) *api.Failure {
+func removedProfileFailure(u *submission) *api.Failure {
 	f := refuse(api.KindUnknownProfile, "profile %q was removed while the work waited: pick another profile and submit again under a new key", u.queue.profile.Name)
 	f.Key = string(u.id)
 	return f
@@ -239,5 +239,5 @@
 	if factor <= 0 {
 		factor = defaultStragglerFactor
 	}
-	return max(time.Duration(factor*float64(p95)), leastStraggler)
+	return max(time.Duration(factor*float64(p95)), minStragglerRunTime)
 }
--- a/admission/fuzz_test.go
+++ b/admission/fuzz_test.go
@@ -210,13 +210,13 @@
 		t.Fatalf("%+v was handed out, but is not waiting or not usable", ref)
 	}
 	m.picks++
-	if m.picks%fairEvery != 0 {
+	if m.picks%fairPickInterval != 0 {
 		m.checkShares(t, ref.Profile, usable)
 	}
 	s.tasks[ref.Task] = taskOut
 	m.out = append(m.out, ref)
 	if rapid.Bool().Draw(t, "started") {
-		m.state.Started(m.now, ref)
+		m.state.RecordStart(m.now, ref)
 	}
 }
 
@@ -252,7 +252,7 @@
 func (m *machine) Finished(t *rapid.T) {
 	ref, s := m.takeOut(t)
 	outcome := Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
-	m.state.Finished(m.now, ref, time.Duration(rapid.IntRange(0, 900).Draw(t, "ran"))*ms, outcome)
+	m.state.RecordEnd(m.now, ref, time.Duration(rapid.IntRange(0, 900).Draw(t, "ran"))*ms, outcome)
 	s.tasks[ref.Task] = taskDone
 	m.finished++
 	if s.count(taskDone) == len(s.tasks) && !s.gone {
@@ -315,11 +315,11 @@
 		want := m.waiting(name) + m.running(name)
 		if p, listed := m.profile(name); listed && p.LimitSlots > 0 {
 			want = min(want, p.LimitSlots)
-			must.Eq(t, want, m.state.WantSlots(name))
+			must.Eq(t, want, m.state.ProfileWantedSlots(name))
 		}
-		wants += m.state.WantSlots(name)
+		wants += m.state.ProfileWantedSlots(name)
 	}
-	must.Eq(t, wants, m.state.Wants())
+	must.Eq(t, wants, m.state.WantedSlots())
 	for _, s := range m.subs {
 		tasks += len(s.tasks)
 	}
@@ -330,7 +330,7 @@
 // empty.
 func (m *machine) drain(t *rapid.T) {
 	for _, ref := range m.out {
-		m.state.Finished(m.now, ref, ms, OutcomeDone)
+		m.state.RecordEnd(m.now, ref, ms, OutcomeDone)
 	}
 	m.state.SetProfiles(m.now, nil, nil)
 	for _, s := range m.subs {
@@ -340,10 +340,10 @@
 	must.MapEmpty(t, m.state.queues)
 	must.SliceEmpty(t, m.state.giveUps.items)
 	must.SliceEmpty(t, m.state.ready.items)
-	must.SliceEmpty(t, m.state.served.items)
-	must.SliceEmpty(t, m.state.aside)
+	must.SliceEmpty(t, m.state.leastServed.items)
+	must.SliceEmpty(t, m.state.setAsideQueues)
 	must.Eq(t, 0, m.state.QueueLen())
-	must.Eq(t, 0, m.state.Wants())
+	must.Eq(t, 0, m.state.WantedSlots())
 }
 
 func TestStateAgainstOracle(t *testing.T) {
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -50,19 +50,19 @@
 // sumBefore returns the sum of weigh over the items that come before the given
 // one, which need not be in the heap. It visits these items and their children;
 // ok is false when this takes the given number of visits or more.
-func (h *indexHeap[T]) before(item *T, visits int, weigh func(*T) int) (sum int, ok bool) {
-	sum = h.beforeFrom(0, item, &visits, weigh)
+func (h *indexHeap[T]) sumBefore(item *T, visits int, weigh func(*T) int) (sum int, ok bool) {
+	sum = h.sumBeforeFrom(0, item, &visits, weigh)
 	return sum, visits > 0
 }
 
-func (h *indexHeap[T]) beforeFrom(i int, item *T, visits *int, weigh func(*T) int) int {
+func (h *indexHeap[T]) sumBeforeFrom(i int, item *T, visits *int, weigh func(*T) int) int {
 	*visits--
 	if *visits <= 0 || i >= len(h.items) || !h.less(h.items[i], item) {
 		return 0
 	}
 	sum := weigh(h.items[i])
-	sum += h.beforeFrom(2*i+1, item, visits, weigh)
-	sum += h.beforeFrom(2*i+2, item, visits, weigh)
+	sum += h.sumBeforeFrom(2*i+1, item, visits, weigh)
+	sum += h.sumBeforeFrom(2*i+2, item, visits, weigh)
 	return sum
 }
 
--- a/admission/next.go
+++ b/admission/next.go
@@ -5,10 +5,10 @@
 const (
 	// fairPickInterval is the number of picks of which one goes to the profile
 	// that was served least recently, whatever its band, so that none starves.
-	fairEvery = 16
+	fairPickInterval = 16
 	// setAsideChecks is the number of set-aside profiles that one call checks
 	// before it picks.
-	asideChecks = 8
+	setAsideChecks = 8
 )
 
 // Next hands out the next task to start. usable reports whether limit units of a
@@ -19,10 +19,10 @@
 // A profile that is not usable is set aside. Each call checks some of the profiles
 // set aside again, and all of them when no other profile has a task to start.
 func (s *State) Next(now time.Duration, usable func(profileName string) bool) (TaskRef, bool) {
-	s.recheck(usable, min(asideChecks, len(s.aside)))
+	s.recheck(usable, min(setAsideChecks, len(s.setAsideQueues)))
 	q, fair := s.pick(usable)
 	if q == nil {
-		s.recheck(usable, len(s.aside))
+		s.recheck(usable, len(s.setAsideQueues))
 		q, fair = s.pick(usable)
 	}
 	if q == nil {
@@ -35,13 +35,13 @@
 // the usable ones to the heaps.
 func (s *State) recheck(usable func(string) bool, n int) {
 	for range n {
-		q := s.aside[0]
-		s.aside = s.aside[1:]
+		q := s.setAsideQueues[0]
+		s.setAsideQueues = s.setAsideQueues[1:]
 		if !usable(q.profile.Name) {
-			s.aside = append(s.aside, q)
+			s.setAsideQueues = append(s.setAsideQueues, q)
 			continue
 		}
-		q.isAside = false
+		q.isSetAside = false
 		s.refresh(q)
 	}
 }
@@ -49,11 +49,11 @@
 // pick returns the queue to serve, or nil, and sets aside the unusable ones that
 // come before it. fair says that it is picked as the least recently served one.
 func (s *State) pick(usable func(string) bool) (q *queue, fair bool) {
-	fair = (s.picks+1)%fairEvery == 0
+	fair = (s.picks+1)%fairPickInterval == 0
 	for {
 		q = s.ready.top()
 		if fair {
-			q = s.served.top()
+			q = s.leastServed.top()
 		}
 		if q == nil || usable(q.profile.Name) {
 			return q, fair
@@ -65,9 +65,9 @@
 // setAside moves a queue from the heaps to the list of unusable queues.
 func (s *State) setAside(q *queue) {
 	s.ready.remove(q)
-	s.served.remove(q)
-	q.isAside = true
-	s.aside = append(s.aside, q)
+	s.leastServed.remove(q)
+	q.isSetAside = true
+	s.setAsideQueues = append(s.setAsideQueues, q)
 }
 
 // handOut marks the next task of a queue as handed out, and charges it.
@@ -83,12 +83,12 @@
 	s.waiting--
 	q.waiting--
 	q.out++
-	q.drain.handedOut(now)
+	q.drain.countHandedOut(now)
 	if q.waiting == 0 {
-		q.drain.end(now)
+		q.drain.endBacklog(now)
 	}
 	s.charge(q, t.run, fair)
-	s.replace(u)
+	s.reposition(u)
 	s.refresh(q)
 	return ref
 }
@@ -118,10 +118,10 @@
 
 // reposition updates the give-up time and rank of a submission whose tasks
 // changed, and its places in the heaps.
-func (s *State) replace(u *submission) {
+func (s *State) reposition(u *submission) {
 	u.giveUpAt = u.deadlineAt
 	if u.waiting > 0 {
-		u.giveUpAt -= u.least
+		u.giveUpAt -= u.minTime
 	}
 	s.giveUps.put(u)
 	if u.waiting == 0 {
@@ -139,6 +139,6 @@
 		DeadlineAt:   u.deadlineAt,
 		Work:         u.work,
 		Longest:      u.longest,
-		SmallerShare: u.smaller,
+		SmallerShare: u.smallerShare,
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -30,10 +30,10 @@
 	retired bool // no longer in force; submissions that have begun continue
 	quota   int  // of the team in this failure domain
 
-	subs    indexHeap[submission] // with waiting tasks, by rank
-	waiting int
-	out     int // tasks handed out and not finished
-	wants   int // slots; see State.ProfileWantedSlots
+	subs        indexHeap[submission] // with waiting tasks, by rank
+	waiting     int
+	out         int // tasks handed out and not finished
+	wantedSlots int // slots; see State.ProfileWantedSlots
 
 	guarantee   int // in this VM
 	band        int
@@ -41,7 +41,7 @@
 	servedAt    uint64         // number of its last pick, or of the newest one when its backlog began
 	readyPlace  int
 	servedPlace int
-	isAside     bool
+	isSetAside  bool
 
 	runs    *runTimes
 	sizes   jobSizes
@@ -69,7 +69,7 @@
 }
 
 // readyBefore orders queues by band, then by start tag.
-func goesBefore(a, b *queue) bool {
+func readyBefore(a, b *queue) bool {
 	if a.band != b.band {
 		return a.band < b.band
 	}
@@ -89,23 +89,23 @@
 // submission is an admitted submission. It stays in State.subs until the last task
 // that was handed out has finished, also when it is gone.
 type submission struct {
-	id         ID
-	queue      *queue
-	arrival    uint64
-	arrivedAt  time.Duration
-	deadlineAt time.Duration
-	least      time.Duration // see runTimes.minTime
-	longest    time.Duration
-	smaller    float64 // see Job.SmallerShare
-	tasks      []task
-	next       int   // index of the first task that was never handed out
-	requeued   []int // tasks to be handed out again
-	waiting    int
-	out        int
-	finished   int
-	work       time.Duration // expected run time of the waiting tasks
-	gone       bool          // removed or given up
-	learned    bool          // a run time of one of its tasks was observed
+	id           ID
+	queue        *queue
+	arrival      uint64
+	arrivedAt    time.Duration
+	deadlineAt   time.Duration
+	minTime      time.Duration // see runTimes.minTime
+	longest      time.Duration
+	smallerShare float64 // see Job.SmallerShare
+	tasks        []task
+	next         int   // index of the first task that was never handed out
+	requeued     []int // tasks to be handed out again
+	waiting      int
+	out          int
+	finished     int
+	work         time.Duration // expected run time of the waiting tasks
+	gone         bool          // removed or given up
+	runObserved  bool          // a run time of one of its tasks was observed
 
 	rank        time.Duration
 	rankPlace   int
@@ -130,7 +130,7 @@
 }
 
 // hasBegun reports whether a task may have been started.
-func (u *submission) begun() bool { return u.out+u.finished > 0 }
+func (u *submission) hasBegun() bool { return u.out+u.finished > 0 }
 
 func waitingTasks(u *submission) int { return u.waiting }
 
@@ -186,10 +186,10 @@
 	slices.SortFunc(queued, func(a, b *submission) int { return cmp.Compare(a.arrival, b.arrival) })
 	var given []GivenUp
 	for _, u := range queued {
-		if u.begun() {
+		if u.hasBegun() {
 			continue
 		}
-		given = append(given, GivenUp{ID: u.id, Failure: removedProfile(u)})
+		given = append(given, GivenUp{ID: u.id, Failure: removedProfileFailure(u)})
 		s.drop(now, u)
 	}
 	return given
@@ -209,24 +209,24 @@
 // refresh recomputes a queue's wanted slots, guarantee, band and heap places.
 func (s *State) refresh(q *queue) {
 	wants := max(0, min(q.waiting+q.out, q.limit()))
-	s.wants += wants - q.wants
-	q.wants = wants
+	s.wantedSlots += wants - q.wantedSlots
+	q.wantedSlots = wants
 	q.guarantee = int(math.Ceil(float64(q.profile.GuaranteedSlots) * s.capacity.Share))
 	if q.waiting == 0 {
-		s.leaveReady(q)
+		s.removeFromReady(q)
 		return
 	}
-	s.enterBand(q)
-	if q.isAside {
+	s.updateBand(q)
+	if q.isSetAside {
 		return
 	}
 	s.ready.put(q)
-	s.served.put(q)
+	s.leastServed.put(q)
 }
 
 // updateBand sets the band of a queue. A queue that enters a band, or gets work
 // again, gets no credit for the time without work in it.
-func (s *State) enterBand(q *queue) {
+func (s *State) updateBand(q *queue) {
 	band := urgencies - 1 - min(max(q.profile.Urgency, 0), urgencies-1)
 	if q.out >= q.guarantee {
 		band += urgencies
@@ -239,11 +239,11 @@
 
 // removeFromReady removes a queue without waiting tasks from the heaps and from the
 // queues set aside.
-func (s *State) leaveReady(q *queue) {
+func (s *State) removeFromReady(q *queue) {
 	s.ready.remove(q)
-	s.served.remove(q)
-	if q.isAside {
-		q.isAside = false
-		s.aside = slices.DeleteFunc(s.aside, func(o *queue) bool { return o == q })
+	s.leastServed.remove(q)
+	if q.isSetAside {
+		q.isSetAside = false
+		s.setAsideQueues = slices.DeleteFunc(s.setAsideQueues, func(o *queue) bool { return o == q })
 	}
 }
--- a/admission/shares_test.go
+++ b/admission/shares_test.go
@@ -33,7 +33,7 @@
 	served := map[string]int{}
 	for range n {
 		if len(out) == slots {
-			s.Finished(0, out[0], ran[out[0].Profile], OutcomeDone)
+			s.RecordEnd(0, out[0], ran[out[0].Profile], OutcomeDone)
 			out = out[1:]
 		}
 		ref, _ := s.Next(0, anyUsable)
@@ -43,7 +43,7 @@
 	return served
 }
 
-func TestLentSlotsAreSharedBySlotTime(t *testing.T) {
+func TestSlotTimeIsSharedByWeight(t *testing.T) {
 	s := newState(shareProfile("a", 3, 5), shareProfile("b", 1, 5), shareProfile("c", 1, 5))
 	for _, name := range []string{"a", "b", "c"} {
 		fill(t, s, 0, name, 4000)
@@ -76,7 +76,7 @@
 		ref, ok := s.Next(0, usable)
 		must.True(t, ok)
 		served[ref.Profile]++
-		s.Finished(0, ref, 100*ms, OutcomeDone)
+		s.RecordEnd(0, ref, 100*ms, OutcomeDone)
 	}
 	must.Between(t, 40, served["low"], 150)
 	must.Between(t, 40, served["lowest"], 150)
@@ -104,7 +104,7 @@
 	must.Eq(t, 7, served["b"])
 }
 
-func TestManyProfilesWithoutUnits(t *testing.T) {
+func TestNextChecksFewSetAsideProfiles(t *testing.T) {
 	var profiles []profile.Profile
 	for i := range 40 {
 		profiles = append(profiles, shareProfile(fmt.Sprintf("p%02d", i), 0, i%10))
@@ -126,5 +126,5 @@
 	_, _ = s.Next(0, one)
 	asked = 0
 	_, _ = s.Next(0, one)
-	must.LessEq(t, asideChecks+1, asked, must.Sprint("a call checks few set-aside profiles while another has work"))
+	must.LessEq(t, setAsideChecks+1, asked, must.Sprint("a call checks few set-aside profiles while another has work"))
 }
--- a/admission/sizes.go
+++ b/admission/sizes.go
@@ -9,9 +9,9 @@
 	// sizeBuckets covers work from 1 ms up in steps of a factor of sqrt(2).
 	sizeBuckets = 64
 	// sizeHalving is the number of submissions after which old ones count half.
-	sizeMemory = 1000
+	sizeHalving = 1000
 	// minSizes is the number of submissions before any counts as small.
-	enoughSizes = 50
+	minSizes = 50
 )
 
 // jobSizes learns which part of a profile's work comes in submissions of which
@@ -33,13 +33,13 @@
 	s.work[sizeBucket(work)] += work.Seconds()
 	s.total += work.Seconds()
 	s.jobs++
-	if s.jobs%sizeMemory == 0 {
-		s.fade()
+	if s.jobs%sizeHalving == 0 {
+		s.halve()
 	}
 }
 
 // halve halves the weight of all recorded work.
-func (s *jobSizes) fade() {
+func (s *jobSizes) halve() {
 	s.total = 0
 	for i := range s.work {
 		s.work[i] /= 2
@@ -49,8 +49,8 @@
 
 // smallerShare returns the part of the work, 0 to 1, that submissions of this size
 // or smaller bring. It is 1 before minSizes submissions were observed.
-func (s *jobSizes) smaller(work time.Duration) float64 {
-	if s.jobs < enoughSizes || s.total == 0 {
+func (s *jobSizes) smallerShare(work time.Duration) float64 {
+	if s.jobs < minSizes || s.total == 0 {
 		return 1
 	}
 	var sum float64
--- a/capacity/ask.go
+++ b/capacity/ask.go
@@ -12,14 +12,14 @@
 
 // askDivisor is the divisor of the held units that gives the smallest want for which
 // peers are asked that are not known to have free units.
-const wantPart = 8
+const askDivisor = 8
 
 // askSlots asks peers for the missing slot units: those that are known to have free
 // units, the one with the most first. When there are none, it asks one that may have
 // some. A want that lasts is sent to all peers, which record it.
 func (s *State) askSlots(now time.Duration) {
-	missing := s.missing() - s.askedFor(now)
-	if missing <= 0 || s.leaving || !s.member {
+	missing := s.missing() - s.pendingAsked(now)
+	if missing <= 0 || s.leaving || !s.isMember {
 		return
 	}
 	for _, l := range s.byFree() {
@@ -27,7 +27,7 @@
 			continue
 		}
 		n := min(missing, l.slots.free)
-		if !s.mayAsk(now, n) {
+		if !s.spendAsk(now, n) {
 			return
 		}
 		s.askSlotsOf(now, l, n)
@@ -37,7 +37,7 @@
 		return
 	}
 	if now >= s.slots.retryAt {
-		s.askBusy(now)
+		s.askAll(now)
 		return
 	}
 	s.askUnasked(now)
@@ -45,7 +45,7 @@
 
 // pendingAsked returns how many units peers were asked for without an answer yet. It
 // drops asks that are older than RetryAfter.
-func (s *State) askedFor(now time.Duration) int {
+func (s *State) pendingAsked(now time.Duration) int {
 	sum := 0
 	for _, l := range s.peers {
 		if now >= l.slots.askAt+s.opts.RetryAfter {
@@ -59,11 +59,11 @@
 
 // spendAsk takes a message for n units from the budget, and reports whether there was
 // credit for it.
-func (s *State) mayAsk(now time.Duration, n int) bool {
+func (s *State) spendAsk(now time.Duration, n int) bool {
 	if s.slots.budget.spend(now, n, s.slots.used, now-s.slots.missingSince) {
 		return true
 	}
-	s.slots.budgetAt = now + budgetPatience
+	s.slots.budgetAt = now + reserveDecay
 	return false
 }
 
@@ -79,19 +79,19 @@
 			most = l
 		}
 	}
-	if most != nil && wantPart*missing >= s.held() && s.mayAsk(now, missing) {
+	if most != nil && askDivisor*missing >= s.held() && s.spendAsk(now, missing) {
 		s.askSlotsOf(now, most, missing)
 	}
 }
 
 // askAll sends the want to all peers, which record it, since their digests may be out
 // of date. The interval grows while the want lasts.
-func (s *State) askBusy(now time.Duration) {
-	if now > s.slots.retryAt+s.slots.wait {
-		s.slots.wait = 0
+func (s *State) askAll(now time.Duration) {
+	if now > s.slots.retryAt+s.slots.retryInterval {
+		s.slots.retryInterval = 0
 	}
-	s.slots.wait = backoff(s.slots.wait, s.opts.RetryAfter, s.opts.RetryMost)
-	s.slots.retryAt = now + s.slots.wait
+	s.slots.retryInterval = backoff(s.slots.retryInterval, s.opts.RetryAfter, s.opts.MaxRetryAfter)
+	s.slots.retryAt = now + s.slots.retryInterval
 	for _, l := range s.peers {
 		s.askSlotsOf(now, l, s.missing())
 	}
@@ -100,8 +100,8 @@
 // askSlotsOf adds an ask for n slot units to the next message of the link.
 func (s *State) askSlotsOf(now time.Duration, l *link, n int) {
 	l.slots.asked = n
-	l.slots.askAt = now + s.opts.AskPause
-	l.asks = append(l.asks, &capacitypb.Ask{Count: uint32(n), Excluded: s.excluded()})
+	l.slots.askAt = now + s.opts.AskInterval
+	l.asks = append(l.asks, &capacitypb.Ask{Count: uint32(n), Excluded: s.excludedTargets()})
 }
 
 // byFree returns the links with the most free units first.
@@ -112,7 +112,7 @@
 }
 
 // excludedTargets returns the excluded targets, at most maxExcluded.
-func (s *State) excluded() []string {
+func (s *State) excludedTargets() []string {
 	var names []string
 	for _, p := range s.ordered {
 		if p.kind == KindSlots && p.excluded && len(names) < maxExcluded {
--- a/capacity/ask_test.go
+++ b/capacity/ask_test.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/capacity/capacitypb"
 )
 
-func TestUnitsOfAnAnswerAreAcknowledgedWithoutHaste(t *testing.T) {
+func TestUnitsOfAnAnswerAreAcknowledgedLate(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	l.run(5 * time.Second)
 	l.heartbeats()
@@ -27,12 +27,12 @@
 func TestReportOfAnAnswerIsAcknowledgedSoon(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	a, b := l.states["a"].links["b"], l.states["b"]
-	report := &capacitypb.Message{View: "v1", Answer: true, Items: []*capacitypb.Item{{Number: b.links["a"].last, Report: &capacitypb.Report{}}}}
+	report := &capacitypb.Message{View: "v1", Answer: true, Items: []*capacitypb.Item{{Number: b.links["a"].lastNumber, Report: &capacitypb.Report{}}}}
 	l.states["a"].receiveAnswer(l.now, a, report)
 	must.LessEq(t, l.now+reportAckDelay, a.ackAt)
 }
 
-func TestLargeWantFindsUnitsThatNoDigestShowed(t *testing.T) {
+func TestLargeWantFindsUnitsMissingFromDigests(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	l.run(5 * time.Second)
 	for _, id := range []string{"b", "c"} {
@@ -83,7 +83,7 @@
 	must.Eq(t, 1, l.states["a"].FreeSlots())
 }
 
-func TestVMThatUsesManyUnitsWaitsForOne(t *testing.T) {
+func TestVMThatUsesManyUnitsDelaysAskForOne(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	l.run(5 * time.Second)
 	l.heartbeats()
@@ -113,7 +113,7 @@
 	must.Eq(t, 12, len(l.responses))
 }
 
-func TestFewSpareUnitsReachHungryVMWithoutFurtherAsk(t *testing.T) {
+func TestFewSpareUnitsReachWantingVMWithoutFurtherAsk(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	l.run(5 * time.Second)
 	b := l.states["b"]
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -101,17 +101,17 @@
 	// RetryAfter is the first interval at which unacknowledged items and
 	// unanswered asks are sent again; it doubles up to MaxRetryAfter. Defaults
 	// 500 ms and 8 s.
-	RetryAfter time.Duration
-	RetryMost  time.Duration
+	RetryAfter    time.Duration
+	MaxRetryAfter time.Duration
 	// MessagesPerTask bounds the messages that move slots, in messages a started
 	// task; budgetRate more a second are always allowed. Default 0.03.
 	MessagesPerTask float64
 	// LeaverTimeout is how long a view change waits for the ledgers of a VM that
 	// leaves, before it counts as lost. Default 2 s.
-	LeaverWait time.Duration
+	LeaverTimeout time.Duration
 	// AskInterval is the minimum time between two asks to the same VM. Default
 	// 5 ms.
-	AskPause time.Duration
+	AskInterval time.Duration
 	// OnFree is called when a slot pool gains its first free unit (true) or
 	// loses its last one (false), excluded targets included. It must not call
 	// the State. May be nil.
@@ -127,12 +127,12 @@
 	setDefault(&o.FlushDelay, 10*time.Millisecond)
 	setDefault(&o.AckDelay, 2*time.Second)
 	setDefault(&o.RetryAfter, 500*time.Millisecond)
-	setDefault(&o.RetryMost, 8*time.Second)
+	setDefault(&o.MaxRetryAfter, 8*time.Second)
 	if o.MessagesPerTask == 0 {
 		o.MessagesPerTask = defaultMessagesPerTask
 	}
-	setDefault(&o.LeaverWait, 2*time.Second)
-	setDefault(&o.AskPause, 5*time.Millisecond)
+	setDefault(&o.LeaverTimeout, 2*time.Second)
+	setDefault(&o.AskInterval, 5*time.Millisecond)
 	return o
 }
 
@@ -151,9 +151,9 @@
 	// inherits says that the previous view here was the parent of this one.
 	inherits bool
 	// isMember says that this VM is a member and not a leaver.
-	member bool
+	isMember bool
 	// parentMembers are the members of the parent view, as far as known.
-	previous []Member
+	parentMembers []Member
 	// lease says that limit units may be used.
 	lease bool
 	// leaving says that the VM returns all its units.
@@ -164,7 +164,7 @@
 	ordered []*pool
 	// unlistedBlockedUntil is until when a limit pool stays blocked of which no
 	// member has handed over a ledger.
-	unlistedUntil time.Duration
+	unlistedBlockedUntil time.Duration
 	// lossAt is when a view was last installed after a loss or without a parent,
 	// and afterLoss says whether one was. Tasks of lost VMs may then still run under
 	// limits that become known later.
@@ -181,24 +181,24 @@
 	// leaversUntil is the end of the wait for the reports of leavers.
 	leaversUntil time.Duration
 
-	slots  slotState
-	digest uint64
+	slots          slotState
+	digestSequence uint64
 	// windowEnd is the end of the window in which unneeded units are counted.
 	windowEnd time.Duration
 	// active says that units moved or were used in the window.
 	active bool
 	// nextExpiry is the next time at which a block, a reservation or the wait for
 	// a recall or a leaver ends.
-	expiry time.Duration
+	nextExpiry time.Duration
 }
 
 // New returns the state of a VM that has no view yet.
 func New(opts Options) *State {
 	return &State{
-		opts:   opts.withDefaults(),
-		pools:  make(map[string]*pool),
-		links:  make(map[string]*link),
-		expiry: never,
+		opts:       opts.withDefaults(),
+		pools:      make(map[string]*pool),
+		links:      make(map[string]*link),
+		nextExpiry: never,
 
 		revocations: revocations{targets: make(map[string]*revocation)},
 	}
@@ -212,7 +212,7 @@
 // Free returns the number of units of the pool that can be taken.
 func (s *State) Free(name string) int {
 	p := s.pools[name]
-	if p == nil || !s.mayTake(p) {
+	if p == nil || !s.canTake(p) {
 		return 0
 	}
 	return p.free
@@ -244,7 +244,7 @@
 // Take takes one unit for a task, and reports whether there was one.
 func (s *State) Take(name string) bool {
 	p := s.pools[name]
-	if p == nil || p.free == 0 || !s.mayTake(p) {
+	if p == nil || p.free == 0 || !s.canTake(p) {
 		return false
 	}
 	s.addUsed(p, 1)
@@ -256,9 +256,9 @@
 }
 
 // canTake reports whether free units of the pool may be used now.
-func (s *State) mayTake(p *pool) bool {
+func (s *State) canTake(p *pool) bool {
 	if p.kind == KindLimit {
-		return s.lease && s.member
+		return s.lease && s.isMember
 	}
 	return p.configured
 }
@@ -276,7 +276,7 @@
 	}
 	if s.mustReturn(p) {
 		s.sendUnits(now, s.links[p.home], p, 1)
-		s.drop(p)
+		s.dropIfUnused(p)
 		return
 	}
 	s.addFree(p, 1)
@@ -297,9 +297,9 @@
 	case p.ledger != nil:
 		s.balance(now, p)
 	case home != nil:
-		home.add(now+s.opts.FlushDelay, &capacitypb.Units{Pool: p.name, Count: 1, Kind: capacitypb.Kind(p.kind), Stale: true})
+		home.addUnits(now+s.opts.FlushDelay, &capacitypb.Units{Pool: p.name, Count: 1, Kind: capacitypb.Kind(p.kind), Stale: true})
 	}
-	s.drop(p)
+	s.dropIfUnused(p)
 }
 
 // Leave returns every free unit to its home, and from now on each unit that comes
@@ -315,15 +315,15 @@
 	return s.collect(now)
 }
 
-// HandedOver reports whether this VM is a leaver, and every member has acknowledged
+// HasHandedOver reports whether this VM is a leaver, and every member has acknowledged
 // all that it had to hand over.
-func (s *State) HandedOver() bool {
+func (s *State) HasHandedOver() bool {
 	for _, l := range s.peers {
 		if len(l.items) > 0 {
 			return false
 		}
 	}
-	return !s.member
+	return !s.isMember
 }
 
 // mustReturn reports whether a unit that comes free must be returned to its home at
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -29,13 +29,13 @@
 	states map[string]*State
 	order  []string
 	delay  time.Duration
-	queue  []flight
+	queue  []delivery
 	// sent counts messages, replies excluded.
 	sent int
 }
 
 // delivery is a message or a reply in transit.
-type flight struct {
+type delivery struct {
 	at       time.Duration
 	from, to string
 	msg      *capacitypb.Message
@@ -72,12 +72,12 @@
 func (c *cluster) send(from string, outs []Out) {
 	for _, o := range outs {
 		c.sent++
-		c.carry(flight{at: c.now + c.delay, from: from, to: o.To.ID, msg: o.Msg})
+		c.deliver(delivery{at: c.now + c.delay, from: from, to: o.To.ID, msg: o.Msg})
 	}
 }
 
 // deliver delivers a message if its time has come, else it adds it to the queue.
-func (c *cluster) carry(f flight) {
+func (c *cluster) deliver(f delivery) {
 	if f.at > c.now {
 		c.queue = append(c.queue, f)
 		return
@@ -85,7 +85,7 @@
 	replies, outs := c.states[f.to].Receive(c.now, member(f.from), f.msg)
 	c.send(f.to, outs)
 	for _, r := range replies {
-		c.carry(flight{at: c.now + c.delay, from: f.to, to: f.from, msg: r})
+		c.deliver(delivery{at: c.now + c.delay, from: f.to, to: f.from, msg: r})
 	}
 }
 
@@ -94,7 +94,7 @@
 	queue := c.queue
 	c.queue = nil
 	for _, f := range queue {
-		c.carry(f)
+		c.deliver(f)
 	}
 }
 
@@ -224,7 +224,7 @@
 		c.send(id, c.states[id].SetView(c.now, v))
 	}
 	c.run(600 * time.Millisecond)
-	must.True(t, c.states[home].HandedOver())
+	must.True(t, c.states[home].HasHandedOver())
 	must.Eq(t, 0, c.take(home, limitPool))
 	c.want(others[1], limitPool, 12)
 	must.Eq(t, 7, c.take(others[1], limitPool))
@@ -294,7 +294,7 @@
 	must.False(t, leaver.Take(limitPool))
 }
 
-func TestOtherIncarnationIsNotHeard(t *testing.T) {
+func TestMessageOfOtherIncarnationIsIgnored(t *testing.T) {
 	c := newLimitCluster(t)
 	home, others := c.home()
 	outs := c.states[others[0]].Want(c.now, limitPool, 6)
@@ -306,7 +306,7 @@
 
 // The home of a limit is lost. The other VMs can use their standing units at once, and
 // the home's own units after ReclaimAfter.
-func TestLossOfTheHomeStopsNobody(t *testing.T) {
+func TestStandingUnitsStayUsableAfterLossOfHome(t *testing.T) {
 	c := newLimitCluster(t)
 	_, others := c.home()
 	c.run(5 * time.Second)
@@ -334,7 +334,7 @@
 
 // A limit that becomes known long after the first view may have been in use before it,
 // by tasks that its profile lets run that long.
-func TestLimitThatIsKnownLateWaitsFromTheStart(t *testing.T) {
+func TestLateLimitIsBlockedFromFirstView(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: time.Second}, "a", "b", "c")
 	c.view("v1", "", "a", "b", "c")
 	c.run(3 * time.Second)
--- a/capacity/fleet_test.go
+++ b/capacity/fleet_test.go
@@ -26,7 +26,7 @@
 	running map[string]int
 }
 
-const longestAnswer = 40 * time.Millisecond
+const maxAnswerDelay = 40 * time.Millisecond
 
 func newFleet() map[string]*fleetTarget {
 	fleet := make(map[string]*fleetTarget)
@@ -65,7 +65,7 @@
 		call.arrives = w.now + time.Duration(w.rng.IntN(3))*time.Millisecond
 		call.answers = call.arrives + time.Duration(w.rng.IntN(3))*time.Millisecond
 		if w.fleet[r.Target].late {
-			call.answers += time.Duration(w.rng.IntN(int(longestAnswer/time.Millisecond))) * time.Millisecond
+			call.answers += time.Duration(w.rng.IntN(int(maxAnswerDelay/time.Millisecond))) * time.Millisecond
 		}
 		w.asked = append(w.asked, call)
 	}
@@ -89,7 +89,7 @@
 			continue
 		}
 		if v := c.from; v.alive && !v.paused && v.self == c.asker {
-			w.post(v, v.state.Revoked(w.now, c.View, c.Target, c.running))
+			w.post(v, v.state.RecordRevoked(w.now, c.View, c.Target, c.running))
 		}
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 // disturbTarget makes a target answer in time, late or not at all, and may restart it.
-func (w *world) troubleTarget(t *rapid.T) {
+func (w *world) disturbTarget(t *rapid.T) {
 	id := rapid.SampledFrom(testTargets).Draw(t, "target")
 	f := w.fleet[id]
 	f.silent = rapid.Bool().Draw(t, "silent")
--- a/capacity/ledger.go
+++ b/capacity/ledger.go
@@ -21,15 +21,15 @@
 	// lent counts units by the id of the holder, in transit included, and lentTotal
 	// is their sum. Slot units move between holders without a message to the home,
 	// so only the sum is meaningful for them.
-	lent    map[string]int
-	outside int
+	lent      map[string]int
+	lentTotal int
 	// reservations hold units of lost VMs.
 	reservations []reservation
 	// wants counts the units of a limit pool that members ask for.
 	wants map[string]int
 	// recallAt is when units may be recalled again, and recallInterval the time
 	// between two recalls.
-	recallAt, recallWait time.Duration
+	recallAt, recallInterval time.Duration
 }
 
 // reservation keeps the units of a lost VM while its tasks may still run.
@@ -43,15 +43,15 @@
 }
 
 // isEmpty reports whether all units of the pool are known to be at the home.
-func (l *ledger) empty() bool {
-	return l.known && !l.blocked && l.outside == 0 && len(l.reservations) == 0
+func (l *ledger) isEmpty() bool {
+	return l.known && !l.blocked && l.lentTotal == 0 && len(l.reservations) == 0
 }
 
 // addLent adds n units, or subtracts them when n is negative, to those lent to the
 // holder.
-func (l *ledger) lend(holder string, n int) {
+func (l *ledger) addLent(holder string, n int) {
 	l.lent[holder] += n
-	l.outside += n
+	l.lentTotal += n
 }
 
 // block makes units that nobody reported unusable until the given time.
@@ -93,12 +93,12 @@
 
 // updateFree sets the home's free units to the capacity less the lent, reserved and
 // used ones. It returns by how many units those exceed the capacity.
-func (s *State) settle(p *pool) int {
+func (s *State) updateFree(p *pool) int {
 	l := p.ledger
 	if !l.known || l.blocked {
 		return 0
 	}
-	free := p.capacity - l.outside - l.reserved() - p.used
+	free := p.capacity - l.lentTotal - l.reserved() - p.used
 	s.addFree(p, max(0, free)-p.free)
 	return max(0, -free)
 }
@@ -106,7 +106,7 @@
 // balance updates the free units of a pool of this home, grants them to the members
 // that want some, and recalls units when there are too few.
 func (s *State) balance(now time.Duration, p *pool) {
-	excess := s.settle(p)
+	excess := s.updateFree(p)
 	if p.kind == KindLimit && len(p.ledger.wants) > 0 {
 		s.serveWants(now, p)
 	}
@@ -120,7 +120,7 @@
 	grants := make(map[*link]int)
 	own := 0
 	for left := p.free; left > 0; left-- {
-		best := s.neediest(p, p.used+own, p.demand.want > own)
+		best := s.nextGrantee(p, p.used+own, p.demand.want > own)
 		if best == nil && p.demand.want <= own {
 			break
 		}
@@ -149,7 +149,7 @@
 
 // nextGrantee returns the link of the wanting member that holds the fewest units;
 // nil when this VM holds no more and wants some, or when no member wants any.
-func (s *State) neediest(p *pool, ownHeld int, ownWants bool) *link {
+func (s *State) nextGrantee(p *pool, ownHeld int, ownWants bool) *link {
 	var best *link
 	held := math.MaxInt
 	if ownWants {
@@ -174,15 +174,15 @@
 	l := p.ledger
 	short := len(l.wants) > 0 || p.kind == KindLimit && p.demand.want > p.free
 	if !short && excess == 0 {
-		l.recallWait = 0
+		l.recallInterval = 0
 		return
 	}
 	if now < l.recallAt {
 		return
 	}
-	l.recallWait = backoff(l.recallWait, s.opts.RetryAfter, s.opts.RetryMost)
-	l.recallAt = now + l.recallWait
-	s.expiry = min(s.expiry, l.recallAt)
+	l.recallInterval = backoff(l.recallInterval, s.opts.RetryAfter, s.opts.MaxRetryAfter)
+	l.recallAt = now + l.recallInterval
+	s.nextExpiry = min(s.nextExpiry, l.recallAt)
 	keep := s.equalShare(p)
 	for _, peer := range s.peers {
 		id := peer.member.ID
--- a/capacity/limit_fuzz_test.go
+++ b/capacity/limit_fuzz_test.go
@@ -132,7 +132,7 @@
 		"restart":    func(*rapid.T) { w.start(w.pick(func(v *vm) bool { return !v.alive })) },
 		"pause":      func(*rapid.T) { w.pick(w.acts).paused = true },
 		"resume":     func(*rapid.T) { w.pick(func(v *vm) bool { return v.alive && v.paused }).paused = false },
-		"target":     w.troubleTarget,
+		"target":     w.disturbTarget,
 		"calm":       w.calm,
 		"change":     w.change,
 		"rejoin":     w.rejoin,
--- a/capacity/link.go
+++ b/capacity/link.go
@@ -22,13 +22,13 @@
 	leaver bool
 
 	// items are not yet acknowledged, and lastNumber is the number of the newest.
-	items []*capacitypb.Item
-	last  uint64
+	items      []*capacitypb.Item
+	lastNumber uint64
 	// retryAt is when items are sent again, and retryInterval the time between two
 	// sendings.
-	retryAt, wait time.Duration
+	retryAt, retryInterval time.Duration
 	// lastApplied is the number of the newest item of the peer that was applied.
-	seen uint64
+	lastApplied uint64
 	// ackAt is when an acknowledgement is sent at the latest; 0 when none is due.
 	ackAt time.Duration
 
@@ -49,10 +49,10 @@
 }
 
 // hasReported reports whether the peer's report in this view has arrived.
-func (l *link) reported() bool { return l.report != nil }
+func (l *link) hasReported() bool { return l.report != nil }
 
 // addUnits adds units to the batch, which is sent at due unless it is earlier.
-func (l *link) add(due time.Duration, u *capacitypb.Units) {
+func (l *link) addUnits(due time.Duration, u *capacitypb.Units) {
 	if len(l.batch) == 0 {
 		l.batchAt = due
 	}
@@ -76,9 +76,9 @@
 }
 
 // appendItem gives the item the next number and adds it to the unacknowledged ones.
-func (l *link) number(item *capacitypb.Item) {
-	l.last++
-	item.Number = l.last
+func (l *link) appendItem(item *capacitypb.Item) {
+	l.lastNumber++
+	item.Number = l.lastNumber
 	l.items = append(l.items, item)
 }
 
@@ -88,21 +88,21 @@
 	if len(l.batch) == 0 || len(l.items) >= maxUnacked {
 		return false
 	}
-	l.number(&capacitypb.Item{Units: l.batch})
+	l.appendItem(&capacitypb.Item{Units: l.batch})
 	l.batch = nil
 	return true
 }
 
 // acknowledge removes the items up to the number.
-func (l *link) acknowledged(number uint64) {
+func (l *link) acknowledge(number uint64) {
 	for len(l.items) > 0 && l.items[0].Number <= number {
 		l.items = l.items[1:]
-		l.wait = 0
+		l.retryInterval = 0
 	}
 }
 
 // isDue reports whether a message must be sent now.
-func (l *link) due(now time.Duration) bool {
+func (l *link) isDue(now time.Duration) bool {
 	if len(l.asks) > 0 || len(l.recalls) > 0 {
 		return true
 	}
@@ -128,8 +128,8 @@
 func (s *State) collect(now time.Duration) []Out {
 	var out []Out
 	for _, l := range s.peers {
-		if l.due(now) {
-			out = append(out, Out{To: l.member, Msg: s.message(now, l)})
+		if l.isDue(now) {
+			out = append(out, Out{To: l.member, Msg: s.newMessage(now, l)})
 		}
 	}
 	return out
@@ -137,19 +137,19 @@
 
 // newMessage makes a message with all items, asks and recalls for the peer, the
 // digest and the acknowledgement.
-func (s *State) message(now time.Duration, l *link) *capacitypb.Message {
+func (s *State) newMessage(now time.Duration, l *link) *capacitypb.Message {
 	if l.flush() {
-		l.wait = 0
+		l.retryInterval = 0
 		l.retryAt = now
 	}
 	if len(l.items) > 0 && l.retryAt <= now {
-		l.wait = backoff(l.wait, s.opts.RetryAfter, s.opts.RetryMost)
-		l.retryAt = now + l.wait
+		l.retryInterval = backoff(l.retryInterval, s.opts.RetryAfter, s.opts.MaxRetryAfter)
+		l.retryAt = now + l.retryInterval
 	}
 	m := &capacitypb.Message{
 		View:    s.view.ID,
 		Digest:  s.newDigest(),
-		Ack:     l.seen,
+		Ack:     l.lastApplied,
 		Items:   slices.Clone(l.items),
 		Asks:    l.asks,
 		Recalls: l.recalls,
@@ -168,8 +168,8 @@
 	if l == nil || l.member.Incarnation != from.Incarnation || m.GetView() != s.view.ID {
 		return nil, nil
 	}
-	l.acknowledged(m.Ack)
-	s.noteDigest(l, m.Digest)
+	l.acknowledge(m.Ack)
+	s.applyDigest(l, m.Digest)
 	for _, item := range m.Items {
 		s.receiveItem(now, l, item)
 	}
@@ -182,7 +182,7 @@
 	if m.Answer {
 		s.receiveAnswer(now, l, m)
 	} else if len(m.Items)+len(m.Asks)+len(m.Recalls) > 0 {
-		replies = append(replies, s.answer(now, l))
+		replies = append(replies, s.newAnswer(now, l))
 	}
 	s.askSlots(now)
 	return replies, s.collect(now)
@@ -191,8 +191,8 @@
 // newAnswer makes the reply to a message. The receiver acknowledges its units after
 // AckDelay, so they are sent again only after that. When the answer is lost, the
 // peer repeats its ask before, and the answer to that contains the units again.
-func (s *State) answer(now time.Duration, l *link) *capacitypb.Message {
-	m := s.message(now, l)
+func (s *State) newAnswer(now time.Duration, l *link) *capacitypb.Message {
+	m := s.newMessage(now, l)
 	m.Answer = true
 	if len(m.Items) > 0 && !hasReport(m) {
 		l.retryAt = max(l.retryAt, now+s.opts.AckDelay+s.opts.RetryAfter)
@@ -224,10 +224,10 @@
 // receiveItem applies the next item of a peer. Other items are ignored: repeated
 // ones were applied, and the peer sends early ones again.
 func (s *State) receiveItem(now time.Duration, l *link, item *capacitypb.Item) {
-	if item.Number != l.seen+1 {
+	if item.Number != l.lastApplied+1 {
 		return
 	}
-	l.seen++
+	l.lastApplied++
 	if item.Report != nil {
 		s.receiveReport(now, l, item.Report)
 	}
--- a/capacity/pool.go
+++ b/capacity/pool.go
@@ -40,7 +40,7 @@
 	// again, so they are returned to the home instead of being used again.
 	stale int
 	// minFree is the smallest number of free units in the window.
-	low int
+	minFree int
 	// keep is how many units an open recall lets this VM hold, or keepAll.
 	keep int
 
@@ -61,10 +61,10 @@
 	// asked is how many units the home was asked for and has not granted yet.
 	asked int
 	// nextAskAt is when a larger want may be sent.
-	pauseUntil time.Duration
+	nextAskAt time.Duration
 	// retryAt is when the same want is sent again, and retryInterval the time
 	// between two such asks.
-	retryAt, wait time.Duration
+	retryAt, retryInterval time.Duration
 }
 
 // SetPool adds a pool or changes its capacity.
@@ -76,7 +76,7 @@
 	p.configured = true
 	p.capacity = max(0, spec.Capacity)
 	p.movable = spec.Movable
-	s.relist(p)
+	s.updateFreeSlots(p)
 	if p.ledger != nil {
 		p.ledger.recallAt = 0
 		s.freeUnused(now, p)
@@ -94,14 +94,14 @@
 	p.configured = false
 	p.capacity = 0
 	p.demand = demand{}
-	s.relist(p)
+	s.updateFreeSlots(p)
 	if p.ledger != nil {
 		p.ledger.recallAt = 0
 		s.balance(now, p)
 	} else {
 		s.sendHome(now, p, p.free)
 	}
-	s.drop(p)
+	s.dropIfUnused(p)
 	return s.collect(now)
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	p.excluded = excluded
-	s.relist(p)
+	s.updateFreeSlots(p)
 }
 
 // pool returns the named pool, and creates it when it is unknown.
@@ -136,11 +136,11 @@
 
 // dropIfUnused deletes a pool that is not configured, of which this VM holds no
 // unit and whose ledger, if it is here, is empty.
-func (s *State) drop(p *pool) {
+func (s *State) dropIfUnused(p *pool) {
 	if p.configured || p.free > 0 || p.used > 0 {
 		return
 	}
-	if p.ledger != nil && !p.ledger.empty() {
+	if p.ledger != nil && !p.ledger.isEmpty() {
 		return
 	}
 	delete(s.pools, p.name)
@@ -157,7 +157,7 @@
 	p.ledger = newLedger()
 	p.ledger.known = s.resolved
 	if p.kind == KindLimit {
-		s.blockLedger(p.ledger, s.unlistedUntil)
+		s.blockLedger(p.ledger, s.unlistedBlockedUntil)
 	}
 }
 
@@ -189,14 +189,14 @@
 		return
 	}
 	p.free += n
-	p.low = min(p.low, p.free)
+	p.minFree = min(p.minFree, p.free)
 	s.active = true
-	s.relist(p)
+	s.updateFreeSlots(p)
 }
 
 // updateFreeSlots updates the list and the count of free slots after a change of
 // one pool.
-func (s *State) relist(p *pool) {
+func (s *State) updateFreeSlots(p *pool) {
 	if p.kind != KindSlots {
 		return
 	}
@@ -205,7 +205,7 @@
 		counted = p.free
 	}
 	s.slots.free += counted - p.counted
-	s.slots.low = min(s.slots.low, s.slots.free)
+	s.slots.minFree = min(s.slots.minFree, s.slots.free)
 	p.counted = counted
 	s.announce(p)
 	listed := p.index != notListed
@@ -255,9 +255,9 @@
 // home counts them as lent from now on.
 func (s *State) sendUnits(now time.Duration, l *link, p *pool, n int) {
 	if p.ledger != nil {
-		p.ledger.lend(l.member.ID, n)
+		p.ledger.addLent(l.member.ID, n)
 	}
-	l.add(now+s.opts.FlushDelay, &capacitypb.Units{Pool: p.name, Count: uint32(n), Kind: capacitypb.Kind(p.kind)})
+	l.addUnits(now+s.opts.FlushDelay, &capacitypb.Units{Pool: p.name, Count: uint32(n), Kind: capacitypb.Kind(p.kind)})
 }
 
 // receiveUnits applies units that a peer has sent: a grant, or a return to this
@@ -269,7 +269,7 @@
 		s.addFree(p, n)
 	}
 	if p.ledger != nil {
-		p.ledger.lend(l.member.ID, -n)
+		p.ledger.addLent(l.member.ID, -n)
 		s.balance(now, p)
 		return
 	}
--- a/capacity/reachable.go
+++ b/capacity/reachable.go
@@ -21,6 +21,6 @@
 	if !s.afterLoss || until <= now {
 		return
 	}
-	s.unlistedUntil = max(s.unlistedUntil, until)
-	s.expiry = min(s.expiry, s.unlistedUntil)
+	s.unlistedBlockedUntil = max(s.unlistedBlockedUntil, until)
+	s.nextExpiry = min(s.nextExpiry, s.unlistedBlockedUntil)
 }
--- a/capacity/revoke.go
+++ b/capacity/revoke.go
@@ -51,14 +51,14 @@
 	// unlistedAt is when the target was removed from the list; 0 while it is on it.
 	unlistedAt time.Duration
 	// askedHere says that this VM asks the target.
-	mine bool
+	askedHere bool
 	// answered says that the target has revoked leases in this view, and running
 	// holds the units of limit pools that tasks of other holders used then.
 	answered bool
 	running  map[string]int
 	// askAt is when the target is asked next, and askInterval the time between two
 	// asks.
-	askAt, wait time.Duration
+	askAt, askInterval time.Duration
 }
 
 // SetTargets replaces the targets that may run tasks. One that is no longer listed
@@ -86,7 +86,7 @@
 	r := s.revocations.targets[target]
 	if r == nil {
 		r = &revocation{askAt: s.revokeFrom()}
-		r.mine = homeOf(s.view.Members, target) == s.opts.Self.ID
+		r.askedHere = homeOf(s.view.Members, target) == s.opts.Self.ID
 		s.revocations.targets[target] = r
 	}
 	return r
@@ -106,32 +106,32 @@
 	s.revocations.shareAt = 0
 	for target, r := range s.revocations.targets {
 		*r = revocation{slots: r.slots, unlistedAt: r.unlistedAt, askAt: s.revokeFrom()}
-		r.mine = homeOf(s.view.Members, target) == s.opts.Self.ID
+		r.askedHere = homeOf(s.view.Members, target) == s.opts.Self.ID
 	}
 }
 
 // needsRevocations reports whether this VM has to ask targets in this view.
-func (s *State) asksDue(now time.Duration) bool {
-	return s.resolved && s.member && s.revocations.needed && now < s.revokeUntil()
+func (s *State) needsRevocations(now time.Duration) bool {
+	return s.resolved && s.isMember && s.revocations.needed && now < s.revokeUntil()
 }
 
 // mustAsk reports whether this VM has to ask the target, for the first time or
 // again.
-func (r *revocation) asks() bool {
-	return r.mine && r.unlistedAt == 0 && (!r.answered || len(r.running) > 0)
+func (r *revocation) mustAsk() bool {
+	return r.askedHere && r.unlistedAt == 0 && (!r.answered || len(r.running) > 0)
 }
 
 // Revocations returns the revocations that are due, and the messages that share
 // answers with other members.
 func (s *State) Revocations(now time.Duration) ([]Revocation, []Out) {
 	var due []Revocation
-	if s.asksDue(now) {
+	if s.needsRevocations(now) {
 		for target, r := range s.revocations.targets {
-			if !r.asks() || now < r.askAt {
+			if !r.mustAsk() || now < r.askAt {
 				continue
 			}
-			r.wait = backoff(r.wait, s.opts.RetryAfter, s.opts.RetryMost)
-			r.askAt = now + r.wait
+			r.askInterval = backoff(r.askInterval, s.opts.RetryAfter, s.opts.MaxRetryAfter)
+			r.askAt = now + r.askInterval
 			due = append(due, Revocation{Target: target, View: s.view.ID, Holders: s.view.Members})
 		}
 	}
@@ -146,9 +146,9 @@
 	if s.revocations.shareAt > 0 {
 		next = s.revocations.shareAt
 	}
-	if s.asksDue(now) {
+	if s.needsRevocations(now) {
 		for _, r := range s.revocations.targets {
-			if r.asks() {
+			if r.mustAsk() {
 				next = min(next, r.askAt)
 			}
 		}
@@ -159,7 +159,7 @@
 // RecordRevoked records a target's answer to a revocation of the view: the units of
 // each limit pool that tasks of other holders use there. Answers for other views are
 // ignored.
-func (s *State) Revoked(now time.Duration, view, target string, running map[string]int) []Out {
+func (s *State) RecordRevoked(now time.Duration, view, target string, running map[string]int) []Out {
 	if view != s.view.ID {
 		return nil
 	}
@@ -196,9 +196,9 @@
 			s.revocations.shareAt = now + s.opts.RetryAfter
 			continue
 		}
-		l.number(&capacitypb.Item{Revoked: l.revoked})
+		l.appendItem(&capacitypb.Item{Revoked: l.revoked})
 		l.revoked = nil
-		l.wait = 0
+		l.retryInterval = 0
 		l.retryAt = now
 	}
 	return s.collect(now)
@@ -211,20 +211,20 @@
 		return
 	}
 	for _, a := range answers {
-		s.noteRevoked(now, a)
+		s.recordAnswer(now, a)
 	}
 	for _, p := range slices.Clone(s.ordered) {
-		if p.kind != KindLimit || p.ledger == nil || p.ledger.empty() {
+		if p.kind != KindLimit || p.ledger == nil || p.ledger.isEmpty() {
 			continue
 		}
 		s.freeUnused(now, p)
 		s.balance(now, p)
-		s.drop(p)
+		s.dropIfUnused(p)
 	}
 }
 
 // recordAnswer stores the answer of one target.
-func (s *State) noteRevoked(now time.Duration, answer *capacitypb.Revoked) {
+func (s *State) recordAnswer(now time.Duration, answer *capacitypb.Revoked) {
 	r := s.revocations.targets[answer.Target]
 	if r == nil {
 		r = s.revocation(answer.Target)
@@ -244,7 +244,7 @@
 // those that targets reported, and all slots of targets that have not answered. It
 // returns false while reports are missing, before RevokeAfter has passed, and when no
 // target is listed.
-func (s *State) mostRunning(now time.Duration, name string) (int, bool) {
+func (s *State) maxRunning(now time.Duration, name string) (int, bool) {
 	if !s.resolved || now < s.revokeFrom() {
 		return 0, false
 	}
@@ -266,24 +266,24 @@
 	if p.kind != KindLimit || !l.known || !l.blocked && len(l.reservations) == 0 {
 		return
 	}
-	most, ok := s.mostRunning(now, p.name)
+	most, ok := s.maxRunning(now, p.name)
 	if !ok {
 		return
 	}
 	if l.blocked {
-		if p.capacity-l.outside-p.used-p.free < most {
+		if p.capacity-l.lentTotal-p.used-p.free < most {
 			// The reservation would exceed the units that are neither lent nor held
 			// here.
 			return
 		}
 		l.blocked = false
-		l.reservations = []reservation{{units: most, until: l.latest()}}
+		l.reservations = []reservation{{units: most, until: l.latestEnd()}}
 	}
 	l.trim(most)
 }
 
 // latestEnd returns when the last block or reservation ends.
-func (l *ledger) latest() time.Duration {
+func (l *ledger) latestEnd() time.Duration {
 	until := l.blockedUntil
 	for _, r := range l.reservations {
 		until = max(until, r.until)
--- a/capacity/revoke_test.go
+++ b/capacity/revoke_test.go
@@ -58,7 +58,7 @@
 			for _, r := range due {
 				l.asked = append(l.asked, r)
 				if n, answers := running[r.Target]; answers {
-					outs = append(outs, s.Revoked(l.now, r.View, r.Target, map[string]int{limitPool: n})...)
+					outs = append(outs, s.RecordRevoked(l.now, r.View, r.Target, map[string]int{limitPool: n})...)
 				}
 			}
 			return outs
@@ -69,7 +69,7 @@
 // usable returns how many units of the limit the VMs hold or can get.
 func (l *lossCluster) usable() int {
 	home := l.states[l.home].pools[limitPool]
-	return home.free + home.used + home.ledger.outside
+	return home.free + home.used + home.ledger.lentTotal
 }
 
 func TestUnitsOfLostVMAreFreeOnceTargetsAnswer(t *testing.T) {
@@ -108,11 +108,11 @@
 // answer records answers of targets without tasks at the home.
 func (l *lossCluster) answer(view string, targets ...string) {
 	for _, target := range targets {
-		l.send(l.home, l.states[l.home].Revoked(l.now, view, target, nil))
+		l.send(l.home, l.states[l.home].RecordRevoked(l.now, view, target, nil))
 	}
 }
 
-func TestLimitsWaitWhileNoTargetIsKnown(t *testing.T) {
+func TestLimitsStayBlockedWithoutTargets(t *testing.T) {
 	l := newLossCluster(t)
 	for _, s := range l.states {
 		clear(s.revocations.targets)
@@ -124,7 +124,7 @@
 
 // When the home of a limit is lost and targets don't answer, the limit stays blocked,
 // but holders keep the units that they have.
-func TestSilentTargetsCostTheHoldersNothing(t *testing.T) {
+func TestHoldersKeepUnitsWhileTargetsAreSilent(t *testing.T) {
 	l := newLossCluster(t)
 	l.want(l.other, limitPool, 7)
 	l.run(20 * time.Millisecond)
@@ -142,7 +142,7 @@
 
 // A view that follows a loss asks the targets again that did not answer in the
 // previous one.
-func TestLossIsPassedOnToTheNextView(t *testing.T) {
+func TestNextViewAsksTargetsAgainAfterLoss(t *testing.T) {
 	l := newLossCluster(t)
 	l.order = append(l.order, "d")
 	l.states["d"] = New(Options{Self: member("d"), ReclaimAfter: reclaimAfter, RevokeAfter: revokeAfter})
--- a/capacity/slots.go
+++ b/capacity/slots.go
@@ -17,7 +17,7 @@
 	free, used int
 	// minFree is the smallest number of free units in the window: that many were
 	// not needed.
-	low int
+	minFree int
 	// want is how many slot units would be used now beside those in use.
 	want int
 	// cursor is where the next batch starts in list.
@@ -27,7 +27,7 @@
 	divert bool
 	// retryAt is when VMs without free units are asked again, and retryInterval
 	// the time between two such asks.
-	retryAt, wait time.Duration
+	retryAt, retryInterval time.Duration
 	// budget bounds the messages, and budgetAt is when it may have credit again.
 	budget   budget
 	budgetAt time.Duration
@@ -86,7 +86,7 @@
 	}
 	d.want = n
 	if n == 0 {
-		d.wait = 0
+		d.retryInterval = 0
 		d.retryAt = 0
 		return
 	}
@@ -103,17 +103,17 @@
 	d := &p.demand
 	l := s.links[p.home]
 	missing := d.want - p.free
-	if l == nil || s.leaving || !s.member || missing <= 0 {
+	if l == nil || s.leaving || !s.isMember || missing <= 0 {
 		return
 	}
-	grown := missing > d.asked && now >= d.pauseUntil
+	grown := missing > d.asked && now >= d.nextAskAt
 	if !grown && now < d.retryAt {
 		return
 	}
 	d.asked = missing
-	d.pauseUntil = now + s.opts.AskPause
-	d.wait = backoff(d.wait, s.opts.RetryAfter, s.opts.RetryMost)
-	d.retryAt = now + d.wait
+	d.nextAskAt = now + s.opts.AskInterval
+	d.retryInterval = backoff(d.retryInterval, s.opts.RetryAfter, s.opts.MaxRetryAfter)
+	d.retryAt = now + d.retryInterval
 	l.asks = append(l.asks, &capacitypb.Ask{Pool: p.name, Count: uint32(missing)})
 }
 
@@ -169,7 +169,7 @@
 	if s.slots.shareAt > 0 {
 		return
 	}
-	if s.spare() == 0 || len(s.hungry()) == 0 {
+	if s.spare() == 0 || len(s.wantingPeers()) == 0 {
 		s.slots.spareSince = now
 		return
 	}
@@ -178,7 +178,7 @@
 
 // wantingPeers returns the peers that want slot units, the one that holds the fewest
 // first.
-func (s *State) hungry() []*link {
+func (s *State) wantingPeers() []*link {
 	var wanting []*link
 	for _, l := range s.peers {
 		if l.slots.wanted > 0 {
@@ -191,16 +191,16 @@
 
 // shareWaitFactor is how many times longer spare units wait than a want that asks for
 // units: the VM that wants them has units of its own that come free.
-const sharePatience = 4
+const shareWaitFactor = 4
 
 // share gives spare units to the peers that want some, in equal parts.
 func (s *State) share(now time.Duration) {
 	s.slots.shareAt = 0
-	wanting := s.hungry()
+	wanting := s.wantingPeers()
 	spare := s.spare()
 	for i, l := range wanting {
 		n := min(l.slots.wanted, spare/(len(wanting)-i))
-		if n == 0 || !s.slots.budget.spend(now, n, s.slots.used, (now-s.slots.spareSince)/sharePatience) {
+		if n == 0 || !s.slots.budget.spend(now, n, s.slots.used, (now-s.slots.spareSince)/shareWaitFactor) {
 			continue
 		}
 		spare -= n
@@ -240,9 +240,9 @@
 
 // newDigest makes a digest of this VM's current slots.
 func (s *State) newDigest() *capacitypb.Digest {
-	s.digest++
+	s.digestSequence++
 	return &capacitypb.Digest{
-		Sequence: s.digest,
+		Sequence: s.digestSequence,
 		Free:     uint32(s.spare()),
 		Wanted:   uint32(s.missing()),
 		Held:     uint32(s.held()),
@@ -270,11 +270,11 @@
 	if proto.Unmarshal(digest, &d) != nil {
 		return
 	}
-	s.noteDigest(l, &d)
+	s.applyDigest(l, &d)
 }
 
 // applyDigest stores a digest that is newer than the last one of the peer.
-func (s *State) noteDigest(l *link, d *capacitypb.Digest) {
+func (s *State) applyDigest(l *link, d *capacitypb.Digest) {
 	if d == nil || d.Sequence <= l.slots.sequence {
 		return
 	}
--- a/capacity/slots_test.go
+++ b/capacity/slots_test.go
@@ -202,7 +202,7 @@
 	must.LessEq(t, 40, l.sent)
 }
 
-func TestHungryVMsShareFairly(t *testing.T) {
+func TestOverloadedVMsShareSlotsFairly(t *testing.T) {
 	l := newSlotLoad(t, 50, 8)
 	l.load(2, 0, 0)
 	l.pass(3 * time.Second)
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestRemovedTargetComesBackWhole(t *testing.T) {
+func TestReaddedTargetHasAllUnits(t *testing.T) {
 	l := newSlotLoad(t, 1, 8)
 	l.run(5 * time.Second)
 	for _, id := range l.order {
@@ -269,7 +269,7 @@
 	must.Eq(t, 40-held, l.states["a"].Reachable())
 }
 
-func TestIdleSlotsGoHome(t *testing.T) {
+func TestIdleSlotsReturnHome(t *testing.T) {
 	l := newSlotLoad(t, 12, 4)
 	l.run(5 * time.Second)
 	l.heartbeats()
--- a/capacity/tick.go
+++ b/capacity/tick.go
@@ -8,8 +8,8 @@
 
 // NextTick returns the latest time of the next call of Tick; false when none is
 // needed until another call changes the state.
-func (s *State) Next() (time.Duration, bool) {
-	next := s.expiry
+func (s *State) NextTick() (time.Duration, bool) {
+	next := s.nextExpiry
 	if s.active {
 		next = min(next, s.windowEnd)
 	}
@@ -44,7 +44,7 @@
 	if s.view.ID == "" {
 		return nil
 	}
-	if now >= s.expiry {
+	if now >= s.nextExpiry {
 		s.expireLedgers(now)
 	}
 	if s.slots.shareAt > 0 && now >= s.slots.shareAt {
@@ -62,12 +62,12 @@
 
 // expireLedgers ends blocks and reservations that have run out, and repeats recalls.
 func (s *State) expireLedgers(now time.Duration) {
-	s.expiry = never
-	if now >= s.unlistedUntil {
-		s.unlistedUntil = 0
+	s.nextExpiry = never
+	if now >= s.unlistedBlockedUntil {
+		s.unlistedBlockedUntil = 0
 	}
-	if s.unlistedUntil > 0 {
-		s.expiry = s.unlistedUntil
+	if s.unlistedBlockedUntil > 0 {
+		s.nextExpiry = s.unlistedBlockedUntil
 	}
 	if !s.resolved {
 		s.resolve(now)
@@ -77,9 +77,9 @@
 		if l == nil {
 			continue
 		}
-		s.expiry = min(s.expiry, l.expire(now))
+		s.nextExpiry = min(s.nextExpiry, l.expire(now))
 		s.balance(now, p)
-		s.drop(p)
+		s.dropIfUnused(p)
 	}
 }
 
@@ -92,8 +92,8 @@
 	for _, p := range append([]*pool(nil), s.ordered...) {
 		s.endPoolWindow(now, p)
 	}
-	idle := s.slots.low
-	s.slots.low = s.slots.free
+	idle := s.slots.minFree
+	s.slots.minFree = s.slots.free
 	if idle < s.slots.free {
 		// The next window shows whether the other free units are idle too.
 		s.active = true
@@ -103,7 +103,7 @@
 // returnIdleSlots returns half of the slot units that were not needed, so that some
 // are still here when the load returns.
 func (s *State) returnIdleSlots(now time.Duration) {
-	idle := (s.slots.low - s.slots.want + 1) / 2
+	idle := (s.slots.minFree - s.slots.want + 1) / 2
 	for _, p := range append([]*pool(nil), s.slots.list...) {
 		if idle <= 0 {
 			return
@@ -127,11 +127,11 @@
 	} else {
 		s.lendStanding(now, p)
 	}
-	p.low = p.free
+	p.minFree = p.free
 	if p.ledger == nil && s.unneeded(p) > 0 {
 		s.active = true
 	}
-	s.drop(p)
+	s.dropIfUnused(p)
 }
 
 // unneeded returns how many units of the pool are returned to the home. It is 0 for
@@ -139,11 +139,11 @@
 func (s *State) unneeded(p *pool) int {
 	switch {
 	case p.kind == KindLimit && p.configured:
-		return min(p.low-p.demand.want, p.free+p.used-s.standing(p))
+		return min(p.minFree-p.demand.want, p.free+p.used-s.standing(p))
 	case !p.configured:
-		return p.low - p.demand.want
+		return p.minFree - p.demand.want
 	case p.excluded:
-		return p.low - 1
+		return p.minFree - 1
 	}
 	return 0
 }
--- a/capacity/usage.go
+++ b/capacity/usage.go
@@ -16,14 +16,14 @@
 // Usage returns the use of a limit pool; false when this VM is not its home.
 func (s *State) Usage(name string) (Usage, bool) {
 	p := s.pools[name]
-	if p == nil || p.ledger == nil || p.kind != KindLimit || !s.member {
+	if p == nil || p.ledger == nil || p.kind != KindLimit || !s.isMember {
 		return Usage{}, false
 	}
 	l := p.ledger
 	u := Usage{
 		Known:    l.known && !l.blocked,
 		Capacity: p.capacity,
-		Out:      l.outside + l.reserved() + p.used,
+		Out:      l.lentTotal + l.reserved() + p.used,
 		Want:     max(0, p.demand.want-p.free),
 	}
 	for _, n := range l.wants {
--- a/capacity/view.go
+++ b/capacity/view.go
@@ -19,13 +19,13 @@
 	old := s.view
 	s.view = v
 	s.installed = now
-	s.member = slices.ContainsFunc(v.Members, s.opts.Self.same)
-	s.previous = nil
+	s.isMember = slices.ContainsFunc(v.Members, s.opts.Self.isSame)
+	s.parentMembers = nil
 	if s.inherits {
-		s.previous = old.Members
-		s.keepUnlisted(now)
+		s.parentMembers = old.Members
+		s.extendUnlistedBlock(now)
 	} else {
-		s.forgetFree()
+		s.dropFree()
 	}
 	s.restartRevocations()
 	reports := s.moveHomes(now)
@@ -39,15 +39,15 @@
 // extendUnlistedBlock blocks limit pools without ledger for ReclaimAfter when the
 // previous view is replaced before all its members have reported, since this VM then
 // does not know all units.
-func (s *State) keepUnlisted(now time.Duration) {
+func (s *State) extendUnlistedBlock(now time.Duration) {
 	if !s.resolved {
-		s.unlistedUntil = now + s.opts.ReclaimAfter
+		s.unlistedBlockedUntil = now + s.opts.ReclaimAfter
 	}
 }
 
 // dropFree drops the free units and ledgers of a VM that missed a view: others may
 // have counted its units as lost. Units in use are reported.
-func (s *State) forgetFree() {
+func (s *State) dropFree() {
 	for _, p := range s.ordered {
 		s.addFree(p, -p.free)
 		if p.kind == KindLimit {
@@ -55,7 +55,7 @@
 		}
 		p.ledger = nil
 	}
-	s.unlistedUntil = 0
+	s.unlistedBlockedUntil = 0
 }
 
 // moveHomes assigns every pool to its home in the new view, reserves the units of
@@ -71,7 +71,7 @@
 		p.home = homeOf(s.view.Members, p.name)
 		s.reserveLost(now, p)
 		if p.home == s.opts.Self.ID {
-			s.keepLedger(p)
+			s.prepareLedger(p)
 			continue
 		}
 		report := reports[p.home]
@@ -79,7 +79,7 @@
 			report.Ledgers = append(report.Ledgers, s.handOver(now, p))
 		}
 		p.ledger = nil
-		if !s.member {
+		if !s.isMember {
 			// A leaver needs no free units; the new home counts them as free.
 			s.addFree(p, -p.free)
 		}
@@ -99,9 +99,9 @@
 	}
 	r := &capacitypb.Report{
 		Parent:            s.view.Parent,
-		UnlistedBlockedMs: remainingMS(now, s.unlistedUntil),
+		UnlistedBlockedMs: remainingMS(now, s.unlistedBlockedUntil),
 	}
-	for _, m := range s.previous {
+	for _, m := range s.parentMembers {
 		r.ParentMembers = append(r.ParentMembers, &capacitypb.Member{Id: m.ID, Incarnation: m.Incarnation})
 	}
 	return r
@@ -143,14 +143,14 @@
 	if l == nil || p.kind != KindLimit {
 		return
 	}
-	for _, m := range s.previous {
-		if slices.ContainsFunc(s.view.Members, m.same) {
+	for _, m := range s.parentMembers {
+		if slices.ContainsFunc(s.view.Members, m.isSame) {
 			continue
 		}
 		if units := l.lent[m.ID]; units > 0 {
 			s.reserve(l, units, now+s.opts.ReclaimAfter)
 		}
-		l.outside -= l.lent[m.ID]
+		l.lentTotal -= l.lent[m.ID]
 		delete(l.lent, m.ID)
 	}
 }
@@ -158,18 +158,18 @@
 // reserve adds a reservation to the ledger.
 func (s *State) reserve(l *ledger, units int, until time.Duration) {
 	l.reservations = append(l.reservations, reservation{units: units, until: until})
-	s.expiry = min(s.expiry, until)
+	s.nextExpiry = min(s.nextExpiry, until)
 }
 
 // isSame reports whether both are the same process.
-func (m Member) same(other Member) bool {
+func (m Member) isSame(other Member) bool {
 	return m.ID == other.ID && m.Incarnation == other.Incarnation
 }
 
 // prepareLedger prepares the ledger of a pool whose home is here. The ledger of a
 // limit pool is kept when this VM was its home before: the survivors hold no more
 // units than it lent. Any other pool gets a new ledger.
-func (s *State) keepLedger(p *pool) {
+func (s *State) prepareLedger(p *pool) {
 	if p.ledger != nil && p.kind == KindLimit {
 		clear(p.ledger.wants)
 		p.ledger.recallAt = 0
@@ -184,7 +184,7 @@
 		return
 	}
 	l.block(until)
-	s.expiry = min(s.expiry, until)
+	s.nextExpiry = min(s.nextExpiry, until)
 }
 
 // connect opens the links of the view; the first item on each is the report.
@@ -198,7 +198,7 @@
 			continue
 		}
 		l := &link{member: m}
-		l.number(&capacitypb.Item{Report: reports[m.ID]})
+		l.appendItem(&capacitypb.Item{Report: reports[m.ID]})
 		s.links[m.ID] = l
 		s.peers = append(s.peers, l)
 	}
@@ -209,8 +209,8 @@
 		l := &link{member: m, leaver: true}
 		s.links[m.ID] = l
 		s.leavers = append(s.leavers, l)
-		s.leaversUntil = now + s.opts.LeaverWait
-		s.expiry = min(s.expiry, s.leaversUntil)
+		s.leaversUntil = now + s.opts.LeaverTimeout
+		s.nextExpiry = min(s.nextExpiry, s.leaversUntil)
 	}
 	slices.SortFunc(s.peers, func(a, b *link) int {
 		return strings.Compare(a.member.ID, b.member.ID)
@@ -220,22 +220,22 @@
 // receiveReport records a peer's holdings in the ledgers of this home, and completes
 // the ledgers when it is the last report.
 func (s *State) receiveReport(now time.Duration, l *link, r *capacitypb.Report) {
-	if l.reported() {
+	if l.hasReported() {
 		return
 	}
 	l.report = r
 	id := l.member.ID
 	for _, p := range s.ordered {
 		if p.ledger != nil && p.kind == KindLimit {
-			p.ledger.lend(id, -p.ledger.lent[id])
+			p.ledger.addLent(id, -p.ledger.lent[id])
 		}
 	}
 	for _, u := range r.Holdings {
 		s.receiveHolding(now, l, u)
 	}
-	if len(s.previous) == 0 && r.Parent != "" && r.Parent == s.view.Parent {
+	if len(s.parentMembers) == 0 && r.Parent != "" && r.Parent == s.view.Parent {
 		for _, m := range r.ParentMembers {
-			s.previous = append(s.previous, Member{ID: m.Id, Incarnation: m.Incarnation})
+			s.parentMembers = append(s.parentMembers, Member{ID: m.Id, Incarnation: m.Incarnation})
 		}
 	}
 	s.resolve(now)
@@ -248,7 +248,7 @@
 	switch {
 	case p.ledger == nil:
 	case !l.leaver:
-		p.ledger.lend(l.member.ID, int(u.Count))
+		p.ledger.addLent(l.member.ID, int(u.Count))
 	case p.kind == KindLimit && !p.ledger.known:
 		s.reserve(p.ledger, int(u.Count), now+s.opts.ReclaimAfter)
 	}
@@ -257,12 +257,12 @@
 // resolve completes the ledgers once every member of the view has reported.
 func (s *State) resolve(now time.Duration) {
 	for _, l := range s.peers {
-		if !l.reported() {
+		if !l.hasReported() {
 			return
 		}
 	}
 	for _, l := range s.leavers {
-		if !l.reported() && now < s.leaversUntil {
+		if !l.hasReported() && now < s.leaversUntil {
 			return
 		}
 	}
@@ -280,19 +280,19 @@
 			continue
 		}
 		if !p.ledger.known && p.kind == KindLimit {
-			s.inherit(now, p)
+			s.inheritLedger(now, p)
 		}
 		p.ledger.known = true
 		s.balance(now, p)
-		s.drop(p)
+		s.dropIfUnused(p)
 	}
 }
 
 // blockUnlisted sets until when limit pools are blocked that no handed-over ledger
 // names.
 func (s *State) blockUnlisted(now time.Duration) {
-	until := s.unlistedUntil
-	if len(s.previous) == 0 || slices.ContainsFunc(s.previous, s.isLost) {
+	until := s.unlistedBlockedUntil
+	if len(s.parentMembers) == 0 || slices.ContainsFunc(s.parentMembers, s.isLost) {
 		until = max(until, s.installed+s.opts.ReclaimAfter)
 		s.afterLoss = true
 		s.lossAt = s.installed
@@ -302,39 +302,39 @@
 			until = max(until, now+time.Duration(ms)*time.Millisecond)
 		}
 	}
-	s.unlistedUntil = until
+	s.unlistedBlockedUntil = until
 	s.revocations.needed = until > now
 	if until > 0 {
-		s.expiry = min(s.expiry, until)
+		s.nextExpiry = min(s.nextExpiry, until)
 	}
 }
 
 // reporters returns the links to members and leavers that have reported.
 func (s *State) reporters() []*link {
 	all := slices.Concat(s.peers, s.leavers)
-	return slices.DeleteFunc(all, func(l *link) bool { return !l.reported() })
+	return slices.DeleteFunc(all, func(l *link) bool { return !l.hasReported() })
 }
 
 // isLost reports whether a member of the parent view has not reported in this one.
 func (s *State) isLost(m Member) bool {
-	if m.same(s.opts.Self) {
+	if m.isSame(s.opts.Self) {
 		return false
 	}
 	l := s.links[m.ID]
-	return l == nil || !m.same(l.member) || !l.reported()
+	return l == nil || !m.isSame(l.member) || !l.hasReported()
 }
 
 // inheritLedger takes over the ledger of a limit pool from its home in the parent
 // view. When that home has not handed it over, the units that no survivor reported
 // count as held by lost VMs until ReclaimAfter has passed.
-func (s *State) inherit(now time.Duration, p *pool) {
-	home := homeOf(s.previous, p.name)
+func (s *State) inheritLedger(now time.Duration, p *pool) {
+	home := homeOf(s.parentMembers, p.name)
 	if home == s.opts.Self.ID && s.inherits {
-		s.blockLedger(p.ledger, s.unlistedUntil)
+		s.blockLedger(p.ledger, s.unlistedBlockedUntil)
 		return
 	}
 	source := s.links[home]
-	if source == nil || !source.reported() || !s.descends(source) {
+	if source == nil || !source.hasReported() || !s.descends(source) {
 		s.blockLedger(p.ledger, s.installed+s.opts.ReclaimAfter)
 		return
 	}
@@ -364,5 +364,5 @@
 // descends reports whether the peer comes from the parent view and was a member of
 // it.
 func (s *State) descends(l *link) bool {
-	return l.report.Parent != "" && l.report.Parent == s.view.Parent && slices.ContainsFunc(s.previous, l.member.same)
+	return l.report.Parent != "" && l.report.Parent == s.view.Parent && slices.ContainsFunc(s.parentMembers, l.member.isSame)
 }
--- a/capacity/view_test.go
+++ b/capacity/view_test.go
@@ -36,7 +36,7 @@
 
 // Tasks of earlier processes may run when the first view is installed, also under
 // limits that are configured later.
-func TestLimitsWaitAfterTheFirstView(t *testing.T) {
+func TestLimitsAreBlockedAfterFirstView(t *testing.T) {
 	c := newCluster(t, Options{ReclaimAfter: time.Second}, "a", "b", "c")
 	c.view("v1", "", "a", "b", "c")
 	c.pool(limitPool, KindLimit, 12)
@@ -47,7 +47,7 @@
 
 // When a VM has missed a view, the reservation of its units may be over and the units
 // lent again.
-func TestVMThatMissedAViewUsesNoUnitAgain(t *testing.T) {
+func TestVMThatMissedAViewReusesNoUnit(t *testing.T) {
 	c := newLimitCluster(t)
 	_, others := c.home()
 	s := c.states[others[0]]
@@ -60,7 +60,7 @@
 
 // Only a complete ledger tells whether the units of a VM that missed a view are
 // free; until then they may be lent to others as well.
-func TestUnitsOfAVMThatMissedAViewAreFreeByTheLedgerOnly(t *testing.T) {
+func TestUnitsOfVMThatMissedAViewWaitForCompleteLedger(t *testing.T) {
 	for name, reported := range map[string]bool{"unknown": false, "blocked": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newLimitCluster(t)
@@ -86,7 +86,7 @@
 
 // The configuration may reach a new VM after the ledger that is handed over to it.
 func TestHomeThatLearnsOfALimitLateKeepsTheReservations(t *testing.T) {
-	c := newCluster(t, Options{ReclaimAfter: time.Second, LeaverWait: time.Second}, "a", "b", "c")
+	c := newCluster(t, Options{ReclaimAfter: time.Second, LeaverTimeout: time.Second}, "a", "b", "c")
 	newcomer := homeOf([]Member{member("a"), member("b"), member("c")}, limitPool)
 	old := slices.DeleteFunc(slices.Clone(c.order), func(id string) bool { return id == newcomer })
 	limit := Pool{Name: limitPool, Kind: KindLimit, Capacity: 12}
@@ -117,7 +117,7 @@
 
 // The blocked home of a limit must not use a unit that a VM which missed a view
 // returns: it does not know yet whether the unit is lent again.
-func TestUnitOfVMThatMissedAViewIsOfNoUseToABlockedHome(t *testing.T) {
+func TestBlockedHomeUsesNoUnitOfVMThatMissedAView(t *testing.T) {
 	c := newLimitCluster(t)
 	home, others := c.home()
 	must.True(t, c.states[others[0]].Take(limitPool))
--- a/capacity/world_test.go
+++ b/capacity/world_test.go
@@ -105,15 +105,15 @@
 	v.promised = false
 	v.acked = make(map[Member]time.Duration)
 	v.state = New(Options{
-		Self:         v.self,
-		ReclaimAfter: testReclaim,
-		RevokeAfter:  testRevokeAfter,
-		IdleAfter:    40 * time.Millisecond,
-		FlushDelay:   2 * time.Millisecond,
-		AckDelay:     5 * time.Millisecond,
-		RetryAfter:   15 * time.Millisecond,
-		RetryMost:    60 * time.Millisecond,
-		LeaverWait:   30 * time.Millisecond,
+		Self:          v.self,
+		ReclaimAfter:  testReclaim,
+		RevokeAfter:   testRevokeAfter,
+		IdleAfter:     40 * time.Millisecond,
+		FlushDelay:    2 * time.Millisecond,
+		AckDelay:      5 * time.Millisecond,
+		RetryAfter:    15 * time.Millisecond,
+		MaxRetryAfter: 60 * time.Millisecond,
+		LeaverTimeout: 30 * time.Millisecond,
 	})
 	v.busy = true
 	v.configured = 0
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -95,10 +95,10 @@
 			Domains: d.settings.FailureDomains,
 			Order:   order(d.settings.Dispatch.Order),
 		}),
-		Targets: d.targets,
-		Note:    func(keyText string, e submission.Event) { d.service.Note(keyText, e) },
-		Scope:   d.telemetry.Scope(),
-		Log:     d.log,
+		Targets:  d.targets,
+		LogEvent: func(keyText string, e submission.Event) { d.service.Note(keyText, e) },
+		Scope:    d.telemetry.Scope(),
+		Log:      d.log,
 	})
 }
 
--- a/daemon/quota.go
+++ b/daemon/quota.go
@@ -50,8 +50,8 @@
 // owns.
 type quotaPools struct{ d *Daemon }
 
-// Look implements quota.Pools.
-func (p quotaPools) Look(teams []string) (map[string]quota.Usage, time.Duration) {
+// Usages implements quota.Pools.
+func (p quotaPools) Usages(teams []string) (map[string]quota.Usage, time.Duration) {
 	usages := make(map[string]quota.Usage, len(teams))
 	var reserve time.Duration
 	p.d.dispatch.DoWait(func(now time.Duration) {
--- a/dispatch/baseline.go
+++ b/dispatch/baseline.go
@@ -28,7 +28,7 @@
 )
 
 // fullBackOff is how long a target is not picked after a start did not begin there.
-const fullPause = 5 * time.Millisecond
+const fullBackOff = 5 * time.Millisecond
 
 type baselineTarget struct {
 	Target
@@ -111,7 +111,7 @@
 	}
 	t.outstanding--
 	if e.Result == ResultNotStarted || e.Result == ResultUnreachable {
-		t.fullUntil = now + fullPause
+		t.fullUntil = now + fullBackOff
 	}
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -43,9 +43,9 @@
 	Admission *admission.State
 	Targets   TargetClient
 	// LogEvent records decisions about a submission for operators.
-	Note  func(keyText string, e submission.Event)
-	Scope tally.Scope
-	Log   *slog.Logger
+	LogEvent func(keyText string, e submission.Event)
+	Scope    tally.Scope
+	Log      *slog.Logger
 }
 
 // TargetClient reaches targets; *targetclient.Client implements it.
@@ -64,7 +64,7 @@
 
 // minWait bounds the timer from below, so that a due time in the past does not make
 // the duty loop without a pause.
-const shortestWait = time.Millisecond
+const minWait = time.Millisecond
 
 // limitsInterval is the minimum time between two calls of WantLimits, which visit
 // every limit.
@@ -167,10 +167,10 @@
 	running int
 	// limitsUpdatedAt is the time of the last call of WantLimits, and limitsWanted
 	// says whether tasks waited then.
-	limitsAt     time.Duration
-	limitsWanted bool
+	limitsUpdatedAt time.Duration
+	limitsWanted    bool
 	// lastTick is when the duty last checked deadlines and stragglers.
-	tickedAt time.Duration
+	lastTick time.Duration
 	// placerDue is when Tick of the placer must be called again; 0 is never.
 	placerDue time.Duration
 	starter   *starter
@@ -194,8 +194,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Note == nil {
-		o.Note = func(string, submission.Event) {}
+	if o.LogEvent == nil {
+		o.LogEvent = func(string, submission.Event) {}
 	}
 	d := &Duty{
 		options: o,
@@ -223,11 +223,11 @@
 	// finished counts results, and begun says that a task may have started.
 	finished int
 	begun    bool
-	flights  map[int]*flight
+	inflight map[int]*inflightTask
 }
 
 // inflightTask is a task whose start has no answer yet.
-type flight struct {
+type inflightTask struct {
 	job     *job
 	ref     admission.TaskRef
 	target  string
@@ -256,7 +256,7 @@
 			return nil
 		case e := <-d.events.Items():
 			e.apply(d)
-			d.drain()
+			d.applyWaiting()
 		case <-timer.C:
 		}
 		d.tickWhenDue()
@@ -267,7 +267,7 @@
 
 // applyWaiting applies the other waiting events, so that one call of schedule
 // follows many events.
-func (d *Duty) drain() {
+func (d *Duty) applyWaiting() {
 	for range d.events.Len() {
 		e := <-d.events.Items()
 		e.apply(d)
@@ -277,11 +277,11 @@
 // nextTick returns the time until the next tick of the duty or of the placer.
 func (d *Duty) nextTick() time.Duration {
 	now := d.now()
-	wait := d.tickedAt + d.tickInterval() - now
+	wait := d.lastTick + d.tickInterval() - now
 	if d.placerDue > 0 {
 		wait = min(wait, d.placerDue-now)
 	}
-	return max(shortestWait, wait)
+	return max(minWait, wait)
 }
 
 // tickInterval returns the time between two ticks.
@@ -296,10 +296,10 @@
 // well: under load they follow each other so closely that the timer never fires.
 func (d *Duty) tickWhenDue() {
 	now := d.now()
-	if now < d.tickedAt+d.tickInterval() {
+	if now < d.lastTick+d.tickInterval() {
 		return
 	}
-	d.tickedAt = now
+	d.lastTick = now
 	d.tick(now)
 }
 
@@ -307,12 +307,12 @@
 // logs changes of targets' use, and updates the gauges.
 func (d *Duty) tick(now time.Duration) {
 	for _, g := range d.options.Admission.Expire(now) {
-		d.givenUp(g)
+		d.failGivenUp(g)
 	}
 	for _, s := range d.options.Admission.Stragglers(now) {
-		d.straggler(s)
+		d.handleStraggler(s)
 	}
-	d.releaseUnits(now)
+	d.releaseKeptUnits(now)
 	d.logVerdicts()
 	d.metrics.queued.Update(float64(d.options.Admission.QueueLen()))
 	d.metrics.running.Update(float64(d.running))
@@ -327,7 +327,7 @@
 	for adm.QueueLen() > 0 {
 		targetID, ok := d.options.Placer.Pick(now)
 		if !ok {
-			wanted = max(0, adm.Wants()-d.running)
+			wanted = max(0, adm.WantedSlots()-d.running)
 			break
 		}
 		ref, ok := adm.Next(now, d.options.Limits.Usable)
@@ -349,26 +349,26 @@
 // once after the last one has left the queue.
 func (d *Duty) wantLimits(now time.Duration) {
 	waiting := d.options.Admission.QueueLen() > 0
-	if !waiting && !d.limitsWanted || now < d.limitsAt+limitsInterval {
+	if !waiting && !d.limitsWanted || now < d.limitsUpdatedAt+limitsInterval {
 		return
 	}
 	d.limitsWanted = waiting
-	d.limitsAt = now
+	d.limitsUpdatedAt = now
 	d.options.Limits.WantLimits(now, d.options.Admission.ProfileQueueLen)
 }
 
 // startTask takes the slot and the units of a task, and sends its start.
 func (d *Duty) startTask(now time.Duration, ref admission.TaskRef, targetID string) {
 	j := d.jobs[string(ref.ID)]
-	f := &flight{job: j, ref: ref, target: targetID, profile: j.sub.Profile, decidedAt: d.start.Add(now)}
-	j.flights[ref.Task] = f
+	f := &inflightTask{job: j, ref: ref, target: targetID, profile: j.sub.Profile, decidedAt: d.start.Add(now)}
+	j.inflight[ref.Task] = f
 	j.begun = true
 	d.running++
 	d.options.Placer.Begin(now, targetID, f.profile, j.sub.KeyText)
 	f.pools = d.options.Limits.Take(f.profile)
-	d.options.Admission.Started(now, ref)
+	d.options.Admission.RecordStart(now, ref)
 	d.metrics.starts.Inc(1)
-	d.options.Note(j.sub.KeyText, submission.Event{Text: "started", Task: ref.Task, Target: targetID})
+	d.options.LogEvent(j.sub.KeyText, submission.Event{Text: "started", Task: ref.Task, Target: targetID})
 	f.runLimit = d.runLimits[f.profile]
 	d.starter.start(f, f.runLimit)
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -206,7 +206,7 @@
 // Draws submissions, targets' behaviour, cancellations and deadlines, and compares
 // every outcome with the starts that the targets counted: each task starts at most
 // once, an answer has all results, and work reported as not run never started.
-func TestOnceWholeAndTrue(t *testing.T) {
+func TestTasksStartOnceAndOutcomesMatchStarts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -29,23 +29,23 @@
 	id := e.sub.KeyText
 	if failure := d.admit(e, now); failure != nil {
 		failure.Key = id
-		d.note(id, "refused", failure.Message)
+		d.logEvent(id, "refused", failure.Message)
 		d.countRefusal(e.sub.Profile, failure.Kind)
 		e.done(submission.Refused(failure))
 		return
 	}
 	d.jobs[id] = &job{
-		sub:     e.sub,
-		done:    e.done,
-		results: make([]json.RawMessage, len(e.sub.Tasks)),
-		flights: map[int]*flight{},
+		sub:      e.sub,
+		done:     e.done,
+		results:  make([]json.RawMessage, len(e.sub.Tasks)),
+		inflight: map[int]*inflightTask{},
 	}
-	d.note(id, "admitted", "")
+	d.logEvent(id, "admitted", "")
 }
 
 // logEvent records a decision about a submission as a whole.
-func (d *Duty) note(id, text, reason string) {
-	d.options.Note(id, submission.Event{Text: text, Reason: reason, Task: submission.NoTask})
+func (d *Duty) logEvent(id, text, reason string) {
+	d.options.LogEvent(id, submission.Event{Text: text, Reason: reason, Task: submission.NoTask})
 }
 
 // admit passes a submission to admission unless the VM has too many already. It
@@ -102,13 +102,13 @@
 
 func (e *leaseEvent) apply(d *Duty) {
 	if shared, ok := d.options.Placer.(*Shared); ok {
-		shared.noteLease(e.ttl)
+		shared.recordTargetLease(e.ttl)
 	}
 }
 
 // endedEvent reports how a start ended.
 type endedEvent struct {
-	flight  *flight
+	task    *inflightTask
 	result  Result
 	reason  targetclient.Reason
 	value   json.RawMessage
@@ -119,7 +119,7 @@
 
 func (e *endedEvent) apply(d *Duty) {
 	now := d.now()
-	f := e.flight
+	f := e.task
 	d.running--
 	d.giveUnits(now, e)
 	d.options.Placer.End(now, End{
@@ -133,36 +133,36 @@
 	})
 	d.endTask(now, e)
 	j := f.job
-	delete(j.flights, f.ref.Task)
+	delete(j.inflight, f.ref.Task)
 	if d.jobs[j.sub.KeyText] != j {
 		d.metrics.late.Inc(1)
 		return
 	}
-	d.apply(j, e)
+	d.applyEnd(j, e)
 }
 
 // endTask reports to admission how the start of a task ended.
 func (d *Duty) endTask(now time.Duration, e *endedEvent) {
-	ref := e.flight.ref
+	ref := e.task.ref
 	switch e.result {
 	case ResultNotStarted, ResultUnreachable:
 		d.metrics.notStarted.Inc(1)
 		d.options.Admission.Requeue(ref)
 	case ResultDone:
-		d.options.Admission.Finished(now, ref, e.runTime, admission.OutcomeDone)
+		d.options.Admission.RecordEnd(now, ref, e.runTime, admission.OutcomeDone)
 	case ResultStopped:
-		d.options.Admission.Finished(now, ref, e.runTime, admission.OutcomeStopped)
+		d.options.Admission.RecordEnd(now, ref, e.runTime, admission.OutcomeStopped)
 	case ResultUnknown:
-		d.options.Admission.Finished(now, ref, e.runTime, admission.OutcomeLost)
+		d.options.Admission.RecordEnd(now, ref, e.runTime, admission.OutcomeLost)
 	default:
-		d.options.Admission.Finished(now, ref, e.runTime, admission.OutcomeFailed)
+		d.options.Admission.RecordEnd(now, ref, e.runTime, admission.OutcomeFailed)
 	}
 }
 
 // applyEnd applies the end of a start to its job: it stores the result, and answers
 // or fails the job.
-func (d *Duty) apply(j *job, e *endedEvent) {
-	ref := e.flight.ref
+func (d *Duty) applyEnd(j *job, e *endedEvent) {
+	ref := e.task.ref
 	switch e.result {
 	case ResultDone:
 		j.results[ref.Task] = e.value
@@ -171,16 +171,16 @@
 			d.answer(j)
 		}
 	case ResultNotStarted, ResultUnreachable:
-		d.options.Note(j.sub.KeyText, submission.Event{
+		d.options.LogEvent(j.sub.KeyText, submission.Event{
 			Text:   "could not start",
 			Task:   ref.Task,
-			Target: e.flight.target,
+			Target: e.task.target,
 			Reason: string(e.reason),
 		})
 	case ResultUnknown:
-		d.fail(j, targetLost(j, ref.Task, e))
+		d.fail(j, targetLossFailure(j, ref.Task, e))
 	default:
-		d.fail(j, taskFailed(j, ref.Task, e))
+		d.fail(j, taskFailure(j, ref.Task, e))
 	}
 }
 
@@ -199,21 +199,21 @@
 	id := j.sub.KeyText
 	delete(d.jobs, id)
 	d.options.Admission.Remove(d.now(), admission.ID(id))
-	for _, fl := range j.flights {
+	for _, fl := range j.inflight {
 		if fl.stopping {
 			continue
 		}
 		d.stopper.stop(fl.target, targetclient.TaskID{Submission: id, Task: fl.ref.Task}, false)
 	}
 	f.Key = id
-	d.note(id, string(f.Kind), f.Message)
+	d.logEvent(id, string(f.Kind), f.Message)
 	tags := map[string]string{"kind": string(f.Kind)}
 	d.metrics.scope.Tagged(tags).Counter("submissions_failed").Inc(1)
 	j.done(submission.Refused(f))
 }
 
 // failGivenUp fails a job that admission has given up.
-func (d *Duty) givenUp(g admission.GivenUp) {
+func (d *Duty) failGivenUp(g admission.GivenUp) {
 	j := d.jobs[string(g.ID)]
 	if j == nil {
 		return
@@ -224,13 +224,13 @@
 
 // handleStraggler fails the job of a straggler, unless its profile lets stragglers
 // run. The task is stopped, with a checkpoint if the profile asks for one.
-func (d *Duty) straggler(s admission.Straggler) {
+func (d *Duty) handleStraggler(s admission.Straggler) {
 	j := d.jobs[string(s.ID)]
 	if j == nil || s.Action == profile.StragglerWait {
 		return
 	}
 	if s.Action == profile.StragglerCheckpoint {
-		if fl := j.flights[s.Task]; fl != nil {
+		if fl := j.inflight[s.Task]; fl != nil {
 			fl.stopping = true
 			d.stopper.stop(fl.target, targetclient.TaskID{Submission: string(s.ID), Task: s.Task}, true)
 		}
@@ -243,30 +243,30 @@
 }
 
 // taskFailure returns the failure of a job of which a task failed or was stopped.
-func taskFailed(j *job, task int, e *endedEvent) *api.Failure {
+func taskFailure(j *job, task int, e *endedEvent) *api.Failure {
 	text := "stopped by the target"
 	if e.err != nil {
 		text = e.err.Error()
 	}
 	return &api.Failure{
 		Kind:    api.KindTaskFailed,
-		Message: fmt.Sprintf("task %d failed at target %s: %.300s: %s", task, e.flight.target, text, againAdvice(j)),
+		Message: fmt.Sprintf("task %d failed at target %s: %.300s: %s", task, e.task.target, text, retryAdvice(j)),
 		Run:     api.Failed,
 	}
 }
 
 // targetLossFailure returns the failure of a job of which a task may or may not have
 // run.
-func targetLost(j *job, task int, e *endedEvent) *api.Failure {
+func targetLossFailure(j *job, task int, e *endedEvent) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindTargetLost,
-		Message: fmt.Sprintf("target %s was lost while task %d may have run there: %s", e.flight.target, task, againAdvice(j)),
+		Message: fmt.Sprintf("target %s was lost while task %d may have run there: %s", e.task.target, task, retryAdvice(j)),
 		Run:     api.OutcomeUnknown,
 	}
 }
 
 // retryAdvice says what the caller can do after tasks were started.
-func againAdvice(j *job) string {
+func retryAdvice(j *job) string {
 	if j.sub.Idempotent {
 		return "the work is idempotent, submit it again under a new key"
 	}
@@ -278,7 +278,7 @@
 func (d *Duty) EndAll() {
 	d.DoWait(func(time.Duration) {
 		for _, j := range d.jobs {
-			f := &api.Failure{Kind: api.KindDraining, Message: "this VM stopped before the submission ended: " + againAdvice(j), Run: api.Failed}
+			f := &api.Failure{Kind: api.KindDraining, Message: "this VM stopped before the submission ended: " + retryAdvice(j), Run: api.Failed}
 			if !j.begun {
 				f.Run = api.NotRun
 				f.Message = "this VM stopped before any task was started: submit again under a new key"
@@ -323,7 +323,7 @@
 	switch {
 	case j == nil:
 		e.reply <- lookReply{state: "accepted"}
-	case len(j.flights) == 0 && j.finished == 0:
+	case len(j.inflight) == 0 && j.finished == 0:
 		e.reply <- lookReply{state: "queued", tasks: len(j.results)}
 	default:
 		e.reply <- lookReply{state: "running", tasks: len(j.results), done: j.finished}
@@ -383,7 +383,7 @@
 		}
 		d.options.Limits.SetProfiles(now, profiles, teams)
 		for _, g := range d.options.Admission.SetProfiles(now, profiles, d.admissionTeams(teams)) {
-			d.givenUp(g)
+			d.failGivenUp(g)
 		}
 	})
 }
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -17,15 +17,15 @@
 	}
 	s.setMovable(teams)
 	s.limits = make(map[string][]string, len(profiles))
-	s.users = map[string][]string{}
-	s.keepFormerRun(now)
+	s.poolProfiles = map[string][]string{}
+	s.keepPreviousRun(now)
 	for _, p := range profiles {
 		if p.LimitSlots > 0 {
 			units[capacity.ProfilePool(p.Name)] = p.LimitSlots
-			s.use(p, capacity.ProfilePool(p.Name))
+			s.addPool(p, capacity.ProfilePool(p.Name))
 		}
 		if _, ok := units[capacity.TeamPool(p.Team)]; ok && p.Team != "" {
-			s.use(p, capacity.TeamPool(p.Team))
+			s.addPool(p, capacity.TeamPool(p.Team))
 		}
 	}
 	s.capacity.SetReclaimAfter(now, s.reclaimAfter(now))
@@ -34,19 +34,19 @@
 
 // keepPreviousRun resets the longest run for a new configuration, and keeps the
 // previous one for as long as tasks started under it may run.
-func (s *Shared) keepFormerRun(now time.Duration) {
-	if now >= s.formerRunUntil || s.longestRun > s.formerRun {
-		s.formerRun = s.longestRun
+func (s *Shared) keepPreviousRun(now time.Duration) {
+	if now >= s.previousRunUntil || s.longestRun > s.previousRun {
+		s.previousRun = s.longestRun
 	}
-	s.formerRunUntil = max(s.formerRunUntil, now+s.longestRun)
+	s.previousRunUntil = max(s.previousRunUntil, now+s.longestRun)
 	s.longestRun = 0
 }
 
 // addPool records that tasks of a profile need a unit of a pool.
-func (s *Shared) use(p profile.Profile, pool string) {
+func (s *Shared) addPool(p profile.Profile, pool string) {
 	s.longestRun = max(s.longestRun, time.Duration(p.MaxRunMS)*time.Millisecond)
 	s.limits[p.Name] = append(s.limits[p.Name], pool)
-	s.users[pool] = append(s.users[pool], p.Name)
+	s.poolProfiles[pool] = append(s.poolProfiles[pool], p.Name)
 }
 
 // setLimitPools replaces the pools of limits and quotas by those of units.
@@ -93,7 +93,7 @@
 func (s *Shared) WantLimits(now time.Duration, waiting func(profileName string) int) {
 	for _, pool := range s.limitPools {
 		n := 0
-		for _, name := range s.users[pool] {
+		for _, name := range s.poolProfiles[pool] {
 			n += waiting(name)
 		}
 		s.send(s.capacity.Want(now, pool, n))
@@ -107,7 +107,7 @@
 const defaultTargetLease = 10 * time.Second
 
 // recordTargetLease records the validity time of a target's lease.
-func (s *Shared) noteLease(ttl time.Duration) { s.targetLease = max(s.targetLease, ttl) }
+func (s *Shared) recordTargetLease(ttl time.Duration) { s.targetLease = max(s.targetLease, ttl) }
 
 // reclaimAfter returns how long tasks of a lost VM may still run. The VM may have
 // decided a start at the end of its view lease, sent it maxStartDelay later under a
@@ -119,8 +119,8 @@
 		lease = defaultTargetLease
 	}
 	run := s.longestRun
-	if now < s.formerRunUntil {
-		run = max(run, s.formerRun)
+	if now < s.previousRunUntil {
+		run = max(run, s.previousRun)
 	}
 	return max(s.options.Capacity.ReclaimAfter, s.options.ViewLease+maxStartDelay+lease+run+reclaimMargin)
 }
--- a/dispatch/pause_test.go
+++ b/dispatch/pause_test.go
@@ -28,7 +28,7 @@
 
 // A process may pause after it has checked its view lease, and count as lost
 // meanwhile. The start that it decided must not be sent after the pause.
-func TestStartIsNotSentAfterAPauseInItsDecision(t *testing.T) {
+func TestStartIsNotSentAfterProcessPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -42,7 +42,7 @@
 			Limits:      &pausing{pause: maxStartDelay + time.Millisecond},
 			Admission:   admission.New(admission.Config{Domain: "a", Domains: []string{"a"}}),
 			Targets:     f,
-			Note:        func(_ string, e submission.Event) { notes = append(notes, e) },
+			LogEvent:    func(_ string, e submission.Event) { notes = append(notes, e) },
 		})
 		go func() { _ = d.Run(ctx) }()
 		d.SetProfiles([]profile.Profile{{Name: "p", GuaranteedSlots: 1, QueueTasks: 9, DeadlineMS: 9000, MaxDeadlineMS: 9000, MaxRunMS: 2000}}, nil)
@@ -63,10 +63,10 @@
 	})
 }
 
-func TestLostVMMayStartForLeaseAndRunAndDelay(t *testing.T) {
+func TestReclaimTimeCoversLeasesDelayAndRun(t *testing.T) {
 	s := newAlone("t1")
 	s.options.ViewLease = 5 * time.Second
-	s.noteLease(10 * time.Second)
+	s.recordTargetLease(10 * time.Second)
 	s.SetProfiles(0, []profile.Profile{{Name: "p", LimitSlots: 2, MaxRunMS: 7500}}, nil)
 	must.Eq(t, 5*time.Second+maxStartDelay+10*time.Second+7500*time.Millisecond+reclaimMargin, s.reclaimAfter(0))
 }
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -17,7 +17,7 @@
 	if units, known := s.quotaShares[t.Name]; known {
 		return units
 	}
-	return quota.Least(base)
+	return quota.MinShare(base)
 }
 
 // setMovable records the teams whose shares move between failure domains.
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestQuotaSharesBoundWhatStarts(t *testing.T) {
+func TestQuotaSharesBoundStarts(t *testing.T) {
 	s := newAlone("t1", "t2")
 	profiles := []profile.Profile{{Name: "p", Team: "x", MaxRunMS: 1000}}
 	teams := []profile.Team{{Name: "x", QuotaSlots: 9, Lend: true}}
--- a/dispatch/revoke.go
+++ b/dispatch/revoke.go
@@ -76,11 +76,11 @@
 		r.failed.Inc(1)
 		return
 	}
-	r.deliver(&revokedEvent{revocation: revocation, running: units(tasks)})
+	r.deliver(&revokedEvent{revocation: revocation, running: countUnits(tasks)})
 }
 
 // countUnits returns the number of units of each limit that the tasks hold.
-func units(tasks []targetclient.RunningTask) map[string]int {
+func countUnits(tasks []targetclient.RunningTask) map[string]int {
 	held := map[string]int{}
 	for _, t := range tasks {
 		for _, limit := range t.Limits {
@@ -98,7 +98,7 @@
 
 func (e *revokedEvent) apply(d *Duty) {
 	if shared, ok := d.options.Placer.(*Shared); ok {
-		shared.revoked(d.now(), e.revocation, e.running)
+		shared.recordRevocation(d.now(), e.revocation, e.running)
 	}
 }
 
@@ -132,11 +132,11 @@
 
 // recordRevocation passes the answer of a target to the capacity state, unless the
 // target is now another process at another address.
-func (s *Shared) revoked(now time.Duration, r Revocation, running map[string]int) {
+func (s *Shared) recordRevocation(now time.Duration, r Revocation, running map[string]int) {
 	if s.targets[r.Target].Address != r.Address {
 		return
 	}
-	s.send(s.capacity.Revoked(now, r.View, r.Target, running))
+	s.send(s.capacity.RecordRevoked(now, r.View, r.Target, running))
 }
 
 // setRevocable passes the targets that may run tasks, leaving ones included, to the
--- a/dispatch/revoke_test.go
+++ b/dispatch/revoke_test.go
@@ -23,7 +23,7 @@
 	return s, asked
 }
 
-func TestFirstViewRevokesLeasesOfFormerProcesses(t *testing.T) {
+func TestFirstViewRevokesLeasesOfPreviousProcesses(t *testing.T) {
 	s, asked := newLimited(t, Target{ID: "t1", Address: "t1:1", Slots: 4}, Target{ID: "t2", Address: "t2:1", Slots: 4, Leaving: true})
 	// A start may be decided at the end of a view lease and sent maxStartDelay later.
 	s.Tick(maxStartDelay)
@@ -35,24 +35,24 @@
 	}, *asked)
 	must.False(t, s.Usable("p"))
 	now := 3 * time.Second
-	s.revoked(now, (*asked)[0], map[string]int{capacity.ProfilePool("p"): 1})
+	s.recordRevocation(now, (*asked)[0], map[string]int{capacity.ProfilePool("p"): 1})
 	must.False(t, s.Usable("p"))
-	s.revoked(now, (*asked)[1], nil)
+	s.recordRevocation(now, (*asked)[1], nil)
 	must.True(t, s.Usable("p"))
 	s.Take("p")
 	must.False(t, s.Usable("p"))
 }
 
-func TestAnswerOfAnotherProcessIsIgnored(t *testing.T) {
+func TestRevocationAnswerOfAnotherProcessIsIgnored(t *testing.T) {
 	s, asked := newLimited(t, Target{ID: "t1", Address: "t1:1", Slots: 4})
 	s.Tick(3 * time.Second)
 	s.SetTargets(3*time.Second, []Target{{ID: "t1", Address: "t1:2", Slots: 4}})
-	s.revoked(3*time.Second, (*asked)[0], nil)
+	s.recordRevocation(3*time.Second, (*asked)[0], nil)
 	must.False(t, s.Usable("p"))
 }
 
 func TestUnitsOfRunningTasksAreCountedByLimit(t *testing.T) {
-	must.Eq(t, map[string]int{"profile/p": 2, "team/t": 1}, units([]targetclient.RunningTask{
+	must.Eq(t, map[string]int{"profile/p": 2, "team/t": 1}, countUnits([]targetclient.RunningTask{
 		{Limits: []string{"profile/p", "team/t"}},
 		{Limits: []string{"profile/p"}},
 		{Limits: []string{}},
--- a/dispatch/shared.go
+++ b/dispatch/shared.go
@@ -47,8 +47,8 @@
 	limits map[string][]string
 	// limitPools are all of these pools, sorted, and poolProfiles the profiles
 	// whose tasks need each.
-	limitPools []string
-	users      map[string][]string
+	limitPools   []string
+	poolProfiles map[string][]string
 	// movable are the teams whose quota shares move between failure domains, and
 	// quotaShares the units that the quota duty lets this one use.
 	movable     map[string]bool
@@ -58,7 +58,7 @@
 	longestRun, targetLease time.Duration
 	// previousRun is the longest run of earlier configurations, whose tasks may run
 	// until previousRunUntil.
-	formerRun, formerRunUntil time.Duration
+	previousRun, previousRunUntil time.Duration
 	// members is the number of VMs in the view.
 	members int
 	// usableSlots is the number of usable slots, as counted at usableAt; 0 for
@@ -66,12 +66,12 @@
 	usableSlots int
 	usableAt    time.Duration
 	// reportedLeaving is when targets reported that they leave.
-	saidLeaving map[string]time.Duration
+	reportedLeaving map[string]time.Duration
 	// digestAt is when the last digest was set, and lastDigest its free slots and
 	// wanted tasks.
-	digestAt time.Duration
-	digested [2]int
-	wanted   int
+	digestAt   time.Duration
+	lastDigest [2]int
+	wanted     int
 }
 
 // NewShared makes a placer without targets and limits.
@@ -82,8 +82,8 @@
 		targets: map[string]Target{},
 		limits:  map[string][]string{},
 
-		saidLeaving: map[string]time.Duration{},
-		quotaShares: map[string]int{},
+		reportedLeaving: map[string]time.Duration{},
+		quotaShares:     map[string]int{},
 	}
 	if o.Revoke == nil {
 		s.options.Revoke = func(Revocation) {}
@@ -109,7 +109,7 @@
 		list = append(list, placement.Target{ID: t.ID, Rack: t.Rack, Leaving: t.Leaving})
 		if known, ok := s.targets[t.ID]; ok && known.Address != t.Address {
 			// Another process, which has not reported leaving.
-			s.place.Staying(t.ID)
+			s.place.MarkStaying(t.ID)
 		}
 		next[t.ID] = t
 		if t.Leaving {
@@ -127,12 +127,12 @@
 	s.targets = next
 	s.usableAt = 0
 	s.setRevocable(now, targets)
-	s.exclude()
+	s.applyExclusions()
 }
 
 // applyExclusions passes placement's changed exclusions to the capacity state.
-func (s *Shared) exclude() {
-	for _, e := range s.place.Exclusions() {
+func (s *Shared) applyExclusions() {
+	for _, e := range s.place.TakeExclusions() {
 		s.capacity.SetExcluded(e.Target, e.Excluded)
 	}
 }
@@ -140,23 +140,23 @@
 // Pick implements Placer.
 func (s *Shared) Pick(now time.Duration) (string, bool) {
 	targetID, ok := s.place.Pick(now, s.options.RNG)
-	s.exclude()
+	s.applyExclusions()
 	return targetID, ok
 }
 
 // Begin implements Placer.
 func (s *Shared) Begin(now time.Duration, targetID, profileName, submission string) {
 	s.capacity.Take(targetID)
-	s.place.Started(now, targetID, profileName, submission)
-	s.exclude()
+	s.place.RecordStart(now, targetID, profileName, submission)
+	s.applyExclusions()
 }
 
 // End implements Placer.
 func (s *Shared) End(now time.Duration, e End) {
 	if reason, refused := refusal(e); refused {
-		s.place.Refused(now, e.Target, reason)
+		s.place.RecordRefusal(now, e.Target, reason)
 	} else {
-		s.place.Finished(now, placement.Result{
+		s.place.RecordEnd(now, placement.Result{
 			Target:     e.Target,
 			Class:      e.Profile,
 			Submission: e.Submission,
@@ -165,11 +165,11 @@
 		})
 	}
 	if e.Load != nil && e.Load.Leaving {
-		s.place.Leaving(e.Target)
-		s.saidLeaving[e.Target] = now
+		s.place.MarkLeaving(e.Target)
+		s.reportedLeaving[e.Target] = now
 	}
 	s.capacity.Give(now, e.Target)
-	s.exclude()
+	s.applyExclusions()
 }
 
 // refusal returns placement's reason of a start that did not begin; false for one
@@ -215,16 +215,16 @@
 // Tick implements Placer.
 func (s *Shared) Tick(now time.Duration) (time.Duration, bool) {
 	s.capacity.SetLease(s.options.LeaseValid())
-	s.forgetSaid(now)
+	s.expireReportedLeaving(now)
 	s.place.Wake(now)
-	s.exclude()
+	s.applyExclusions()
 	s.send(s.capacity.Tick(now))
-	s.spreadDigest(now)
-	next, ok := s.capacity.Next()
+	s.updateDigest(now)
+	next, ok := s.capacity.NextTick()
 	if again, due := s.revokeDue(now); due && (!ok || again < next) {
 		next, ok = again, true
 	}
-	if again, waits := s.place.Next(); waits && (!ok || again < next) {
+	if again, waits := s.place.NextWake(); waits && (!ok || again < next) {
 		return again, true
 	}
 	return next, ok
@@ -232,35 +232,35 @@
 
 // reportedLeavingTimeout is how long a target's report that it leaves counts while
 // the list does not confirm it.
-const saidLeavingFor = time.Minute
+const reportedLeavingTimeout = time.Minute
 
 // expireReportedLeaving makes targets usable again that reported leaving longer
 // than reportedLeavingTimeout ago and are still listed as live: another process may
 // have replaced them. One that still leaves refuses the start.
-func (s *Shared) forgetSaid(now time.Duration) {
-	for id, at := range s.saidLeaving {
-		if now-at >= saidLeavingFor {
-			delete(s.saidLeaving, id)
-			s.place.Staying(id)
+func (s *Shared) expireReportedLeaving(now time.Duration) {
+	for id, at := range s.reportedLeaving {
+		if now-at >= reportedLeavingTimeout {
+			delete(s.reportedLeaving, id)
+			s.place.MarkStaying(id)
 		}
 	}
 }
 
 // updateDigest sets a new digest when its figures have changed, at most once in
 // digestInterval.
-func (s *Shared) spreadDigest(now time.Duration) {
+func (s *Shared) updateDigest(now time.Duration) {
 	figures := [2]int{s.capacity.FreeSlots(), s.wanted}
-	if figures == s.digested || now < s.digestAt+digestInterval {
+	if figures == s.lastDigest || now < s.digestAt+digestInterval {
 		return
 	}
-	s.digested = figures
+	s.lastDigest = figures
 	s.digestAt = now
 	s.options.SetDigest(s.capacity.Digest())
 }
 
 // Slots implements Placer.
 func (s *Shared) Slots(now time.Duration) (int, float64) {
-	total := s.usable(now)
+	total := s.countUsable(now)
 	if total == 0 {
 		return 0, 1
 	}
@@ -269,12 +269,12 @@
 }
 
 // usableMaxAge is how long the count of usable slots is reused.
-const usableRenewal = 100 * time.Millisecond
+const usableMaxAge = 100 * time.Millisecond
 
 // countUsable returns the number of slots of targets that are neither leaving nor
 // in quarantine. It includes targets that back off after a failed connection.
-func (s *Shared) usable(now time.Duration) int {
-	if s.usableAt > 0 && now < s.usableAt+usableRenewal {
+func (s *Shared) countUsable(now time.Duration) int {
+	if s.usableAt > 0 && now < s.usableAt+usableMaxAge {
 		return s.usableSlots
 	}
 	s.usableAt = now
--- a/dispatch/shared_test.go
+++ b/dispatch/shared_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRestingTargetsCountAsCapacity(t *testing.T) {
+func TestBackingOffTargetsCountAsCapacity(t *testing.T) {
 	s := newAlone("t1", "t2", "t3", "t4")
 	slots, share := s.Slots(time.Second)
 	must.Eq(t, 16, slots)
@@ -54,18 +54,18 @@
 	must.Positive(t, share)
 }
 
-func TestTargetThatStaysAfterAllIsTriedAgain(t *testing.T) {
+func TestTargetThatReportedLeavingIsRetried(t *testing.T) {
 	s := newAlone("t1")
 	s.Begin(0, "t1", "p", "job")
 	s.End(0, End{Target: "t1", Profile: "p", Submission: "job", Result: ResultNotStarted, Reason: targetclient.ReasonLeaving, Load: &targetclient.Load{Leaving: true}})
 	_, ok := s.Pick(time.Second)
 	must.False(t, ok)
-	s.Tick(saidLeavingFor + time.Second)
-	_, ok = s.Pick(saidLeavingFor + 2*time.Second)
+	s.Tick(reportedLeavingTimeout + time.Second)
+	_, ok = s.Pick(reportedLeavingTimeout + 2*time.Second)
 	must.True(t, ok)
 }
 
-func TestShorterRunShortensNoReservationAtOnce(t *testing.T) {
+func TestShorterRunLimitKeepsReclaimTimeOfRunningTasks(t *testing.T) {
 	s := newAlone("t1")
 	limited := func(run time.Duration) []profile.Profile {
 		return []profile.Profile{{Name: "p", LimitSlots: 2, MaxRunMS: run.Milliseconds()}}
@@ -79,7 +79,7 @@
 
 // The duty sleeps until the time that Tick returns. A time in the past would make
 // it loop without a pause.
-func TestNothingIsDueInThePast(t *testing.T) {
+func TestTickReturnsNoTimeInThePast(t *testing.T) {
 	s := newAlone("t1", "t2", "t3", "t4")
 	s.fail(time.Second, "t1", "t2", "t3", "t4")
 	for now := time.Second; now < 5*time.Minute; now += time.Second {
--- a/dispatch/start.go
+++ b/dispatch/start.go
@@ -82,28 +82,28 @@
 }
 
 // start sends the start of a task and delivers its end.
-func (s *starter) start(f *flight, runLimit time.Duration) {
+func (s *starter) start(f *inflightTask, runLimit time.Duration) {
 	go func() { s.deliver(s.run(f, runLimit)) }()
 }
 
 // run acquires a lease, sends the start and waits for its answer. It sends nothing
 // without a lease or after maxStartDelay.
-func (s *starter) run(f *flight, runLimit time.Duration) *endedEvent {
+func (s *starter) run(f *inflightTask, runLimit time.Duration) *endedEvent {
 	ctx := trace.ContextWithSpanContext(context.Background(), f.job.sub.Span)
 	ctx, span := s.tracer.Start(ctx, "start", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("target", f.target), attribute.Int("task", f.ref.Task))
 	l := s.lease(f.target)
 	if l == nil {
-		return &endedEvent{flight: f, result: ResultNotStarted, reason: targetclient.ReasonLeaving}
+		return &endedEvent{task: f, result: ResultNotStarted, reason: targetclient.ReasonLeaving}
 	}
 	id, err := s.acquire(ctx, l)
 	if err != nil {
-		return s.noLease(f, err)
+		return s.leaseFailed(f, err)
 	}
 	if time.Since(f.decidedAt) > maxStartDelay {
 		// The process was paused. Other VMs may use its slots and units by now.
-		return &endedEvent{flight: f, result: ResultNotStarted, reason: targetclient.ReasonCancelled}
+		return &endedEvent{task: f, result: ResultNotStarted, reason: targetclient.ReasonCancelled}
 	}
 	return s.send(ctx, f, l, id, runLimit)
 }
@@ -131,8 +131,8 @@
 }
 
 // leaseFailed returns the end of a start that was not sent for lack of a lease.
-func (s *starter) noLease(f *flight, err error) *endedEvent {
-	e := &endedEvent{flight: f, result: ResultUnreachable, reason: targetclient.ReasonUnreachable, err: err}
+func (s *starter) leaseFailed(f *inflightTask, err error) *endedEvent {
+	e := &endedEvent{task: f, result: ResultUnreachable, reason: targetclient.ReasonUnreachable, err: err}
 	var refused *targetclient.LeaseRefusedError
 	if errors.As(err, &refused) {
 		e.result = ResultNotStarted
@@ -142,7 +142,7 @@
 }
 
 // send sends the start and returns its end.
-func (s *starter) send(ctx context.Context, f *flight, l *targetLease, lease string, runLimit time.Duration) *endedEvent {
+func (s *starter) send(ctx context.Context, f *inflightTask, l *targetLease, lease string, runLimit time.Duration) *endedEvent {
 	sent := time.Now()
 	response, err := s.client.Start(ctx, l.address, targetclient.StartRequest{
 		Submission: string(f.ref.ID),
@@ -152,11 +152,11 @@
 		Limits:     append([]string{}, f.pools...),
 		Payload:    f.job.sub.Tasks[f.ref.Task].Payload,
 	})
-	e := &endedEvent{flight: f, runTime: time.Since(sent)}
+	e := &endedEvent{task: f, runTime: time.Since(sent)}
 	if err != nil {
 		return s.startFailed(e, l, lease, err)
 	}
-	l.renewed(lease, sent)
+	l.renew(lease, sent)
 	e.load = &response.Load
 	switch response.Outcome {
 	case targetclient.OutcomeDone:
@@ -187,7 +187,7 @@
 	case targetclient.ReasonUnreachable, targetclient.ReasonCancelled:
 		e.result = ResultUnreachable
 	case targetclient.ReasonLeaseLapsed:
-		l.lapsed(lease)
+		l.drop(lease)
 	}
 	return e
 }
@@ -213,7 +213,7 @@
 
 // renew extends the lease after an accepted start, which the target counts as a
 // renewal. The new time counts from when the start was sent.
-func (l *targetLease) renewed(id string, sent time.Time) {
+func (l *targetLease) renew(id string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id == id && sent.Add(l.ttl).After(l.expires) {
@@ -222,7 +222,7 @@
 }
 
 // drop removes a lease that the target no longer knows.
-func (l *targetLease) lapsed(id string) {
+func (l *targetLease) drop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id == id {
@@ -231,7 +231,7 @@
 }
 
 // leaseLeft returns the time until the lease of a target expires; 0 without one.
-func (s *starter) left(id string) time.Duration {
+func (s *starter) leaseLeft(id string) time.Duration {
 	l := s.lease(id)
 	if l == nil {
 		return 0
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -45,7 +45,7 @@
 		s.Profiles = d.profileStatus()
 	})
 	for i := range s.Targets {
-		s.Targets[i].LeaseLeft = d.starter.left(s.Targets[i].ID)
+		s.Targets[i].LeaseLeft = d.starter.leaseLeft(s.Targets[i].ID)
 	}
 	return s
 }
@@ -53,7 +53,7 @@
 func (d *Duty) profileStatus() []ProfileStatus {
 	running := map[string]int{}
 	for _, j := range d.jobs {
-		running[j.sub.Profile] += len(j.flights)
+		running[j.sub.Profile] += len(j.inflight)
 	}
 	var list []ProfileStatus
 	for _, name := range slices.Sorted(maps.Keys(d.runLimits)) {
--- a/dispatch/stop.go
+++ b/dispatch/stop.go
@@ -14,7 +14,7 @@
 const (
 	// stopBatchDelay is how long stops are collected, so that many cancellations
 	// at once cost one message a target.
-	stopPause = 10 * time.Millisecond
+	stopBatchDelay = 10 * time.Millisecond
 	// maxStops bounds the waiting stops. Further ones are dropped; the run limit
 	// ends their tasks.
 	maxStops = 100000
@@ -86,7 +86,7 @@
 			return
 		case <-s.wake:
 		}
-		pause := time.NewTimer(stopPause)
+		pause := time.NewTimer(stopBatchDelay)
 		select {
 		case <-ctx.Done():
 			pause.Stop()
@@ -102,7 +102,7 @@
 func (s *stopper) flush(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(parallelStops)
-	for _, m := range s.take() {
+	for _, m := range s.takeMessages() {
 		g.Go(func() error {
 			s.messages.Inc(1)
 			_, err := s.client.Stop(ctx, m.address, m.ids, m.checkpoint)
@@ -121,7 +121,7 @@
 
 // takeMessages removes the waiting stops and returns them as messages. Stops for
 // unknown targets are dropped.
-func (s *stopper) take() []stopMessage {
+func (s *stopper) takeMessages() []stopMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	messages := make([]stopMessage, 0, len(s.waiting))
--- a/dispatch/tick_test.go
+++ b/dispatch/tick_test.go
@@ -16,7 +16,7 @@
 
 // Events that follow each other faster than the tick must not delay the check of
 // deadlines: a submission that is given up gets its answer at once.
-func TestDeadlinesAreLookedAtUnderSteadyLoad(t *testing.T) {
+func TestDeadlinesAreCheckedUnderSteadyLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		// The hanging start ends before the test does.
--- a/dispatch/unknown.go
+++ b/dispatch/unknown.go
@@ -15,7 +15,7 @@
 // still run at its target, which stops it at its run limit. Until then its units
 // are kept.
 func (d *Duty) giveUnits(now time.Duration, e *endedEvent) {
-	f := e.flight
+	f := e.task
 	until := now - e.runTime + f.runLimit + reclaimMargin
 	if e.result != ResultUnknown || len(f.pools) == 0 || until <= now {
 		d.options.Limits.Give(now, f.pools)
@@ -26,7 +26,7 @@
 }
 
 // releaseKeptUnits returns the units of tasks that can't run any more.
-func (d *Duty) releaseUnits(now time.Duration) {
+func (d *Duty) releaseKeptUnits(now time.Duration) {
 	d.kept = slices.DeleteFunc(d.kept, func(k keptUnits) bool {
 		if k.until > now {
 			return false
--- a/dispatch/verdicts.go
+++ b/dispatch/verdicts.go
@@ -20,7 +20,7 @@
 	if !ok {
 		return
 	}
-	groups, order := groupVerdicts(shared.place.Verdicts())
+	groups, order := groupVerdicts(shared.place.TakeVerdicts())
 	for _, group := range order {
 		verdicts := groups[group]
 		tags := map[string]string{"use": group.use}
--- a/lab/orders/drive.go
+++ b/lab/orders/drive.go
@@ -72,7 +72,7 @@
 
 func (d *driver) finish(e event) {
 	d.free++
-	d.state.Finished(e.at, e.ref, e.ran, admission.OutcomeDone)
+	d.state.RecordEnd(e.at, e.ref, e.ran, admission.OutcomeDone)
 	d.left[e.place]--
 	if d.left[e.place] == 0 {
 		d.out.response[e.place] = e.at - d.trace[e.place].at
@@ -97,7 +97,7 @@
 		d.seq++
 		place := d.place[ref.ID]
 		ran := d.trace[place].runs[ref.Task]
-		d.state.Started(now, ref)
+		d.state.RecordStart(now, ref)
 		heap.Push(&d.queue, event{at: now + ran, seq: d.seq, place: place, ref: ref, ran: ran})
 	}
 }
--- a/lab/slopes/decisions.go
+++ b/lab/slopes/decisions.go
@@ -128,8 +128,8 @@
 			panic("no target is free")
 		}
 		job := submissionNames[n%len(submissionNames)]
-		s.Started(now, t, "class", job)
-		s.Finished(now, placement.Result{
+		s.RecordStart(now, t, "class", job)
+		s.RecordEnd(now, placement.Result{
 			Target:     t,
 			Class:      "class",
 			Submission: job,
@@ -197,8 +197,8 @@
 		if !ok {
 			panic("no task waits")
 		}
-		s.Started(now, ref)
-		s.Finished(now, ref, 100*time.Millisecond, admission.OutcomeDone)
+		s.RecordStart(now, ref)
+		s.RecordEnd(now, ref, 100*time.Millisecond, admission.OutcomeDone)
 	}
 }
 
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -37,7 +37,7 @@
 		if !ok || !units.Take(id) {
 			b.Fatal("no target picked")
 		}
-		place.Started(now, id, "class", "job")
+		place.RecordStart(now, id, "class", "job")
 		running = append(running, id)
 	}
 	for range slots * 9 / 10 {
@@ -51,7 +51,7 @@
 		id := running[end]
 		running[end] = running[len(running)-1]
 		running = running[:len(running)-1]
-		place.Finished(now, Result{Target: id, Class: "class", Submission: "job", Runtime: 200 * time.Millisecond, Outcome: OutcomeDone})
+		place.RecordEnd(now, Result{Target: id, Class: "class", Submission: "job", Runtime: 200 * time.Millisecond, Outcome: OutcomeDone})
 		units.Give(now, id)
 	}
 }
--- a/placement/bucket.go
+++ b/placement/bucket.go
@@ -30,7 +30,7 @@
 
 // drawFaster draws two targets and returns the one with the lower run-time ratio;
 // nil when the bucket is empty.
-func (b *bucket) better(rng *rand.Rand) *target {
+func (b *bucket) drawFaster(rng *rand.Rand) *target {
 	n := len(b.targets)
 	if n == 0 {
 		return nil
@@ -48,19 +48,19 @@
 
 // updateBucket moves the target to the bucket that bucketOf returns for it, and
 // marks its verdict as pending when its use has changed.
-func (s *State) place(t *target) {
-	s.noteVerdict(t)
+func (s *State) updateBucket(t *target) {
+	s.markVerdictPending(t)
 	b := s.bucketOf(t)
 	if b == t.bucket {
 		return
 	}
-	s.unbucket(t)
+	s.removeFromBucket(t)
 	if b != nil {
 		b.add(t)
 	}
 }
 
-func (s *State) unbucket(t *target) {
+func (s *State) removeFromBucket(t *target) {
 	if t.bucket != nil {
 		t.bucket.remove(t)
 	}
@@ -70,17 +70,17 @@
 // picked. A target in quarantine is probed by one task at a time.
 func (s *State) bucketOf(t *target) *bucket {
 	switch {
-	case t.removed || !t.free || t.leaving() || t.paced:
+	case t.removed || !t.free || t.isLeaving() || t.backingOff:
 		return nil
-	case t.quarantined():
-		if t.due && t.running == 0 {
-			return &s.due
+	case t.isQuarantined():
+		if t.probeDue && t.running == 0 {
+			return &s.probeDue
 		}
 		return nil
-	case t.due:
-		return &s.due
-	case t.lastResort():
-		return &s.last
+	case t.probeDue:
+		return &s.probeDue
+	case t.isLastResort():
+		return &s.lastResort
 	}
 	return &s.ready
 }
@@ -88,22 +88,22 @@
 // backOff keeps a target that is not in quarantine from being picked until the
 // given time. Its units are excluded until then, so that the VM requests units of
 // other targets.
-func (s *State) pace(t *target, until time.Duration) {
-	if t.quarantined() {
+func (s *State) backOff(t *target, until time.Duration) {
+	if t.isQuarantined() {
 		return
 	}
-	if !t.paced {
-		t.paced = true
-		s.exclude(t, true)
+	if !t.backingOff {
+		t.backingOff = true
+		s.setExcluded(t, true)
 	}
 	s.wakes.set(t, until)
 }
 
 // scheduleProbe sets the time of the next probe of a target. A target that backs
 // off is woken at the end of its backoff instead, and then for the probe.
-func (s *State) probe(t *target, at time.Duration) {
+func (s *State) scheduleProbe(t *target, at time.Duration) {
 	t.probeAt = at
-	if !t.paced {
+	if !t.backingOff {
 		s.wakes.set(t, at)
 	}
 }
@@ -117,17 +117,17 @@
 	for len(s.wakes) > 0 && s.wakes[0].wakeAt <= now {
 		t := s.wakes[0]
 		s.wakes.cancel(t)
-		s.unpace(t)
+		s.endBackOff(t)
 		switch {
 		case t.cause == CauseNone:
 		case now < t.probeAt:
 			// The backoff was shorter than the wait for the next probe.
 			s.wakes.set(t, t.probeAt)
 		default:
-			t.due = true
-			s.noteProbeDue(t)
+			t.probeDue = true
+			s.requestProbeUnit(t)
 		}
-		s.place(t)
+		s.updateBucket(t)
 	}
 }
 
--- a/placement/class.go
+++ b/placement/class.go
@@ -20,12 +20,12 @@
 	histogramFirst   = 100 * time.Microsecond
 	histogramStep    = 1.25
 	// maxHistogramWeight is the weight at which a histogram is halved.
-	histogramMost = 4096
+	maxHistogramWeight = 4096
 	// p99Interval is the number of tasks between two computations of the
 	// percentile.
-	p99Every = 64
+	p99Interval = 64
 	// minP99Samples is how many tasks a percentile needs.
-	leastSamples = 32
+	minP99Samples = 32
 )
 
 // lastOutcome is how the newest task of a class ended at a target.
@@ -49,10 +49,10 @@
 	// lastOutcomes holds the newest outcome at each target, by its index. seen and
 	// bad count the targets with an outcome and with a bad one by rack, allSeen and
 	// allBad over all racks.
-	last              []lastOutcome
-	seen, bad         []int
-	allSeen, allBad   int
-	sincePercentileOf int
+	lastOutcomes    []lastOutcome
+	seen, bad       []int
+	allSeen, allBad int
+	sinceP99        int
 }
 
 // class returns the record of a class of work, a new one when it has none.
@@ -80,19 +80,19 @@
 }
 
 // recordRuntime adds a run time to the mean and to the histogram.
-func (c *class) learn(runtime time.Duration) {
+func (c *class) recordRuntime(runtime time.Duration) {
 	runtime = max(runtime, time.Microsecond)
 	weight := max(meanWeight, 1/float64(c.tasks+1))
 	c.logMean += weight * (math.Log(float64(runtime)) - c.logMean)
 	c.tasks++
 	c.histogram[histogramBucket(runtime)]++
 	c.weight++
-	if c.weight >= histogramMost {
+	if c.weight >= maxHistogramWeight {
 		c.halve()
 	}
-	c.sincePercentileOf++
-	if c.sincePercentileOf >= p99Every || c.percentile == 0 && c.weight >= leastSamples {
-		c.sincePercentileOf = 0
+	c.sinceP99++
+	if c.sinceP99 >= p99Interval || c.percentile == 0 && c.weight >= minP99Samples {
+		c.sinceP99 = 0
 		c.percentile = c.computeP99()
 	}
 }
@@ -120,7 +120,7 @@
 
 // computeP99 returns the upper end of the histogram bucket of the percentile.
 func (c *class) computeP99() time.Duration {
-	if c.weight < leastSamples {
+	if c.weight < minP99Samples {
 		return 0
 	}
 	beyond := c.weight / 100
@@ -135,27 +135,27 @@
 }
 
 // recordOutcome records how a task of the class ended at the target.
-func (c *class) note(t *target, outcome lastOutcome) {
+func (c *class) recordOutcome(t *target, outcome lastOutcome) {
 	sample := 0.0
 	if outcome == outcomeBad {
 		sample = 1
 	}
 	c.failureRate += failureWeight * (sample - c.failureRate)
-	c.set(t, outcome)
+	c.setOutcome(t, outcome)
 }
 
 // setOutcome replaces the newest outcome at the target, and updates the counts.
-func (c *class) set(t *target, outcome lastOutcome) {
-	c.last = grow(c.last, t.index+1)
+func (c *class) setOutcome(t *target, outcome lastOutcome) {
+	c.lastOutcomes = grow(c.lastOutcomes, t.index+1)
 	c.seen = grow(c.seen, t.rack+1)
 	c.bad = grow(c.bad, t.rack+1)
-	c.count(t.rack, c.last[t.index], -1)
-	c.last[t.index] = outcome
-	c.count(t.rack, outcome, 1)
+	c.addCount(t.rack, c.lastOutcomes[t.index], -1)
+	c.lastOutcomes[t.index] = outcome
+	c.addCount(t.rack, outcome, 1)
 }
 
 // addCount adds n to the counts of targets with this outcome.
-func (c *class) count(rack int, outcome lastOutcome, n int) {
+func (c *class) addCount(rack int, outcome lastOutcome, n int) {
 	if outcome == outcomeUnseen {
 		return
 	}
@@ -169,8 +169,8 @@
 
 // forget removes the outcome of a target.
 func (c *class) forget(t *target) {
-	if t.index < len(c.last) {
-		c.set(t, outcomeUnseen)
+	if t.index < len(c.lastOutcomes) {
+		c.setOutcome(t, outcomeUnseen)
 	}
 }
 
--- a/placement/exclude_test.go
+++ b/placement/exclude_test.go
@@ -10,7 +10,7 @@
 
 // More targets are unreachable than may be in quarantine. The units of all of them
 // must be excluded, so that the VM requests units of others.
-func TestRestingTargetsAreExcluded(t *testing.T) {
+func TestBackingOffTargetsAreExcluded(t *testing.T) {
 	s := New(Options{})
 	var list []Target
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -22,13 +22,13 @@
 	}
 	excluded := map[string]bool{}
 	note := func() {
-		for _, e := range s.Exclusions() {
+		for _, e := range s.TakeExclusions() {
 			excluded[e.Target] = e.Excluded
 		}
 	}
 	for _, id := range []string{"a", "b"} {
-		s.Started(time.Second, id, "class", "job-"+id)
-		s.Refused(time.Second, id, RefusedUnreachable)
+		s.RecordStart(time.Second, id, "class", "job-"+id)
+		s.RecordRefusal(time.Second, id, RefusedUnreachable)
 	}
 	note()
 	must.True(t, excluded["a"])
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -53,7 +53,7 @@
 		Failed:         t.failed,
 		ProbeSuccesses: t.probeSuccesses,
 	}
-	if t.quarantined() && t.heapIndex != noIndex {
+	if t.isQuarantined() && t.heapIndex != noIndex {
 		e.NextProbe = t.wakeAt
 	}
 	return e, true
@@ -70,11 +70,11 @@
 
 func (s *State) useOf(t *target) string {
 	switch {
-	case t.leaving():
+	case t.isLeaving():
 		return UseLeaving
-	case t.quarantined():
+	case t.isQuarantined():
 		return UseQuarantine
-	case t.lastResort():
+	case t.isLastResort():
 		return UseLastResort
 	}
 	return UseNormal
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFastFailureDoesNotAttractWork(t *testing.T) {
+func TestFastFailingTargetGetsFewTasks(t *testing.T) {
 	f := newFleet(8)
 	f.saturate(2*time.Second, good)
 	bad := targetID(3)
@@ -37,7 +37,7 @@
 	must.Eq(t, 1, f.s.quarantined)
 }
 
-func TestPoisonousJobsBlameNoTarget(t *testing.T) {
+func TestJobsFailingEverywhereQuarantineNoTarget(t *testing.T) {
 	f := newFleet(16)
 	f.saturate(2*time.Second, good)
 	bad := func(string) (time.Duration, Outcome) { return 10 * time.Millisecond, OutcomeFailed }
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestFailingClassBlamesNoTarget(t *testing.T) {
+func TestFailingClassQuarantinesAtMostOneTarget(t *testing.T) {
 	f := newFleet(16)
 	f.saturate(2*time.Second, good)
 	coin := func(string) (time.Duration, Outcome) {
@@ -70,7 +70,7 @@
 	must.LessEq(t, 1, f.s.quarantined)
 }
 
-func TestRackThatFailsIsOneEvent(t *testing.T) {
+func TestAllTargetsOfFailingRackAreQuarantined(t *testing.T) {
 	f := newFleet(16)
 	f.saturate(2*time.Second, good)
 	inRack := func(target string) bool { return target >= targetID(4) && target < targetID(8) }
@@ -91,7 +91,7 @@
 	must.Eq(t, 0, f.s.quarantined)
 }
 
-func TestFleetWideFailureEmptiesNothing(t *testing.T) {
+func TestFleetWideFailureKeepsTargetsInUse(t *testing.T) {
 	f := newFleet(16)
 	f.saturate(2*time.Second, good)
 	starts := f.saturate(10*time.Second, func(string) (time.Duration, Outcome) {
@@ -131,7 +131,7 @@
 	must.Eq(t, "normal", f.use(3))
 }
 
-func TestSilentTargetGetsOneAtATime(t *testing.T) {
+func TestSilentTargetIsQuarantinedUntilItAnswers(t *testing.T) {
 	f := newFleet(8)
 	f.saturate(2*time.Second, good)
 	silent := targetID(3)
@@ -139,39 +139,39 @@
 	for range 4000 {
 		id, ok := f.s.Pick(f.now, f.rng)
 		must.True(t, ok)
-		f.s.Started(f.now, id, "class", f.job())
+		f.s.RecordStart(f.now, id, "class", f.job())
 		f.now += 10 * time.Millisecond
 		if id == silent {
 			open++
 			continue
 		}
-		f.s.Finished(f.now, Result{Target: id, Class: "class", Submission: "j", Runtime: 100 * time.Millisecond, Outcome: OutcomeDone})
+		f.s.RecordEnd(f.now, Result{Target: id, Class: "class", Submission: "j", Runtime: 100 * time.Millisecond, Outcome: OutcomeDone})
 	}
 	must.Eq(t, "quarantine", f.use(3))
 	must.LessEq(t, 20, open)
 	for range open {
-		f.s.Finished(f.now, Result{Target: silent, Class: "class", Submission: f.job(), Runtime: 100 * time.Millisecond, Outcome: OutcomeDone})
+		f.s.RecordEnd(f.now, Result{Target: silent, Class: "class", Submission: f.job(), Runtime: 100 * time.Millisecond, Outcome: OutcomeDone})
 	}
 	must.Eq(t, "normal", f.use(3))
 }
 
-func TestHangingJobBlamesNoTarget(t *testing.T) {
+func TestHangingJobQuarantinesNoTarget(t *testing.T) {
 	f := newFleet(8)
 	f.saturate(2*time.Second, good)
 	job := f.job()
 	for range 80 {
 		id, ok := f.s.Pick(f.now, f.rng)
 		must.True(t, ok)
-		f.s.Started(f.now, id, "class", job)
+		f.s.RecordStart(f.now, id, "class", job)
 		f.now += time.Second
 	}
 	must.Eq(t, 0, f.s.quarantined)
 }
 
-func TestUnreachableTargetIsOutAtOnce(t *testing.T) {
+func TestUnreachableTargetIsQuarantinedAtOnce(t *testing.T) {
 	f := newFleet(8)
-	f.s.Started(0, targetID(3), "class", "job")
-	f.s.Refused(0, targetID(3), RefusedUnreachable)
+	f.s.RecordStart(0, targetID(3), "class", "job")
+	f.s.RecordRefusal(0, targetID(3), RefusedUnreachable)
 	must.Eq(t, "quarantine", f.use(3))
 	for range 100 {
 		f.now += 20 * time.Millisecond
@@ -180,12 +180,12 @@
 	must.Eq(t, "normal", f.use(3))
 }
 
-func TestLeavingLastsUntilTheListCatchesUp(t *testing.T) {
+func TestLeavingLastsUntilListShowsLeavingAndLive(t *testing.T) {
 	f := newFleet(1)
 	list := func(leaving bool) []Target { return []Target{{ID: targetID(0), Rack: "0", Leaving: leaving}} }
 	usable := func() bool { _, ok := f.s.Pick(f.now, f.rng); return ok }
 	must.True(t, usable())
-	f.s.Leaving(targetID(0))
+	f.s.MarkLeaving(targetID(0))
 	must.False(t, usable())
 	f.s.SetTargets(f.now, list(false))
 	must.False(t, usable())
@@ -195,7 +195,7 @@
 	must.True(t, usable())
 }
 
-func TestUnitsBeforeTheListMakeNoTargetUsable(t *testing.T) {
+func TestUnlistedTargetWithUnitsIsNotPicked(t *testing.T) {
 	s := New(Options{})
 	s.SetFree("t", true)
 	_, ok := s.Pick(0, rand.New(rand.NewPCG(1, 1)))
@@ -207,9 +207,9 @@
 
 // end starts and ends a task at target i.
 func (f *fleet) end(i int, job string, runtime time.Duration, outcome Outcome) {
-	f.s.Started(f.now, targetID(i), "class", job)
+	f.s.RecordStart(f.now, targetID(i), "class", job)
 	f.now += time.Millisecond
-	f.s.Finished(f.now, Result{Target: targetID(i), Class: "class", Submission: job, Runtime: runtime, Outcome: outcome})
+	f.s.RecordEnd(f.now, Result{Target: targetID(i), Class: "class", Submission: job, Runtime: runtime, Outcome: outcome})
 }
 
 func (f *fleet) doneAt(targets ...int) {
@@ -243,7 +243,7 @@
 	must.Eq(t, "normal", f.use(3))
 }
 
-func TestJobThatFailsEverywhereIsNotTheFirstTargetsFault(t *testing.T) {
+func TestJobFailingInManyRacksQuarantinesNoTarget(t *testing.T) {
 	f := newFleet(32)
 	for range 5 {
 		f.doneAt(1, 5, 9, 13, 17, 21, 25, 29)
@@ -255,7 +255,7 @@
 	must.Eq(t, 0, f.s.quarantined)
 }
 
-func TestJobsThatFailInOneRackBlameItSoon(t *testing.T) {
+func TestJobsFailingInOneRackQuarantineItsTargets(t *testing.T) {
 	f := newFleet(16)
 	for range 4 {
 		f.doneAt(0, 1, 2, 3, 8, 9, 10, 11, 12)
@@ -278,17 +278,17 @@
 	must.Eq(t, "normal", f.use(3))
 }
 
-func TestEndedTaskIsASignOfLife(t *testing.T) {
+func TestEndedTaskRestartsAnswerTimeout(t *testing.T) {
 	f := newFleet(8)
 	f.saturate(2*time.Second, good)
 	for range 3 {
-		f.s.Started(f.now, targetID(3), "class", f.job())
+		f.s.RecordStart(f.now, targetID(3), "class", f.job())
 	}
 	for range 200 {
 		f.now += 50 * time.Millisecond
 		f.doneAt(3)
-		f.s.Started(f.now, targetID(3), "class", f.job())
-		f.s.Started(f.now, targetID(3), "class", f.job())
+		f.s.RecordStart(f.now, targetID(3), "class", f.job())
+		f.s.RecordStart(f.now, targetID(3), "class", f.job())
 		_, ok := f.s.Pick(f.now, f.rng)
 		must.True(t, ok)
 	}
@@ -312,13 +312,13 @@
 // A rack is lost with its tasks. The lost tasks must not raise the failure rate of
 // the class, which would hide a failing target elsewhere: no newer outcome could
 // replace them.
-func TestLostRackHidesNoFailingTarget(t *testing.T) {
+func TestFailingTargetIsFoundAfterRackLoss(t *testing.T) {
 	f := newFleet(8)
 	for i := 4; i < 8; i++ {
-		f.s.Started(f.now, targetID(i), "class", f.job())
-		f.s.Finished(f.now, Result{Target: targetID(i), Class: "class", Submission: f.job(), Outcome: OutcomeLost})
-		f.s.Started(f.now, targetID(i), "class", f.job())
-		f.s.Refused(f.now, targetID(i), RefusedUnreachable)
+		f.s.RecordStart(f.now, targetID(i), "class", f.job())
+		f.s.RecordEnd(f.now, Result{Target: targetID(i), Class: "class", Submission: f.job(), Outcome: OutcomeLost})
+		f.s.RecordStart(f.now, targetID(i), "class", f.job())
+		f.s.RecordRefusal(f.now, targetID(i), RefusedUnreachable)
 	}
 	bad := targetID(0)
 	picks := 0
@@ -326,16 +326,16 @@
 		id, ok := f.s.Pick(f.now, f.rng)
 		must.True(t, ok)
 		job := f.job()
-		f.s.Started(f.now, id, "class", job)
+		f.s.RecordStart(f.now, id, "class", job)
 		f.now += 10 * time.Millisecond
 		switch {
 		case id >= targetID(4):
-			f.s.Refused(f.now, id, RefusedUnreachable)
+			f.s.RecordRefusal(f.now, id, RefusedUnreachable)
 		case id == bad:
 			picks++
-			f.s.Finished(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: time.Millisecond, Outcome: OutcomeFailed})
+			f.s.RecordEnd(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: time.Millisecond, Outcome: OutcomeFailed})
 		default:
-			f.s.Finished(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: 10 * time.Millisecond, Outcome: OutcomeDone})
+			f.s.RecordEnd(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: 10 * time.Millisecond, Outcome: OutcomeDone})
 		}
 	}
 	must.NotEq(t, UseNormal, f.use(0))
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -63,7 +63,7 @@
 // addFailure adds the failure of a submission to the evidence against the target.
 // Each failure of the submission is weighted by 1 / the number of racks in which
 // it failed.
-func (s *State) blame(now time.Duration, t *target, submission string, weight float64) {
+func (s *State) addFailure(now time.Duration, t *target, submission string, weight float64) {
 	j := s.jobs.get(submission)
 	known := slices.ContainsFunc(j.failures, func(f failure) bool { return f.target == t })
 	if known || j.poisonous {
@@ -73,14 +73,14 @@
 	if !slices.Contains(j.racks, t.rack) {
 		j.racks = append(j.racks, t.rack)
 	}
-	t.failedJobs = remember(t.failedJobs, submission, quarantineJobs)
+	t.failedJobs = addRecent(t.failedJobs, submission, quarantineJobs)
 	share := 1 / float64(len(j.racks))
 	if len(j.failures) > maxJobFailures {
 		j.poisonous = true
 		share = 0
 	}
 	for i := range j.failures {
-		s.recount(now, &j.failures[i], share)
+		s.updateFailure(now, &j.failures[i], share)
 	}
 	if j.poisonous {
 		j.failures = nil
@@ -90,14 +90,14 @@
 // updateFailure changes the share of a failure that counts in the evidence against
 // its target. A target in quarantine for failures is reinstated when its evidence
 // falls below doubtedEvidence before a probe succeeded.
-func (s *State) recount(now time.Duration, f *failure, share float64) {
+func (s *State) updateFailure(now time.Duration, f *failure, share float64) {
 	counted := f.weight * share
 	t := f.target
 	t.evidence = max(0, t.evidence+counted-f.counted)
 	f.counted = counted
-	if t.cause == CauseFailures && t.probeSuccesses == 0 && t.evidence < doubtEvidence {
+	if t.cause == CauseFailures && t.probeSuccesses == 0 && t.evidence < doubtedEvidence {
 		s.reinstate(t)
 		return
 	}
-	s.judgeDoubt(now, t)
+	s.updateDoubted(now, t)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -81,11 +81,11 @@
 	MaxQuarantined float64
 	// ProbeInterval is the first interval between probes; it doubles with each
 	// probe that fails, up to MaxProbeInterval. Defaults 1 s and 1 min.
-	ProbeAfter time.Duration
-	ProbeMost  time.Duration
+	ProbeInterval    time.Duration
+	MaxProbeInterval time.Duration
 	// UnreachableProbeInterval is the first interval for a target to which no
 	// connection could be made. Default 250 ms.
-	UnreachableProbeAfter time.Duration
+	UnreachableProbeInterval time.Duration
 	// ProbeSuccesses is how many probes in a row must succeed. Default 3.
 	ProbeSuccesses int
 	// SlowRatio is the run-time ratio from which a target is slow. Default 2.
@@ -97,9 +97,9 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.MaxQuarantined, 0.25)
-	setDefault(&o.ProbeAfter, time.Second)
-	setDefault(&o.ProbeMost, time.Minute)
-	setDefault(&o.UnreachableProbeAfter, 250*time.Millisecond)
+	setDefault(&o.ProbeInterval, time.Second)
+	setDefault(&o.MaxProbeInterval, time.Minute)
+	setDefault(&o.UnreachableProbeInterval, 250*time.Millisecond)
 	setDefault(&o.ProbeSuccesses, 3)
 	setDefault(&o.SlowRatio, 2)
 	setDefault(&o.UnresponsiveFactor, 4)
@@ -127,8 +127,8 @@
 
 	// ready holds healthy targets with free units, lastResort those that are used
 	// only when no other target is free, and probeDue those that need a probe.
-	ready, last, due bucket
-	wakes            wakeHeap
+	ready, lastResort, probeDue bucket
+	wakes                       wakeHeap
 
 	classes map[string]*class
 	jobs    jobTable
@@ -137,7 +137,7 @@
 	exclusions  []Exclusion
 	// pendingVerdicts are the targets whose use may have changed since the last
 	// call of TakeVerdicts.
-	judged []*target
+	pendingVerdicts []*target
 }
 
 // New returns a State without targets.
@@ -164,7 +164,7 @@
 			s.remove(t)
 		}
 	}
-	s.enforceCap(now)
+	s.enforceQuarantineLimit(now)
 }
 
 // setTarget adds or updates a target of the list.
@@ -175,14 +175,14 @@
 	}
 	if spec.Leaving {
 		// From now on the list says when the target stops leaving.
-		t.saidLeaving = false
+		t.reportedLeaving = false
 	}
 	t.listedLeaving = spec.Leaving
 	t.unlisted = false
 	if rack := rackOf(spec); rack != t.rackName {
 		s.moveRack(t, rack)
 	}
-	s.place(t)
+	s.updateBucket(t)
 }
 
 // rackOf returns the name of the target's rack, a unique one for a target without.
@@ -260,9 +260,9 @@
 
 // remove deletes a target and its outcomes.
 func (s *State) remove(t *target) {
-	s.unbucket(t)
+	s.removeFromBucket(t)
 	s.wakes.cancel(t)
-	if t.quarantined() {
+	if t.isQuarantined() {
 		s.quarantined--
 	}
 	for _, c := range s.classes {
@@ -288,25 +288,25 @@
 		t.unlisted = true
 	}
 	t.free = free
-	s.place(t)
+	s.updateBucket(t)
 }
 
 // MarkLeaving records that the target reported that it is leaving. It gets no more
 // tasks until the list shows it leaving and then live again, or MarkStaying is
 // called.
-func (s *State) Leaving(name string) {
+func (s *State) MarkLeaving(name string) {
 	if t := s.targets[name]; t != nil {
-		t.saidLeaving = true
-		s.place(t)
+		t.reportedLeaving = true
+		s.updateBucket(t)
 	}
 }
 
 // MarkStaying records that the target granted a lease without reporting that it
 // is leaving.
-func (s *State) Staying(name string) {
+func (s *State) MarkStaying(name string) {
 	if t := s.targets[name]; t != nil {
-		t.saidLeaving = false
-		s.place(t)
+		t.reportedLeaving = false
+		s.updateBucket(t)
 	}
 }
 
@@ -319,7 +319,7 @@
 		if t == nil {
 			return "", false
 		}
-		if s.noteUnresponsive(now, t) {
+		if s.checkUnresponsive(now, t) {
 			continue
 		}
 		return t.id, true
@@ -329,8 +329,8 @@
 // candidate draws a target: one that needs a probe, else a healthy one, else one of
 // the last resort; nil when there is none.
 func (s *State) candidate(rng *rand.Rand) *target {
-	for _, b := range []*bucket{&s.due, &s.ready, &s.last} {
-		if t := b.better(rng); t != nil {
+	for _, b := range []*bucket{&s.probeDue, &s.ready, &s.lastResort} {
+		if t := b.drawFaster(rng); t != nil {
 			return t
 		}
 	}
@@ -339,7 +339,7 @@
 
 // NextWake returns the earliest time at which a target that backs off or waits for
 // a probe may be picked again. It returns false when there is no such target.
-func (s *State) Next() (time.Duration, bool) {
+func (s *State) NextWake() (time.Duration, bool) {
 	if len(s.wakes) == 0 {
 		return 0, false
 	}
@@ -348,59 +348,59 @@
 
 // RecordStart records a start that is about to be sent. Exactly one call of
 // RecordEnd or RecordRefusal follows.
-func (s *State) Started(now time.Duration, name, className, submission string) {
+func (s *State) RecordStart(now time.Duration, name, className, submission string) {
 	t := s.targets[name]
 	if t == nil {
 		return
 	}
-	t.started(now, s.class(className), submission, s.opts.UnresponsiveFactor)
-	t.due = false
-	s.place(t)
+	t.recordStart(now, s.class(className), submission, s.opts.UnresponsiveFactor)
+	t.probeDue = false
+	s.updateBucket(t)
 }
 
 // RecordEnd records the end of a started task.
-func (s *State) Finished(now time.Duration, r Result) {
+func (s *State) RecordEnd(now time.Duration, r Result) {
 	t := s.targets[r.Target]
 	c := s.class(r.Class)
 	if t == nil {
 		return
 	}
-	t.ended(now)
+	t.recordEnd(now)
 	switch r.Outcome {
 	case OutcomeDone:
-		c.learn(r.Runtime)
+		c.recordRuntime(r.Runtime)
 		t.learnRatio(c, r)
-		s.judgeSlow(now, t)
-		s.noteSuccess(now, t, c)
+		s.updateSlow(now, t)
+		s.recordSuccess(now, t, c)
 	case OutcomeFailed, OutcomeLost:
-		s.noteFailure(now, t, c, r)
+		s.recordFailure(now, t, c, r)
 	case OutcomeStopped:
 		if r.Runtime > c.mean() {
 			t.learnRatio(c, r)
-			s.judgeSlow(now, t)
+			s.updateSlow(now, t)
 		}
-		s.endProbe(now, t, probeUndecided)
+		s.updateProbe(now, t, probeUndecided)
 	}
-	s.place(t)
+	s.updateBucket(t)
 }
 
 // RecordRefusal records that a start did not begin.
-func (s *State) Refused(now time.Duration, name string, reason Refusal) {
+func (s *State) RecordRefusal(now time.Duration, name string, reason Refusal) {
 	t := s.targets[name]
 	if t == nil {
 		return
 	}
-	t.withdrawn()
+	t.withdrawStart()
 	switch reason {
 	case RefusedLeaving:
-		t.saidLeaving = true
+		t.reportedLeaving = true
 	case RefusedFull:
-		s.pace(t, now+fullPause)
+		s.backOff(t, now+fullBackOff)
 	case RefusedUnreachable:
-		s.noteUnreachable(now, t)
+		s.recordUnreachable(now, t)
 	}
 	if reason != RefusedUnreachable {
-		s.endProbe(now, t, probeUndecided)
+		s.updateProbe(now, t, probeUndecided)
 	}
-	s.place(t)
+	s.updateBucket(t)
 }
--- a/placement/placement_fuzz_test.go
+++ b/placement/placement_fuzz_test.go
@@ -127,7 +127,7 @@
 		o.jobs++
 	}
 	k.job = fmt.Sprint("job", o.jobs)
-	o.s.Started(o.now, id, k.class, k.job)
+	o.s.RecordStart(o.now, id, k.class, k.job)
 	o.running = append(o.running, k)
 	if o.rng.IntN(3) == 0 {
 		o.setFree(id, false)
@@ -153,7 +153,7 @@
 func (o *oracle) checkNothing() {
 	for _, id := range o.ids() {
 		usable := !o.leaving[id] && !o.said[id] && o.free[id]
-		if t := o.s.targets[id]; usable && !t.quarantined() && !t.paced {
+		if t := o.s.targets[id]; usable && !t.isQuarantined() && !t.backingOff {
 			o.t.Fatalf("no target was picked, but %s is free: %+v", id, o.use(id))
 		}
 	}
@@ -175,22 +175,22 @@
 	result := Result{Target: k.target, Class: k.class, Submission: k.job, Runtime: o.now - k.started + time.Millisecond}
 	switch end {
 	case 0:
-		o.s.Refused(o.now, k.target, RefusedFull)
+		o.s.RecordRefusal(o.now, k.target, RefusedFull)
 	case 1:
-		o.s.Refused(o.now, k.target, RefusedLease)
+		o.s.RecordRefusal(o.now, k.target, RefusedLease)
 	case 2:
 		o.unreachable[k.target] = true
-		o.s.Refused(o.now, k.target, RefusedUnreachable)
+		o.s.RecordRefusal(o.now, k.target, RefusedUnreachable)
 	case 3:
 		result.Outcome = OutcomeStopped
-		o.s.Finished(o.now, result)
+		o.s.RecordEnd(o.now, result)
 	case 4, 5, 6:
 		o.noteFailure(k)
 		result.Outcome = OutcomeFailed
-		o.s.Finished(o.now, result)
+		o.s.RecordEnd(o.now, result)
 	default:
 		result.Outcome = OutcomeDone
-		o.s.Finished(o.now, result)
+		o.s.RecordEnd(o.now, result)
 	}
 }
 
@@ -236,11 +236,11 @@
 	for name, c := range o.s.classes {
 		seen, bad := 0, 0
 		for _, t := range o.s.ordered {
-			if t.index >= len(c.last) || c.last[t.index] == outcomeUnseen {
+			if t.index >= len(c.lastOutcomes) || c.lastOutcomes[t.index] == outcomeUnseen {
 				continue
 			}
 			seen++
-			if c.last[t.index] == outcomeBad {
+			if c.lastOutcomes[t.index] == outcomeBad {
 				bad++
 			}
 		}
@@ -268,13 +268,13 @@
 			id := targetID(rapid.IntRange(0, 11).Draw(t, "target"))
 			if o.listed[id] && rapid.IntRange(0, 9).Draw(t, "really") == 0 {
 				o.said[id] = true
-				o.s.Leaving(id)
+				o.s.MarkLeaving(id)
 			}
 		},
 		"say staying": func(t *rapid.T) {
 			id := targetID(rapid.IntRange(0, 11).Draw(t, "target"))
 			delete(o.said, id)
-			o.s.Staying(id)
+			o.s.MarkStaying(id)
 		},
 		"free": func(t *rapid.T) {
 			id := targetID(rapid.IntRange(0, 11).Draw(t, "target"))
@@ -295,7 +295,7 @@
 	}
 	for _, id := range o.ids() {
 		delete(o.said, id)
-		o.s.Staying(id)
+		o.s.MarkStaying(id)
 		o.setFree(id, true)
 	}
 	for range 20000 {
@@ -306,8 +306,8 @@
 		}
 		o.jobs++
 		job := fmt.Sprint("job", o.jobs)
-		o.s.Started(o.now, id, "class0", job)
-		o.s.Finished(o.now, Result{Target: id, Class: "class0", Submission: job, Runtime: 20 * time.Millisecond, Outcome: OutcomeDone})
+		o.s.RecordStart(o.now, id, "class0", job)
+		o.s.RecordEnd(o.now, Result{Target: id, Class: "class0", Submission: job, Runtime: 20 * time.Millisecond, Outcome: OutcomeDone})
 	}
 	for _, id := range o.ids() {
 		if e := o.use(id); !o.leaving[id] && e.Use != "normal" {
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestPlacementKeepsItsRules(t *testing.T) {
+func TestPlacementAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
 		t.Repeat(o.actions())
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -51,10 +51,10 @@
 		f.now += 10 * time.Millisecond
 		return ""
 	}
-	f.s.Started(f.now, id, "class", job)
+	f.s.RecordStart(f.now, id, "class", job)
 	runtime, outcome := end(id)
 	f.now += time.Millisecond
-	f.s.Finished(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: runtime, Outcome: outcome})
+	f.s.RecordEnd(f.now, Result{Target: id, Class: "class", Submission: job, Runtime: runtime, Outcome: outcome})
 	return id
 }
 
@@ -65,7 +65,7 @@
 
 func good(string) (time.Duration, Outcome) { return 100 * time.Millisecond, OutcomeDone }
 
-func TestFailingTargetIsQuarantinedAndComesBack(t *testing.T) {
+func TestFailingTargetIsQuarantinedAndReinstated(t *testing.T) {
 	f := newFleet(8)
 	bad := targetID(3)
 	broken := true
@@ -114,7 +114,7 @@
 				kept = append(kept, r)
 				continue
 			}
-			f.s.Finished(f.now, r.result)
+			f.s.RecordEnd(f.now, r.result)
 			f.s.SetFree(r.result.Target, true)
 		}
 		running = kept
@@ -124,7 +124,7 @@
 				break
 			}
 			job := f.job()
-			f.s.Started(f.now, id, "class", job)
+			f.s.RecordStart(f.now, id, "class", job)
 			f.s.SetFree(id, false)
 			starts[id]++
 			runtime, outcome := end(id)
@@ -133,7 +133,7 @@
 		}
 	}
 	for _, r := range running {
-		f.s.Finished(f.now, r.result)
+		f.s.RecordEnd(f.now, r.result)
 		f.s.SetFree(r.result.Target, true)
 	}
 	return starts
--- a/placement/target.go
+++ b/placement/target.go
@@ -10,10 +10,10 @@
 	noIndex = -1
 	// minUnansweredTasks and minUnansweredJobs are how many unanswered tasks, of
 	// how many submissions, make a target unresponsive.
-	unansweredTasks = 3
-	unansweredJobs  = 2
+	minUnansweredTasks = 3
+	minUnansweredJobs  = 2
 	// fullBackOff is how long a target that was full is not picked.
-	fullPause = 20 * time.Millisecond
+	fullBackOff = 20 * time.Millisecond
 	// ratioWeight is the weight of the newest task in a target's ratio.
 	ratioWeight = 1.0 / 16
 	// slowTasks and slowSubmissions are how many tasks, of how many submissions,
@@ -55,8 +55,8 @@
 	rackName string
 	rack     int
 
-	free                       bool
-	listedLeaving, saidLeaving bool
+	free                           bool
+	listedLeaving, reportedLeaving bool
 	// unlisted says that the VM got units before the target was on the list.
 	unlisted bool
 	removed  bool
@@ -65,17 +65,17 @@
 	since time.Duration
 	// reportedUse and reportedCause are what TakeVerdicts returned last, and
 	// verdictPending says that they may be out of date.
-	reportedUse   string
-	reportedCause Cause
-	judged        bool
+	reportedUse    string
+	reportedCause  Cause
+	verdictPending bool
 	// probeDue says that a probe may start.
-	due bool
+	probeDue bool
 	// probeAt is when the next probe may start, unless the target is used normally.
 	probeAt        time.Duration
-	probeWait      time.Duration
+	probeInterval  time.Duration
 	probeSuccesses int
 	// backingOff says that the target is not picked before wakeAt.
-	paced bool
+	backingOff bool
 
 	// evidence is the failure score, in nats; see health.go.
 	evidence float64
@@ -93,12 +93,12 @@
 	running int
 	// unansweredSince holds the times since which up to minUnansweredTasks tasks
 	// are unanswered, oldest first: their starts, or the last end of any task.
-	waiting []time.Duration
+	unansweredSince []time.Duration
 	// unansweredSubmissions are the newest submissions that started tasks since
 	// the last end of any task.
-	waitingJobs []string
+	unansweredSubmissions []string
 	// answerTimeout is how long an answer may take.
-	patience time.Duration
+	answerTimeout time.Duration
 
 	done, failed int64
 
@@ -108,58 +108,58 @@
 	heapIndex   int
 }
 
-func (t *target) quarantined() bool {
+func (t *target) isQuarantined() bool {
 	return t.cause == CauseFailures || t.cause == CauseUnreachable || t.cause == CauseUnresponsive
 }
 
 // isLastResort reports whether the target is used only when no other is free.
-func (t *target) lastResort() bool { return t.cause == CauseSlow || t.cause == CauseDoubted }
+func (t *target) isLastResort() bool { return t.cause == CauseSlow || t.cause == CauseDoubted }
 
 // isLeaving reports whether the target may get no tasks, because it leaves or is
 // not on the list yet.
-func (t *target) leaving() bool { return t.listedLeaving || t.saidLeaving || t.unlisted }
+func (t *target) isLeaving() bool { return t.listedLeaving || t.reportedLeaving || t.unlisted }
 
 // ratio returns the mean ratio of run times at the target to those of their class.
 func (t *target) ratio() float64 { return math.Exp(t.logRatio) }
 
 // recordStart counts a start, and raises the answer timeout to factor times the
 // 99th percentile of the class.
-func (t *target) started(now time.Duration, c *class, submission string, factor float64) {
+func (t *target) recordStart(now time.Duration, c *class, submission string, factor float64) {
 	if t.running == 0 {
-		t.patience = 0
+		t.answerTimeout = 0
 	}
 	t.running++
-	t.patience = max(t.patience, time.Duration(factor*float64(c.p99())))
-	if len(t.waiting) < unansweredTasks {
-		t.waiting = append(t.waiting, now)
+	t.answerTimeout = max(t.answerTimeout, time.Duration(factor*float64(c.p99())))
+	if len(t.unansweredSince) < minUnansweredTasks {
+		t.unansweredSince = append(t.unansweredSince, now)
 	}
-	t.waitingJobs = remember(t.waitingJobs, submission, unansweredJobs)
+	t.unansweredSubmissions = addRecent(t.unansweredSubmissions, submission, minUnansweredJobs)
 }
 
 // recordEnd counts the end of a task. The target has answered, so that the wait for
 // the other tasks' answers is counted from now.
-func (t *target) ended(now time.Duration) {
+func (t *target) recordEnd(now time.Duration) {
 	t.running = max(0, t.running-1)
-	t.waiting = t.waiting[:min(len(t.waiting), t.running)]
-	for i := range t.waiting {
-		t.waiting[i] = now
+	t.unansweredSince = t.unansweredSince[:min(len(t.unansweredSince), t.running)]
+	for i := range t.unansweredSince {
+		t.unansweredSince[i] = now
 	}
-	t.waitingJobs = t.waitingJobs[:0]
+	t.unansweredSubmissions = t.unansweredSubmissions[:0]
 }
 
 // withdrawStart removes a start that did not begin from the counts.
-func (t *target) withdrawn() {
+func (t *target) withdrawStart() {
 	t.running = max(0, t.running-1)
-	t.waiting = t.waiting[:min(len(t.waiting), t.running)]
+	t.unansweredSince = t.unansweredSince[:min(len(t.unansweredSince), t.running)]
 }
 
 // isUnresponsive reports whether enough tasks of enough submissions are unanswered
 // for longer than the answer timeout.
-func (t *target) unresponsive(now time.Duration) bool {
-	if len(t.waiting) < unansweredTasks || len(t.waitingJobs) < unansweredJobs || t.patience == 0 {
+func (t *target) isUnresponsive(now time.Duration) bool {
+	if len(t.unansweredSince) < minUnansweredTasks || len(t.unansweredSubmissions) < minUnansweredJobs || t.answerTimeout == 0 {
 		return false
 	}
-	return now-t.waiting[unansweredTasks-1] > t.patience
+	return now-t.unansweredSince[minUnansweredTasks-1] > t.answerTimeout
 }
 
 // learnRatio adds the ratio of a run time to the class mean to the target's mean.
@@ -173,12 +173,12 @@
 	t.newestRatio = sample
 	t.logRatio += weight * (sample - t.logRatio)
 	t.tasks++
-	t.ratioJobs = remember(t.ratioJobs, r.Submission, slowSubmissions)
+	t.ratioJobs = addRecent(t.ratioJobs, r.Submission, slowSubmissions)
 }
 
 // addRecent adds a name to a list of distinct names. The oldest one is removed
 // when the list has most names.
-func remember(list []string, name string, most int) []string {
+func addRecent(list []string, name string, most int) []string {
 	for _, n := range list {
 		if n == name {
 			return list
--- a/placement/verdict.go
+++ b/placement/verdict.go
@@ -13,10 +13,10 @@
 
 // TakeVerdicts returns the changes since the last call, for the log. A target
 // whose use changed and changed back in between is left out.
-func (s *State) Verdicts() []Verdict {
+func (s *State) TakeVerdicts() []Verdict {
 	var list []Verdict
-	for _, t := range s.judged {
-		t.judged = false
+	for _, t := range s.pendingVerdicts {
+		t.verdictPending = false
 		use := s.useOf(t)
 		if t.removed || use == t.reportedUse && t.cause == t.reportedCause {
 			continue
@@ -31,17 +31,17 @@
 		t.reportedUse = use
 		t.reportedCause = t.cause
 	}
-	s.judged = s.judged[:0]
+	s.pendingVerdicts = s.pendingVerdicts[:0]
 	return list
 }
 
 // markVerdictPending adds a target to pendingVerdicts when its use may differ from
 // the reported one. A target that is not on the list yet has no verdict.
-func (s *State) noteVerdict(t *target) {
-	same := t.cause == t.reportedCause && t.leaving() == (t.reportedUse == UseLeaving)
-	if same || t.judged || t.unlisted {
+func (s *State) markVerdictPending(t *target) {
+	same := t.cause == t.reportedCause && t.isLeaving() == (t.reportedUse == UseLeaving)
+	if same || t.verdictPending || t.unlisted {
 		return
 	}
-	t.judged = true
-	s.judged = append(s.judged, t)
+	t.verdictPending = true
+	s.pendingVerdicts = append(s.pendingVerdicts, t)
 }
--- a/quota/attempt.go
+++ b/quota/attempt.go
@@ -44,8 +44,8 @@
 
 // NextAttempt returns the next commit to make; false when there is none now. The caller
 // calls RecordResult for it before the next one is returned.
-func (s *State) Next(now time.Duration) (Attempt, bool) {
-	if s.underWay {
+func (s *State) NextAttempt(now time.Duration) (Attempt, bool) {
+	if s.attemptPending {
 		return Attempt{}, false
 	}
 	for range s.names {
@@ -54,9 +54,9 @@
 		if !t.usage.Home || !t.usage.Valid || !t.read || t.stale {
 			continue
 		}
-		if a, ok := s.attempt(now, t); ok {
-			s.underWay = true
-			s.noteSent(now, t, a)
+		if a, ok := s.dueAttempt(now, t); ok {
+			s.attemptPending = true
+			s.recordSent(now, t, a)
 			return a, true
 		}
 	}
@@ -65,13 +65,13 @@
 
 // recordSent records when a commit that expects the present version of the own row was
 // first sent. A lease counts from then, whichever of several attempts takes effect.
-func (s *State) noteSent(now time.Duration, t *team, a Attempt) {
+func (s *State) recordSent(now time.Duration, t *team, a Attempt) {
 	if a.domain != s.opts.Domain {
 		return
 	}
 	version := a.expect[a.domain]
-	if !t.sent || t.sentFor != version {
-		t.sent, t.sentFor, t.sentAt = true, version, now
+	if !t.sent || t.sentVersion != version {
+		t.sent, t.sentVersion, t.sentAt = true, version, now
 	}
 }
 
@@ -79,17 +79,17 @@
 // In this order: take over the row, lend or return units, renew the lease, take units,
 // reclaim units, and publish a changed want. While the share is being lowered, only the
 // first three are due.
-func (s *State) attempt(now time.Duration, t *team) (Attempt, bool) {
+func (s *State) dueAttempt(now time.Duration, t *team) (Attempt, bool) {
 	own := t.rows[s.opts.Domain].entry
 	switch {
-	case !t.owned(s.opts.Domain):
+	case !t.isOwned(s.opts.Domain):
 		own.Holder = t.token
-		return s.write(t, own), s.mayTakeOver(now, t)
-	case t.ceiling != noCeiling && s.isLow(t):
+		return s.newWrite(t, own), s.canTakeOver(now, t)
+	case t.ceiling != noCeiling && s.isBelowCeiling(t):
 		own.Delta = t.lowered
-		return s.write(t, own), true
-	case own.Delta > 0 && now >= t.renewedAt+s.opts.Renew:
-		return s.write(t, own), true
+		return s.newWrite(t, own), true
+	case own.Delta > 0 && now >= t.renewedAt+s.opts.RenewInterval:
+		return s.newWrite(t, own), true
 	case t.ceiling != noCeiling:
 		return Attempt{}, false
 	}
@@ -102,13 +102,13 @@
 	want := s.want(t)
 	changed := (want == 0) != (own.Want == 0) || want > 2*own.Want
 	own.Want = want
-	return s.write(t, own), changed && now >= t.wroteAt+s.opts.Pause
+	return s.newWrite(t, own), changed && now >= t.wroteAt+s.opts.WantInterval
 }
 
 // canTakeOver reports whether this term may take over the row. It waits until its
 // predecessor can't commit any more, and does not take the row back from a successor. A
 // row without holder was reclaimed by another failure domain.
-func (s *State) mayTakeOver(now time.Duration, t *team) bool {
+func (s *State) canTakeOver(now time.Duration, t *team) bool {
 	if t.hadRow && t.rows[s.opts.Domain].entry.Holder != "" {
 		return false
 	}
@@ -116,7 +116,7 @@
 }
 
 // isBelowCeiling reports whether no more units are out than the lowered share has.
-func (s *State) isLow(t *team) bool {
+func (s *State) isBelowCeiling(t *team) bool {
 	u := t.usage
 	return u.Known && u.Capacity <= t.ceiling && u.Out <= t.ceiling
 }
@@ -145,10 +145,10 @@
 	}
 	own.Delta += n
 	own.Want = s.want(t) - n
-	a := s.write(t, own)
+	a := s.newWrite(t, own)
 	// The commit fails if another failure domain has taken the same units.
 	for domain := range t.base {
-		a.expect[domain] = t.rows[domain].expected()
+		a.expect[domain] = t.rows[domain].expectedVersion()
 	}
 	return a, true
 }
@@ -162,12 +162,12 @@
 	}
 	for _, domain := range t.domains() {
 		r := t.rows[domain]
-		over := t.seen[domain] + s.opts.Lease + s.reserve + reclaimMargin
+		over := t.seenAt[domain] + s.opts.Lease + s.reserve + reclaimMargin
 		if domain == s.opts.Domain || r.entry.Delta <= 0 || now < over {
 			continue
 		}
 		entry := Entry{Beat: r.entry.Beat + 1}
-		return Attempt{team: t.name, domain: domain, entry: entry, expect: map[string]uint64{domain: r.expected()}}, true
+		return Attempt{team: t.name, domain: domain, entry: entry, expect: map[string]uint64{domain: r.expectedVersion()}}, true
 	}
 	return Attempt{}, false
 }
@@ -183,21 +183,21 @@
 }
 
 // newWrite returns a commit of the own row.
-func (s *State) write(t *team, entry Entry) Attempt {
+func (s *State) newWrite(t *team, entry Entry) Attempt {
 	own := t.rows[s.opts.Domain]
 	entry.Beat = own.entry.Beat + 1
 	return Attempt{
 		team:   t.name,
 		domain: s.opts.Domain,
 		entry:  entry,
-		expect: map[string]uint64{s.opts.Domain: own.expected()},
+		expect: map[string]uint64{s.opts.Domain: own.expectedVersion()},
 	}
 }
 
 // RecordResult records the result of an attempt that NextAttempt returned. Version is
 // that of a commit that took effect.
-func (s *State) Done(now time.Duration, a Attempt, result Result, version uint64) {
-	s.underWay = false
+func (s *State) RecordResult(now time.Duration, a Attempt, result Result, version uint64) {
+	s.attemptPending = false
 	t := s.teams[a.team]
 	if t == nil {
 		return
@@ -205,14 +205,14 @@
 	own := a.domain == s.opts.Domain
 	switch result {
 	case Applied:
-		s.learn(now, t, a.domain, row{entry: a.entry, version: version})
+		s.applyRow(now, t, a.domain, row{entry: a.entry, version: version})
 		return
 	case Unknown:
-		if own && !t.hasDoubts {
-			t.hasDoubts, t.doubtful = true, t.rows[a.domain].version
+		if own && !t.isUncertain {
+			t.isUncertain, t.uncertainVersion = true, t.rows[a.domain].version
 		}
 	case Refused:
-		s.giveUp(t, a)
+		s.abortLowering(t, a)
 	}
 	t.stale = true
 	t.staleAt = now
@@ -220,8 +220,8 @@
 
 // abortLowering ends the lowering of a share whose commit was refused, unless an earlier
 // commit may still take effect.
-func (s *State) giveUp(t *team, a Attempt) {
-	if a.domain == s.opts.Domain && !t.hasDoubts {
+func (s *State) abortLowering(t *team, a Attempt) {
+	if a.domain == s.opts.Domain && !t.isUncertain {
 		t.ceiling = noCeiling
 	}
 }
--- a/quota/duty.go
+++ b/quota/duty.go
@@ -17,8 +17,8 @@
 	tickInterval = time.Second
 	// movingReadInterval and idleReadInterval are the times between two reads of the
 	// table, with and without lent, borrowed or wanted units.
-	readWhileMoving = 2 * time.Second
-	readAtRest      = 5 * time.Second
+	movingReadInterval = 2 * time.Second
+	idleReadInterval   = 5 * time.Second
 	// readTimeout bounds one read.
 	readTimeout = 2 * time.Second
 )
@@ -27,7 +27,7 @@
 type Pools interface {
 	// Usages returns the use of each team's share, and how long tasks may run after
 	// the VM that started them was lost.
-	Look(teams []string) (map[string]Usage, time.Duration)
+	Usages(teams []string) (map[string]Usage, time.Duration)
 	// SetShares sets how many units of each team may be used from now on.
 	SetShares(shares map[string]int)
 }
@@ -54,10 +54,10 @@
 	teams []Team
 
 	// Only the goroutine of Run uses the following fields.
-	known   []Team
-	reading bool
-	readAt  time.Duration
-	shares  map[string]int
+	currentTeams []Team
+	reading      bool
+	readAt       time.Duration
+	shares       map[string]int
 }
 
 // readResult is the result of one read of the table.
@@ -112,42 +112,42 @@
 				d.state.Read(d.options.Now(), r.begunAt, r.changes)
 			}
 		case r := <-d.commits:
-			d.state.Done(d.options.Now(), r.attempt, result(r.err), r.version)
+			d.state.RecordResult(d.options.Now(), r.attempt, result(r.err), r.version)
 		case <-ticker.C:
 		}
-		d.look()
+		d.updateShares()
 		d.act(ctx)
 	}
 }
 
 // updateShares records the use of the shares, and sets the shares that may be used from
 // now on.
-func (d *Duty) look() {
+func (d *Duty) updateShares() {
 	d.mu.Lock()
 	teams := d.teams
 	d.mu.Unlock()
-	if len(teams) == 0 && len(d.known) == 0 {
+	if len(teams) == 0 && len(d.currentTeams) == 0 {
 		return
 	}
 	names := make([]string, 0, len(teams))
 	for _, t := range teams {
 		names = append(names, t.Name)
 	}
-	usages, reserve := d.options.Pools.Look(names)
-	d.known = teams
+	usages, reserve := d.options.Pools.Usages(names)
+	d.currentTeams = teams
 	d.state.SetTeams(teams, reserve)
 	now := d.options.Now()
 	shares := make(map[string]int, len(teams))
 	for _, name := range names {
-		d.state.Use(now, name, usages[name])
+		d.state.RecordUsage(now, name, usages[name])
 		shares[name], _ = d.state.Share(now, name)
-		d.note(name, usages[name], shares[name])
+		d.logShare(name, usages[name], shares[name])
 	}
 	d.options.Pools.SetShares(shares)
 }
 
 // logShare logs a share that has changed at its home.
-func (d *Duty) note(name string, u Usage, share int) {
+func (d *Duty) logShare(name string, u Usage, share int) {
 	if !u.Home || d.shares[name] == share {
 		return
 	}
@@ -159,20 +159,20 @@
 // act starts a read of the table and a commit when they are due. At most one of each
 // runs at a time.
 func (d *Duty) act(ctx context.Context) {
-	if !d.state.Homes() {
+	if !d.state.IsHome() {
 		return
 	}
 	now := d.options.Now()
-	interval := readAtRest
-	if d.state.Moving() {
-		interval = readWhileMoving
+	interval := idleReadInterval
+	if d.state.IsMoving() {
+		interval = movingReadInterval
 	}
 	if !d.reading && (d.readAt == 0 || now >= d.readAt+interval) {
 		d.reading = true
 		d.readAt = now
 		go d.read(ctx, now, d.state.Version())
 	}
-	if a, ok := d.state.Next(now); ok {
+	if a, ok := d.state.NextAttempt(now); ok {
 		d.options.Scope.Counter("quota_commits").Inc(1)
 		go d.commit(ctx, a)
 	}
--- a/quota/duty_test.go
+++ b/quota/duty_test.go
@@ -65,7 +65,7 @@
 	wants, capacity int
 }
 
-func (p *busyPools) Look([]string) (map[string]Usage, time.Duration) {
+func (p *busyPools) Usages([]string) (map[string]Usage, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := min(p.wants, p.capacity)
@@ -113,7 +113,7 @@
 	return s, a, b
 }
 
-func TestDutiesMoveSharesAndBringThemBack(t *testing.T) {
+func TestDutiesMoveSharesAndReturnThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, a, b := runPair(t)
 		time.Sleep(20 * time.Second)
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestStoreOutageEndsWhatWasBorrowedAlone(t *testing.T) {
+func TestStoreOutageEndsOnlyBorrowedUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, a, b := runPair(t)
 		time.Sleep(20 * time.Second)
@@ -146,12 +146,12 @@
 		must.Eq(t, 4, b.share())
 		must.Eq(t, 4, a.share())
 		s.set(false, false)
-		time.Sleep(DefaultRenew)
+		time.Sleep(DefaultRenewInterval)
 		must.Eq(t, 8, b.share())
 	})
 }
 
-func TestRestCostsFewCalls(t *testing.T) {
+func TestIdleDutiesCommitNothingAndReadRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, _ := runPair(t)
 		time.Sleep(time.Minute)
@@ -159,6 +159,6 @@
 		time.Sleep(10 * time.Minute)
 		commitsAfter, readsAfter := s.calls()
 		must.Eq(t, commits, commitsAfter)
-		must.Eq(t, 2*int(10*time.Minute/readAtRest), readsAfter-reads)
+		must.Eq(t, 2*int(10*time.Minute/idleReadInterval), readsAfter-reads)
 	})
 }
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -154,17 +154,17 @@
 		u.Out, u.Want = len(d.ends), max(0, d.wants-len(d.ends))
 		u.Capacity = d.capacity
 	}
-	h.state.Use(w.now, team1, u)
+	h.state.RecordUsage(w.now, team1, u)
 	w.grant(d, h, newest)
 	if newest {
 		// The usage is recorded again with the new capacity.
 		u.Out, u.Capacity = len(d.ends), d.capacity
-		h.state.Use(w.now, team1, u)
+		h.state.RecordUsage(w.now, team1, u)
 	}
 	if !d.cutOff {
 		w.read(h)
 	}
-	if a, ok := h.state.Next(w.now); ok {
+	if a, ok := h.state.NextAttempt(w.now); ok {
 		w.commit(d, h, a)
 	}
 	w.grant(d, h, newest)
@@ -201,22 +201,22 @@
 	}
 	switch fate {
 	case 9:
-		h.state.Done(w.now, a, Refused, 0)
+		h.state.RecordResult(w.now, a, Refused, 0)
 	case 8:
-		h.state.Done(w.now, a, Unknown, 0)
+		h.state.RecordResult(w.now, a, Unknown, 0)
 	case 7:
 		late := time.Duration(rapid.IntRange(1, 200).Draw(w.t, "late by s")) * time.Second
 		w.store.late = append(w.store.late, lateCommit{at: w.now + late, commit: commit})
-		h.state.Done(w.now, a, Unknown, 0)
+		h.state.RecordResult(w.now, a, Unknown, 0)
 	case 6:
 		w.store.apply(commit)
-		h.state.Done(w.now, a, Unknown, 0)
+		h.state.RecordResult(w.now, a, Unknown, 0)
 	default:
 		if !w.store.apply(commit) {
-			h.state.Done(w.now, a, Refused, 0)
+			h.state.RecordResult(w.now, a, Refused, 0)
 			return
 		}
-		h.state.Done(w.now, a, Applied, w.store.version)
+		h.state.RecordResult(w.now, a, Applied, w.store.version)
 	}
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -70,24 +70,24 @@
 	// Lease is how long borrowed units are used without a new commit. Default 90 s.
 	Lease time.Duration
 	// RenewInterval is the time between two commits that renew a lease. Default 30 s.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// TakeoverAfter is how long a new home waits before it takes over the row. It must
 	// be longer than the view lease. Default 6 s.
 	TakeoverAfter time.Duration
 	// IdleAfter is how long borrowed units must not have been needed before they are
 	// returned. Default 20 s.
-	Idle time.Duration
+	IdleAfter time.Duration
 	// WantInterval is the minimum time between a commit for a team and the next one
 	// that changes only Entry.Want. Default 5 s.
-	Pause time.Duration
+	WantInterval time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultLease = 90 * time.Second
-	DefaultRenew = 30 * time.Second
-	DefaultIdle  = 20 * time.Second
-	DefaultPause = 5 * time.Second
+	DefaultLease         = 90 * time.Second
+	DefaultRenewInterval = 30 * time.Second
+	DefaultIdleAfter     = 20 * time.Second
+	DefaultWantInterval  = 5 * time.Second
 
 	DefaultTakeoverAfter = 6 * time.Second
 )
@@ -98,9 +98,9 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Lease, DefaultLease)
-	setDefault(&o.Renew, DefaultRenew)
-	setDefault(&o.Idle, DefaultIdle)
-	setDefault(&o.Pause, DefaultPause)
+	setDefault(&o.RenewInterval, DefaultRenewInterval)
+	setDefault(&o.IdleAfter, DefaultIdleAfter)
+	setDefault(&o.WantInterval, DefaultWantInterval)
 	setDefault(&o.TakeoverAfter, DefaultTakeoverAfter)
 	return o
 }
@@ -113,4 +113,4 @@
 
 // MinShare returns the share that a failure domain always keeps. It lends at most half
 // of its base share, so that a new home can serve while the table service is down.
-func Least(base int) int { return (base + 1) / 2 }
+func MinShare(base int) int { return (base + 1) / 2 }
--- a/quota/row.go
+++ b/quota/row.go
@@ -12,7 +12,7 @@
 }
 
 // expectedVersion returns the version that a commit must name for the row.
-func (r row) expected() uint64 {
+func (r row) expectedVersion() uint64 {
 	if r.deleted {
 		return 0
 	}
@@ -26,7 +26,7 @@
 // lent returns how many units a failure domain has lent, at most as many as its base
 // share now allows.
 func (r rows) lent(domain string, base int) int {
-	return min(max(0, -r[domain].entry.Delta), base-Least(base))
+	return min(max(0, -r[domain].entry.Delta), base-MinShare(base))
 }
 
 // totals returns how many units all failure domains have lent and borrowed.
--- a/quota/state.go
+++ b/quota/state.go
@@ -29,7 +29,7 @@
 	terms int
 	// attemptPending says that NextAttempt has returned a commit for which RecordResult
 	// was not called yet.
-	underWay bool
+	attemptPending bool
 	// turn is the index in names of the team that NextAttempt checked last.
 	turn int
 }
@@ -47,7 +47,7 @@
 	hadRow    bool
 	// seenAt holds when each row was first seen at its version, for the leases of
 	// other failure domains.
-	seen map[string]time.Duration
+	seenAt map[string]time.Duration
 	// read says that the table was read since this VM became the home.
 	read bool
 	// stale says that a commit may not have taken effect. The next commit waits for a
@@ -62,13 +62,13 @@
 	// isUncertain says that a commit of unknown outcome may still take effect, until
 	// the row of this failure domain is newer than uncertainVersion, which the commit
 	// expected.
-	doubtful  uint64
-	hasDoubts bool
+	uncertainVersion uint64
+	isUncertain      bool
 
 	// sentAt is when the first commit that expects sentVersion was sent.
-	sentAt  time.Duration
-	sentFor uint64
-	sent    bool
+	sentAt      time.Duration
+	sentVersion uint64
+	sent        bool
 	// renewedAt is when the commit was sent that wrote the newest own row.
 	renewedAt time.Duration
 	renewed   bool
@@ -91,7 +91,7 @@
 	for _, spec := range teams {
 		t := s.teams[spec.Name]
 		if t == nil {
-			t = &team{name: spec.Name, rows: rows{}, seen: map[string]time.Duration{}, ceiling: noCeiling}
+			t = &team{name: spec.Name, rows: rows{}, seenAt: map[string]time.Duration{}, ceiling: noCeiling}
 			// Only a read of the whole table returns all rows of a new team.
 			s.version = 0
 		}
@@ -103,7 +103,7 @@
 }
 
 // IsHome reports whether this VM is the home of any team's pool.
-func (s *State) Homes() bool {
+func (s *State) IsHome() bool {
 	for _, t := range s.teams {
 		if t.usage.Home {
 			return true
@@ -114,7 +114,7 @@
 
 // IsMoving reports whether any units are lent, borrowed or wanted, so that the table
 // changes more often.
-func (s *State) Moving() bool {
+func (s *State) IsMoving() bool {
 	for _, t := range s.teams {
 		for _, r := range t.rows {
 			if r.entry.Delta != 0 || r.entry.Want != 0 {
@@ -143,29 +143,29 @@
 // a lease, with the borrowed ones.
 func (s *State) share(now time.Duration, t *team) int {
 	base := t.base[s.opts.Domain]
-	if !t.owned(s.opts.Domain) {
-		return Least(base)
+	if !t.isOwned(s.opts.Domain) {
+		return MinShare(base)
 	}
 	share := base - t.rows.lent(s.opts.Domain, base)
-	if s.leased(now, t) {
+	if s.hasLease(now, t) {
 		share += t.rows.borrowed(s.opts.Domain, t.base)
 	}
 	return min(share, t.ceiling)
 }
 
 // isOwned reports whether the newest known row names the current term of this process.
-func (t *team) owned(domain string) bool {
+func (t *team) isOwned(domain string) bool {
 	return t.usage.Home && t.rows[domain].entry.Holder == t.token && t.token != ""
 }
 
 // hasLease reports whether borrowed units may be used.
-func (s *State) leased(now time.Duration, t *team) bool {
+func (s *State) hasLease(now time.Duration, t *team) bool {
 	return t.renewed && now < t.renewedAt+s.opts.Lease
 }
 
 // RecordUsage records the use of a team's share. It begins or ends a term as the home,
 // and begins to lower the share when units are to be lent or returned.
-func (s *State) Use(now time.Duration, name string, u Usage) {
+func (s *State) RecordUsage(now time.Duration, name string, u Usage) {
 	t := s.teams[name]
 	if t == nil {
 		return
@@ -177,8 +177,8 @@
 	if u.Out+u.Want > t.base[s.opts.Domain] {
 		t.neededAt = now
 	}
-	if t.owned(s.opts.Domain) {
-		s.lower(now, t)
+	if t.isOwned(s.opts.Domain) {
+		s.startLowering(now, t)
 	}
 }
 
@@ -188,7 +188,7 @@
 	t.token = ""
 	t.read = false
 	t.ceiling = noCeiling
-	t.hasDoubts = false
+	t.isUncertain = false
 	t.sent = false
 	t.renewed = false
 	t.neededAt = now
@@ -201,7 +201,7 @@
 }
 
 // startLowering sets the ceiling when units are to be lent or returned.
-func (s *State) lower(now time.Duration, t *team) {
+func (s *State) startLowering(now time.Duration, t *team) {
 	if t.ceiling != noCeiling {
 		return
 	}
@@ -229,13 +229,13 @@
 		if owed > unclaimed {
 			return min(delta, owed-unclaimed)
 		}
-		if now-t.neededAt >= s.opts.Idle {
+		if now-t.neededAt >= s.opts.IdleAfter {
 			return delta
 		}
 		return 0
 	}
 	spare := s.share(now, t) - t.usage.Out - t.usage.Want
-	most := base - Least(base) + delta
+	most := base - MinShare(base) + delta
 	return min(wanted-unclaimed, spare/2, most)
 }
 
@@ -256,7 +256,7 @@
 		if !r.Deleted() && json.Unmarshal(r.Value, &entry) != nil {
 			continue
 		}
-		s.learn(now, t, domain, row{entry: entry, version: r.Version, deleted: r.Deleted()})
+		s.applyRow(now, t, domain, row{entry: entry, version: r.Version, deleted: r.Deleted()})
 	}
 	for _, t := range s.teams {
 		t.read = t.read || t.usage.Home
@@ -268,25 +268,25 @@
 
 // applyRow stores a row that is newer than the known one. A newer own row ends the
 // lowering of the share, unless a commit of unknown outcome may still take effect.
-func (s *State) learn(now time.Duration, t *team, domain string, r row) {
+func (s *State) applyRow(now time.Duration, t *team, domain string, r row) {
 	if r.version <= t.rows[domain].version {
 		return
 	}
 	t.rows[domain] = r
-	t.seen[domain] = now
+	t.seenAt[domain] = now
 	if domain != s.opts.Domain {
 		return
 	}
-	if t.owned(domain) && t.sent {
+	if t.isOwned(domain) && t.sent {
 		// Only a commit of this term can have written the row.
 		t.renewedAt = t.sentAt
 		t.renewed = true
 		t.wroteAt = now
 	}
 	t.sent = false
-	t.hadRow = t.hadRow || t.owned(domain)
-	if !t.hasDoubts || r.version > t.doubtful {
-		t.hasDoubts = false
+	t.hadRow = t.hadRow || t.isOwned(domain)
+	if !t.isUncertain || r.version > t.uncertainVersion {
+		t.isUncertain = false
 		t.ceiling = noCeiling
 	}
 }
