--- a/quota/state_test.go
+++ b/quota/state_test.go
@@ -37,7 +37,7 @@
 // use records usage at a state, with the share that it allows as the capacity.
 func (p *pair) use(s *State, out, want int) {
 	for range 2 {
-		s.Use(p.now, team1, Usage{Home: true, Valid: true, Known: true, Capacity: p.share(s), Out: out, Want: want})
+		s.RecordUsage(p.now, team1, Usage{Home: true, Valid: true, Known: true, Capacity: p.share(s), Out: out, Want: want})
 	}
 }
 
@@ -53,7 +53,7 @@
 func (p *pair) next(s *State) (Attempt, tableservice.Commit) {
 	p.t.Helper()
 	p.read(s)
-	a, ok := s.Next(p.now)
+	a, ok := s.NextAttempt(p.now)
 	must.True(p.t, ok)
 	commit, err := a.Commit()
 	must.NoError(p.t, err)
@@ -65,13 +65,13 @@
 	p.t.Helper()
 	a, commit := p.next(s)
 	must.True(p.t, p.store.apply(commit))
-	s.Done(p.now, a, Applied, p.store.version)
+	s.RecordResult(p.now, a, Applied, p.store.version)
 }
 
 // lend makes a lend units to b, which wants 10.
 func (p *pair) lend() {
 	p.t.Helper()
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.b, 4, 10)
 	p.round(p.b)
 	p.read(p.a)
@@ -89,13 +89,13 @@
 	p.round(p.b)
 	must.Eq(t, 8, p.share(p.b))
 	// The lender wants its units back. The borrower returns them when tasks end.
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.a, 4, 3)
 	p.round(p.a)
 	p.read(p.b)
 	p.use(p.b, 8, 0)
 	must.Eq(t, 5, p.share(p.b))
-	_, ok := p.b.Next(p.now)
+	_, ok := p.b.NextAttempt(p.now)
 	must.False(t, ok)
 	p.use(p.b, 5, 0)
 	p.round(p.b)
@@ -112,7 +112,7 @@
 	sent := p.now
 	must.True(t, p.store.apply(commit))
 	p.now += 5 * time.Second
-	p.b.Done(p.now, a, Applied, p.store.version)
+	p.b.RecordResult(p.now, a, Applied, p.store.version)
 	p.now = sent + DefaultLease - 1
 	must.Eq(t, 8, p.share(p.b))
 	p.now = sent + DefaultLease
@@ -132,19 +132,19 @@
 	must.False(t, p.store.apply(takeBack))
 }
 
-func TestDoubtfulCommitKeepsTheShareLow(t *testing.T) {
+func TestUncertainCommitKeepsTheShareLow(t *testing.T) {
 	p := newPair(t)
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.b, 4, 10)
 	p.round(p.b)
 	p.read(p.a)
 	p.use(p.a, 0, 0)
 	a, late := p.next(p.a)
-	p.a.Done(p.now, a, Unknown, 0)
+	p.a.RecordResult(p.now, a, Unknown, 0)
 	must.Eq(t, 4, p.share(p.a))
 	// The next attempt is refused, but the first one may still take effect.
 	a, _ = p.next(p.a)
-	p.a.Done(p.now, a, Refused, 0)
+	p.a.RecordResult(p.now, a, Refused, 0)
 	must.Eq(t, 4, p.share(p.a))
 	p.use(p.a, 8, 5)
 	must.Eq(t, 4, p.share(p.a))
@@ -153,16 +153,16 @@
 	must.Eq(t, 4, p.share(p.a))
 }
 
-func TestRefusedLoweringIsGivenUp(t *testing.T) {
+func TestRefusedLoweringRestoresTheShare(t *testing.T) {
 	p := newPair(t)
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.b, 4, 10)
 	p.round(p.b)
 	p.read(p.a)
 	p.use(p.a, 0, 0)
 	a, _ := p.next(p.a)
 	must.Eq(t, 4, p.share(p.a))
-	p.a.Done(p.now, a, Refused, 0)
+	p.a.RecordResult(p.now, a, Refused, 0)
 	must.Eq(t, 8, p.share(p.a))
 }
 
@@ -173,12 +173,12 @@
 	p.round(p.b)
 	p.read(p.a)
 	seen := p.now
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.a, 4, 4)
 	p.round(p.a)
 	p.now = seen + DefaultLease + testReserve + reclaimMargin - 1
 	p.read(p.a)
-	_, ok := p.a.Next(p.now)
+	_, ok := p.a.NextAttempt(p.now)
 	must.False(t, ok)
 	p.now++
 	p.round(p.a)
@@ -186,7 +186,7 @@
 	must.Eq(t, 8, p.share(p.a))
 	// The borrower reads that it no longer holds the row.
 	p.read(p.b)
-	must.Eq(t, Least(pairBase["b"]), p.share(p.b))
+	must.Eq(t, MinShare(pairBase["b"]), p.share(p.b))
 	p.use(p.b, 0, 0)
 	p.round(p.b)
 	must.Eq(t, pairBase["b"], p.share(p.b))
@@ -195,24 +195,24 @@
 func TestNewTermTakesTheRowOver(t *testing.T) {
 	p := newPair(t)
 	other := Usage{}
-	p.a.Use(p.now, team1, other)
+	p.a.RecordUsage(p.now, team1, other)
 	must.Eq(t, 4, p.share(p.a))
 	p.use(p.a, 0, 0)
 	must.Eq(t, 4, p.share(p.a))
 	p.read(p.a)
 	p.now += DefaultTakeoverAfter - 1
-	_, ok := p.a.Next(p.now)
+	_, ok := p.a.NextAttempt(p.now)
 	must.False(t, ok)
 	p.now++
-	p.a.Use(p.now, team1, Usage{Home: true, Known: true, Capacity: 4})
-	_, ok = p.a.Next(p.now)
+	p.a.RecordUsage(p.now, team1, Usage{Home: true, Known: true, Capacity: 4})
+	_, ok = p.a.NextAttempt(p.now)
 	must.False(t, ok, must.Sprint("without view lease"))
 	p.use(p.a, 0, 0)
 	p.round(p.a)
 	must.Eq(t, 8, p.share(p.a))
 }
 
-func TestFormerHomeDoesNotTakeTheRowBack(t *testing.T) {
+func TestPreviousHomeDoesNotTakeTheRowBack(t *testing.T) {
 	p := newPair(t)
 	successor := newState("a", "vm3")
 	p.use(successor, 0, 0)
@@ -220,21 +220,21 @@
 	p.round(successor)
 	p.read(p.a)
 	must.Eq(t, 4, p.share(p.a))
-	_, ok := p.a.Next(p.now)
+	_, ok := p.a.NextAttempt(p.now)
 	must.False(t, ok)
 }
 
-func TestReadThatBeganBeforeACommitTellsNothing(t *testing.T) {
+func TestReadOfOlderVersionIsIgnored(t *testing.T) {
 	p := newPair(t)
 	old := p.store.past[len(p.store.past)-1]
-	p.now += DefaultPause
+	p.now += DefaultWantInterval
 	p.use(p.b, 4, 10)
 	p.round(p.b)
 	p.b.Read(p.now, p.now, old)
 	must.Eq(t, 10, p.b.teams[team1].rows["b"].entry.Want)
 }
 
-func TestBorrowersShareWhatLendersStillOwn(t *testing.T) {
+func TestBorrowersShareReducedLending(t *testing.T) {
 	r := rows{
 		"a": {entry: Entry{Delta: -4}},
 		"b": {entry: Entry{Delta: 3}},
@@ -249,7 +249,7 @@
 	must.Eq(t, 0, r.unclaimed(base))
 }
 
-func TestRowRemovedByHandIsMadeAnew(t *testing.T) {
+func TestRowRemovedByHandIsRecreated(t *testing.T) {
 	p := newPair(t)
 	p.store.version++
 	gone := tableservice.Changes{Version: p.store.version, Rows: []tableservice.Row{{Key: rowKey(team1, "a"), Version: p.store.version}}}
