--- a/claim/burn_fuzz_test.go
+++ b/claim/burn_fuzz_test.go
@@ -40,29 +40,29 @@
 	// serving maps the calls that answer a request to its exchange.
 	serving map[uint64]*exchange
 	// notRunAnswers counts the answers that reported a key as not run.
-	told int
+	notRunAnswers int
 }
 
 const (
-	burnSteps = 120
-	mostBurns = 40
+	burnSteps    = 120
+	maxExchanges = 40
 )
 
 func (f *burnFuzz) actions() []action {
 	return []action{
-		{10, f.begin},
+		{10, f.beginExchange},
 		{10, f.askNext},
-		{20, f.serve},
-		{20, f.take},
-		{2, func() { drop(f.fuzz, &f.requests) }},
-		{2, func() { drop(f.fuzz, &f.answers) }},
+		{20, f.deliverRequest},
+		{20, f.deliverAnswer},
+		{2, func() { loseMessage(f.fuzz, &f.requests) }},
+		{2, func() { loseMessage(f.fuzz, &f.answers) }},
 		{2, f.misdeliver},
 		{40, f.step},
 	}
 }
 
 // beginExchange begins an exchange about a key, often one of the last few.
-func (f *burnFuzz) begin() {
+func (f *burnFuzz) beginExchange() {
 	if len(f.tokens) == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 		addresses = append(addresses, vmAddress(id))
 	}
 	f.exchanges = append(f.exchanges, &exchange{Exchange: domains.NewExchange(f.now, k, addresses), key: k})
-	f.exchanges = f.exchanges[max(0, len(f.exchanges)-mostBurns):]
+	f.exchanges = f.exchanges[max(0, len(f.exchanges)-maxExchanges):]
 }
 
 // askNext sends the next request of an exchange, to its first VM or to the one after a
@@ -92,7 +92,7 @@
 
 // deliverRequest delivers a request to the process at its address, and may keep it to
 // deliver it again.
-func (f *burnFuzz) serve() {
+func (f *burnFuzz) deliverRequest() {
 	r, ok := f.draw("request", len(f.requests))
 	if !ok {
 		return
@@ -105,7 +105,7 @@
 		if v.self.Address == request.address && !v.paused {
 			// The call may end before f.call returns its number.
 			f.serving[f.number+1] = request.exchange
-			f.call(v, wishBurn, request.exchange.key.Epoch, request.exchange.key.Unique)
+			f.call(v, kindBurn, request.exchange.key.Epoch, request.exchange.key.Unique)
 		}
 	}
 	if f.pick("prompt", 2) == 0 {
@@ -114,7 +114,7 @@
 }
 
 // queueAnswer puts the answer to a burn request on the network.
-func (f *burnFuzz) answer(d Done) {
+func (f *burnFuzz) queueAnswer(d Done) {
 	x := f.serving[d.Waiter]
 	if x == nil || d.Failure != nil {
 		return
@@ -130,7 +130,7 @@
 }
 
 // deliverAnswer delivers an answer, and may keep it to deliver it again.
-func (f *burnFuzz) take() {
+func (f *burnFuzz) deliverAnswer() {
 	a, ok := f.draw("answer", len(f.answers))
 	if !ok {
 		return
@@ -139,22 +139,22 @@
 	if f.pick("again", 4) > 0 {
 		f.answers = slices.Delete(f.answers, a, a+1)
 	}
-	f.tell(answer.exchange, answer.response)
+	f.checkAnswer(answer.exchange, answer.response)
 }
 
 // misdeliver delivers an answer to any exchange.
 func (f *burnFuzz) misdeliver() {
 	a, ok := f.draw("answer", len(f.answers))
 	if ok {
-		f.tell(f.exchanges[f.pick("exchange", len(f.exchanges))], f.answers[a].response)
+		f.checkAnswer(f.exchanges[f.pick("exchange", len(f.exchanges))], f.answers[a].response)
 	}
 }
 
 // checkAnswer passes a response to an exchange and compares the answer that the other
 // failure domain gives its caller with the oracle: a key reported as not run has not
 // been granted and never will be.
-func (f *burnFuzz) tell(x *exchange, response *peerpb.BurnResponse) {
-	x.Take(response)
+func (f *burnFuzz) checkAnswer(x *exchange, response *peerpb.BurnResponse) {
+	x.HandleAnswer(response)
 	if x.Answer().GetState() != peerpb.KeyState_KEY_STATE_NOT_RUN {
 		return
 	}
@@ -163,7 +163,7 @@
 		f.t.Fatalf("key %s of %v reported as not run", x.key, owner)
 	}
 	f.oracle.notRun[h] = true
-	f.told++
+	f.notRunAnswers++
 }
 
 // draw picks one of n messages; false says that there is none.
@@ -175,7 +175,7 @@
 }
 
 // loseMessage loses one message.
-func drop[T any](f *fuzz, messages *[]T) {
+func loseMessage[T any](f *fuzz, messages *[]T) {
 	if n := len(*messages); n > 0 {
 		i := f.pick("lost", n)
 		*messages = slices.Delete(*messages, i, i+1)
@@ -183,7 +183,7 @@
 }
 
 // burnStep does one random action.
-func (f *burnFuzz) act() {
+func (f *burnFuzz) burnStep() {
 	total := 0
 	for _, a := range f.actions() {
 		total += a.weight
@@ -198,12 +198,12 @@
 }
 
 func newBurnFuzz(t *rapid.T) *burnFuzz {
-	f := &burnFuzz{fuzz: &fuzz{world: newWorld(), t: t, oracle: newOracle()}, serving: map[uint64]*exchange{}}
+	f := &burnFuzz{fuzz: &fuzz{testCluster: newCluster(), t: t, oracle: newOracle()}, serving: map[uint64]*exchange{}}
 	f.config = fuzzConfig
 	f.calm = rapid.Bool().Draw(t, "calm")
 	f.onDone = func(v *vm, d Done) {
-		f.oracle.see(t, v, f.calls[d.Waiter], d)
-		f.answer(d)
+		f.oracle.check(t, v, f.calls[d.Waiter], d)
+		f.queueAnswer(d)
 	}
 	for i := range rapid.IntRange(1, 3).Draw(t, "size") {
 		f.names = append(f.names, string(rune('a'+i)))
@@ -222,17 +222,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newBurnFuzz(t)
 		for range burnSteps {
-			f.act()
+			f.burnStep()
 		}
 		// Deliver the remaining answers, then claim all keys again.
 		for _, a := range f.answers {
-			f.tell(a.exchange, a.response)
+			f.checkAnswer(a.exchange, a.response)
 		}
 		f.groups = nil
 		f.settle(time.Second)
 		f.claimAgain(f.all)
 		f.settle(time.Second)
-		notRunAnswers += f.told
+		notRunAnswers += f.notRunAnswers
 	})
 	// Without such answers the test checks nothing.
 	must.Positive(t, notRunAnswers)
--- a/claim/duty.go
+++ b/claim/duty.go
@@ -71,10 +71,10 @@
 	onView   []func(View, bool)
 	onDigest []func(membership.Member, peerpb.Duty, []byte)
 
-	calls   map[uint64]*call
-	number  uint64
-	left    chan struct{}
-	stopped chan struct{}
+	calls          map[uint64]*call
+	lastCallNumber uint64
+	left           chan struct{}
+	stopped        chan struct{}
 }
 
 // event is work for the duty; do runs in its goroutine.
@@ -188,12 +188,12 @@
 // call starts a call in the duty's goroutine and waits for its end.
 func (d *Duty) call(ctx context.Context, k key.Key, start func(time.Duration, uint64, string, Hash)) (Result, error) {
 	if k.Domain != d.options.Domain {
-		return Result{}, refuse(api.KindWrongDomain, 0, "the key belongs to failure domain "+k.Domain+": submit it there")
+		return Result{}, newFailure(api.KindWrongDomain, 0, "the key belongs to failure domain "+k.Domain+": submit it there")
 	}
 	c := &call{token: k.Epoch, hash: HashKey(k), done: make(chan Done, 1)}
 	posted := d.events.Offer(event{do: func(now time.Duration) {
-		d.number++
-		c.number = d.number
+		d.lastCallNumber++
+		c.number = d.lastCallNumber
 		d.calls[c.number] = c
 		start(now, c.number, c.token, c.hash)
 	}})
@@ -328,7 +328,7 @@
 func (d *Duty) publishView(m *membership.State) {
 	old := d.view.Load()
 	same := old.ID == m.View().ID && old.Active == m.Active() && old.Opened == d.state.Opened() && old.Settled == m.Settled()
-	epoch := tokenWithHome(m.CurrentEpoch(), d.home())
+	epoch := tokenWithHome(m.CurrentEpoch(), d.homeForNewKeys())
 	if same && old.Epoch == epoch {
 		return
 	}
@@ -345,7 +345,7 @@
 // homeForNewKeys returns the tag of the home VM of new keys. That is this VM, because
 // claims of a caller that stays with its VM then need no messages. While the VM drains
 // it is another member.
-func (d *Duty) home() string {
+func (d *Duty) homeForNewKeys() string {
 	m := d.state.Membership()
 	if !d.draining.Load() {
 		return homeTag(m.Self())
--- a/claim/duty_peer.go
+++ b/claim/duty_peer.go
@@ -64,9 +64,9 @@
 	}
 	var replies [][]byte
 	if h.kind == peerpb.Duty_DUTY_MEMBERSHIP {
-		replies, membershipOut = split(replyTo, membershipOut)
+		replies, membershipOut = splitReplies(replyTo, membershipOut)
 	} else {
-		replies, claimOut = split(replyTo, claimOut)
+		replies, claimOut = splitReplies(replyTo, claimOut)
 	}
 	d.sendAll(peerpb.Duty_DUTY_MEMBERSHIP, membershipOut)
 	d.sendAll(peerpb.Duty_DUTY_CLAIM, claimOut)
@@ -74,7 +74,7 @@
 }
 
 // splitReplies separates the messages to the VM replyTo from the others.
-func split(replyTo string, out []membership.Outgoing) (replies [][]byte, others []membership.Outgoing) {
+func splitReplies(replyTo string, out []membership.Outgoing) (replies [][]byte, others []membership.Outgoing) {
 	for _, o := range out {
 		if o.To.ID == replyTo {
 			replies = append(replies, o.Body)
--- a/claim/duty_test.go
+++ b/claim/duty_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestDutiesShareAViewAndGrantKeysOnce(t *testing.T) {
+func TestDutiesShareViewAndGrantKeyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		duties, stop := startDuties(t, 3)
 		defer stop()
@@ -145,7 +145,7 @@
 }
 
 // A grant that arrives after its caller has stopped waiting goes to the next call.
-func TestGrantWithoutItsCallerIsReturned(t *testing.T) {
+func TestGrantOfGoneCallerGoesToNextCall(t *testing.T) {
 	d := NewDuty(Options{Domain: testDomain, Now: func() time.Duration { return 0 }, Membership: membership.Config{
 		Self: membership.Member{ID: "vm"}, Nonce: func() uint64 { return 1 },
 	}})
--- a/claim/guard_test.go
+++ b/claim/guard_test.go
@@ -43,10 +43,10 @@
 
 // claimAt claims a new key at v of which the VM registrar is the registrar. It returns
 // the call, the key and the request, which is not delivered.
-func (w *world) claimAt(v *vm, token, registrar string) (number uint64, unique string, request packet) {
+func (w *testCluster) claimAt(v *vm, token, registrar string) (number uint64, unique string, request packet) {
 	for i := 0; ; i++ {
 		unique = fmt.Sprint("at ", registrar, " ", i)
-		number = w.call(v, wishClaim, token, unique)
+		number = w.call(v, kindClaim, token, unique)
 		for _, p := range w.packets {
 			if claimMessage(p).GetRequest() != nil && p.address == vmAddress(registrar) {
 				w.packets = nil
@@ -58,14 +58,14 @@
 	}
 }
 
-func (w *world) cancel(v *vm, number uint64) { v.state.Cancel(number, w.calls[number].hash) }
+func (w *testCluster) cancel(v *vm, number uint64) { v.state.Cancel(number, w.calls[number].hash) }
 
 func hashOf(token, unique string) Hash {
 	return HashKey(key.Key{Domain: testDomain, Epoch: token, Unique: unique})
 }
 
 // promiseNext makes a VM promise a view that is never installed.
-func (w *world) promiseNext(t *testing.T, v *vm, proposer membership.Member) {
+func (w *testCluster) promiseNext(t *testing.T, v *vm, proposer membership.Member) {
 	view := v.state.Membership().View()
 	var members []*membershippb.Member
 	for _, m := range view.Members {
@@ -83,7 +83,7 @@
 }
 
 func TestPromisedMemberNeitherGrantsNorAcceptsGrants(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	a, b := w.vms["a"], w.vms["b"]
 	token := a.state.Membership().CurrentEpoch()
 
@@ -103,8 +103,8 @@
 	must.SliceEmpty(t, w.packets)
 }
 
-func TestMessagesOfAnEarlierViewCountForNothing(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestMessagesOfEarlierViewAreIgnored(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	a, b := w.vms["a"], w.vms["b"]
 	token := a.state.Membership().CurrentEpoch()
 	number, _, request := w.claimAt(b, token, "a")
@@ -128,7 +128,7 @@
 }
 
 func TestRegistrarAnswersMembersAboutListedEpochsOnly(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	a := w.vms["a"]
 	token := a.state.Membership().CurrentEpoch()
 	_, _, request := w.claimAt(w.vms["b"], token, "a")
@@ -148,7 +148,7 @@
 }
 
 func TestNothingIsGrantedInAClosedEpoch(t *testing.T) {
-	w := startWorld(t, "a", "b", "c", "d")
+	w := startCluster(t, "a", "b", "c", "d")
 	b := w.vms["b"]
 	token := b.state.Membership().CurrentEpoch()
 	must.True(t, w.claim(b, token, "known").Result.Granted)
@@ -173,8 +173,8 @@
 }
 
 // startUnsettled grants keys at b and lets d join without any records.
-func startUnsettled(t *testing.T, keys int) (w *world, token string) {
-	w = startWorld(t, "a", "b", "c")
+func startUnsettled(t *testing.T, keys int) (w *testCluster, token string) {
+	w = startCluster(t, "a", "b", "c")
 	token = w.vms["a"].state.Membership().CurrentEpoch()
 	for i := range keys {
 		must.True(t, w.claim(w.vms["b"], token, fmt.Sprint(i)).Result.Granted)
@@ -211,7 +211,7 @@
 		must.False(t, w.claim(w.vms["c"], token, unique).Result.Granted)
 		if d.state.ranking.registrar(noHome, hashOf(token, unique)).Same(d.self) {
 			undecided++
-			w.call(d, wishClaim, token, unique)
+			w.call(d, kindClaim, token, unique)
 			must.SliceEmpty(t, w.packets)
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 // records returns the number of records of all processes.
-func (w *world) records() int {
+func (w *testCluster) records() int {
 	total := 0
 	for _, v := range w.vms {
 		total += v.state.Records()
@@ -243,7 +243,7 @@
 }
 
 func TestRecordsStayUntilEveryMemberDroppedTheirEpoch(t *testing.T) {
-	w := newWorld()
+	w := newCluster()
 	w.config = membership.Config{EpochLength: 5 * time.Second, RetainedEpochs: 1}
 	for _, id := range []string{"a", "b", "c"} {
 		w.boot(id, "a", "b", "c")
@@ -272,8 +272,8 @@
 	must.Eq(t, 0, b.state.Records())
 }
 
-func TestReturningVMForgetsGrantsThatWereNotAccepted(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestRejoinedVMDropsUnacceptedGrants(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	a, b, c := w.vms["a"], w.vms["b"], w.vms["c"]
 	token := a.state.Membership().CurrentEpoch()
 	_, unique, request := w.claimAt(b, token, "a")
@@ -290,8 +290,8 @@
 	must.Eq(t, Result{Runner: c.self, State: Running}, w.claim(b, token, unique).Result)
 }
 
-func TestVMThatForgotAnEpochElsewhereClaimsNoKeysOfIt(t *testing.T) {
-	w := newWorld()
+func TestRejoinedVMClaimsNoKeysOfEpochThatItDropped(t *testing.T) {
+	w := newCluster()
 	ids := []string{"b", "c", "z"}
 	w.boot("b", ids...)
 	w.boot("c", ids...)
@@ -315,19 +315,19 @@
 	must.True(t, w.claim(z, z.state.Membership().CurrentEpoch(), "new").Result.Granted)
 }
 
-func TestGrantIsNotAcceptedAgainstTheOwnRecord(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestGrantIsNotAcceptedWhenOwnRecordNamesAnotherRunner(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	b, c := w.vms["b"], w.vms["c"]
 	token := b.state.Membership().CurrentEpoch()
 	number, unique, request := w.claimAt(b, token, "a")
-	b.state.records.put(token, hashOf(token, unique), record{runner: b.state.records.intern(c.self)})
+	b.state.records.put(token, hashOf(token, unique), record{runner: b.state.records.internRunner(c.self)})
 	w.deliver(request)
 	w.drain()
 	must.Eq(t, Result{Runner: c.self, State: Running}, b.ended[number].Result)
 }
 
-func TestKeyThatEndedIsNotReturned(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestReturnedKeyIsGrantedAgainUnlessItEnded(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	b := w.vms["b"]
 	token := b.state.Membership().CurrentEpoch()
 	must.True(t, w.claim(b, token, "ended").Result.Granted)
--- a/claim/home.go
+++ b/claim/home.go
@@ -21,7 +21,7 @@
 const tagBase = 36
 
 // maxTagLength is the length of the longest tag, a 64-bit number.
-const maxTag = 13
+const maxTagLength = 13
 
 // tokenWithHome returns the token that a VM gives to callers: an epoch's token with
 // the home VM's tag.
@@ -39,15 +39,15 @@
 	if strings.Count(token, "-") == 2 {
 		at := strings.LastIndexByte(token, '-')
 		epoch, home = token[:at], token[at+1:]
-		if !validTag(home) {
+		if !isValidTag(home) {
 			return "", "", false
 		}
 	}
 	return epoch, home, membership.ValidToken(epoch)
 }
 
-func validTag(tag string) bool {
-	if tag == "" || len(tag) > maxTag {
+func isValidTag(tag string) bool {
+	if tag == "" || len(tag) > maxTagLength {
 		return false
 	}
 	_, err := strconv.ParseUint(tag, tagBase, 64)
--- a/claim/home_test.go
+++ b/claim/home_test.go
@@ -13,8 +13,8 @@
 	return func(p packet) bool { return (p.from.ID == id) != (p.address == vmAddress(id)) }
 }
 
-func TestHomeThatWasOutKeepsItsGrants(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestRejoinedHomeKeepsItsGrants(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	b, c := w.vms["b"], w.vms["c"]
 	token := tokenWithHome(b.state.Membership().CurrentEpoch(), homeTag(b.self))
 	must.True(t, w.claim(c, token, "k").Result.Granted)
@@ -35,8 +35,8 @@
 
 // While z is cut off it drops an epoch in which it granted a key. The others keep the
 // epoch.
-func TestHomeGrantsNothingInAnEpochThatItForgotElsewhere(t *testing.T) {
-	w := newWorld()
+func TestRejoinedHomeGrantsNothingInEpochThatItDropped(t *testing.T) {
+	w := newCluster()
 	ids := []string{"b", "c", "z"}
 	w.boot("b", ids...)
 	c := w.boot("c", ids...)
--- a/claim/idle_test.go
+++ b/claim/idle_test.go
@@ -13,7 +13,7 @@
 
 // An exchange is one request and one response. So a message that is answered at once
 // accounts for half of the overhead.
-func TestControlOfAnIdleVMIsWithinItsBudget(t *testing.T) {
+func TestIdleVMControlTrafficStaysWithinBudget(t *testing.T) {
 	const (
 		vms     = 9
 		seconds = 120
@@ -23,7 +23,7 @@
 	for i := range vms {
 		ids = append(ids, fmt.Sprint("vm", i))
 	}
-	w := startWorld(t, ids...)
+	w := startCluster(t, ids...)
 	w.run(5 * time.Second)
 	sent := map[string]int{}
 	for end := w.now + seconds*time.Second; w.now < end; {
@@ -46,7 +46,7 @@
 func TestDeadVMIsReplacedWithinSeconds(t *testing.T) {
 	for _, dead := range []string{"a", "b", "c"} {
 		for phase := range 8 {
-			w := startWorld(t, "a", "b", "c")
+			w := startCluster(t, "a", "b", "c")
 			w.run(time.Duration(phase) * 250 * time.Millisecond)
 			delete(w.vms, dead)
 			died := w.now
@@ -58,7 +58,7 @@
 	}
 }
 
-func (w *world) isWithout(id string) bool {
+func (w *testCluster) isWithout(id string) bool {
 	for _, v := range w.vms {
 		m := v.state.Membership()
 		if _, ok := m.View().Member(id); ok || !m.Settled() {
@@ -70,7 +70,7 @@
 
 func TestSilentVMThatIsListedAsLeavingIsRemovedSooner(t *testing.T) {
 	removedAfter := func(leaving ...string) time.Duration {
-		w := startWorld(t, "a", "b", "c")
+		w := startCluster(t, "a", "b", "c")
 		for _, v := range w.vms {
 			v.state.Membership().SetListed(nil, leaving)
 		}
@@ -85,7 +85,7 @@
 }
 
 func TestViewLeaseEndsWhenAMemberIsSilent(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	w.run(5 * time.Second)
 	for _, v := range w.vms {
 		must.Greater(t, w.now+v.skew, v.state.Membership().LeaseEnd())
@@ -98,7 +98,7 @@
 }
 
 func TestDigestsReachAllMembers(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	w.vms["b"].state.Membership().SetDigest(3, []byte("load"))
 	w.run(5 * time.Second)
 	for _, id := range []string{"a", "c"} {
@@ -110,7 +110,7 @@
 }
 
 func TestTooManyRecordsRetireTheOldestEpochs(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	for _, v := range w.vms {
 		v.state.cfg.MaxRecords = 50
 	}
@@ -133,11 +133,11 @@
 }
 
 func TestBurnedKeyIsNeverGranted(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	token := w.vms["a"].state.Membership().CurrentEpoch()
 	for i := range 10 {
 		unique := fmt.Sprint(i)
-		must.Eq(t, Result{Granted: true, Runner: w.vms["b"].self, State: NotRun}, w.answer(w.vms["b"], wishBurn, token, unique).Result)
+		must.Eq(t, Result{Granted: true, Runner: w.vms["b"].self, State: NotRun}, w.answer(w.vms["b"], kindBurn, token, unique).Result)
 		must.Eq(t, Result{Runner: w.vms["b"].self, State: NotRun}, w.claim(w.vms["b"], token, unique).Result)
 		must.False(t, w.claim(w.vms["c"], token, unique).Result.Granted)
 	}
--- a/claim/leave_test.go
+++ b/claim/leave_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLeavingVMHandsOverOutcomes(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	token := w.vms["a"].state.Membership().CurrentEpoch()
 	leaver := w.vms["b"]
 	for i := range 30 {
@@ -34,7 +34,7 @@
 }
 
 // leave begins the planned stop of a VM.
-func (w *world) leave(id string) {
+func (w *testCluster) leave(id string) {
 	v := w.vms[id]
 	v.state.Membership().Leave(w.now + v.skew)
 	v.state.Sync(w.now + v.skew)
@@ -42,7 +42,7 @@
 }
 
 // removeLeft removes the processes that have left.
-func (w *world) removeLeft() {
+func (w *testCluster) removeLeft() {
 	for _, id := range w.ids() {
 		if w.vms[id].state.Membership().Left() {
 			delete(w.vms, id)
@@ -51,7 +51,7 @@
 }
 
 // runAndRemoveLeft lets time pass and removes processes as soon as they have left.
-func (w *world) runAndRemoveLeft(d time.Duration) {
+func (w *testCluster) runAndRemoveLeft(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.tick(testTick)
 		w.removeLeft()
@@ -65,10 +65,10 @@
 }
 
 // maxLeaveDuration is how long a planned stop may take when no VM dies.
-const leaveLongest = 500 * time.Millisecond
+const maxLeaveDuration = 500 * time.Millisecond
 
 // deliverNext delivers the next message. Without any it lets time pass.
-func (w *world) deliverNext() {
+func (w *testCluster) deliverNext() {
 	if len(w.packets) == 0 {
 		w.tick(testTick)
 		return
@@ -79,12 +79,12 @@
 }
 
 // changeSteps is more steps of deliverNext than a view change takes.
-const moments = 120
+const changeSteps = 120
 
 // The other VMs leave at every step of the view change that the first two leavers cause.
 func TestAllVMsLeaveTogether(t *testing.T) {
-	for step := range moments {
-		w := startWorld(t, "a", "b", "c", "d")
+	for step := range changeSteps {
+		w := startCluster(t, "a", "b", "c", "d")
 		w.leave("c")
 		w.leave("d")
 		for range step {
@@ -96,13 +96,13 @@
 				w.leave(id)
 			}
 		}
-		w.runAndRemoveLeft(leaveLongest)
+		w.runAndRemoveLeft(maxLeaveDuration)
 		must.MapEmpty(t, w.vms, must.Sprintf("after %d steps:\n%s", step, w.summary()))
 	}
 }
 
 // grantAndComplete lets a VM claim keys and completes them.
-func (w *world) runs(t *testing.T, id, token string, uniques ...string) {
+func (w *testCluster) grantAndComplete(t *testing.T, id, token string, uniques ...string) {
 	for _, unique := range uniques {
 		must.True(t, w.claim(w.vms[id], token, unique).Result.Granted)
 		h := HashKey(key.Key{Domain: testDomain, Epoch: token, Unique: unique})
@@ -111,19 +111,19 @@
 }
 
 // A second VM leaves at every step of the view change that the first leaver causes.
-func TestLeaversHandOverToThoseWhoStay(t *testing.T) {
-	for step := range moments {
-		w := startWorld(t, "a", "b", "c", "d")
+func TestLeaversHandOverToStayingVMs(t *testing.T) {
+	for step := range changeSteps {
+		w := startCluster(t, "a", "b", "c", "d")
 		token := w.vms["a"].state.Membership().CurrentEpoch()
-		w.runs(t, "a", token, "1", "2", "3", "4")
-		w.runs(t, "c", token, "5", "6", "7", "8")
+		w.grantAndComplete(t, "a", token, "1", "2", "3", "4")
+		w.grantAndComplete(t, "c", token, "5", "6", "7", "8")
 		w.leave("c")
 		for range step {
 			w.deliverNext()
 			w.removeLeft()
 		}
 		w.leave("a")
-		w.runAndRemoveLeft(leaveLongest)
+		w.runAndRemoveLeft(maxLeaveDuration)
 		must.Eq(t, []string{"b", "d"}, w.ids(), must.Sprintf("after %d steps:\n%s", step, w.summary()))
 		w.run(time.Second)
 		w.mustAgree(t, 2)
@@ -136,23 +136,23 @@
 
 // lossDetection is how long the detection of a lost VM and the view change that follows
 // may take during a planned stop.
-const lossNoticed = (membership.DefaultProbes+1)*membership.DefaultProbeInterval + leaveLongest
+const lossDetection = (membership.DefaultProbes+1)*membership.DefaultProbeInterval + maxLeaveDuration
 
 // A VM dies at every step of the view change that a leaver causes: the proposer, a
 // participant, or the only one that would have stayed.
-func TestLeaverIsNotHeldUpByLoss(t *testing.T) {
+func TestLeaverLeavesInTimeWhenVMDies(t *testing.T) {
 	for _, lost := range []string{"a", "c"} {
-		for step := range moments {
-			w := startWorld(t, "a", "b", "c")
+		for step := range changeSteps {
+			w := startCluster(t, "a", "b", "c")
 			token := w.vms["b"].state.Membership().CurrentEpoch()
-			w.runs(t, "b", token, "1", "2", "3", "4")
+			w.grantAndComplete(t, "b", token, "1", "2", "3", "4")
 			w.leave("b")
 			for range step {
 				w.deliverNext()
 				w.removeLeft()
 			}
 			delete(w.vms, lost)
-			w.runAndRemoveLeft(lossNoticed)
+			w.runAndRemoveLeft(lossDetection)
 			must.Nil(t, w.vms["b"], must.Sprintf("%s lost after %d steps:\n%s", lost, step, w.summary()))
 			w.run(4 * time.Second)
 			w.mustAgree(t, 1)
@@ -167,9 +167,9 @@
 
 // The proposer leaves and another VM dies at every step of the view change that a first
 // leaver causes.
-func TestLeavingProposerGoesOn(t *testing.T) {
-	for step := range moments {
-		w := startWorld(t, "a", "b", "c", "d")
+func TestLeavingProposerCompletesItsChange(t *testing.T) {
+	for step := range changeSteps {
+		w := startCluster(t, "a", "b", "c", "d")
 		w.leave("d")
 		for range step {
 			w.deliverNext()
@@ -177,22 +177,22 @@
 		}
 		delete(w.vms, "c")
 		w.leave("a")
-		w.runAndRemoveLeft(2 * lossNoticed)
+		w.runAndRemoveLeft(2 * lossDetection)
 		must.Eq(t, []string{"b"}, w.ids(), must.Sprintf("after %d steps:\n%s", step, w.summary()))
 	}
 }
 
 // The network loses all claim messages of a leaver for a while.
-func TestLeaverStaysUntilItsRecordsAreTaken(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+func TestLeaverStaysUntilItsRecordsAreAcknowledged(t *testing.T) {
+	w := startCluster(t, "a", "b", "c")
 	token := w.vms["b"].state.Membership().CurrentEpoch()
-	w.runs(t, "b", token, "1", "2", "3", "4")
+	w.grantAndComplete(t, "b", token, "1", "2", "3", "4")
 	w.loses = func(p packet) bool { return p.from.ID == "b" && p.duty == peerpb.Duty_DUTY_CLAIM }
 	w.leave("b")
-	w.runAndRemoveLeft(leaveLongest)
+	w.runAndRemoveLeft(maxLeaveDuration)
 	must.NotNil(t, w.vms["b"])
 	w.loses = nil
-	w.runAndRemoveLeft(leaveLongest)
+	w.runAndRemoveLeft(maxLeaveDuration)
 	must.Eq(t, []string{"a", "c"}, w.ids())
 	for i := range 4 {
 		must.Eq(t, Completed, w.claim(w.vms["c"], token, fmt.Sprint(i+1)).Result.State)
@@ -202,16 +202,16 @@
 // A claim arrives at every step of a planned stop. The callers' port closes last and
 // waits for such claims.
 func TestLeaverAnswersLateClaims(t *testing.T) {
-	for step := range moments {
-		w := startWorld(t, "a", "b", "c")
+	for step := range changeSteps {
+		w := startCluster(t, "a", "b", "c")
 		token := w.vms["b"].state.Membership().CurrentEpoch()
 		leaver := w.vms["b"]
 		w.leave("b")
 		for range step {
 			w.deliverNext()
 		}
-		number := w.call(leaver, wishClaim, token, "late")
-		w.run(leaveLongest)
+		number := w.call(leaver, kindClaim, token, "late")
+		w.run(maxLeaveDuration)
 		must.True(t, leaver.state.Membership().Left())
 		d, answered := leaver.ended[number]
 		must.True(t, answered, must.Sprintf("after %d steps:\n%s", step, w.summary()))
--- a/claim/ranking.go
+++ b/claim/ranking.go
@@ -15,9 +15,9 @@
 // ranking gives the registrar and the backup of each key in a view. Members are
 // ranked by rendezvous hash, so a change of the view moves few keys.
 type ranking struct {
-	members []membership.Member
-	first   [buckets]int8
-	second  [buckets]int8
+	members    []membership.Member
+	registrars [buckets]int8
+	backups    [buckets]int8
 	// homes are the members by tag.
 	homes map[string]membership.Member
 }
@@ -32,7 +32,7 @@
 		r.homes[homeTag(m)] = m
 	}
 	for b := range buckets {
-		r.first[b], r.second[b] = topTwo(strconv.Itoa(b), view.Members)
+		r.registrars[b], r.backups[b] = topTwo(strconv.Itoa(b), view.Members)
 	}
 	return r
 }
@@ -62,7 +62,7 @@
 	if m, ok := r.homes[home]; ok {
 		return m
 	}
-	return r.at(r.first[bucketOf(h)])
+	return r.memberAt(r.registrars[bucketOf(h)])
 }
 
 // hasHome reports whether the home VM of a key is a member.
@@ -72,9 +72,9 @@
 }
 
 // backup returns the second holder of a key when the registrar is the runner.
-func (r *ranking) backup(h Hash) membership.Member { return r.at(r.second[bucketOf(h)]) }
+func (r *ranking) backup(h Hash) membership.Member { return r.memberAt(r.backups[bucketOf(h)]) }
 
-func (r *ranking) at(i int8) membership.Member {
+func (r *ranking) memberAt(i int8) membership.Member {
 	if i == noMember {
 		return membership.Member{}
 	}
--- a/claim/record.go
+++ b/claim/record.go
@@ -13,11 +13,11 @@
 	outcome Outcome
 	// handedOut says that this process accepted the grant and gave it to a caller.
 	// Only then may the key have been started here.
-	handed bool
+	handedOut bool
 }
 
 // noRunner is the runner of a key for which the records of two processes disagree.
-const nobody = 0
+const noRunner = 0
 
 // records holds the records of known keys by epoch token and hash.
 type records struct {
@@ -77,9 +77,9 @@
 }
 
 // internRunner returns the position of a process in the table and adds it if needed.
-func (r *records) intern(m membership.Member) uint32 {
+func (r *records) internRunner(m membership.Member) uint32 {
 	if m.ID == "" {
-		return nobody
+		return noRunner
 	}
 	id := runnerID{m.ID, m.Incarnation}
 	if i, ok := r.indexes[id]; ok {
@@ -110,7 +110,7 @@
 
 // compactTables drops processes and home tags that no record names, once one of the
 // tables has atLeast entries.
-func (r *records) compactRunners(atLeast int) {
+func (r *records) compactTables(atLeast int) {
 	if len(r.runners) < atLeast && len(r.homes) < atLeast {
 		return
 	}
@@ -121,7 +121,7 @@
 	r.homeIndexes = map[string]uint32{noHome: 0}
 	for _, epoch := range r.epochs {
 		for h, rec := range epoch {
-			rec.runner = r.intern(old[rec.runner])
+			rec.runner = r.internRunner(old[rec.runner])
 			rec.home = r.internHome(oldHomes[rec.home])
 			epoch[h] = rec
 		}
--- a/claim/record_test.go
+++ b/claim/record_test.go
@@ -15,7 +15,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	r := newRecords()
-	runner := r.intern(membership.Member{ID: "vm"})
+	runner := r.internRunner(membership.Member{ID: "vm"})
 	for i := range n {
 		var h Hash
 		binary.LittleEndian.PutUint64(h[:], uint64(i)*0x9e3779b97f4a7c15)
@@ -35,15 +35,15 @@
 	}
 }
 
-func TestRunnersWithoutRecordsAreForgotten(t *testing.T) {
+func TestRunnersWithoutRecordsAreDropped(t *testing.T) {
 	r := newRecords()
 	for i := range uint64(10) {
-		runner := r.intern(membership.Member{ID: "vm", Incarnation: i + 1})
+		runner := r.internRunner(membership.Member{ID: "vm", Incarnation: i + 1})
 		r.put([]string{"old", "new"}[i/5], Hash{byte(i)}, record{runner: runner})
 	}
 	r.dropEpoch("old")
 	must.Eq(t, 5, r.count)
-	r.compactRunners(1)
+	r.compactTables(1)
 	must.SliceLen(t, 6, r.runners)
 	for i := range uint64(5) {
 		rec, ok := r.get("new", Hash{byte(i + 5)})
--- a/claim/request.go
+++ b/claim/request.go
@@ -11,18 +11,18 @@
 )
 
 // callKind says what a call asks for.
-type wish uint8
+type callKind uint8
 
 const (
-	wishClaim wish = iota
-	wishBurn
-	wishLookup
+	kindClaim callKind = iota
+	kindBurn
+	kindLookup
 )
 
 // waiter is a call of Claim, Burn or Lookup that has not ended.
 type waiter struct {
 	number   uint64
-	wish     wish
+	kind     callKind
 	deadline time.Duration
 }
 
@@ -44,24 +44,24 @@
 
 // wantsKey reports whether any waiting call is a claim or burn.
 func (p *pending) wantsKey() bool {
-	return slices.ContainsFunc(p.waiters, func(w waiter) bool { return w.wish != wishLookup })
+	return slices.ContainsFunc(p.waiters, func(w waiter) bool { return w.kind != kindLookup })
 }
 
 // Claim starts a call that asks for a key on behalf of a submission. TakeDone returns
 // its end.
 func (s *State) Claim(now time.Duration, number uint64, token string, h Hash) {
-	s.start(now, waiter{number: number, wish: wishClaim}, token, h)
+	s.startCall(now, waiter{number: number, kind: kindClaim}, token, h)
 }
 
 // Burn starts a call that permanently refuses a key that was not claimed before: it claims
 // the key with the outcome OutcomeNotRun.
 func (s *State) Burn(now time.Duration, number uint64, token string, h Hash) {
-	s.start(now, waiter{number: number, wish: wishBurn}, token, h)
+	s.startCall(now, waiter{number: number, kind: kindBurn}, token, h)
 }
 
 // Lookup starts a call that asks who has a key.
 func (s *State) Lookup(now time.Duration, number uint64, token string, h Hash) {
-	s.start(now, waiter{number: number, wish: wishLookup}, token, h)
+	s.startCall(now, waiter{number: number, kind: kindLookup}, token, h)
 }
 
 // Cancel removes a call; TakeDone will not return it.
@@ -81,8 +81,8 @@
 func (s *State) Return(token string, h Hash) {
 	epoch, _, _ := splitToken(token)
 	rec, ok := s.records.get(epoch, h)
-	if ok && rec.handed && rec.outcome == OutcomeNone && s.isSelf(rec) {
-		rec.handed = false
+	if ok && rec.handedOut && rec.outcome == OutcomeNone && s.isSelf(rec) {
+		rec.handedOut = false
 		s.records.put(epoch, h, rec)
 	}
 }
@@ -91,7 +91,7 @@
 func (s *State) SetOutcome(token string, h Hash, outcome Outcome) {
 	epoch, _, _ := splitToken(token)
 	rec, ok := s.records.get(epoch, h)
-	if ok && rec.handed && s.isSelf(rec) {
+	if ok && rec.handedOut && s.isSelf(rec) {
 		rec.outcome = outcome
 		s.records.put(epoch, h, rec)
 	}
@@ -99,15 +99,15 @@
 
 // startCall ends a call at once if this process has the key, else adds it to the
 // calls that wait for a decision on the key.
-func (s *State) start(now time.Duration, w waiter, token string, h Hash) {
+func (s *State) startCall(now time.Duration, w waiter, token string, h Hash) {
 	epoch, home, valid := splitToken(token)
 	if !valid {
-		s.finish(w.number, Done{Failure: failInvalid()})
+		s.endCall(w.number, Done{Failure: failInvalid()})
 		return
 	}
-	w.deadline = now + s.cfg.Wait
-	if rec, ok := s.records.get(epoch, h); ok && rec.handed && s.isSelf(rec) {
-		s.finish(w.number, Done{Result: s.result(rec)})
+	w.deadline = now + s.cfg.CallTimeout
+	if rec, ok := s.records.get(epoch, h); ok && rec.handedOut && s.isSelf(rec) {
+		s.endCall(w.number, Done{Result: s.resultOf(rec)})
 		return
 	}
 	p := s.pending[h]
@@ -116,39 +116,39 @@
 		s.pending[h] = p
 	}
 	p.waiters = append(p.waiters, w)
-	if p.to.ID == "" || p.lookup && w.wish != wishLookup {
+	if p.to.ID == "" || p.lookup && w.kind != kindLookup {
 		p.firstAt = now
-		s.ask(now, h, p)
+		s.decideOrAsk(now, h, p)
 	}
 }
 
 // decideOrAsk decides on a key here or sends a request to its registrar.
-func (s *State) ask(now time.Duration, h Hash, p *pending) {
+func (s *State) decideOrAsk(now time.Duration, h Hash, p *pending) {
 	p.to = membership.Member{}
 	p.askedAt = now
 	if s.m.Retired() {
-		s.end(h, p, Done{Failure: failStopped()})
+		s.endAll(h, p, Done{Failure: failStopped()})
 		return
 	}
 	if !s.m.Active() {
 		return
 	}
 	if _, ok := s.m.Epochs().Find(p.token); !ok {
-		s.end(h, p, Done{Failure: failExpired()})
+		s.endAll(h, p, Done{Failure: failExpired()})
 		return
 	}
 	p.lookup = !p.wantsKey()
-	if !p.lookup && s.barred[p.token] {
-		s.end(h, p, Done{Failure: failBarred()})
+	if !p.lookup && s.blocked[p.token] {
+		s.endAll(h, p, Done{Failure: failBlocked()})
 		return
 	}
 	if !p.lookup && s.isFull() {
-		s.end(h, p, Done{Failure: failFull()})
+		s.endAll(h, p, Done{Failure: failFull()})
 		return
 	}
 	registrar := s.ranking.registrar(p.home, h)
 	if registrar.Same(s.m.Self()) {
-		s.askSelf(h, p)
+		s.decideAsRegistrar(h, p)
 		return
 	}
 	s.sendRequest(registrar, h, p)
@@ -157,7 +157,7 @@
 // decideAsRegistrar decides on a key as its registrar. The backup must record a grant
 // to this process before it counts. That is not needed at the home VM of the key: no
 // other VM ever grants such a key.
-func (s *State) askSelf(h Hash, p *pending) {
+func (s *State) decideAsRegistrar(h Hash, p *pending) {
 	if !s.opened {
 		return
 	}
@@ -167,7 +167,7 @@
 		s.sendRequest(backup, h, p)
 		return
 	}
-	s.settle(h, p, verdict, rec)
+	s.resolve(h, p, verdict, rec)
 }
 
 func (s *State) sendRequest(to membership.Member, h Hash, p *pending) {
@@ -200,7 +200,7 @@
 		return claimpb.Verdict_VERDICT_GRANTED, rec
 	case !epoch.Open || s.homeIsGone(home):
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
-	case s.barred[token] && home != noHome:
+	case s.blocked[token] && home != noHome:
 		// This process is the home, and may have dropped the record of the key while it
 		// was in another view.
 		return claimpb.Verdict_VERDICT_CLOSED, record{}
@@ -209,7 +209,7 @@
 	case s.isFull():
 		return claimpb.Verdict_VERDICT_FULL, record{}
 	}
-	rec = record{runner: s.records.intern(runner), home: s.records.internHome(home)}
+	rec = record{runner: s.records.internRunner(runner), home: s.records.internHome(home)}
 	s.records.put(token, h, rec)
 	return claimpb.Verdict_VERDICT_GRANTED, rec
 }
@@ -256,65 +256,65 @@
 		return
 	}
 	rec := record{
-		runner:  s.records.intern(runnerFrom(a.GetRunner())),
+		runner:  s.records.internRunner(runnerFrom(a.GetRunner())),
 		outcome: Outcome(a.GetOutcome()),
 	}
-	s.settle(h, p, a.GetVerdict(), rec)
+	s.resolve(h, p, a.GetVerdict(), rec)
 }
 
 // resolve ends the calls that wait for a key according to the verdict.
-func (s *State) settle(h Hash, p *pending, verdict claimpb.Verdict, rec record) {
+func (s *State) resolve(h Hash, p *pending, verdict claimpb.Verdict, rec record) {
 	switch verdict {
 	case claimpb.Verdict_VERDICT_GRANTED:
-		s.accept(h, p)
+		s.acceptGrant(h, p)
 	case claimpb.Verdict_VERDICT_TAKEN:
-		s.end(h, p, s.taken(rec, p.lookup))
+		s.endAll(h, p, s.takenResult(rec, p.lookup))
 	case claimpb.Verdict_VERDICT_UNKNOWN:
-		s.end(h, p, Done{Result: Result{State: Unknown}})
+		s.endAll(h, p, Done{Result: Result{State: Unknown}})
 	case claimpb.Verdict_VERDICT_FULL:
-		s.end(h, p, Done{Failure: failFull()})
+		s.endAll(h, p, Done{Failure: failFull()})
 	case claimpb.Verdict_VERDICT_CLOSED:
-		s.end(h, p, Done{Failure: failClosed()})
+		s.endAll(h, p, Done{Failure: failClosed()})
 	case claimpb.Verdict_VERDICT_UNLISTED:
-		s.end(h, p, Done{Failure: failExpired()})
+		s.endAll(h, p, Done{Failure: failExpired()})
 	}
 }
 
 // acceptGrant records a grant as its second holder and gives it to the first claim or
 // burn that waits. The caller has checked that the grant belongs to the current view
 // and that this process takes part in it.
-func (s *State) accept(h Hash, p *pending) {
+func (s *State) acceptGrant(h Hash, p *pending) {
 	epoch, listed := s.m.Epochs().Find(p.token)
 	if !listed || !epoch.Open {
-		s.end(h, p, Done{Failure: failExpired()})
+		s.endAll(h, p, Done{Failure: failExpired()})
 		return
 	}
 	if known, ok := s.records.get(p.token, h); ok && !s.isSelf(known) {
-		s.end(h, p, s.taken(known, false))
+		s.endAll(h, p, s.takenResult(known, false))
 		return
 	}
-	rec := record{runner: s.records.intern(s.m.Self()), home: s.records.internHome(p.home), handed: true}
-	first := slices.IndexFunc(p.waiters, func(w waiter) bool { return w.wish != wishLookup })
+	rec := record{runner: s.records.internRunner(s.m.Self()), home: s.records.internHome(p.home), handedOut: true}
+	first := slices.IndexFunc(p.waiters, func(w waiter) bool { return w.kind != kindLookup })
 	if first < 0 {
 		return
 	}
 	winner := p.waiters[first]
 	p.waiters = slices.Delete(p.waiters, first, first+1)
-	if winner.wish == wishBurn {
+	if winner.kind == kindBurn {
 		rec.outcome = OutcomeNotRun
 	}
 	s.records.put(p.token, h, rec)
-	result := s.result(rec)
-	s.finish(winner.number, Done{Result: Result{Granted: true, Runner: result.Runner, State: result.State}})
-	s.end(h, p, Done{Result: result})
+	result := s.resultOf(rec)
+	s.endCall(winner.number, Done{Result: Result{Granted: true, Runner: result.Runner, State: result.State}})
+	s.endAll(h, p, Done{Result: result})
 }
 
 // takenResult returns the end of a call for a key that is taken. If the record names
 // this process but no call here got the key, an earlier view may have granted it.
 // Such a grant can't be confirmed.
-func (s *State) taken(rec record, lookup bool) Done {
+func (s *State) takenResult(rec record, lookup bool) Done {
 	if !s.isSelf(rec) || rec.outcome != OutcomeNone {
-		return Done{Result: s.result(rec)}
+		return Done{Result: s.resultOf(rec)}
 	}
 	if lookup {
 		return Done{Result: Result{State: Unknown}}
@@ -323,7 +323,7 @@
 }
 
 // resultOf returns the result for a recorded key that is not granted to the caller.
-func (s *State) result(rec record) Result {
+func (s *State) resultOf(rec record) Result {
 	runner := s.records.runner(rec)
 	r := Result{Runner: runner, State: Lost}
 	if state, ok := outcomeStates[rec.outcome]; ok {
@@ -337,16 +337,16 @@
 func (s *State) isSelf(rec record) bool { return s.records.runner(rec).Same(s.m.Self()) }
 
 // endAll ends all calls for a key with the same result.
-func (s *State) end(h Hash, p *pending, d Done) {
+func (s *State) endAll(h Hash, p *pending, d Done) {
 	for _, w := range p.waiters {
-		s.finish(w.number, d)
+		s.endCall(w.number, d)
 	}
 	p.waiters = nil
 	delete(s.pending, h)
 }
 
 // endCall queues the end of one call for TakeDone.
-func (s *State) finish(number uint64, d Done) {
+func (s *State) endCall(number uint64, d Done) {
 	d.Waiter = number
 	s.done = append(s.done, d)
 }
@@ -356,23 +356,23 @@
 func (s *State) tickPending(now time.Duration) {
 	for _, h := range s.pendingKeys() {
 		p := s.pending[h]
-		s.expire(now, h, p)
-		if s.pending[h] == nil || now-p.askedAt < s.cfg.Retry {
+		s.expireCalls(now, h, p)
+		if s.pending[h] == nil || now-p.askedAt < s.cfg.RetryInterval {
 			continue
 		}
 		if p.to.ID != "" && now-p.firstAt >= s.cfg.SuspectAfter {
 			s.m.Suspect(now, p.to.ID)
 		}
-		s.ask(now, h, p)
+		s.decideOrAsk(now, h, p)
 	}
 }
 
 // expireCalls ends the calls for a key whose deadline has passed.
-func (s *State) expire(now time.Duration, h Hash, p *pending) {
+func (s *State) expireCalls(now time.Duration, h Hash, p *pending) {
 	p.waiters = slices.DeleteFunc(p.waiters, func(w waiter) bool {
 		late := now >= w.deadline
 		if late {
-			s.finish(w.number, Done{Failure: failWait()})
+			s.endCall(w.number, Done{Failure: failTimeout()})
 		}
 		return late
 	})
@@ -387,7 +387,7 @@
 	for _, h := range s.pendingKeys() {
 		p := s.pending[h]
 		p.firstAt = now
-		s.ask(now, h, p)
+		s.decideOrAsk(now, h, p)
 	}
 }
 
--- a/claim/state.go
+++ b/claim/state.go
@@ -16,9 +16,9 @@
 	// retired early. No key is granted beyond MaxRecords plus a quarter.
 	MaxRecords int
 	// CallTimeout is how long a call waits for an answer, view changes included.
-	Wait time.Duration
+	CallTimeout time.Duration
 	// RetryInterval is the time between two requests for the same key.
-	Retry time.Duration
+	RetryInterval time.Duration
 	// SuspectAfter is how long a VM may leave a request unanswered before it is
 	// probed.
 	SuspectAfter time.Duration
@@ -26,17 +26,17 @@
 
 // Defaults of Config.
 const (
-	DefaultMaxRecords   = 1_000_000
-	DefaultWait         = 5 * time.Second
-	DefaultRetry        = 200 * time.Millisecond
-	DefaultSuspectAfter = time.Second
+	DefaultMaxRecords    = 1_000_000
+	DefaultCallTimeout   = 5 * time.Second
+	DefaultRetryInterval = 200 * time.Millisecond
+	DefaultSuspectAfter  = time.Second
 )
 
 const (
 	// transferRetryInterval is the time between repetitions of an unacknowledged chunk.
-	transferRetry = 50 * time.Millisecond
+	transferRetryInterval = 50 * time.Millisecond
 	// minCompactLength is the table length from which on unused entries are dropped.
-	runnersKept = 1024
+	minCompactLength = 1024
 )
 
 // Done is the end of a call of Claim, Burn or Lookup.
@@ -61,18 +61,18 @@
 	// purgedSequence is the epoch list by which records were last dropped.
 	// purgedMovedRecords says that the records which other members hold in the settled
 	// view were dropped.
-	purged        uint64
-	settledPurged bool
-	opened        bool
+	purgedSequence     uint64
+	purgedMovedRecords bool
+	opened             bool
 	// blocked are the open epochs of which this process may have dropped records.
-	barred map[string]bool
+	blocked map[string]bool
 	// listed holds the tokens of the epoch list listSeen, which Sync saw last.
 	listed   map[string]bool
 	listSeen listID
 
 	pending  map[Hash]*pending
-	outgoing map[string]*outgoing
-	incoming map[string]*incoming
+	outgoing map[string]*outgoingTransfer
+	incoming map[string]*incomingTransfer
 
 	out  []membership.Outgoing
 	done []Done
@@ -87,11 +87,11 @@
 	if cfg.MaxRecords == 0 {
 		cfg.MaxRecords = DefaultMaxRecords
 	}
-	if cfg.Wait == 0 {
-		cfg.Wait = DefaultWait
+	if cfg.CallTimeout == 0 {
+		cfg.CallTimeout = DefaultCallTimeout
 	}
-	if cfg.Retry == 0 {
-		cfg.Retry = DefaultRetry
+	if cfg.RetryInterval == 0 {
+		cfg.RetryInterval = DefaultRetryInterval
 	}
 	if cfg.SuspectAfter == 0 {
 		cfg.SuspectAfter = DefaultSuspectAfter
@@ -100,10 +100,10 @@
 		cfg:      cfg,
 		m:        m,
 		records:  newRecords(),
-		barred:   map[string]bool{},
+		blocked:  map[string]bool{},
 		pending:  map[Hash]*pending{},
-		outgoing: map[string]*outgoing{},
-		incoming: map[string]*incoming{},
+		outgoing: map[string]*outgoingTransfer{},
+		incoming: map[string]*incomingTransfer{},
 	}
 }
 
@@ -164,16 +164,16 @@
 	s.Sync(now)
 	s.tickTransfers(now)
 	s.tickPending(now)
-	s.tickBound(now)
+	s.tickRecordLimit(now)
 }
 
 // Sync follows changes of the membership state: it installs a new view and drops
 // records that this process need not hold any more.
 func (s *State) Sync(now time.Duration) {
 	if s.m.View().ID != s.view {
-		s.install(now)
+		s.installView(now)
 	}
-	s.noteList()
+	s.updateListed()
 	s.purgeEpochs()
 	s.purgeMoved()
 }
@@ -185,7 +185,7 @@
 }
 
 // updateListed remembers the tokens of the epoch list in use.
-func (s *State) noteList() {
+func (s *State) updateListed() {
 	id := listID{view: s.view, sequence: s.m.Epochs().Sequence}
 	if id == s.listSeen {
 		return
@@ -199,30 +199,30 @@
 
 // purgeEpochs drops the records of epochs that no member lists any more.
 func (s *State) purgeEpochs() {
-	if s.purged == s.m.CommittedSequence() || s.m.CommittedSequence() != s.m.Epochs().Sequence {
+	if s.purgedSequence == s.m.CommittedSequence() || s.m.CommittedSequence() != s.m.Epochs().Sequence {
 		return
 	}
-	s.purged = s.m.CommittedSequence()
+	s.purgedSequence = s.m.CommittedSequence()
 	for token := range s.records.epochs {
 		if _, ok := s.m.Epochs().Find(token); !ok {
 			s.records.dropEpoch(token)
 		}
 	}
-	s.records.compactRunners(runnersKept)
+	s.records.compactTables(minCompactLength)
 }
 
 // purgeMoved drops the records that other members hold, once every member has the
 // records that it must hold.
 func (s *State) purgeMoved() {
-	if s.settledPurged || !s.m.Settled() || !s.m.Active() {
+	if s.purgedMovedRecords || !s.m.Settled() || !s.m.Active() {
 		return
 	}
-	s.settledPurged = true
+	s.purgedMovedRecords = true
 	self := s.m.Self()
 	for token, epoch := range s.records.epochs {
 		for h, rec := range epoch {
 			holders := s.ranking.holders(s.records.home(rec), h, s.records.runner(rec))
-			if !holders[0].Same(self) && !holders[1].Same(self) && !rec.handed {
+			if !holders[0].Same(self) && !holders[1].Same(self) && !rec.handedOut {
 				s.records.remove(token, h)
 			}
 		}
@@ -231,7 +231,7 @@
 
 // tickRecordLimit asks for early retirement of the oldest epoch when there are too
 // many records.
-func (s *State) tickBound(now time.Duration) {
+func (s *State) tickRecordLimit(now time.Duration) {
 	var retire uint64
 	if list := s.m.Epochs(); s.records.count > s.cfg.MaxRecords && len(list.Epochs) > 0 {
 		retire = list.Epochs[0].Number
--- a/claim/state_fuzz_fault_test.go
+++ b/claim/state_fuzz_fault_test.go
@@ -52,7 +52,7 @@
 			f.packets = slices.Delete(f.packets, i, i+1)
 		}
 	}
-	f.delayed = f.delayed[max(0, len(f.delayed)-mostDelayed):]
+	f.delayed = f.delayed[max(0, len(f.delayed)-maxDelayed):]
 }
 
 func (f *fuzz) deliverDelayed() {
@@ -78,16 +78,16 @@
 	_, home, _ := splitToken(k.token)
 	holders := owner.state.ranking.holders(home, h, owner.self)
 	first := f.pick("first", 2)
-	f.lose1(holders[first].ID)
+	f.disturb(holders[first].ID)
 	for range f.pick("changes", 14) {
 		f.runToChange()
 	}
-	f.lose1(holders[1-first].ID)
+	f.disturb(holders[1-first].ID)
 	if f.pick("third", 3) == 0 {
 		for range f.pick("changes", 14) {
 			f.runToChange()
 		}
-		f.lose1(f.names[f.pick("vm", len(f.names))])
+		f.disturb(f.names[f.pick("vm", len(f.names))])
 	}
 	f.settle(time.Duration(1+f.pick("seconds", 3)) * time.Second)
 	f.claimAgain([]usedKey{k})
@@ -95,7 +95,7 @@
 }
 
 // disturb pauses, replaces, cuts off, stops or kills a process.
-func (f *fuzz) lose1(id string) {
+func (f *fuzz) disturb(id string) {
 	v := f.vms[id]
 	if v == nil || len(f.vms) == 1 {
 		return
--- a/claim/state_fuzz_test.go
+++ b/claim/state_fuzz_test.go
@@ -29,20 +29,20 @@
 }
 
 // check checks the end of a call.
-func (o *oracle) see(t *rapid.T, v *vm, call callInfo, d Done) {
+func (o *oracle) check(t *rapid.T, v *vm, call callInfo, d Done) {
 	if d.Failure != nil {
 		return
 	}
 	h := call.hash
 	owner, owned := o.owner[h]
 	switch {
-	case d.Result.Granted && call.wish == wishBurn:
+	case d.Result.Granted && call.kind == kindBurn:
 		if owned {
 			t.Fatalf("key %x of %v burned by %v", h[:4], owner, v.self)
 		}
 		o.notRun[h] = true
 	case d.Result.Granted:
-		o.grant(t, v, h)
+		o.recordGrant(t, v, h)
 	case d.Result.State == NotRun:
 		if owned && !o.notRun[h] {
 			t.Fatalf("key %x of %v reported as not run to %v", h[:4], owner, v.self)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (o *oracle) grant(t *rapid.T, v *vm, h Hash) {
+func (o *oracle) recordGrant(t *rapid.T, v *vm, h Hash) {
 	if owner, owned := o.owner[h]; owned {
 		t.Fatalf("key %x of %v granted to %v", h[:4], owner, v.self)
 	}
@@ -66,7 +66,7 @@
 
 // fuzz drives a test cluster by random actions.
 type fuzz struct {
-	*world
+	*testCluster
 	t      *rapid.T
 	oracle *oracle
 	names  []string
@@ -77,7 +77,7 @@
 	used []usedKey
 	all  []usedKey
 	// keyCount is the number of keys of the run.
-	fresh int
+	keyCount int
 	// groups are the sides of a partitioned network by address.
 	groups map[string]int
 	// delayed are messages that arrive late, often in another view.
@@ -97,20 +97,20 @@
 	fuzzUsed     = 12
 	fuzzTokens   = 4
 	fuzzHomes    = 6
-	mostPackets  = 400
-	mostDelayed  = 40
+	maxPackets   = 400
+	maxDelayed   = 40
 	settlingTime = 12 * time.Second
 )
 
 // fuzzConfig makes view changes quick, so that a run has many of them.
 var fuzzConfig = membership.Config{
-	Interval:        400 * time.Millisecond,
-	ProbeInterval:   100 * time.Millisecond,
-	Probes:          2,
-	StartWait:       800 * time.Millisecond,
-	ContactInterval: 2 * time.Second,
-	EpochLength:     10 * time.Second,
-	RetainedEpochs:  3,
+	HeartbeatInterval: 400 * time.Millisecond,
+	ProbeInterval:     100 * time.Millisecond,
+	Probes:            2,
+	StartWait:         800 * time.Millisecond,
+	ContactInterval:   2 * time.Second,
+	EpochLength:       10 * time.Second,
+	RetainedEpochs:    3,
 }
 
 func (f *fuzz) pick(what string, n int) int { return rapid.IntRange(0, n-1).Draw(f.t, what) }
@@ -121,7 +121,7 @@
 }
 
 func (f *fuzz) boot(id string) *vm {
-	v := f.world.boot(id, f.names...)
+	v := f.testCluster.boot(id, f.names...)
 	f.homes = append(f.homes, homeTag(v.self))
 	f.homes = f.homes[max(0, len(f.homes)-fuzzHomes):]
 	return v
@@ -137,8 +137,8 @@
 	return []action{
 		{20, f.deliverOne},
 		{20, func() { f.deliverMany(20) }},
-		{2, f.lose},
-		{2, f.duplicate},
+		{2, f.losePacket},
+		{2, f.duplicatePacket},
 		{4, f.delay},
 		{3, f.deliverDelayed},
 		{8, func() { f.tick(testTick) }},
@@ -161,7 +161,7 @@
 
 // step does one action.
 func (f *fuzz) step() {
-	f.noteTokens()
+	f.recordTokens()
 	f.removeLeft()
 	if !f.calm && f.pick("restart all", 1000) == 0 {
 		f.restartAll()
@@ -189,7 +189,7 @@
 	}
 }
 
-func (f *fuzz) noteTokens() {
+func (f *fuzz) recordTokens() {
 	for _, id := range f.ids() {
 		token := f.vms[id].state.Membership().CurrentEpoch()
 		if token != "" && !slices.Contains(f.tokens, token) {
@@ -215,7 +215,7 @@
 	}
 	f.packets = slices.Delete(f.packets, i, i+1)
 	if f.reaches(p) {
-		f.world.deliver(p)
+		f.testCluster.deliver(p)
 	}
 	return true
 }
@@ -232,17 +232,17 @@
 			i++
 		}
 	}
-	f.packets = f.packets[max(0, len(f.packets)-mostPackets):]
+	f.packets = f.packets[max(0, len(f.packets)-maxPackets):]
 }
 
-func (f *fuzz) lose() {
+func (f *fuzz) losePacket() {
 	if len(f.packets) > 0 {
 		i := f.pick("packet", len(f.packets))
 		f.packets = slices.Delete(f.packets, i, i+1)
 	}
 }
 
-func (f *fuzz) duplicate() {
+func (f *fuzz) duplicatePacket() {
 	if len(f.packets) > 0 {
 		f.packets = append(f.packets, f.packets[f.pick("packet", len(f.packets))])
 	}
@@ -260,7 +260,7 @@
 func (f *fuzz) claimAgain(keys []usedKey) {
 	for _, k := range keys {
 		if v := f.pickVM(); !v.paused {
-			f.call(v, wishClaim, k.token, k.unique)
+			f.call(v, kindClaim, k.token, k.unique)
 		}
 	}
 	f.deliverMany(200)
@@ -277,7 +277,7 @@
 		token = f.tokens[f.pick("token", len(f.tokens))]
 	}
 	k := f.pickKey(f.withHome(v, token))
-	kind := []wish{wishClaim, wishClaim, wishClaim, wishBurn, wishLookup}[f.pick("call kind", 5)]
+	kind := []callKind{kindClaim, kindClaim, kindClaim, kindBurn, kindLookup}[f.pick("call kind", 5)]
 	f.call(v, kind, k.token, k.unique)
 	if f.pick("prompt", 2) == 0 {
 		f.deliverMany(40)
@@ -300,8 +300,8 @@
 	if len(f.used) > 0 && f.pick("again", 3) > 0 {
 		return f.used[f.pick("used", len(f.used))]
 	}
-	f.fresh++
-	k := usedKey{token: token, unique: fmt.Sprint(f.fresh)}
+	f.keyCount++
+	k := usedKey{token: token, unique: fmt.Sprint(f.keyCount)}
 	f.used = append(f.used, k)
 	f.all = append(f.all, k)
 	f.used = f.used[max(0, len(f.used)-fuzzUsed):]
@@ -310,7 +310,7 @@
 
 // recoverAndCheck ends all faults, claims all keys again, and checks that new keys are
 // granted.
-func (f *fuzz) recover() {
+func (f *fuzz) recoverAndCheck() {
 	f.groups = nil
 	for _, id := range f.ids() {
 		v := f.vms[id]
@@ -324,28 +324,28 @@
 	f.claimAgain(f.all)
 	f.drain()
 	epoch := f.pickVM().state.Membership().CurrentEpoch()
-	f.grantsNew(epoch)
-	f.grantsNew(tokenWithHome(epoch, homeTag(f.pickVM().self)))
+	f.checkNewGrant(epoch)
+	f.checkNewGrant(tokenWithHome(epoch, homeTag(f.pickVM().self)))
 }
 
 // checkNewGrant checks that one VM is granted a new key and that all VMs see it running.
-func (f *fuzz) grantsNew(token string) {
+func (f *fuzz) checkNewGrant(token string) {
 	v := f.pickVM()
-	d := f.world.claim(v, token, "new")
+	d := f.testCluster.claim(v, token, "new")
 	must.True(f.t, d.Result.Granted, must.Sprint(d, f.summary()))
 	for _, id := range f.ids() {
-		d := f.world.claim(f.vms[id], token, "new")
+		d := f.testCluster.claim(f.vms[id], token, "new")
 		must.Eq(f.t, Result{Runner: v.self, State: Running}, d.Result)
 	}
 }
 
 // runFuzz starts a failure domain, runs random actions on it and ends all faults.
 func runFuzz(t *rapid.T) {
-	f := &fuzz{world: newWorld(), t: t, oracle: newOracle()}
+	f := &fuzz{testCluster: newCluster(), t: t, oracle: newOracle()}
 	f.config = fuzzConfig
 	f.config.EpochLength = []time.Duration{time.Second, 10 * time.Second}[rapid.IntRange(0, 1).Draw(t, "epoch length")]
 	f.calm = rapid.Bool().Draw(t, "calm")
-	f.onDone = func(v *vm, d Done) { f.oracle.see(t, v, f.calls[d.Waiter], d) }
+	f.onDone = func(v *vm, d Done) { f.oracle.check(t, v, f.calls[d.Waiter], d) }
 	size := rapid.IntRange(2, 5).Draw(t, "size")
 	for i := range size {
 		f.names = append(f.names, string(rune('a'+i)))
@@ -357,7 +357,7 @@
 	for range fuzzSteps {
 		f.step()
 	}
-	f.recover()
+	f.recoverAndCheck()
 }
 
 func TestFuzzKeysAreGrantedOnce(t *testing.T) { rapid.Check(t, runFuzz) }
--- a/claim/state_test.go
+++ b/claim/state_test.go
@@ -9,8 +9,8 @@
 )
 
 // startCluster boots VMs with each other as seeds and lets them form a view.
-func startWorld(t *testing.T, ids ...string) *world {
-	w := newWorld()
+func startCluster(t *testing.T, ids ...string) *testCluster {
+	w := newCluster()
 	for _, id := range ids {
 		w.boot(id, ids...)
 	}
@@ -20,7 +20,7 @@
 }
 
 // mustAgree checks that all processes share a settled view of size members.
-func (w *world) mustAgree(t must.T, size int) {
+func (w *testCluster) mustAgree(t must.T, size int) {
 	t.Helper()
 	view := w.vms[w.ids()[0]].state.Membership().View().ID
 	for _, v := range w.vms {
@@ -38,12 +38,12 @@
 		for i := range n {
 			ids = append(ids, fmt.Sprint("vm", i))
 		}
-		startWorld(t, ids...)
+		startCluster(t, ids...)
 	}
 }
 
 func TestKeyIsGrantedOnce(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	token := w.vms["a"].state.Membership().CurrentEpoch()
 	for i := range 50 {
 		unique := fmt.Sprint(i)
@@ -56,14 +56,14 @@
 		again := w.claim(w.vms["a"], token, unique)
 		must.False(t, again.Result.Granted)
 		must.Eq(t, Running, again.Result.State)
-		look := w.answer(w.vms["c"], wishLookup, token, unique)
+		look := w.answer(w.vms["c"], kindLookup, token, unique)
 		must.Eq(t, second.Result, look.Result)
-		must.Eq(t, Unknown, w.answer(w.vms["c"], wishLookup, token, "none"+unique).Result.State)
+		must.Eq(t, Unknown, w.answer(w.vms["c"], kindLookup, token, "none"+unique).Result.State)
 	}
 }
 
 func TestDeadVMIsRemovedAndItsKeysAreLost(t *testing.T) {
-	w := startWorld(t, "a", "b", "c")
+	w := startCluster(t, "a", "b", "c")
 	token := w.vms["a"].state.Membership().CurrentEpoch()
 	for i := range 20 {
 		must.True(t, w.claim(w.vms["b"], token, fmt.Sprint(i)).Result.Granted)
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -13,7 +13,7 @@
 const chunkRecords = 4096
 
 // outgoingTransfer holds the records that one receiver needs.
-type outgoing struct {
+type outgoingTransfer struct {
 	to    membership.Member
 	moves []move
 	// index is the chunk that the receiver has to acknowledge next.
@@ -24,7 +24,7 @@
 }
 
 // incomingTransfer counts the chunks of one sender.
-type incoming struct {
+type incomingTransfer struct {
 	// next is the index of the chunk that is stored next.
 	next    uint32
 	allDone bool
@@ -39,17 +39,17 @@
 
 // installView plans the transfers for the view that membership has just installed, and
 // asks again for all pending keys.
-func (s *State) install(now time.Duration) {
+func (s *State) installView(now time.Duration) {
 	view := s.m.View()
 	before := s.ranking
 	hadView := before != nil
 	s.view = view.ID
 	s.ranking = newRanking(view)
-	s.purged = 0
-	s.settledPurged = false
+	s.purgedSequence = 0
+	s.purgedMovedRecords = false
 	s.opened = false
-	if !s.m.Continuous() {
-		s.join(hadView)
+	if !s.m.CameFromParent() {
+		s.forgetOnJoin(hadView)
 		before = nil
 	}
 	if !view.ParentSettled {
@@ -57,7 +57,7 @@
 	}
 	s.planTransfers(view, before)
 	s.tickTransfers(now)
-	s.checkOpen(now)
+	s.openIfComplete(now)
 	s.resendPending(now)
 }
 
@@ -68,7 +68,7 @@
 //
 // This process may have dropped its records of an epoch that it did not list any more.
 // So it claims no keys of that epoch.
-func (s *State) join(hadView bool) {
+func (s *State) forgetOnJoin(hadView bool) {
 	if !hadView {
 		return
 	}
@@ -80,11 +80,11 @@
 			continue
 		}
 		s.forgetUnaccepted(token)
-		blocked[token] = s.barred[token] || !s.listed[token]
+		blocked[token] = s.blocked[token] || !s.listed[token]
 	}
 	// The newest epoch was created for this view, so no records of it have been dropped.
 	delete(blocked, epochs[len(epochs)-1].Token())
-	s.barred = blocked
+	s.blocked = blocked
 }
 
 // forgetUnaccepted drops an epoch's records of grants that no call here accepted and
@@ -92,7 +92,7 @@
 func (s *State) forgetUnaccepted(token string) {
 	own := homeTag(s.m.Self())
 	for h, rec := range s.records.epochs[token] {
-		if !rec.handed && s.records.home(rec) != own {
+		if !rec.handedOut && s.records.home(rec) != own {
 			s.records.remove(token, h)
 		}
 	}
@@ -101,17 +101,17 @@
 // planTransfers lists for each member the records that it must hold and may lack. It
 // expects a transfer from every other member and leaver.
 func (s *State) planTransfers(view *membership.View, before *ranking) {
-	s.outgoing = map[string]*outgoing{}
-	s.incoming = map[string]*incoming{}
+	s.outgoing = map[string]*outgoingTransfer{}
+	s.incoming = map[string]*incomingTransfer{}
 	self := s.m.Self()
 	for _, m := range view.Members {
 		if m.ID != self.ID {
-			s.outgoing[m.ID] = &outgoing{to: m}
+			s.outgoing[m.ID] = &outgoingTransfer{to: m}
 		}
 	}
 	for _, m := range slices.Concat(view.Members, view.Leavers) {
 		if m.ID != self.ID {
-			s.incoming[m.ID] = &incoming{}
+			s.incoming[m.ID] = &incomingTransfer{}
 		}
 	}
 	for _, token := range slices.Sorted(maps.Keys(s.records.epochs)) {
@@ -167,10 +167,10 @@
 
 // tickTransfers sends chunks for the first time or again when they are due.
 func (s *State) tickTransfers(now time.Duration) {
-	s.checkHandedOver()
+	s.finishHandOver()
 	for _, id := range slices.Sorted(maps.Keys(s.outgoing)) {
 		o := s.outgoing[id]
-		if o.allDone || o.sent && now-o.sentAt < transferRetry {
+		if o.allDone || o.sent && now-o.sentAt < transferRetryInterval {
 			continue
 		}
 		s.sendChunk(now, o)
@@ -178,7 +178,7 @@
 }
 
 // sendChunk sends the next chunk of a transfer, which may be empty.
-func (s *State) sendChunk(now time.Duration, o *outgoing) {
+func (s *State) sendChunk(now time.Duration, o *outgoingTransfer) {
 	o.sent = true
 	o.sentAt = now
 	moves := o.moves[min(len(o.moves), int(o.index)*chunkRecords):]
@@ -243,7 +243,7 @@
 		ViewNonce:  t.GetViewNonce(),
 		Index:      t.GetIndex(),
 	}}})
-	s.checkOpen(now)
+	s.openIfComplete(now)
 }
 
 // isCurrentSource reports whether a message belongs to the installed view and comes
@@ -276,7 +276,7 @@
 		token: t.GetEpochs()[epoch],
 		hash:  Hash(t.GetKeys()[i*hashBytes:]),
 		rec: record{
-			runner:  s.records.intern(runnerFrom(t.GetRunners()[runner])),
+			runner:  s.records.internRunner(runnerFrom(t.GetRunners()[runner])),
 			home:    s.records.internHome(t.GetHomes()[home]),
 			outcome: Outcome(t.GetOutcomes()[i]),
 		},
@@ -295,10 +295,10 @@
 	case known.runner == mv.rec.runner && known.outcome == OutcomeNone:
 		known.outcome = mv.rec.outcome
 		s.records.put(mv.token, mv.hash, known)
-	case known.runner != mv.rec.runner && !known.handed:
+	case known.runner != mv.rec.runner && !known.handedOut:
 		// Only views that existed side by side can disagree. Either runner may have
 		// started the key.
-		s.records.put(mv.token, mv.hash, record{runner: nobody, home: mv.rec.home})
+		s.records.put(mv.token, mv.hash, record{runner: noRunner, home: mv.rec.home})
 	}
 }
 
@@ -312,14 +312,14 @@
 	if int(o.index)*chunkRecords >= len(o.moves) {
 		o.allDone = true
 		o.moves = nil
-		s.checkHandedOver()
+		s.finishHandOver()
 		return
 	}
 	s.sendChunk(now, o)
 }
 
 // openIfComplete opens the view when every other member and leaver has sent its records.
-func (s *State) checkOpen(now time.Duration) {
+func (s *State) openIfComplete(now time.Duration) {
 	if s.opened {
 		return
 	}
@@ -329,20 +329,20 @@
 		}
 	}
 	s.opened = true
-	s.m.Opened(now)
+	s.m.MarkOpened(now)
 	s.resendPending(now)
 }
 
 // finishHandOver lets a leaver stop when every member that is not lost has its records.
 // The leaver also waits for a member that went to another view without them, so that the
 // hand-over fails visibly.
-func (s *State) checkHandedOver() {
+func (s *State) finishHandOver() {
 	for _, o := range s.outgoing {
 		if !o.allDone && !s.m.IsLost(o.to) {
 			return
 		}
 	}
-	s.m.HandedOver()
+	s.m.MarkHandedOver()
 }
 
 func runnerProto(m membership.Member) *claimpb.Runner {
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -29,7 +29,7 @@
 	testDomain = "hall-a"
 	testTick   = 50 * time.Millisecond
 	// maxDeliveries is more messages than any step can cause.
-	mostAnswers = 20_000
+	maxDeliveries = 20_000
 )
 
 // packet is a message on the network.
@@ -51,16 +51,16 @@
 }
 
 // testCluster connects processes by a simulated network. Time passes in tick only.
-type world struct {
-	now     time.Duration
-	config  membership.Config
-	nonce   uint64
-	vms     map[string]*vm
-	packets []packet
-	number  uint64
-	lastInc uint64
-	calls   map[uint64]callInfo
-	onDone  func(v *vm, d Done)
+type testCluster struct {
+	now             time.Duration
+	config          membership.Config
+	nonce           uint64
+	vms             map[string]*vm
+	packets         []packet
+	number          uint64
+	lastIncarnation uint64
+	calls           map[uint64]callInfo
+	onDone          func(v *vm, d Done)
 	// loses says which messages the network loses; nil loses none.
 	loses func(p packet) bool
 }
@@ -68,26 +68,26 @@
 type callInfo struct {
 	hash  Hash
 	token string
-	wish  wish
+	kind  callKind
 }
 
-func newWorld() *world {
-	return &world{vms: map[string]*vm{}, calls: map[uint64]callInfo{}}
+func newCluster() *testCluster {
+	return &testCluster{vms: map[string]*vm{}, calls: map[uint64]callInfo{}}
 }
 
 func vmAddress(id string) string { return "addr-" + id }
 
-func (w *world) nextNonce() uint64 {
+func (w *testCluster) nextNonce() uint64 {
 	w.nonce++
 	// Spread the bits, so that later nonces are not always larger.
 	return w.nonce * 0x9e3779b97f4a7c15
 }
 
 // boot starts a process on a VM; it replaces an earlier one.
-func (w *world) boot(id string, seeds ...string) *vm {
-	w.lastInc++
-	self := membership.Member{ID: id, Incarnation: w.lastInc, Address: vmAddress(id)}
-	v := &vm{self: self, ended: map[uint64]Done{}, skew: time.Duration(w.lastInc) * 7 * time.Second}
+func (w *testCluster) boot(id string, seeds ...string) *vm {
+	w.lastIncarnation++
+	self := membership.Member{ID: id, Incarnation: w.lastIncarnation, Address: vmAddress(id)}
+	v := &vm{self: self, ended: map[uint64]Done{}, skew: time.Duration(w.lastIncarnation) * 7 * time.Second}
 	cfg := w.config
 	cfg.Self = self
 	cfg.Nonce = w.nextNonce
@@ -100,10 +100,10 @@
 	return v
 }
 
-func (w *world) ids() []string { return slices.Sorted(maps.Keys(w.vms)) }
+func (w *testCluster) ids() []string { return slices.Sorted(maps.Keys(w.vms)) }
 
 // flush collects the ended calls and outgoing messages of a process.
-func (w *world) flush(v *vm) {
+func (w *testCluster) flush(v *vm) {
 	for _, d := range v.state.TakeDone() {
 		v.ended[d.Waiter] = d
 		if w.onDone != nil {
@@ -114,7 +114,7 @@
 	w.enqueue(v, peerpb.Duty_DUTY_CLAIM, v.state.TakeOutgoing())
 }
 
-func (w *world) enqueue(v *vm, duty peerpb.Duty, out []membership.Outgoing) {
+func (w *testCluster) enqueue(v *vm, duty peerpb.Duty, out []membership.Outgoing) {
 	for _, o := range out {
 		address := o.To.Address
 		if address == "" {
@@ -126,7 +126,7 @@
 
 // deliver passes a message to the process at the address, which may be a successor of
 // the intended one.
-func (w *world) deliver(p packet) {
+func (w *testCluster) deliver(p packet) {
 	if w.loses != nil && w.loses(p) {
 		return
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (w *world) tick(d time.Duration) {
+func (w *testCluster) tick(d time.Duration) {
 	w.now += d
 	for _, id := range w.ids() {
 		if v := w.vms[id]; !v.paused {
@@ -158,9 +158,9 @@
 
 // drain delivers all messages in order, also those that they cause. It panics when
 // messages answer each other endlessly.
-func (w *world) drain() {
+func (w *testCluster) drain() {
 	for n := 0; len(w.packets) > 0; n++ {
-		if n > mostAnswers {
+		if n > maxDeliveries {
 			panic("messages never end:\n" + w.summary())
 		}
 		p := w.packets[0]
@@ -170,7 +170,7 @@
 }
 
 // run lets time pass on a network without faults.
-func (w *world) run(d time.Duration) {
+func (w *testCluster) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.tick(testTick)
 		w.drain()
@@ -178,26 +178,28 @@
 }
 
 // call starts a call and returns its number.
-func (w *world) call(v *vm, kind wish, token, unique string) uint64 {
+func (w *testCluster) call(v *vm, kind callKind, token, unique string) uint64 {
 	w.number++
 	h := HashKey(key.Key{Domain: testDomain, Epoch: token, Unique: unique})
-	w.calls[w.number] = callInfo{hash: h, token: token, wish: kind}
-	v.state.start(w.now+v.skew, waiter{number: w.number, wish: kind}, token, h)
+	w.calls[w.number] = callInfo{hash: h, token: token, kind: kind}
+	v.state.startCall(w.now+v.skew, waiter{number: w.number, kind: kind}, token, h)
 	w.flush(v)
 	return w.number
 }
 
 // claim claims a key and lets the network answer the call.
-func (w *world) claim(v *vm, token, unique string) Done { return w.answer(v, wishClaim, token, unique) }
+func (w *testCluster) claim(v *vm, token, unique string) Done {
+	return w.answer(v, kindClaim, token, unique)
+}
 
 // answer starts a call, delivers all messages and returns the end of the call.
-func (w *world) answer(v *vm, kind wish, token, unique string) Done {
+func (w *testCluster) answer(v *vm, kind callKind, token, unique string) Done {
 	number := w.call(v, kind, token, unique)
 	w.drain()
 	return v.ended[number]
 }
 
-func (w *world) summary() string {
+func (w *testCluster) summary() string {
 	out := ""
 	for _, id := range w.ids() {
 		v := w.vms[id]
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -56,7 +56,7 @@
 		Slots:       t.Slots,
 		SlotsHeld:   t.Held,
 		SlotsFree:   t.Free,
-		Health:      health(t.Placement),
+		Health:      targetHealth(t.Placement),
 		Lease:       adminapi.LeaseNone,
 		LeaseLeftMS: t.LeaseLeft.Milliseconds(),
 	}
@@ -75,7 +75,7 @@
 }
 
 // targetHealth converts the use of a target to the admin port's health.
-func health(e placement.Explanation) adminapi.TargetHealth {
+func targetHealth(e placement.Explanation) adminapi.TargetHealth {
 	switch {
 	case e.Use == placement.UseLeaving:
 		return adminapi.TargetLeaving
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -40,11 +40,11 @@
 	}
 	self := peer.Sender{ID: s.VMID, Incarnation: d.incarnation}
 	d.peers = peer.New(peer.Options{Self: self, Scope: tel.Scope(), Header: tel.InjectHTTP})
-	d.outcomes = ring.New[notedOutcome](outcomesSize)
+	d.outcomes = ring.New[endedKey](outcomesSize)
 	d.droppedOutcomes = tel.Scope().Counter("outcomes_dropped")
 	d.viewChanged = make(chan struct{}, 1)
 	d.claims = d.newClaims()
-	d.claims.OnView(d.noteView)
+	d.claims.OnView(d.signalView)
 	d.claims.OnDigest(d.onDigest)
 	d.shared = d.newShared()
 	d.dispatch = d.newDispatch()
@@ -93,16 +93,16 @@
 		Admission: admission.New(admission.Config{
 			Domain:  d.settings.FailureDomain,
 			Domains: d.settings.FailureDomains,
-			Order:   order(d.settings.Dispatch.Order),
+			Order:   admissionOrder(d.settings.Dispatch.Order),
 		}),
 		Targets:  d.targets,
-		LogEvent: func(keyText string, e submission.Event) { d.service.Note(keyText, e) },
+		LogEvent: func(keyText string, e submission.Event) { d.service.AddEvent(keyText, e) },
 		Scope:    d.telemetry.Scope(),
 		Log:      d.log,
 	})
 }
 
-func order(o settings.Order) admission.Order {
+func admissionOrder(o settings.Order) admission.Order {
 	switch o {
 	case settings.OrderFIFO:
 		return admission.FIFO{}
--- a/daemon/capacity.go
+++ b/daemon/capacity.go
@@ -106,7 +106,7 @@
 }
 
 // signalView wakes followViews. It must not block.
-func (d *Daemon) noteView(claim.View, bool) {
+func (d *Daemon) signalView(claim.View, bool) {
 	select {
 	case d.viewChanged <- struct{}{}:
 	default:
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -21,16 +21,16 @@
 	m := d.settings.Membership
 	return claim.NewDuty(claim.Options{
 		Membership: membership.Config{
-			Self:           d.self(),
-			Seeds:          addressTexts(d.settings.Peers.Seeds),
-			EpochBase:      uint64(time.Now().Unix()),
-			Nonce:          rand.Uint64,
-			Interval:       m.HeartbeatInterval,
-			ProbeInterval:  m.ProbeTimeout,
-			ViewLease:      m.ViewLease,
-			Probes:         m.ProbeAttempts,
-			EpochLength:    m.EpochLength,
-			RetainedEpochs: m.RetainedEpochs,
+			Self:              d.self(),
+			Seeds:             addressTexts(d.settings.Peers.Seeds),
+			EpochBase:         uint64(time.Now().Unix()),
+			Nonce:             rand.Uint64,
+			HeartbeatInterval: m.HeartbeatInterval,
+			ProbeInterval:     m.ProbeTimeout,
+			ViewLease:         m.ViewLease,
+			Probes:            m.ProbeAttempts,
+			EpochLength:       m.EpochLength,
+			RetainedEpochs:    m.RetainedEpochs,
 		},
 		Claim:  claim.Config{MaxRecords: m.RecordLimit},
 		Domain: d.settings.FailureDomain,
@@ -83,13 +83,13 @@
 // SetOutcome implements submission.Claims. It never waits. If an outcome is dropped, a
 // later answer about its key says that the outcome is unknown.
 func (c submissionClaims) SetOutcome(k key.Key, run api.RunState) {
-	if !c.d.outcomes.Offer(notedOutcome{key: k, outcome: claimOutcome(run)}) {
+	if !c.d.outcomes.Offer(endedKey{key: k, outcome: claimOutcome(run)}) {
 		c.d.droppedOutcomes.Inc(1)
 	}
 }
 
 // endedKey says how a key that this VM ran ended.
-type notedOutcome struct {
+type endedKey struct {
 	key     key.Key
 	outcome claim.Outcome
 	// flushed, if set, is closed when all earlier outcomes are recorded. There is no key
@@ -100,7 +100,7 @@
 // flushOutcomes waits until the claim duty has recorded the outcomes of all ended keys.
 func (d *Daemon) flushOutcomes(ctx context.Context) {
 	flushed := make(chan struct{})
-	if !d.outcomes.Offer(notedOutcome{flushed: flushed}) {
+	if !d.outcomes.Offer(endedKey{flushed: flushed}) {
 		return
 	}
 	select {
@@ -110,7 +110,7 @@
 }
 
 // forwardOutcomes passes the outcomes of keys to the claim duty.
-func (d *Daemon) noteOutcomes(ctx context.Context) error {
+func (d *Daemon) forwardOutcomes(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -64,7 +64,7 @@
 	peers    *peer.Transport
 	claims   *claim.Duty
 	shared   *dispatch.Shared
-	outcomes *ring.Ring[notedOutcome]
+	outcomes *ring.Ring[endedKey]
 	// droppedOutcomes counts outcomes that the claim duty did not get.
 	droppedOutcomes tally.Counter
 	viewChanged     chan struct{}
@@ -140,7 +140,7 @@
 	g.Go(func() error { return d.domains.Run(duties) })
 	g.Go(func() error { return d.followViews(duties) })
 	g.Go(func() error { return d.spreadDigests(duties) })
-	g.Go(func() error { return d.noteOutcomes(duties) })
+	g.Go(func() error { return d.forwardOutcomes(duties) })
 	g.Go(func() error { return d.reportGauges(duties) })
 	servers := d.servers(l)
 	for _, server := range servers.all() {
--- a/daemon/events_test.go
+++ b/daemon/events_test.go
@@ -13,7 +13,7 @@
 )
 
 // Operators read the lines that the duties log at the admin port.
-func TestEventsAreTheLinesOfTheLog(t *testing.T) {
+func TestEventsAreTheLoggedLines(t *testing.T) {
 	d := &Daemon{settings: &settings.Settings{VMID: "vm-a", FailureDomain: "hall-a"}, telemetry: telemetry.Discard()}
 	log := d.telemetry.Log()
 	log.Debug("detail")
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -40,7 +40,7 @@
 }
 
 func (d *Daemon) reportHoldings(scope tally.Scope) {
-	bytes, dropped := d.service.Kept()
+	bytes, dropped := d.service.KeptAnswers()
 	scope.Gauge("claim_records").Update(float64(d.claims.Records()))
 	scope.Gauge("answer_bytes").Update(float64(bytes))
 	scope.Gauge("answers_dropped").Update(float64(dropped))
--- a/daemon/graceful.go
+++ b/daemon/graceful.go
@@ -33,7 +33,7 @@
 
 func newGracefulServer(l net.Listener, s *http.Server) *gracefulServer {
 	g := &gracefulServer{Server: s, listener: l, unused: map[net.Conn]bool{}}
-	s.ConnState = g.noteState
+	s.ConnState = g.trackState
 	return g
 }
 
@@ -47,7 +47,7 @@
 }
 
 // trackState keeps unused up to date.
-func (g *gracefulServer) noteState(c net.Conn, state http.ConnState) {
+func (g *gracefulServer) trackState(c net.Conn, state http.ConnState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if state != http.StateNew {
--- a/daemon/graceful_test.go
+++ b/daemon/graceful_test.go
@@ -71,7 +71,7 @@
 	return time.Since(began)
 }
 
-func TestUnusedConnectionDoesNotHoldUpTheStop(t *testing.T) {
+func TestUnusedConnectionDoesNotDelayShutdown(t *testing.T) {
 	for _, grace := range []time.Duration{0, unusedGrace} {
 		synctest.Test(t, func(t *testing.T) {
 			g, l := startServer()
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestStopWaitsForRequestInFlight(t *testing.T) {
+func TestShutdownWaitsForRequestInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, l := startServer()
 		client := l.dial()
@@ -103,7 +103,7 @@
 
 // A request arrives within the grace on a connection that was unused when the shutdown
 // began.
-func TestRequestWithinTheGraceIsAnswered(t *testing.T) {
+func TestRequestWithinGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, l := startServer()
 		client := l.dial()
--- a/domains/burn.go
+++ b/domains/burn.go
@@ -48,16 +48,16 @@
 			return
 		}
 		if err != nil {
-			d.silent(x.key.Domain, address)
+			d.markSilent(x.key.Domain, address)
 			continue
 		}
 		answered = true
-		x.Take(response)
+		x.HandleAnswer(response)
 	}
 	if asked && !answered {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.directory.Unreachable(d.options.Now(), x.key.Domain)
+		d.directory.MarkUnreachable(d.options.Now(), x.key.Domain)
 	}
 }
 
@@ -69,10 +69,10 @@
 	return d.options.Peers.Burn(ctx, address, &peerpb.BurnRequest{Key: k.String()})
 }
 
-func (d *Duty) silent(domain, address string) {
+func (d *Duty) markSilent(domain, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.directory.Silent(domain, address)
+	d.directory.MarkSilent(domain, address)
 }
 
 func (d *Duty) candidates(domain string) []string {
--- a/domains/burn_test.go
+++ b/domains/burn_test.go
@@ -22,16 +22,16 @@
 	return &peerpb.BurnResponse{Key: k.String(), State: state}
 }
 
-func TestExchangeTakesTheFirstClearAnswerOfItsKey(t *testing.T) {
+func TestExchangeUsesFirstClearAnswerForItsKey(t *testing.T) {
 	other := key.Key{Domain: "b", Epoch: "e", Unique: "other"}
 	x := NewExchange(0, testKey, []string{"1", "2", "3", "4"})
-	x.Take(nil)
-	x.Take(answer(other, notRun))
-	x.Take(answer(testKey, unclear))
-	x.Take(answer(testKey, 99))
+	x.HandleAnswer(nil)
+	x.HandleAnswer(answer(other, notRun))
+	x.HandleAnswer(answer(testKey, unclear))
+	x.HandleAnswer(answer(testKey, 99))
 	must.Eq(t, unclear, x.Answer().GetState())
-	x.Take(answer(testKey, peerpb.KeyState_KEY_STATE_RUNNING))
-	x.Take(answer(testKey, notRun))
+	x.HandleAnswer(answer(testKey, peerpb.KeyState_KEY_STATE_RUNNING))
+	x.HandleAnswer(answer(testKey, notRun))
 	must.Eq(t, peerpb.KeyState_KEY_STATE_RUNNING, x.Answer().GetState())
 	_, _, ok := x.Next(0)
 	must.False(t, ok)
@@ -71,7 +71,7 @@
 	return f.duty.Burn(t.Context(), testKey).GetState()
 }
 
-func TestBurnAsksTheNextVMAndRemembersSilentOnes(t *testing.T) {
+func TestBurnAsksNextVMAndThenPrefersItToSilentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakes("1", "2", "3")
 		f.fails["1"] = true
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestBurnOfASilentDomainEndsAndIsNotRepeatedAtOnce(t *testing.T) {
+func TestBurnInSilentDomainEndsAndIsNotRepeatedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakes("1", "2", "3")
 		begin := time.Now()
@@ -92,13 +92,13 @@
 		must.SliceLen(t, 3, f.asked)
 		must.Eq(t, unclear, f.burn(t))
 		must.SliceLen(t, 3, f.asked, must.Sprint("asked although it counts as unreachable"))
-		time.Sleep(DefaultTimes().CutOff)
+		time.Sleep(DefaultTimes().UnreachablePause)
 		f.answers["1"] = answer(testKey, notRun)
 		must.Eq(t, notRun, f.burn(t))
 	})
 }
 
-func TestBurnOfACallerThatWentBlamesNobody(t *testing.T) {
+func TestBurnOfGoneCallerMarksNoVMSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakes("1", "2")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestBurnsUnderWayAreBounded(t *testing.T) {
+func TestConcurrentBurnsAreBounded(t *testing.T) {
 	f := newFakes("1")
 	for range maxExchanges {
 		f.duty.slots <- struct{}{}
--- a/domains/directory.go
+++ b/domains/directory.go
@@ -27,24 +27,24 @@
 	Refresh time.Duration
 	// MinGap is the shortest time between two reads of any list. It doubles with each
 	// failed read, up to MaxGap.
-	Gap, GapMax time.Duration
+	MinGap, MaxGap time.Duration
 	// EarlyRefresh is the age at which a list is read again if one of its VMs was silent
 	// or it had none.
-	Early time.Duration
+	EarlyRefresh time.Duration
 	// UnreachablePause is how long a failure domain is not asked after none of its VMs
 	// answered.
-	CutOff time.Duration
+	UnreachablePause time.Duration
 }
 
 // DefaultTimes returns intervals that keep the reads of 23 lists far below the bound on
 // control work.
 func DefaultTimes() Times {
 	return Times{
-		Refresh: 10 * time.Minute,
-		Gap:     2 * time.Second,
-		GapMax:  time.Minute,
-		Early:   10 * time.Second,
-		CutOff:  5 * time.Second,
+		Refresh:          10 * time.Minute,
+		MinGap:           2 * time.Second,
+		MaxGap:           time.Minute,
+		EarlyRefresh:     10 * time.Second,
+		UnreachablePause: 5 * time.Second,
 	}
 }
 
@@ -54,8 +54,8 @@
 	vm    string
 	times Times
 	// domains are the other failure domains by name, names their order.
-	sites map[string]*site
-	names []string
+	domains map[string]*remoteDomain
+	names   []string
 	// reading says that a read is in progress.
 	reading  bool
 	nextRead time.Duration
@@ -63,7 +63,7 @@
 }
 
 // remoteDomain is the state of one other failure domain.
-type site struct {
+type remoteDomain struct {
 	// version is that of the newest list, readAt the time of the last attempt to read
 	// one. read says that one was read.
 	version uint64
@@ -75,20 +75,20 @@
 	// addresses are peer addresses in the order in which they are asked.
 	addresses []string
 	// unreachableUntil is when the failure domain is asked again.
-	cutUntil time.Duration
+	unreachableUntil time.Duration
 }
 
 // NewDirectory returns the directory of a VM. Domains are all failure domains, seeds are
 // peer addresses from the settings.
 func NewDirectory(vm, domain string, domains []string, seeds map[string][]string, times Times) *Directory {
-	d := &Directory{vm: vm, times: times, sites: map[string]*site{}}
+	d := &Directory{vm: vm, times: times, domains: map[string]*remoteDomain{}}
 	for _, name := range domains {
 		if name == domain {
 			continue
 		}
 		own := seeds[name]
 		own = slices.Clone(own[:min(len(own), MaxVMs)])
-		d.sites[name] = &site{seeds: own, addresses: slices.Clone(own)}
+		d.domains[name] = &remoteDomain{seeds: own, addresses: slices.Clone(own)}
 		d.names = append(d.names, name)
 	}
 	return d
@@ -101,8 +101,8 @@
 		return "", 0, false
 	}
 	for _, name := range d.names {
-		s := d.sites[name]
-		if s.isDue(now, d.times) && (!due || s.readAt < d.sites[domain].readAt) {
+		s := d.domains[name]
+		if s.isDue(now, d.times) && (!due || s.readAt < d.domains[domain].readAt) {
 			domain, since, due = name, s.version, true
 		}
 	}
@@ -111,21 +111,21 @@
 }
 
 // isDue reports whether the domain's list must be read.
-func (s *site) isDue(now time.Duration, times Times) bool {
+func (s *remoteDomain) isDue(now time.Duration, times Times) bool {
 	age := now - s.readAt
-	return !s.read || age >= times.Refresh || s.stale && age >= times.Early
+	return !s.read || age >= times.Refresh || s.stale && age >= times.EarlyRefresh
 }
 
 // ListRead records the list of a failure domain. A list that is not newer changes no
 // address, so that a delayed answer does not bring a removed VM back.
 func (d *Directory) ListRead(now time.Duration, domain string, list tableservice.List) {
-	d.reading, d.failures, d.nextRead = false, 0, now+d.times.Gap
-	s := d.sites[domain]
+	d.reading, d.failures, d.nextRead = false, 0, now+d.times.MinGap
+	s := d.domains[domain]
 	s.read, s.readAt = true, now
 	if list.Version > s.version {
 		s.version = list.Version
 		s.addresses = s.withSeeds(d.choose(domain, list.VMs))
-		s.cutUntil = 0
+		s.unreachableUntil = 0
 	}
 	// A failure domain that has just started may have no VM on its list yet.
 	s.stale = len(s.addresses) == 0
@@ -135,10 +135,10 @@
 func (d *Directory) ReadFailed(now time.Duration, domain string) {
 	d.reading = false
 	// Other lists, which may be readable, are tried first.
-	d.sites[domain].readAt = now
-	wait := d.times.Gap
+	d.domains[domain].readAt = now
+	wait := d.times.MinGap
 	for range d.failures {
-		wait = min(2*wait, d.times.GapMax)
+		wait = min(2*wait, d.times.MaxGap)
 	}
 	d.failures++
 	d.nextRead = now + wait
@@ -160,7 +160,7 @@
 }
 
 // withSeeds appends the addresses from the settings.
-func (s *site) withSeeds(addresses []string) []string {
+func (s *remoteDomain) withSeeds(addresses []string) []string {
 	for _, seed := range s.seeds {
 		if !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
@@ -172,16 +172,16 @@
 // Candidates returns the addresses to ask in a failure domain, in order. There are none
 // when the domain is not known or counts as unreachable.
 func (d *Directory) Candidates(now time.Duration, domain string) []string {
-	s := d.sites[domain]
-	if s == nil || now < s.cutUntil {
+	s := d.domains[domain]
+	if s == nil || now < s.unreachableUntil {
 		return nil
 	}
 	return slices.Clone(s.addresses)
 }
 
 // MarkSilent records that a VM did not answer. Others are asked before it from now on.
-func (d *Directory) Silent(domain, address string) {
-	s := d.sites[domain]
+func (d *Directory) MarkSilent(domain, address string) {
+	s := d.domains[domain]
 	if s == nil {
 		return
 	}
@@ -192,9 +192,9 @@
 }
 
 // MarkUnreachable records that none of the VMs that were asked answered.
-func (d *Directory) Unreachable(now time.Duration, domain string) {
-	if s := d.sites[domain]; s != nil {
-		s.cutUntil = now + d.times.CutOff
+func (d *Directory) MarkUnreachable(now time.Duration, domain string) {
+	if s := d.domains[domain]; s != nil {
+		s.unreachableUntil = now + d.times.UnreachablePause
 	}
 }
 
@@ -204,7 +204,7 @@
 	var all []string
 	for i := range 2 * MaxVMs {
 		for _, name := range d.names {
-			if addresses := d.sites[name].addresses; i < len(addresses) {
+			if addresses := d.domains[name].addresses; i < len(addresses) {
 				all = append(all, addresses[i])
 			}
 		}
--- a/domains/directory_test.go
+++ b/domains/directory_test.go
@@ -24,7 +24,7 @@
 	return NewDirectory("vm", "a", []string{"a", "b", "c", "d"}, seeds, DefaultTimes())
 }
 
-func TestDirectoryReadsEveryListThenRarely(t *testing.T) {
+func TestDirectoryReadsEveryListOncePerRefresh(t *testing.T) {
 	d := newDirectory(nil)
 	reads := map[string][]time.Duration{}
 	for now := time.Duration(0); now < time.Hour; now += tickInterval {
@@ -38,12 +38,12 @@
 	}
 	must.MapLen(t, 3, reads)
 	for domain, times := range reads {
-		must.LessEq(t, 3*DefaultTimes().Gap, times[0], must.Sprint(domain))
+		must.LessEq(t, 3*DefaultTimes().MinGap, times[0], must.Sprint(domain))
 		must.SliceLen(t, 6, times)
 	}
 }
 
-func TestDirectoryKeepsWhatItKnowsWithoutThePlatform(t *testing.T) {
+func TestDirectoryKeepsAddressesWhilePlatformIsDown(t *testing.T) {
 	d := newDirectory(map[string][]string{"c": {"seed"}, "a": {"own"}})
 	d.ListRead(0, "b", tableservice.List{Version: 5, VMs: entries("b", 2)})
 	reads := map[string]int{}
@@ -61,7 +61,7 @@
 	must.SliceEmpty(t, d.Candidates(time.Hour, "elsewhere"))
 }
 
-func TestDirectoryTakesFewLiveEntryVMs(t *testing.T) {
+func TestDirectoryKeepsFewLiveEntryVMs(t *testing.T) {
 	d := newDirectory(map[string][]string{"b": {"at-b1", "seed"}})
 	vms := entries("b", 2)
 	for i, change := range []func(*tableservice.VM){
@@ -92,7 +92,7 @@
 	return kept
 }
 
-func TestDirectorySpreadsTheLoad(t *testing.T) {
+func TestDirectoriesChooseDifferentVMs(t *testing.T) {
 	first := map[string]bool{}
 	for i := range 60 {
 		d := NewDirectory(fmt.Sprint("vm", i), "a", []string{"a", "b"}, nil, DefaultTimes())
@@ -102,35 +102,35 @@
 	must.MapLen(t, 9, first)
 }
 
-func TestDirectoryAsksOthersAfterSilence(t *testing.T) {
+func TestDirectoryAsksOtherVMsAfterSilence(t *testing.T) {
 	d := newDirectory(nil)
 	for _, domain := range []string{"b", "c", "d"} {
 		d.ListRead(0, domain, tableservice.List{Version: 1, VMs: entries(domain, 3)})
 	}
 	before := d.Candidates(0, "b")
-	d.Silent("b", before[0])
+	d.MarkSilent("b", before[0])
 	must.Eq(t, []string{before[1], before[2], before[0]}, d.Candidates(0, "b"))
-	_, _, due := d.Due(DefaultTimes().Early - 1)
+	_, _, due := d.Due(DefaultTimes().EarlyRefresh - 1)
 	must.False(t, due)
-	domain, _, due := d.Due(DefaultTimes().Early)
+	domain, _, due := d.Due(DefaultTimes().EarlyRefresh)
 	must.True(t, due)
 	must.Eq(t, "b", domain)
-	d.ReadFailed(DefaultTimes().Early, domain)
+	d.ReadFailed(DefaultTimes().EarlyRefresh, domain)
 
-	d.Unreachable(time.Minute, "b")
-	must.SliceEmpty(t, d.Candidates(time.Minute+DefaultTimes().CutOff-1, "b"))
-	must.SliceLen(t, 3, d.Candidates(time.Minute+DefaultTimes().CutOff, "b"))
+	d.MarkUnreachable(time.Minute, "b")
+	must.SliceEmpty(t, d.Candidates(time.Minute+DefaultTimes().UnreachablePause-1, "b"))
+	must.SliceLen(t, 3, d.Candidates(time.Minute+DefaultTimes().UnreachablePause, "b"))
 	must.SliceLen(t, 3, d.Candidates(time.Minute, "c"))
 	must.SliceLen(t, 9, d.Addresses())
 	must.Eq(t, d.Candidates(time.Minute, "c")[0], d.Addresses()[1])
 }
 
-func TestDirectoryReadsAnEmptyListAgainSoon(t *testing.T) {
+func TestDirectoryReadsEmptyListAgainEarly(t *testing.T) {
 	d := newDirectory(nil)
 	for _, domain := range []string{"b", "c", "d"} {
 		d.ListRead(0, domain, tableservice.List{Version: 1, VMs: entries(domain, min(1, int(domain[0]-'b')))})
 	}
-	domain, _, due := d.Due(DefaultTimes().Early)
+	domain, _, due := d.Due(DefaultTimes().EarlyRefresh)
 	must.True(t, due)
 	must.Eq(t, "b", domain)
 }
@@ -147,18 +147,18 @@
 				addresses := d.Candidates(now, domain)
 				must.LessEq(t, 2*MaxVMs, len(addresses))
 				if len(addresses) > 0 && rapid.Bool().Draw(t, "silent") {
-					d.Silent(domain, addresses[0])
+					d.MarkSilent(domain, addresses[0])
 					must.SliceContainsAll(t, addresses, d.Candidates(now, domain))
 				}
 				if rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
-					d.Unreachable(now, domain)
+					d.MarkUnreachable(now, domain)
 				}
 			}
 			domain, _, due := d.Due(now)
 			if !due {
 				continue
 			}
-			must.GreaterEq(t, DefaultTimes().Gap, now-last)
+			must.GreaterEq(t, DefaultTimes().MinGap, now-last)
 			last = now
 			if rapid.Bool().Draw(t, "fails") {
 				d.ReadFailed(now, domain)
--- a/domains/duty.go
+++ b/domains/duty.go
@@ -47,7 +47,7 @@
 	mu        sync.Mutex
 	directory *Directory
 	// readFails says that the last read failed, so that only changes are logged.
-	down bool
+	readFails bool
 
 	reads, failed, exchanges, unclear tally.Counter
 }
@@ -112,13 +112,13 @@
 	} else {
 		d.directory.ListRead(d.options.Now(), domain, list)
 	}
-	d.note(err)
+	d.logChange(err)
 }
 
 // logChange logs when reading the lists begins to fail and when it works again.
-func (d *Duty) note(err error) {
-	if down := err != nil; down != d.down {
-		d.down = down
+func (d *Duty) logChange(err error) {
+	if down := err != nil; down != d.readFails {
+		d.readFails = down
 		if down {
 			d.options.Log.Warn("the VM lists of other failure domains can't be read, what is known stays in use", "error", err)
 			return
--- a/domains/duty_test.go
+++ b/domains/duty_test.go
@@ -17,12 +17,12 @@
 // fakes is the platform and the VMs of failure domain "b". A VM without an answer does
 // not reply until the context ends.
 type fakes struct {
-	duty    *Duty
-	down    bool
-	asked   []string
-	answers map[string]*peerpb.BurnResponse
-	fails   map[string]bool
-	known   [][]string
+	duty              *Duty
+	down              bool
+	asked             []string
+	answers           map[string]*peerpb.BurnResponse
+	fails             map[string]bool
+	reportedAddresses [][]string
 }
 
 func newFakes(seeds ...string) *fakes {
@@ -33,7 +33,7 @@
 		Source:      f,
 		Peers:       f,
 		Now:         func() time.Duration { return time.Since(start) },
-		OnAddresses: func(addresses []string) { f.known = append(f.known, slices.Clone(addresses)) },
+		OnAddresses: func(addresses []string) { f.reportedAddresses = append(f.reportedAddresses, slices.Clone(addresses)) },
 		Log:         slog.New(slog.DiscardHandler),
 	})
 	return f
@@ -48,7 +48,7 @@
 	return tableservice.List{Version: 1, VMs: entries(domain, 1)}, nil
 }
 
-func TestRunTellsAddressesAndKeepsThem(t *testing.T) {
+func TestRunReportsAddressesAndKeepsThemWhilePlatformIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakes("seed")
 		ctx, cancel := context.WithCancel(t.Context())
@@ -62,8 +62,8 @@
 		time.Sleep(time.Hour)
 		cancel()
 		<-done
-		must.Eq(t, []string{"seed"}, f.known[0])
-		must.Eq(t, []string{"at-b0", "at-c0", "at-d0", "seed"}, f.known[len(f.known)-1])
-		must.True(t, f.duty.down)
+		must.Eq(t, []string{"seed"}, f.reportedAddresses[0])
+		must.Eq(t, []string{"at-b0", "at-c0", "at-d0", "seed"}, f.reportedAddresses[len(f.reportedAddresses)-1])
+		must.True(t, f.duty.readFails)
 	})
 }
--- a/domains/exchange.go
+++ b/domains/exchange.go
@@ -48,7 +48,7 @@
 // HandleAnswer handles a VM's answer. The first clear answer for the key counts; an
 // unclear one, or one for another key, is ignored. A VM that has not answered may still
 // burn the key. That does not contradict an answer that the key was not run.
-func (x *Exchange) Take(r *peerpb.BurnResponse) {
+func (x *Exchange) HandleAnswer(r *peerpb.BurnResponse) {
 	if x.answer == nil && r.GetKey() == x.key.String() && isClear(r.GetState()) {
 		x.answer = r
 	}
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -35,7 +35,7 @@
 	Submit(ctx context.Context, s *submission.Submission) *submission.Outcome
 	Start(s *submission.Submission) *submission.Outcome
 	Ask(ctx context.Context, k key.Key, ask submission.Ask) submission.Reply
-	Foreign(ctx context.Context, k key.Key) *submission.Outcome
+	AskForeign(ctx context.Context, k key.Key) *submission.Outcome
 	SubmitForeign(ctx context.Context, k key.Key) *submission.Outcome
 }
 
@@ -265,7 +265,7 @@
 			return
 		}
 		if k.Domain != s.options.Domain {
-			s.write(w, s.options.Service.Foreign(r.Context(), k))
+			s.write(w, s.options.Service.AskForeign(r.Context(), k))
 			return
 		}
 		reply := s.options.Service.Ask(r.Context(), k, ask)
--- a/frontend/frontend_test.go
+++ b/frontend/frontend_test.go
@@ -50,7 +50,7 @@
 	return f.reply
 }
 
-func (f *fakeService) Foreign(_ context.Context, k key.Key) *submission.Outcome {
+func (f *fakeService) AskForeign(_ context.Context, k key.Key) *submission.Outcome {
 	return submission.Refused(&api.Failure{Kind: api.KindWrongDomain, Message: "elsewhere", Run: api.OutcomeUnknown, Key: k.String()})
 }
 
@@ -93,9 +93,9 @@
 	return body.Error
 }
 
-const good = `{"key":"a.e.k","profile":"p","tasks":[{"payload":1}]}`
+const validBody = `{"key":"a.e.k","profile":"p","tasks":[{"payload":1}]}`
 
-func TestRefusals(t *testing.T) {
+func TestMalformedSubmissionsAreRefused(t *testing.T) {
 	with := func(more string) string { return `{"key":"a.e.k","profile":"p",` + more + `}` }
 	for name, c := range map[string]struct {
 		body string
@@ -103,12 +103,12 @@
 		says string
 	}{
 		"no JSON":            {`{"key":`, api.KindMalformed, "not a JSON"},
-		"more than one":      {good + good, api.KindMalformed, "not a JSON"},
+		"more than one":      {validBody + validBody, api.KindMalformed, "not a JSON"},
 		"body too large":     {with(`"tasks":[{"payload":"` + strings.Repeat("x", 1000) + `"}]`), api.KindTooLarge, "1000 bytes"},
 		"too many tasks":     {with(`"tasks":[{"payload":1},{"payload":1},{"payload":1},{"payload":1}]`), api.KindTooLarge, "at most 3"},
 		"no key":             {`{"profile":"p","tasks":[{"payload":1}]}`, api.KindInvalidKey, "three parts"},
-		"bad key":            {strings.Replace(good, "a.e.k", "a.e.k/", 1), api.KindInvalidKey, "unique part"},
-		"other domain":       {strings.Replace(good, "a.e.k", "b.e.k", 1), api.KindWrongDomain, ""},
+		"bad key":            {strings.Replace(validBody, "a.e.k", "a.e.k/", 1), api.KindInvalidKey, "unique part"},
+		"other domain":       {strings.Replace(validBody, "a.e.k", "b.e.k", 1), api.KindWrongDomain, ""},
 		"no profile":         {`{"key":"a.e.k","tasks":[{"payload":1}]}`, api.KindMalformed, "profile"},
 		"no tasks":           {with(`"tasks":[]`), api.KindMalformed, "no tasks"},
 		"no payload":         {with(`"tasks":[{"payload":1},{}]`), api.KindMalformed, "task 1 has no payload"},
@@ -131,8 +131,8 @@
 
 // A caller sends a part of the body. An earlier attempt may have arrived completely, so
 // "not run" may be wrong.
-func TestBrokenBody(t *testing.T) {
-	e := failureOf(t, sendAndClose(t, len(good)+1))
+func TestTruncatedBodyLeavesOutcomeUnknown(t *testing.T) {
+	e := failureOf(t, sendAndClose(t, len(validBody)+1))
 	must.Eq(t, api.KindUnavailable, e.Kind)
 	must.Eq(t, api.OutcomeUnknown, e.Run)
 }
@@ -146,7 +146,7 @@
 	c, err := net.Dial("tcp", server.Listener.Addr().String())
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	_, err = fmt.Fprintf(c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", length, good)
+	_, err = fmt.Fprintf(c, "POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", length, validBody)
 	must.NoError(t, err)
 	must.NoError(t, c.(*net.TCPConn).CloseWrite())
 	r, _ := http.ReadResponse(bufio.NewReader(c), nil)
@@ -155,15 +155,15 @@
 
 // A submission ends without outcome: its caller has closed its sending side but still
 // reads.
-func TestNoOutcomeIsNoAnswer(t *testing.T) {
-	must.Nil(t, sendAndClose(t, len(good)))
+func TestNoOutcomeClosesConnectionWithoutResponse(t *testing.T) {
+	must.Nil(t, sendAndClose(t, len(validBody)))
 }
 
-func TestAnswer(t *testing.T) {
+func TestAnswerIsSentWholeWithLength(t *testing.T) {
 	f := &fakeService{reply: submission.Reply{Outcome: answered}}
 	server := httptest.NewServer(newServer(f, nil).Handler())
 	defer server.Close()
-	r, err := http.Post(server.URL+"/v1/submissions", "application/json", strings.NewReader(good))
+	r, err := http.Post(server.URL+"/v1/submissions", "application/json", strings.NewReader(validBody))
 	must.NoError(t, err)
 	body, err := io.ReadAll(r.Body)
 	must.NoError(t, err)
@@ -175,20 +175,20 @@
 	must.False(t, f.started)
 }
 
-func TestStartWithoutWait(t *testing.T) {
+func TestSubmitWithoutWaitIsAccepted(t *testing.T) {
 	f := &fakeService{}
 	h := newServer(f, nil).Handler()
-	r := do(h, "POST", "/v1/submissions?wait=false", good)
+	r := do(h, "POST", "/v1/submissions?wait=false", validBody)
 	var status api.Status
 	must.NoError(t, json.NewDecoder(r.Body).Decode(&status))
 	must.Eq(t, 202, r.StatusCode)
 	must.Eq(t, api.Status{Key: "a.e.k", State: "accepted", Runner: "vm1", Tasks: 1}, status)
 	must.True(t, f.started)
 	f.reply.Outcome = submission.Refused(&api.Failure{Kind: api.KindKeyConflict, Message: "used"})
-	must.Eq(t, api.KindKeyConflict, failureOf(t, do(h, "POST", "/v1/submissions?wait=false", good)).Kind)
+	must.Eq(t, api.KindKeyConflict, failureOf(t, do(h, "POST", "/v1/submissions?wait=false", validBody)).Kind)
 }
 
-func TestAsks(t *testing.T) {
+func TestQuestionsReachServiceForOwnKeysOnly(t *testing.T) {
 	f := &fakeService{reply: submission.Reply{Status: &api.Status{Key: "a.e.k", State: "queued"}}}
 	h := newServer(f, nil).Handler()
 	for _, c := range []struct {
@@ -216,18 +216,18 @@
 func TestRetryAfterIsRoundedUp(t *testing.T) {
 	for ms, seconds := range map[int64]string{0: "", 1: "1", 999: "1", 1000: "1", 1001: "2", 2500: "3"} {
 		o := submission.Refused(&api.Failure{Kind: api.KindOverloaded, RetryAfterMS: ms})
-		r := do(newServer(&fakeService{reply: submission.Reply{Outcome: o}}, nil).Handler(), "POST", "/v1/submissions", good)
+		r := do(newServer(&fakeService{reply: submission.Reply{Outcome: o}}, nil).Handler(), "POST", "/v1/submissions", validBody)
 		must.Eq(t, seconds, r.Header.Get("Retry-After"), must.Sprint(ms))
 	}
 }
 
-func TestTooManyInFlight(t *testing.T) {
+func TestTooManyInFlightAreRefused(t *testing.T) {
 	f := &fakeService{reply: submission.Reply{Outcome: answered}, wait: make(chan struct{}), entered: make(chan struct{})}
 	h := newServer(f, nil).Handler()
 	first := make(chan *http.Response)
-	go func() { first <- do(h, "POST", "/v1/submissions", good) }()
+	go func() { first <- do(h, "POST", "/v1/submissions", validBody) }()
 	<-f.entered
-	r := do(h, "POST", "/v1/submissions", good)
+	r := do(h, "POST", "/v1/submissions", validBody)
 	e := failureOf(t, r)
 	must.Eq(t, api.KindOverloaded, e.Kind)
 	must.Eq(t, api.OutcomeUnknown, e.Run)
@@ -235,10 +235,10 @@
 	close(f.wait)
 	must.Eq(t, 200, (<-first).StatusCode)
 	f.wait = nil
-	must.Eq(t, 200, do(h, "POST", "/v1/submissions", good).StatusCode)
+	must.Eq(t, 200, do(h, "POST", "/v1/submissions", validBody).StatusCode)
 }
 
-func TestHeadersHealthAndEpoch(t *testing.T) {
+func TestHeadersReadinessAndEpoch(t *testing.T) {
 	epoch, ready := "", false
 	h := newServer(&fakeService{}, func(o *Options) {
 		o.Epoch = func() string { return epoch }
@@ -266,7 +266,7 @@
 // FuzzRead sends any body. It is accepted and passed on unchanged, or gets a failure in
 // JSON.
 func FuzzRead(f *testing.F) {
-	f.Add(good)
+	f.Add(validBody)
 	f.Fuzz(func(t *testing.T, body string) {
 		fake := &fakeService{reply: submission.Reply{Outcome: answered}}
 		r := do(newServer(fake, nil).Handler(), "POST", "/v1/submissions", body)
@@ -296,8 +296,8 @@
 func TestOnlySubmissionsBurnForeignKeys(t *testing.T) {
 	h := newServer(&fakeService{}, nil).Handler()
 	for _, c := range []struct{ method, path, body, want string }{
-		{"POST", "/v1/submissions", strings.Replace(good, "a.e.k", "b.e.k", 1), "burned"},
-		{"POST", "/v1/submissions?wait=false", strings.Replace(good, "a.e.k", "b.e.k", 1), "burned"},
+		{"POST", "/v1/submissions", strings.Replace(validBody, "a.e.k", "b.e.k", 1), "burned"},
+		{"POST", "/v1/submissions?wait=false", strings.Replace(validBody, "a.e.k", "b.e.k", 1), "burned"},
 		{"GET", "/v1/submissions/b.e.k", "", "elsewhere"},
 		{"GET", "/v1/submissions/b.e.k/answer", "", "elsewhere"},
 		{"DELETE", "/v1/submissions/b.e.k", "", "elsewhere"},
--- a/frontend/slow_reader_test.go
+++ b/frontend/slow_reader_test.go
@@ -32,7 +32,7 @@
 
 // A caller that does not read its answer counts among the requests in flight only until
 // writeTimeout.
-func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
+func TestCallerThatDoesNotReadTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(&fakeService{reply: submission.Reply{Outcome: answered}}, nil)
 		caller, conn := net.Pipe()
@@ -40,7 +40,7 @@
 		listener.conns <- conn
 		server := &http.Server{Handler: s.Handler()}
 		go func() { _ = server.Serve(listener) }()
-		_, err := caller.Write([]byte("POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(good)) + "\r\n\r\n" + good))
+		_, err := caller.Write([]byte("POST /v1/submissions HTTP/1.1\r\nHost: a\r\nContent-Length: " + strconv.Itoa(len(validBody)) + "\r\n\r\n" + validBody))
 		must.NoError(t, err)
 		synctest.Wait()
 		must.Eq(t, 1, len(s.inFlight))
--- a/key/key_test.go
+++ b/key/key_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestParseReadsWhatStringWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := func(name string, maxLength int) string {
 			return rapid.StringMatching(fmt.Sprintf("[a-zA-Z0-9_-]{1,%d}", maxLength)).Draw(t, name)
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestParseRefusesMalformedKeys(t *testing.T) {
 	long := strings.Repeat("a", 65)
 	for text, says := range map[string]string{
 		"":                       "three parts",
--- a/membership/change.go
+++ b/membership/change.go
@@ -27,7 +27,7 @@
 // tickChange continues the proposal of this process, or proposes a view when one is
 // needed and this process is the proposer.
 func (s *State) tickChange(now time.Duration) {
-	s.checkAlone()
+	s.leaveIfAlone()
 	if s.left || s.view.ID.IsZero() || !s.isMember() {
 		return
 	}
@@ -61,8 +61,8 @@
 // probe asks a member for its status without waiting for the next heartbeat, so that a
 // change or planned stop is not delayed when that member is lost.
 func (s *State) probe(now time.Duration, m Member) {
-	if p := s.peers[m.ID]; !p.waiting && now-p.askedAt >= s.cfg.ProbeInterval {
-		s.ask(now, m)
+	if p := s.peers[m.ID]; !p.awaitsAnswer && now-p.askedAt >= s.cfg.ProbeInterval {
+		s.requestStatus(now, m)
 	}
 }
 
@@ -85,7 +85,7 @@
 	if p.view == s.view.ID {
 		return false
 	}
-	return p.view.Number >= s.view.ID.Number || p.refuses == s.view.ID
+	return p.view.Number >= s.view.ID.Number || p.refusedView == s.view.ID
 }
 
 // needsChange reports whether a new view is needed: a process is gone, a change is stuck
@@ -105,11 +105,11 @@
 // within joinTimeout, because its proposer is gone.
 func (s *State) isStuck(now time.Duration) bool {
 	if len(s.promises) > 0 {
-		return now-s.promisedAt > joinWait
+		return now-s.promisedAt > joinTimeout
 	}
 	return slices.ContainsFunc(s.others(), func(m Member) bool {
 		p := s.peers[m.ID]
-		return p != nil && p.view == s.view.ID && p.promised && now-s.adoptedAt > joinWait
+		return p != nil && p.view == s.view.ID && p.promised && now-s.installedAt > joinTimeout
 	})
 }
 
@@ -141,10 +141,10 @@
 		},
 		promises: map[string]*pb.Promise{},
 	}
-	own := s.promise(now, s.proposal.view.ID)
+	own := s.makePromise(now, s.proposal.view.ID)
 	s.proposal.promises[s.cfg.Self.ID] = own
 	s.sendProposal(now)
-	s.decide(now)
+	s.installIfPromised(now)
 }
 
 // sendProposal sends the proposal to the participants that have not promised it.
@@ -158,7 +158,7 @@
 		Members:  membersProto(c.view.Members),
 		Leavers:  membersProto(c.view.Leavers),
 	}}}
-	for _, to := range s.without(c.participants()) {
+	for _, to := range s.withoutSelf(c.participants()) {
 		if c.promises[to.ID] != nil {
 			continue
 		}
@@ -174,10 +174,10 @@
 		p = s.newPeer(to)
 		p.heard = now
 	}
-	if p.waiting {
+	if p.awaitsAnswer {
 		p.probes++
 	}
-	p.waiting = true
+	p.awaitsAnswer = true
 	p.askedAt = now
 }
 
@@ -188,12 +188,12 @@
 	if now-c.sentAt < s.cfg.ProbeInterval {
 		return
 	}
-	for _, m := range s.without(c.participants()) {
+	for _, m := range s.withoutSelf(c.participants()) {
 		if c.promises[m.ID] != nil {
 			continue
 		}
 		p := s.peers[m.ID]
-		if p.waiting && p.probes >= s.cfg.Probes {
+		if p.awaitsAnswer && p.probes >= s.cfg.Probes {
 			p.suspected = true
 		}
 		if s.isGone(m) || s.isBehind(now) {
@@ -207,7 +207,7 @@
 
 // makePromise records that this process leaves the installed view for another one, and
 // returns the message that says so.
-func (s *State) promise(now time.Duration, view ViewID) *pb.Promise {
+func (s *State) makePromise(now time.Duration, view ViewID) *pb.Promise {
 	p := promise{view: view, installed: s.view.ID}
 	if !slices.Contains(s.promises, p) {
 		s.promises = append(s.promises, p)
@@ -224,16 +224,16 @@
 // handlePropose promises the proposed view if this process can, and gives up its own
 // proposal. Else it answers with its status.
 func (s *State) handlePropose(now time.Duration, p *peer, m *pb.Propose) {
-	if proposer := member(m.GetProposer()); proposer.Same(p.member) {
+	if proposer := memberFrom(m.GetProposer()); proposer.Same(p.member) {
 		p.member = proposer
 	}
-	if !s.mayPromise(p, m) {
+	if !s.canPromise(p, m) {
 		s.sendStatus(now, p.member, p, false)
 		return
 	}
 	s.proposal = nil
-	answer := s.promise(now, viewID(m.GetView()))
-	if viewID(m.GetParent()) != s.view.ID {
+	answer := s.makePromise(now, viewIDFrom(m.GetView()))
+	if viewIDFrom(m.GetParent()) != s.view.ID {
 		answer.Epochs = s.list.proto()
 	}
 	s.send(p.member, &pb.Message{Kind: &pb.Message_Promise{Promise: answer}})
@@ -241,13 +241,13 @@
 
 // canPromise reports whether this process promises a proposal. The proposed view must
 // include this process and be a child of the installed view or have a higher number.
-func (s *State) mayPromise(p *peer, m *pb.Propose) bool {
-	id := viewID(m.GetView())
+func (s *State) canPromise(p *peer, m *pb.Propose) bool {
+	id := viewIDFrom(m.GetView())
 	participants := append(membersFrom(m.GetMembers()), membersFrom(m.GetLeavers())...)
 	if !contains(participants, s.cfg.Self) || id == s.view.ID {
 		return false
 	}
-	isChild := viewID(m.GetParent()) == s.view.ID
+	isChild := viewIDFrom(m.GetParent()) == s.view.ID
 	if !isChild && id.Number <= s.view.ID.Number {
 		return false
 	}
@@ -259,15 +259,15 @@
 // handlePromise records a participant's promise of the proposed view.
 func (s *State) handlePromise(now time.Duration, p *peer, m *pb.Promise) {
 	c := s.proposal
-	if c == nil || viewID(m.GetView()) != c.view.ID || !contains(c.participants(), p.member) {
+	if c == nil || viewIDFrom(m.GetView()) != c.view.ID || !contains(c.participants(), p.member) {
 		return
 	}
 	c.promises[p.member.ID] = m
-	s.decide(now)
+	s.installIfPromised(now)
 }
 
 // installIfPromised installs the proposed view when every participant has promised it.
-func (s *State) decide(now time.Duration) {
+func (s *State) installIfPromised(now time.Duration) {
 	c := s.proposal
 	if !c.isComplete() {
 		return
@@ -281,9 +281,9 @@
 		view.ParentSettled = view.ParentSettled || c.promises[id].GetSettled()
 	}
 	s.fence(&view)
-	list := s.nextList(c, &view)
-	s.adopt(now, view, list)
-	for _, m := range s.without(view.sources()) {
+	list := s.nextEpochList(c, &view)
+	s.installView(now, view, list)
+	for _, m := range s.withoutSelf(view.sources()) {
 		s.sendInstall(m)
 	}
 }
@@ -292,7 +292,7 @@
 func (s *State) survivors(c *proposal) []string {
 	var ids []string
 	for _, m := range c.participants() {
-		if viewID(c.promises[m.ID].GetInstalled()) == s.view.ID && contains(s.view.Members, m) {
+		if viewIDFrom(c.promises[m.ID].GetInstalled()) == s.view.ID && contains(s.view.Members, m) {
 			ids = append(ids, m.ID)
 		}
 	}
@@ -337,7 +337,7 @@
 // new epoch. Another survivor may have a newer list. It is not committed, because the
 // proposer doesn't use it: no caller has keys of its new epoch, and no process has
 // dropped the keys of the epoch that it leaves out.
-func (s *State) nextList(c *proposal, view *View) EpochList {
+func (s *State) nextEpochList(c *proposal, view *View) EpochList {
 	list := s.list.clone()
 	if view.Fenced {
 		for i := range list.Epochs {
@@ -346,11 +346,11 @@
 	}
 	for _, m := range view.Members {
 		if !view.Survived(m.ID) {
-			list.addClosed(epochList(c.promises[m.ID].GetEpochs()))
+			list.addClosed(epochListFrom(c.promises[m.ID].GetEpochs()))
 		}
 	}
 	list.Sequence++
-	list.Epochs = append(list.Epochs, s.mint(list.newest(), false))
+	list.Epochs = append(list.Epochs, s.newEpoch(list.newest(), false))
 	list.Epochs = list.Epochs[max(0, len(list.Epochs)-maxEpochs):]
 	return list
 }
--- a/membership/change_test.go
+++ b/membership/change_test.go
@@ -28,10 +28,10 @@
 	s := New(Config{Self: testMember(self), Nonce: func() uint64 { nonce++; return nonce }}, 0)
 	view := View{ID: ViewID{Number: 5, Nonce: 50}, Members: testMembers(ids...), Survivors: ids}
 	list := EpochList{Sequence: 3, Epochs: []Epoch{{Number: 7, Nonce: 70, Open: true, Timed: true}}}
-	s.adopt(testNow, view, list)
+	s.installView(testNow, view, list)
 	s.opened = true
 	s.settled = true
-	s.commit()
+	s.commitList()
 	s.TakeOutgoing()
 	return s
 }
@@ -80,11 +80,11 @@
 		c.promises[id].Installed = ViewID{Number: 1, Nonce: 1}.proto()
 	}
 	s.proposal = c
-	s.decide(testNow)
+	s.installIfPromised(testNow)
 	return &s.view
 }
 
-func TestFence(t *testing.T) {
+func TestViewIsFencedWhenRecordsMayBeLost(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	for _, c := range []struct {
 		name             string
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestLossesAddUpUntilAViewIsSettled(t *testing.T) {
+func TestLossesAddUpUntilViewIsSettled(t *testing.T) {
 	s := newState("a", "a", "b", "c", "d")
 	must.False(t, changeTo(s, []string{"a", "b", "c"}, nil).Fenced)
 	must.True(t, changeTo(s, []string{"a", "b"}, nil).Fenced)
@@ -130,7 +130,7 @@
 	must.Eq(t, testMembers("c"), s.view.Lost)
 }
 
-func TestLeaverThatDiesBeforeItsTransferIsLost(t *testing.T) {
+func TestLeaverThatDiesBeforeItsTransferCountsAsLost(t *testing.T) {
 	s := newState("a", "a", "b", "c", "d")
 	must.False(t, changeTo(s, []string{"a", "b", "c"}, []string{"d"}).Fenced)
 	must.False(t, changeTo(s, []string{"a", "b", "c"}, nil).Fenced)
@@ -147,7 +147,7 @@
 	}}}
 }
 
-func TestPromise(t *testing.T) {
+func TestPromiseNeedsChildOrHigherViewWithThisProcess(t *testing.T) {
 	own := ViewID{Number: 5, Nonce: 50}
 	other := ViewID{Number: 4, Nonce: 1}
 	higher := ViewID{Number: 8, Nonce: 1}
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestPromiseFreezesTheEpochList(t *testing.T) {
+func TestPromisedProcessTakesNoEpochList(t *testing.T) {
 	s := newState("b", "a", "b", "c")
 	newer := EpochList{Sequence: 4, Epochs: []Epoch{{Number: 8, Nonce: 80, Open: true}}}
 	m := &pb.Message{Kind: &pb.Message_Epochs{Epochs: &pb.Epochs{View: s.view.ID.proto(), Epochs: newer.proto()}}}
@@ -190,7 +190,7 @@
 	must.Eq(t, 4, s.list.Sequence)
 }
 
-func TestInstallNeedsThePromise(t *testing.T) {
+func TestInstallNeedsPromise(t *testing.T) {
 	s := newState("b", "a", "b", "c")
 	old := s.view.ID
 	view := View{ID: ViewID{Number: 6, Nonce: 99}, Parent: old, Members: testMembers("a", "b")}
@@ -198,26 +198,26 @@
 	s.receive(testMember("a"), install)
 	must.Eq(t, old, s.view.ID)
 	refusals := sent[*pb.Message_Status](s)
-	must.Eq(t, view.ID, viewID(refusals[0].Status.GetRefuses()))
+	must.Eq(t, view.ID, viewIDFrom(refusals[0].Status.GetRefuses()))
 
 	s.receive(testMember("a"), propose(old, 6, "a", "b"))
 	s.receive(testMember("a"), install)
 	must.Eq(t, view.ID, s.view.ID)
-	must.True(t, s.Active() && s.Continuous())
+	must.True(t, s.Active() && s.CameFromParent())
 }
 
-func TestEpochsOfAnotherLineageAreClosed(t *testing.T) {
+func TestEpochsOfJoiningProcessAreClosed(t *testing.T) {
 	s := newState("a", "a", "b")
 	foreign := EpochList{Sequence: 9, Epochs: []Epoch{{Number: 7, Nonce: 71, Open: true}}}
 	view := s.view
 	view.Survivors = []string{"a"}
 	c := &proposal{view: view, promises: map[string]*pb.Promise{"b": {Epochs: foreign.proto()}}}
-	list := s.nextList(c, &view)
+	list := s.nextEpochList(c, &view)
 	must.Eq(t, []bool{true, false, true}, []bool{list.Epochs[0].Open, list.Epochs[1].Open, list.Epochs[2].Open})
 	must.Eq(t, []uint64{70, 71}, []uint64{list.Epochs[0].Nonce, list.Epochs[1].Nonce})
 }
 
-func TestEpochIsHandedOutWhenEveryMemberUsesIt(t *testing.T) {
+func TestEpochIsCurrentOnceEveryMemberUsesIt(t *testing.T) {
 	s := newState("a", "a", "b", "c")
 	old := s.CurrentEpoch()
 	now := testNow + DefaultEpochLength
@@ -237,7 +237,7 @@
 	return &pb.Message{Kind: &pb.Message_Status{Status: &pb.Status{View: view.proto(), Ask: true}}}
 }
 
-func TestMemberThatWentElsewhereIsReplaced(t *testing.T) {
+func TestMemberInAnotherViewIsReplaced(t *testing.T) {
 	own := ViewID{Number: 5, Nonce: 50}
 	refusal := statusOf(ViewID{Number: 4, Nonce: 40})
 	refusal.GetStatus().Refuses = own.proto()
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestReplacedProcessIsNotHeard(t *testing.T) {
+func TestMessagesOfReplacedProcessAreIgnored(t *testing.T) {
 	s := newState("a", "a", "b", "c")
 	restarted := testMember("c")
 	restarted.Incarnation = 2
@@ -277,7 +277,7 @@
 
 // A leaver of a view that is not settled yet waits for the view's members, so it must
 // learn which of them leave.
-func TestLeaveIsToldToEarlierLeavers(t *testing.T) {
+func TestLeaveNotifiesEarlierLeavers(t *testing.T) {
 	s := newState("a", "a", "b")
 	s.view.Leavers = testMembers("c")
 	s.Leave(testNow)
--- a/membership/config.go
+++ b/membership/config.go
@@ -16,7 +16,7 @@
 	Nonce func() uint64
 
 	// HeartbeatInterval is the time between two heartbeats of a pair of members.
-	Interval time.Duration
+	HeartbeatInterval time.Duration
 	// ProbeInterval is the time between probes of a silent member, and between
 	// repetitions of an unanswered message.
 	ProbeInterval time.Duration
@@ -40,21 +40,21 @@
 
 // Defaults of Config.
 const (
-	DefaultInterval        = 2 * time.Second
-	DefaultProbeInterval   = 300 * time.Millisecond
-	DefaultProbes          = 3
-	DefaultViewLease       = 6 * time.Second
-	DefaultStartWait       = time.Second
-	DefaultContactInterval = 10 * time.Second
-	DefaultEpochLength     = time.Minute
-	DefaultRetainedEpochs  = 11
+	DefaultHeartbeatInterval = 2 * time.Second
+	DefaultProbeInterval     = 300 * time.Millisecond
+	DefaultProbes            = 3
+	DefaultViewLease         = 6 * time.Second
+	DefaultStartWait         = time.Second
+	DefaultContactInterval   = 10 * time.Second
+	DefaultEpochLength       = time.Minute
+	DefaultRetainedEpochs    = 11
 )
 
 // maxEpochs bounds an epoch list whatever the number of view changes.
 const maxEpochs = 256
 
 func (c *Config) setDefaults() {
-	setDuration(&c.Interval, DefaultInterval)
+	setDuration(&c.HeartbeatInterval, DefaultHeartbeatInterval)
 	setDuration(&c.ProbeInterval, DefaultProbeInterval)
 	setDuration(&c.ViewLease, DefaultViewLease)
 	setDuration(&c.StartWait, DefaultStartWait)
--- a/membership/epoch.go
+++ b/membership/epoch.go
@@ -10,11 +10,11 @@
 // handleSameView handles the status of a process with the same view. The coordinator
 // notifies members that don't know yet that the view is settled or the list committed;
 // the others learn it from the coordinator.
-func (s *State) noteSameView(now time.Duration, p *peer, st *pb.Status) {
+func (s *State) handleSameView(now time.Duration, p *peer, st *pb.Status) {
 	if s.isCoordinator() {
 		s.tickCommit(now)
-		if s.settled && !st.GetAsk() && (!st.GetSettled() || st.GetCommittedSequence() < s.committed) {
-			s.tell(now, p.member)
+		if s.settled && !st.GetAsk() && (!st.GetSettled() || st.GetCommittedSequence() < s.committedSequence) {
+			s.sendUpdate(now, p.member)
 		}
 		return
 	}
@@ -25,17 +25,17 @@
 		s.settled = true
 	}
 	if st.GetCommittedSequence() == s.list.Sequence {
-		s.commit()
+		s.commitList()
 	}
 }
 
 // tickCommit commits the coordinator's list once every member uses it and has opened the
 // view. The view is settled from then on.
 func (s *State) tickCommit(now time.Duration) {
-	if !s.opened || s.settled && s.committed == s.list.Sequence {
+	if !s.opened || s.settled && s.committedSequence == s.list.Sequence {
 		return
 	}
-	s.repeatNews(now)
+	s.repeatUpdates(now)
 	if !s.isCoordinator() {
 		return
 	}
@@ -46,21 +46,21 @@
 		}
 	}
 	s.settled = true
-	s.commit()
+	s.commitList()
 	for _, m := range s.others() {
-		s.tell(now, m)
+		s.sendUpdate(now, m)
 	}
 }
 
 // repeatUpdates repeats messages that may have been lost: a member's status to the
 // coordinator, and the coordinator's list to members that don't use it yet.
-func (s *State) repeatNews(now time.Duration) {
+func (s *State) repeatUpdates(now time.Duration) {
 	if now-s.repeatedAt < s.cfg.ProbeInterval {
 		return
 	}
 	s.repeatedAt = now
 	if !s.isCoordinator() {
-		s.tell(now, s.view.Coordinator())
+		s.sendUpdate(now, s.view.Coordinator())
 		return
 	}
 	for _, m := range s.others() {
@@ -73,11 +73,11 @@
 
 // commitList records that every member uses the list. Its newest open epoch may now be
 // given to callers.
-func (s *State) commit() {
-	s.committed = s.list.Sequence
+func (s *State) commitList() {
+	s.committedSequence = s.list.Sequence
 	for _, e := range s.list.Epochs {
 		if e.Open {
-			s.current = e.Token()
+			s.currentToken = e.Token()
 		}
 	}
 }
@@ -85,16 +85,16 @@
 // tickEpochs adds a timed epoch, and drops old ones, when one is due or a member asks for
 // early retirement. The coordinator alone does so, while its last list is committed.
 func (s *State) tickEpochs(now time.Duration) {
-	if !s.isCoordinator() || !s.settled || s.committed != s.list.Sequence || len(s.promises) > 0 {
+	if !s.isCoordinator() || !s.settled || s.committedSequence != s.list.Sequence || len(s.promises) > 0 {
 		return
 	}
-	retire := s.wantsRetire()
+	retire := s.isRetireRequested()
 	if now-s.timedAt < s.cfg.EpochLength && !retire {
 		return
 	}
 	list := s.list.clone()
 	list.Sequence++
-	list.Epochs = append(list.Epochs, s.mint(list.newest(), true))
+	list.Epochs = append(list.Epochs, s.newEpoch(list.newest(), true))
 	list.Epochs = s.retained(list.Epochs)
 	if retire && len(list.Epochs) > 1 {
 		list.Epochs = list.Epochs[1:]
@@ -108,9 +108,9 @@
 }
 
 // isRetireRequested reports whether a member asks to drop the oldest epoch.
-func (s *State) wantsRetire() bool {
+func (s *State) isRetireRequested() bool {
 	oldest := s.list.Epochs[0].Number
-	if s.retire == oldest {
+	if s.retireEpoch == oldest {
 		return true
 	}
 	return slices.ContainsFunc(s.others(), func(m Member) bool {
@@ -137,7 +137,7 @@
 }
 
 // newEpoch returns an open epoch with a higher number than newest.
-func (s *State) mint(newest uint64, timed bool) Epoch {
+func (s *State) newEpoch(newest uint64, timed bool) Epoch {
 	return Epoch{Number: max(newest+1, s.cfg.EpochBase), Nonce: s.cfg.Nonce(), Open: true, Timed: timed}
 }
 
@@ -148,8 +148,8 @@
 		s.timedAt = now
 	}
 	s.list = list
-	if e, ok := list.Find(s.current); !ok || !e.Open {
-		s.current = ""
+	if e, ok := list.Find(s.currentToken); !ok || !e.Open {
+		s.currentToken = ""
 	}
 }
 
@@ -162,8 +162,8 @@
 
 // handleEpochs uses a newer list of the coordinator and confirms it.
 func (s *State) handleEpochs(now time.Duration, p *peer, m *pb.Epochs) {
-	list := epochList(m.GetEpochs())
-	if viewID(m.GetView()) != s.view.ID || !p.member.Same(s.view.Coordinator()) {
+	list := epochListFrom(m.GetEpochs())
+	if viewIDFrom(m.GetView()) != s.view.ID || !p.member.Same(s.view.Coordinator()) {
 		return
 	}
 	if len(s.promises) > 0 {
@@ -174,5 +174,5 @@
 	if list.Sequence > s.list.Sequence {
 		s.useList(now, list)
 	}
-	s.tell(now, p.member)
+	s.sendUpdate(now, p.member)
 }
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -14,39 +14,39 @@
 	heard time.Duration
 
 	// Contents of its last status.
-	view      ViewID
-	size      uint32
-	promised  bool
-	opened    bool
-	leaving   bool
-	listSeq   uint64
-	retire    uint64
-	refuses   ViewID
-	hasStatus bool
+	view        ViewID
+	viewSize    uint32
+	promised    bool
+	opened      bool
+	leaving     bool
+	listSeq     uint64
+	retire      uint64
+	refusedView ViewID
+	hasStatus   bool
 	// installResentAt is when the view was last sent to the peer again.
-	installedAt time.Duration
+	installResentAt time.Duration
 
 	// Unanswered messages.
-	waiting   bool
-	probes    int
-	askedAt   time.Duration
-	suspected bool
+	awaitsAnswer bool
+	probes       int
+	askedAt      time.Duration
+	suspected    bool
 
 	// timestamp is the newest timestamp of the peer. echoedSentAt is the newest sending
 	// time of this process that the peer has echoed as a member of the same view.
-	stamp    uint64
-	acked    time.Duration
-	hasAcked bool
+	timestamp    uint64
+	echoedSentAt time.Duration
+	hasEcho      bool
 
 	// sentDigests is the newest digest version of this process that the peer has.
-	digestSeen uint64
+	sentDigests uint64
 	// receivedDigests is the newest digest version of the peer that this process has.
-	digestHave uint64
+	receivedDigests uint64
 }
 
 // markHeard records that a process sent a message. It returns nil for a process that a
 // newer one has replaced.
-func (s *State) hear(now time.Duration, from Member) *peer {
+func (s *State) markHeard(now time.Duration, from Member) *peer {
 	p := s.peers[from.ID]
 	if p != nil && from.Incarnation < p.member.Incarnation {
 		return nil
@@ -55,7 +55,7 @@
 		p = s.newPeer(from)
 	}
 	p.heard = now
-	p.waiting = false
+	p.awaitsAnswer = false
 	p.probes = 0
 	p.suspected = false
 	return p
@@ -77,10 +77,10 @@
 func (s *State) Suspect(now time.Duration, id string) {
 	m, ok := s.view.Member(id)
 	p := s.peers[id]
-	if !ok || id == s.cfg.Self.ID || p == nil || p.waiting {
+	if !ok || id == s.cfg.Self.ID || p == nil || p.awaitsAnswer {
 		return
 	}
-	s.ask(now, m)
+	s.requestStatus(now, m)
 }
 
 // tickPeers sends heartbeats and probes to members, and to leavers until the view is
@@ -104,19 +104,19 @@
 // it as leaving or gone.
 func (s *State) tickPeer(now time.Duration, m Member, p *peer) {
 	switch {
-	case p.waiting && now-p.askedAt < s.cfg.ProbeInterval:
-	case p.waiting && (p.probes >= s.cfg.Probes || p.probes > 0 && s.isListedGone(m.ID)):
+	case p.awaitsAnswer && now-p.askedAt < s.cfg.ProbeInterval:
+	case p.awaitsAnswer && (p.probes >= s.cfg.Probes || p.probes > 0 && s.isListedGone(m.ID)):
 		p.suspected = true
 		// A suspected member is still asked once per heartbeat interval, because it may
 		// come back.
-		if now-p.askedAt >= s.cfg.Interval {
-			s.ask(now, m)
+		if now-p.askedAt >= s.cfg.HeartbeatInterval {
+			s.requestStatus(now, m)
 		}
-	case p.waiting:
+	case p.awaitsAnswer:
 		p.probes++
-		s.ask(now, m)
-	case s.heartbeatDue(now, m, p):
-		s.ask(now, m)
+		s.requestStatus(now, m)
+	case s.isHeartbeatDue(now, m, p):
+		s.requestStatus(now, m)
 	}
 }
 
@@ -124,14 +124,14 @@
 // with the lower id sends heartbeats, and the other one only when it hears nothing. A
 // leaver waits for all members and asks often, because the message that it leaves may be
 // lost too.
-func (s *State) heartbeatDue(now time.Duration, m Member, p *peer) bool {
+func (s *State) isHeartbeatDue(now time.Duration, m Member, p *peer) bool {
 	if s.leaving {
 		return now-p.askedAt >= s.cfg.ProbeInterval
 	}
 	if s.cfg.Self.ID < m.ID {
-		return now-p.askedAt >= s.cfg.Interval
+		return now-p.askedAt >= s.cfg.HeartbeatInterval
 	}
-	return now-max(p.heard, p.askedAt) >= s.cfg.Interval+2*s.cfg.ProbeInterval
+	return now-max(p.heard, p.askedAt) >= s.cfg.HeartbeatInterval+2*s.cfg.ProbeInterval
 }
 
 // watched returns the processes whose loss causes a view change: the members and, until
@@ -140,23 +140,23 @@
 	if s.settled {
 		return s.others()
 	}
-	return s.without(s.view.sources())
+	return s.withoutSelf(s.view.sources())
 }
 
 // requestStatus sends a status and asks for one in return.
-func (s *State) ask(now time.Duration, m Member) {
+func (s *State) requestStatus(now time.Duration, m Member) {
 	p := s.peers[m.ID]
 	if p == nil {
 		p = s.newPeer(m)
 		p.heard = now
 	}
-	p.waiting = true
+	p.awaitsAnswer = true
 	p.askedAt = now
 	s.sendStatus(now, m, p, true)
 }
 
 // sendUpdate sends a status that needs no answer.
-func (s *State) tell(now time.Duration, m Member) {
+func (s *State) sendUpdate(now time.Duration, m Member) {
 	if m.ID == s.cfg.Self.ID || m.ID == "" {
 		return
 	}
@@ -178,8 +178,8 @@
 func (s *State) statusFor(now time.Duration, p *peer) *pb.Status {
 	st := s.status(now)
 	if p != nil {
-		st.Echo = p.stamp
-		st.DigestSeen = p.digestHave
+		st.Echo = p.timestamp
+		st.DigestSeen = p.receivedDigests
 		s.addDigests(st, p)
 	}
 	if p == nil || p.view != s.view.ID || s.view.ID.IsZero() {
@@ -201,8 +201,8 @@
 		Settled:           s.settled,
 		Leaving:           s.leaving,
 		ListSequence:      s.list.Sequence,
-		CommittedSequence: s.committed,
-		Retire:            s.retire,
+		CommittedSequence: s.committedSequence,
+		Retire:            s.retireEpoch,
 		// Timestamps start at 1, because 0 means that there is none.
 		Stamp: uint64(now.Milliseconds()) + 1,
 	}
@@ -210,12 +210,12 @@
 
 // addDigests adds the digests that a peer has not acknowledged yet.
 func (s *State) addDigests(st *pb.Status, p *peer) {
-	if p.digestSeen == s.digestVersion {
+	if p.sentDigests == s.digestVersion {
 		return
 	}
 	st.DigestVersion = s.digestVersion
 	for _, duty := range s.dutiesWithDigest() {
-		if d := s.digests[duty]; d.version > p.digestSeen {
+		if d := s.digests[duty]; d.version > p.sentDigests {
 			st.Digests = append(st.Digests, &pb.Digest{Duty: duty, Body: d.body})
 		}
 	}
@@ -232,11 +232,11 @@
 
 // handleStatus records a peer's status, acts on its view and answers it if asked.
 func (s *State) handleStatus(now time.Duration, p *peer, st *pb.Status) {
-	s.noteSender(p, st)
-	s.noteStatus(p, st)
-	s.noteDigests(p, st)
-	s.noteEcho(now, p, st)
-	s.noteView(now, p, st)
+	s.recordSender(p, st)
+	s.recordStatus(p, st)
+	s.recordDigests(p, st)
+	s.recordEcho(now, p, st)
+	s.handlePeerView(now, p, st)
 	if st.GetAsk() {
 		s.sendStatus(now, p.member, p, false)
 	}
@@ -244,24 +244,24 @@
 
 // recordSender records the peer's address, and the address of another view's coordinator
 // as a contact.
-func (s *State) noteSender(p *peer, st *pb.Status) {
-	if sender := member(st.GetSender()); sender.Same(p.member) {
+func (s *State) recordSender(p *peer, st *pb.Status) {
+	if sender := memberFrom(st.GetSender()); sender.Same(p.member) {
 		p.member = sender
 	}
-	if c := member(st.GetCoordinator()); c.Address != "" && viewID(st.GetView()) != s.view.ID {
-		s.addContact(c.Address, learnedContacts)
+	if c := memberFrom(st.GetCoordinator()); c.Address != "" && viewIDFrom(st.GetView()) != s.view.ID {
+		s.addContact(c.Address, learnedContactLifetime)
 	}
 }
 
 // recordStatus records the contents of a status, unless it is older than the last one.
-func (s *State) noteStatus(p *peer, st *pb.Status) {
-	id := viewID(st.GetView())
+func (s *State) recordStatus(p *peer, st *pb.Status) {
+	id := viewIDFrom(st.GetView())
 	if id.Number < p.view.Number {
 		// Messages may overtake each other, but view numbers only increase.
 		return
 	}
 	p.view = id
-	p.size = st.GetSize()
+	p.viewSize = st.GetSize()
 	p.promised = st.GetPromised()
 	p.opened = st.GetOpened()
 	p.leaving = p.leaving || st.GetLeaving()
@@ -270,53 +270,53 @@
 		p.listSeq = 0
 	}
 	p.retire = st.GetRetire()
-	if refused := viewID(st.GetRefuses()); !refused.IsZero() {
-		p.refuses = refused
+	if refused := viewIDFrom(st.GetRefuses()); !refused.IsZero() {
+		p.refusedView = refused
 	}
 	p.hasStatus = true
 }
 
 // recordDigests records which digests the peer has, and takes its newer digests.
-func (s *State) noteDigests(p *peer, st *pb.Status) {
-	p.digestSeen = max(p.digestSeen, min(st.GetDigestSeen(), s.digestVersion))
-	if st.GetDigestVersion() <= p.digestHave {
+func (s *State) recordDigests(p *peer, st *pb.Status) {
+	p.sentDigests = max(p.sentDigests, min(st.GetDigestSeen(), s.digestVersion))
+	if st.GetDigestVersion() <= p.receivedDigests {
 		return
 	}
-	p.digestHave = st.GetDigestVersion()
+	p.receivedDigests = st.GetDigestVersion()
 	for _, d := range st.GetDigests() {
-		s.changes = append(s.changes, DigestChange{Member: p.member, Duty: d.GetDuty(), Body: d.GetBody()})
+		s.digestChanges = append(s.digestChanges, DigestChange{Member: p.member, Duty: d.GetDuty(), Body: d.GetBody()})
 	}
 }
 
 // recordEcho records the newest sending time that a peer has echoed in the same view.
-func (s *State) noteEcho(now time.Duration, p *peer, st *pb.Status) {
-	p.stamp = max(p.stamp, st.GetStamp())
-	if st.GetEcho() == 0 || viewID(st.GetView()) != s.view.ID {
+func (s *State) recordEcho(now time.Duration, p *peer, st *pb.Status) {
+	p.timestamp = max(p.timestamp, st.GetStamp())
+	if st.GetEcho() == 0 || viewIDFrom(st.GetView()) != s.view.ID {
 		return
 	}
 	sent := time.Duration(st.GetEcho()-1) * time.Millisecond
-	if sent <= now && (!p.hasAcked || sent > p.acked) {
-		p.acked = sent
-		p.hasAcked = true
+	if sent <= now && (!p.hasEcho || sent > p.echoedSentAt) {
+		p.echoedSentAt = sent
+		p.hasEcho = true
 	}
 }
 
 // handlePeerView compares the view of a peer with the installed one. It resends the
 // installed view to a source that lacks it, and records that this process is behind.
-func (s *State) noteView(now time.Duration, p *peer, st *pb.Status) {
-	id := viewID(st.GetView())
+func (s *State) handlePeerView(now time.Duration, p *peer, st *pb.Status) {
+	id := viewIDFrom(st.GetView())
 	if s.view.ID.IsZero() && id.IsZero() {
 		return
 	}
 	if id == s.view.ID {
-		s.noteSameView(now, p, st)
+		s.handleSameView(now, p, st)
 		return
 	}
 	if contains(s.view.sources(), p.member) && id.Number < s.view.ID.Number {
 		s.repeatInstall(now, p)
 		return
 	}
-	if s.isBelow(id, st.GetSize()) {
+	if s.yieldsTo(id, st.GetSize()) {
 		s.behind = true
 		s.behindAt = now
 	}
@@ -325,7 +325,7 @@
 // yieldsTo reports whether the members of the installed view wait to be admitted to
 // another view. The view with the higher number wins, then the larger one, then the one
 // with the higher nonce.
-func (s *State) isBelow(id ViewID, size uint32) bool {
+func (s *State) yieldsTo(id ViewID, size uint32) bool {
 	own := s.view.ID
 	if id.Number != own.Number {
 		return id.Number > own.Number
--- a/membership/install.go
+++ b/membership/install.go
@@ -10,15 +10,15 @@
 // repeatInstall sends the view again to a process that has not installed it yet, at most
 // once per probe interval.
 func (s *State) repeatInstall(now time.Duration, p *peer) {
-	if p.installedAt != 0 && now-p.installedAt < s.cfg.ProbeInterval {
+	if p.installResentAt != 0 && now-p.installResentAt < s.cfg.ProbeInterval {
 		return
 	}
-	p.installedAt = now
+	p.installResentAt = now
 	s.sendInstall(p.member)
 }
 
 func (s *State) sendInstall(to Member) {
-	s.send(to, &pb.Message{Kind: &pb.Message_Install{Install: s.install}})
+	s.send(to, &pb.Message{Kind: &pb.Message_Install{Install: s.installMessage}})
 }
 
 // handleInstall installs a view that this process has promised, else refuses it.
@@ -32,7 +32,7 @@
 		s.refuse(now, p, view.ID)
 		return
 	}
-	s.adopt(now, view, epochList(m.GetEpochs()))
+	s.installView(now, view, epochListFrom(m.GetEpochs()))
 }
 
 // refuse notifies the sender of a view that this process can't install it, because it
@@ -44,31 +44,31 @@
 }
 
 // installView puts a view and its epoch list in force, and starts watching its processes.
-func (s *State) adopt(now time.Duration, view View, list EpochList) {
+func (s *State) installView(now time.Duration, view View, list EpochList) {
 	for _, m := range s.others() {
 		if !contains(view.Members, m) {
-			s.addContact(m.Address, learnedContacts)
+			s.addContact(m.Address, learnedContactLifetime)
 		}
 	}
-	s.continuous = !s.view.ID.IsZero() && view.Parent == s.view.ID
+	s.cameFromParent = !s.view.ID.IsZero() && view.Parent == s.view.ID
 	s.view = view
-	s.install = installProto(&view, &list)
+	s.installMessage = installProto(&view, &list)
 	s.promises = nil
 	s.proposal = nil
 	s.opened = false
 	s.settled = false
 	s.behind = false
-	s.committed = 0
+	s.committedSequence = 0
 	s.mustChange = false
-	s.adoptedAt = now
+	s.installedAt = now
 	s.useList(now, list)
-	for _, m := range s.without(view.sources()) {
-		s.adoptPeer(now, m)
+	for _, m := range s.withoutSelf(view.sources()) {
+		s.watchPeer(now, m)
 	}
 }
 
 // watchPeer starts watching a process of the new view.
-func (s *State) adoptPeer(now time.Duration, m Member) {
+func (s *State) watchPeer(now time.Duration, m Member) {
 	p := s.peers[m.ID]
 	if p == nil || p.member.Incarnation < m.Incarnation {
 		p = s.newPeer(m)
@@ -80,6 +80,6 @@
 		if p.view != s.view.ID {
 			p.listSeq = 0
 		}
-		s.ask(now, m)
+		s.requestStatus(now, m)
 	}
 }
--- a/membership/join.go
+++ b/membership/join.go
@@ -8,10 +8,10 @@
 // contact is an address where a process outside the view may be found.
 type contact struct {
 	// nextAttempt is when the address is asked again.
-	next time.Duration
+	nextAttempt time.Duration
 	// expiresAt is when attempts end. Until the first attempt of a learned contact it
 	// holds learnedContactLifetime.
-	until time.Duration
+	expiresAt time.Duration
 }
 
 // listing is the platform's last report of a VM.
@@ -23,17 +23,17 @@
 
 const (
 	// noExpiry is the end of contacts that the settings or the platform name.
-	forever = time.Duration(1<<63 - 1)
+	noExpiry = time.Duration(1<<63 - 1)
 	// learnedContactLifetime is how long an address that a peer named is tried.
-	learnedContacts = 10 * time.Minute
+	learnedContactLifetime = 10 * time.Minute
 	// eagerContactInterval is the time between attempts of a process that has no
 	// view or must join another one.
 	eagerContactInterval = 250 * time.Millisecond
 	// joinTimeout is how long a process waits to be admitted to a view to which its own
 	// one yields, and how long a promise may stay without the promised view.
-	joinWait = 3 * time.Second
+	joinTimeout = 3 * time.Second
 	// peerRetention is how long a silent process outside the view is remembered.
-	peerMemory = time.Minute
+	peerRetention = time.Minute
 )
 
 // ListedVM is an entry VM that the platform lists as live.
@@ -54,7 +54,7 @@
 	for _, vm := range live {
 		s.listed[vm.ID] = listing{address: vm.Address, live: true}
 		if vm.ID != s.cfg.Self.ID {
-			s.addContact(vm.Address, forever)
+			s.addContact(vm.Address, noExpiry)
 		}
 	}
 	for _, id := range leaving {
@@ -92,7 +92,7 @@
 		return
 	}
 	if s.contacts[address] == nil {
-		s.contacts[address] = &contact{until: expiresAt}
+		s.contacts[address] = &contact{expiresAt: expiresAt}
 	}
 }
 
@@ -109,29 +109,29 @@
 	}
 	for _, address := range sortedKeys(s.contacts) {
 		c := s.contacts[address]
-		if c.until == learnedContacts {
-			c.until += now
+		if c.expiresAt == learnedContactLifetime {
+			c.expiresAt += now
 		}
-		if now > c.until {
+		if now > c.expiresAt {
 			delete(s.contacts, address)
 			continue
 		}
-		if now < c.next && c.next-now <= interval || s.hasAddress(address) && !eager {
+		if now < c.nextAttempt && c.nextAttempt-now <= interval || s.isMemberAddress(address) && !eager {
 			continue
 		}
-		c.next = now + interval
+		c.nextAttempt = now + interval
 		s.sendStatus(now, Member{Address: address}, nil, true)
 	}
 }
 
 // isMemberAddress reports whether an address belongs to a member.
-func (s *State) hasAddress(address string) bool {
+func (s *State) isMemberAddress(address string) bool {
 	return slices.ContainsFunc(s.view.Members, func(m Member) bool { return m.Address == address })
 }
 
 // isBehind reports whether this process waits to be admitted to another view.
 func (s *State) isBehind(now time.Duration) bool {
-	s.behind = s.behind && now-s.behindAt < joinWait
+	s.behind = s.behind && now-s.behindAt < joinTimeout
 	return s.behind
 }
 
@@ -142,7 +142,7 @@
 	if !s.view.ID.IsZero() || now-s.started < s.cfg.StartWait || s.leaving {
 		return
 	}
-	if s.isBehind(now) || len(s.promises) > 0 && now-s.promisedAt < joinWait {
+	if s.isBehind(now) || len(s.promises) > 0 && now-s.promisedAt < joinTimeout {
 		return
 	}
 	for _, id := range sortedKeys(s.peers) {
@@ -159,8 +159,8 @@
 		ID:      ViewID{Number: 1, Nonce: s.cfg.Nonce()},
 		Members: []Member{s.cfg.Self},
 	}
-	list := EpochList{Sequence: 1, Epochs: []Epoch{s.mint(0, false)}}
-	s.adopt(now, view, list)
+	list := EpochList{Sequence: 1, Epochs: []Epoch{s.newEpoch(0, false)}}
+	s.installView(now, view, list)
 }
 
 // candidates returns the processes that can join the view: those that have none, or one
@@ -172,8 +172,8 @@
 		if contains(s.view.Members, p.member) || !p.hasStatus || p.member.Address == "" {
 			continue
 		}
-		quiet := now-p.heard > s.cfg.Interval
-		if quiet || p.suspected || p.leaving || p.view == s.view.ID || s.isBelow(p.view, p.size) {
+		quiet := now-p.heard > s.cfg.HeartbeatInterval
+		if quiet || p.suspected || p.leaving || p.view == s.view.ID || s.yieldsTo(p.view, p.viewSize) {
 			continue
 		}
 		out = append(out, p.member)
@@ -192,14 +192,14 @@
 		s.left = true
 		return
 	}
-	for _, m := range s.without(s.view.sources()) {
-		s.ask(now, m)
+	for _, m := range s.withoutSelf(s.view.sources()) {
+		s.requestStatus(now, m)
 	}
-	s.checkAlone()
+	s.leaveIfAlone()
 }
 
 // MarkHandedOver is called when every member of the view has this leaver's records.
-func (s *State) HandedOver() {
+func (s *State) MarkHandedOver() {
 	if s.leaving && !s.isMember() {
 		s.left = true
 	}
@@ -208,7 +208,7 @@
 // leaveIfAlone ends a planned stop when there is no process to hand records to: every
 // other member of the view leaves as well or is gone. Leaving members propose no view,
 // so no process will ask for the records.
-func (s *State) checkAlone() {
+func (s *State) leaveIfAlone() {
 	if s.leaving && !slices.ContainsFunc(s.others(), s.isStaying) {
 		s.left = true
 	}
@@ -220,7 +220,7 @@
 // forgetPeers drops processes outside the view that have been silent for peerRetention.
 func (s *State) forgetPeers(now time.Duration) {
 	for id, p := range s.peers {
-		if now-p.heard > peerMemory && !contains(s.view.sources(), p.member) {
+		if now-p.heard > peerRetention && !contains(s.view.sources(), p.member) {
 			delete(s.peers, id)
 		}
 	}
--- a/membership/message.go
+++ b/membership/message.go
@@ -11,13 +11,13 @@
 	return &pb.ViewID{Number: id.Number, Nonce: id.Nonce}
 }
 
-func viewID(p *pb.ViewID) ViewID { return ViewID{Number: p.GetNumber(), Nonce: p.GetNonce()} }
+func viewIDFrom(p *pb.ViewID) ViewID { return ViewID{Number: p.GetNumber(), Nonce: p.GetNonce()} }
 
 func (m Member) proto() *pb.Member {
 	return &pb.Member{Id: m.ID, Incarnation: m.Incarnation, Address: m.Address}
 }
 
-func member(p *pb.Member) Member {
+func memberFrom(p *pb.Member) Member {
 	return Member{ID: p.GetId(), Incarnation: p.GetIncarnation(), Address: p.GetAddress()}
 }
 
@@ -32,7 +32,7 @@
 func membersFrom(in []*pb.Member) []Member {
 	var out []Member
 	for _, p := range in {
-		out = append(out, member(p))
+		out = append(out, memberFrom(p))
 	}
 	return out
 }
@@ -45,7 +45,7 @@
 	return out
 }
 
-func epochList(p *pb.EpochList) EpochList {
+func epochListFrom(p *pb.EpochList) EpochList {
 	out := EpochList{Sequence: p.GetSequence()}
 	for _, e := range p.GetEpochs() {
 		out.Epochs = append(out.Epochs, Epoch{Number: e.GetNumber(), Nonce: e.GetNonce(), Open: e.GetOpen(), Timed: e.GetTimed()})
@@ -69,8 +69,8 @@
 
 func viewFrom(p *pb.Install) View {
 	return View{
-		ID:            viewID(p.GetView()),
-		Parent:        viewID(p.GetParent()),
+		ID:            viewIDFrom(p.GetView()),
+		Parent:        viewIDFrom(p.GetParent()),
 		Members:       membersFrom(p.GetMembers()),
 		Leavers:       membersFrom(p.GetLeavers()),
 		Lost:          membersFrom(p.GetLost()),
--- a/membership/state.go
+++ b/membership/state.go
@@ -31,16 +31,16 @@
 	started time.Duration
 
 	// The installed view and its epoch list.
-	view      View
-	install   *pb.Install
-	list      EpochList
-	committed uint64
-	current   string
-	opened    bool
-	settled   bool
+	view              View
+	installMessage    *pb.Install
+	list              EpochList
+	committedSequence uint64
+	currentToken      string
+	opened            bool
+	settled           bool
 	// cameFromParent says that this process came to the view from its parent.
-	continuous bool
-	adoptedAt  time.Duration
+	cameFromParent bool
+	installedAt    time.Duration
 	// timedAt is when this process first saw the newest timed epoch.
 	timedAt time.Duration
 	// repeatedAt is when unacknowledged updates of the epoch list were last repeated.
@@ -62,7 +62,7 @@
 	leaving bool
 	left    bool
 	// retireEpoch is the epoch that this process asks to retire early, 0 if none.
-	retire uint64
+	retireEpoch uint64
 
 	peers    map[string]*peer
 	contacts map[string]*contact
@@ -71,8 +71,8 @@
 	digests       map[int32]digest
 	digestVersion uint64
 
-	out     []Outgoing
-	changes []DigestChange
+	out           []Outgoing
+	digestChanges []DigestChange
 }
 
 // promise says that this process leaves the installed view for view.
@@ -102,7 +102,7 @@
 		digests:  map[int32]digest{},
 	}
 	for _, address := range cfg.Seeds {
-		s.addContact(address, forever)
+		s.addContact(address, noExpiry)
 	}
 	return s
 }
@@ -118,7 +118,7 @@
 func (s *State) Epochs() *EpochList { return &s.list }
 
 // CurrentEpoch returns the token for new keys; it is empty while there is none.
-func (s *State) CurrentEpoch() string { return s.current }
+func (s *State) CurrentEpoch() string { return s.currentToken }
 
 // Active reports whether this process takes part in its installed view: it is a
 // member and has promised no other view.
@@ -128,14 +128,14 @@
 
 // CameFromParent reports whether this process came to its view from the parent view, so
 // that it still has its records of that view.
-func (s *State) Continuous() bool { return s.continuous }
+func (s *State) CameFromParent() bool { return s.cameFromParent }
 
 // Settled reports whether every member is known to have opened the view.
 func (s *State) Settled() bool { return s.settled }
 
 // CommittedSequence returns the sequence number of the newest epoch list that every
 // member is known to use.
-func (s *State) CommittedSequence() uint64 { return s.committed }
+func (s *State) CommittedSequence() uint64 { return s.committedSequence }
 
 // Retired reports whether this process takes part in no view any more.
 func (s *State) Retired() bool { return s.left || s.leaving && !s.isMember() }
@@ -152,8 +152,8 @@
 
 // TakeDigestChanges returns the new digests of peers and removes them from the state.
 func (s *State) TakeDigestChanges() []DigestChange {
-	changes := s.changes
-	s.changes = nil
+	changes := s.digestChanges
+	s.digestChanges = nil
 	return changes
 }
 
@@ -166,7 +166,7 @@
 	if id == s.cfg.Self.ID || s.left {
 		return nil
 	}
-	p := s.hear(now, Member{ID: id, Incarnation: incarnation})
+	p := s.markHeard(now, Member{ID: id, Incarnation: incarnation})
 	if p == nil {
 		return nil
 	}
@@ -200,12 +200,12 @@
 }
 
 // MarkOpened is called when this process has the records that it must hold in the view.
-func (s *State) Opened(now time.Duration) {
+func (s *State) MarkOpened(now time.Duration) {
 	if s.opened || s.view.ID.IsZero() {
 		return
 	}
 	s.opened = true
-	s.tell(now, s.view.Coordinator())
+	s.sendUpdate(now, s.view.Coordinator())
 	s.tickCommit(now)
 }
 
@@ -215,13 +215,13 @@
 	if !s.Active() || !s.opened {
 		return 0
 	}
-	end := forever
+	end := noExpiry
 	for _, m := range s.others() {
 		p := s.peers[m.ID]
-		if p == nil || !p.member.Same(m) || !p.hasAcked {
+		if p == nil || !p.member.Same(m) || !p.hasEcho {
 			return 0
 		}
-		end = min(end, p.acked+s.cfg.ViewLease)
+		end = min(end, p.echoedSentAt+s.cfg.ViewLease)
 	}
 	return end
 }
@@ -235,12 +235,12 @@
 // SetRetire asks the coordinator to drop the epoch with this number early, if it is the
 // oldest; 0 withdraws the request.
 func (s *State) SetRetire(now time.Duration, number uint64) {
-	if number == s.retire {
+	if number == s.retireEpoch {
 		return
 	}
-	s.retire = number
+	s.retireEpoch = number
 	if number != 0 && !s.view.ID.IsZero() {
-		s.tell(now, s.view.Coordinator())
+		s.sendUpdate(now, s.view.Coordinator())
 	}
 }
 
@@ -251,10 +251,10 @@
 }
 
 // others returns the members of the view without this process.
-func (s *State) others() []Member { return s.without(s.view.Members) }
+func (s *State) others() []Member { return s.withoutSelf(s.view.Members) }
 
 // withoutSelf returns the members without this process.
-func (s *State) without(members []Member) []Member {
+func (s *State) withoutSelf(members []Member) []Member {
 	var out []Member
 	for _, m := range members {
 		if m.ID != s.cfg.Self.ID {
--- a/peer/link.go
+++ b/peer/link.go
@@ -49,7 +49,7 @@
 		case <-l.t.ctx.Done():
 			return
 		case <-idle.C:
-			if l.retire() {
+			if l.removeIfUnused() {
 				return
 			}
 			idle.Reset(l.t.options.IdleLink)
@@ -61,7 +61,7 @@
 }
 
 // removeIfUnused removes the link if no message waits, and reports whether it did.
-func (l *link) retire() bool {
+func (l *link) removeIfUnused() bool {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	if l.ring.Len() > 0 {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -37,7 +37,7 @@
 	return tr, r, strings.TrimPrefix(s.URL, "http://")
 }
 
-func TestSendAndReply(t *testing.T) {
+func TestReplyReachesSender(t *testing.T) {
 	a, ra, _ := newVM(t, "a", 1, false)
 	_, rb, addr := newVM(t, "b", 2, true)
 	must.True(t, a.Send(addr, 2, peerpb.Duty_DUTY_CLAIM, []byte("x")))
@@ -60,7 +60,7 @@
 	return [][]byte{{n + 1}}
 }
 
-func TestAnswerToAnAnswerIsSent(t *testing.T) {
+func TestReplyToReplyIsSent(t *testing.T) {
 	a, _, _ := newVM(t, "a", 1, false)
 	b, _, addr := newVM(t, "b", 2, false)
 	got := make(chan byte, 8)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestReplacedProcessGetsNothing(t *testing.T) {
+func TestMessagesToReplacedProcessAreNotDelivered(t *testing.T) {
 	a, _, _ := newVM(t, "a", 1, false)
 	_, rb, addr := newVM(t, "b", 2, false)
 	must.True(t, a.Send(addr, 7, peerpb.Duty_DUTY_CLAIM, []byte("stale")))
@@ -88,7 +88,7 @@
 	return &peerpb.BurnResponse{Key: r.GetKey(), State: peerpb.KeyState_KEY_STATE_NOT_RUN}
 }
 
-func TestBurn(t *testing.T) {
+func TestBurnReachesRegisteredBurner(t *testing.T) {
 	a, _, _ := newVM(t, "a", 1, false)
 	b, _, addr := newVM(t, "b", 2, false)
 	_, err := a.Burn(t.Context(), addr, &peerpb.BurnRequest{Key: "k"})
--- a/sendonce/gate.go
+++ b/sendonce/gate.go
@@ -35,15 +35,15 @@
 // Write counts all bytes before it writes them, and subtracts those that the connection
 // did not accept. So a write in progress counts as written.
 func (c *gatedConn) Write(p []byte) (int, error) {
-	if !c.reserve(len(p)) {
+	if !c.addWritten(len(p)) {
 		return 0, errSealed
 	}
 	n, err := c.Conn.Write(p)
-	c.release(len(p) - n)
+	c.subtractWritten(len(p) - n)
 	return n, err
 }
 
-func (c *gatedConn) reserve(n int) bool {
+func (c *gatedConn) addWritten(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -53,7 +53,7 @@
 	return true
 }
 
-func (c *gatedConn) release(n int) {
+func (c *gatedConn) subtractWritten(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written -= uint64(n)
@@ -84,8 +84,8 @@
 
 // connUse is a connection with its count when the request got it.
 type connUse struct {
-	conn   *gatedConn
-	before uint64
+	conn        *gatedConn
+	countBefore uint64
 }
 
 func (w *writeWatch) trace() *httptrace.ClientTrace {
@@ -98,7 +98,7 @@
 		w.opaque = true
 		return
 	}
-	w.uses = append(w.uses, connUse{conn: conn, before: conn.count()})
+	w.uses = append(w.uses, connUse{conn: conn, countBefore: conn.count()})
 	// net/http may use a free connection although the context has just ended.
 	if w.ctx.Err() != nil {
 		conn.seal()
@@ -111,7 +111,7 @@
 func (w *writeWatch) seal() bool {
 	written := w.opaque
 	for _, use := range w.uses {
-		if use.conn.seal() != use.before {
+		if use.conn.seal() != use.countBefore {
 			written = true
 		}
 	}
--- a/sendonce/gate_test.go
+++ b/sendonce/gate_test.go
@@ -52,7 +52,7 @@
 
 // When nothing was written, net/http repeats a usual post on another connection. Post
 // fails instead.
-func TestReusedConnectionThatAcceptsNothing(t *testing.T) {
+func TestPostIsNotRepeatedWhenReusedConnectionAcceptsNothing(t *testing.T) {
 	url := okServer(t)
 	dial, broken, dials := dialBroken(0)
 	naive := &http.Client{Transport: &http.Transport{DialContext: dial}}
@@ -74,7 +74,7 @@
 	must.Eq(t, 1, dials.Load())
 }
 
-func TestOneByteWrittenIsSent(t *testing.T) {
+func TestOneWrittenByteCountsAsSent(t *testing.T) {
 	url := okServer(t)
 	dial, broken, dials := dialBroken(1)
 	broken.Store(true)
@@ -95,7 +95,7 @@
 	return len(p), nil
 }
 
-func TestWriteUnderWayCountsAsWritten(t *testing.T) {
+func TestWriteInProgressCountsAsWritten(t *testing.T) {
 	inner := &stuckConn{entered: make(chan struct{}), release: make(chan struct{})}
 	conn := &gatedConn{Conn: inner}
 	watch := writeWatch{ctx: t.Context()}
@@ -111,7 +111,7 @@
 	must.NoError(t, <-done)
 }
 
-func TestSealedConnectionTakesNoByte(t *testing.T) {
+func TestSealedConnectionAcceptsNoByte(t *testing.T) {
 	near, far := net.Pipe()
 	must.NoError(t, far.Close())
 	conn := &gatedConn{Conn: near}
@@ -126,7 +126,7 @@
 
 // net/http chooses at random whether it uses a free connection although the context has
 // ended. The test covers the case that it does.
-func TestFreeConnectionAfterEndOfContext(t *testing.T) {
+func TestFreeConnectionAfterEndOfContextIsSealed(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	conn := &gatedConn{Conn: near}
--- a/sendonce/idle_test.go
+++ b/sendonce/idle_test.go
@@ -41,7 +41,7 @@
 
 // The test sends twice as many concurrent posts as idle connections are kept, and then as
 // many again.
-func TestIdleConnectionsOfAHostAreBounded(t *testing.T) {
+func TestIdleConnectionsOfOneHostAreBounded(t *testing.T) {
 	const concurrent = 2 * DefaultMaxIdleOfHost
 	url := meetingServer(t, concurrent)
 	var dials atomic.Int32
--- a/sendonce/sendonce_test.go
+++ b/sendonce/sendonce_test.go
@@ -81,7 +81,7 @@
 	return server.URL + "/from", repeated
 }
 
-func TestRedirects(t *testing.T) {
+func TestPostFollowsNoRedirect(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		url, repeated := redirectingServer(t, status)
 		_, err := postNaively(&http.Client{Transport: &http.Transport{}}, url)
@@ -150,7 +150,7 @@
 }
 
 // A post is cancelled while it waits for the only connection to its host.
-func TestCancelledWhileWaitingForConnection(t *testing.T) {
+func TestPostCancelledWhileWaitingForConnectionIsNotSent(t *testing.T) {
 	var requests atomic.Int32
 	entered := make(chan struct{})
 	leave := make(chan struct{})
--- a/submission/answers.go
+++ b/submission/answers.go
@@ -13,8 +13,8 @@
 const (
 	// chunkBytes is the usual size of a chunk. A small budget is split into minChunks
 	// smaller ones, because the oldest chunk is dropped as a whole.
-	chunkBytes     = 64 << 10
-	chunksOfBudget = 64
+	chunkBytes = 64 << 10
+	minChunks  = 64
 	// indexBytes is an upper bound of the index's memory for one answer.
 	indexBytes = 64
 )
@@ -35,30 +35,30 @@
 	// chunkBytes is the size of chunks; larger answers have chunks of their own.
 	chunkBytes int
 	// chunks hold the records, oldest first; the first one has the number oldestChunk.
-	chunks [][]byte
-	oldest uint32
-	index  map[key.Hash]place
+	chunks      [][]byte
+	oldestChunk uint32
+	index       map[key.Hash]position
 	// maxIndexed is the largest length of index since it was made: a map does not
 	// shrink. chunkTotal is the size of all chunks.
-	indexed int
-	chunked int64
+	maxIndexed int
+	chunkTotal int64
 	// dropped counts the answers that were dropped to stay within the budget.
 	dropped int64
 }
 
 // position is where a record begins. Numbers of chunks wrap around.
-type place struct{ chunk, offset uint32 }
+type position struct{ chunk, offset uint32 }
 
 func newAnswers(budget int64) *answers {
 	return &answers{
 		budget:     budget,
-		chunkBytes: int(min(chunkBytes, budget/chunksOfBudget)),
-		index:      map[key.Hash]place{},
+		chunkBytes: int(min(chunkBytes, budget/minChunks)),
+		index:      map[key.Hash]position{},
 	}
 }
 
 // bytes returns the memory that the answers and their index take.
-func (a *answers) bytes() int64 { return a.chunked + int64(a.indexed)*indexBytes }
+func (a *answers) bytes() int64 { return a.chunkTotal + int64(a.maxIndexed)*indexBytes }
 
 // put stores the outcome of a submission, unless it is larger than the budget.
 func (a *answers) put(keyText string, fingerprint uint64, o *Outcome) {
@@ -69,14 +69,14 @@
 		return
 	}
 	h := key.HashText(keyText)
-	at := a.room(size)
+	at := a.reserve(size)
 	last := &a.chunks[len(a.chunks)-1]
 	*last = append(*last, h[:]...)
 	*last = binary.LittleEndian.AppendUint64(*last, fingerprint)
 	*last = binary.LittleEndian.AppendUint32(*last, uint32(size-outcomeAt))
 	*last = appendMessage(*last, message)
 	a.index[h] = at
-	a.indexed = max(a.indexed, len(a.index))
+	a.maxIndexed = max(a.maxIndexed, len(a.index))
 	for a.bytes() > a.budget {
 		a.dropOldest()
 	}
@@ -92,16 +92,16 @@
 
 // reserve makes sure that the last chunk has room for a record, and returns the record's
 // position.
-func (a *answers) room(size int) place {
+func (a *answers) reserve(size int) position {
 	n := len(a.chunks)
 	if n == 0 || cap(a.chunks[n-1])-len(a.chunks[n-1]) < size {
 		// The allocator rounds sizes up, so the capacity is counted.
 		chunk := slices.Grow([]byte(nil), max(size, a.chunkBytes))
-		a.chunked += int64(cap(chunk))
+		a.chunkTotal += int64(cap(chunk))
 		a.chunks = append(a.chunks, chunk)
 		n++
 	}
-	return place{chunk: a.oldest + uint32(n-1), offset: uint32(len(a.chunks[n-1]))}
+	return position{chunk: a.oldestChunk + uint32(n-1), offset: uint32(len(a.chunks[n-1]))}
 }
 
 // dropOldest drops the oldest chunk with its records.
@@ -113,21 +113,21 @@
 		a.dropped++
 		offset += outcomeAt + outcomeLength(record)
 	}
-	a.chunked -= int64(cap(chunk))
+	a.chunkTotal -= int64(cap(chunk))
 	a.chunks[0] = nil
 	a.chunks = a.chunks[1:]
-	a.oldest++
+	a.oldestChunk++
 	a.shrinkIndex()
 }
 
 // shrinkIndex replaces the index by a smaller one once half of it is unused.
 func (a *answers) shrinkIndex() {
-	if len(a.index) > a.indexed/2 {
+	if len(a.index) > a.maxIndexed/2 {
 		return
 	}
-	index := make(map[key.Hash]place, len(a.index))
+	index := make(map[key.Hash]position, len(a.index))
 	maps.Copy(index, a.index)
-	a.index, a.indexed = index, len(index)
+	a.index, a.maxIndexed = index, len(index)
 }
 
 func outcomeLength(record []byte) int {
@@ -140,7 +140,7 @@
 	if !ok {
 		return nil, 0, false
 	}
-	record := a.chunks[at.chunk-a.oldest][at.offset:]
+	record := a.chunks[at.chunk-a.oldestChunk][at.offset:]
 	var message peerpb.WaitResponse
 	if err := proto.Unmarshal(record[outcomeAt:outcomeAt+outcomeLength(record)], &message); err != nil {
 		panic("submission: can't decode a kept outcome: " + err.Error())
--- a/submission/answers_test.go
+++ b/submission/answers_test.go
@@ -20,7 +20,7 @@
 }
 
 // keepAnswers puts n answers into a table whose submissions ran here.
-func keep(t *testing.T, table *table, n, bytes int) {
+func keepAnswers(t *testing.T, table *table, n, bytes int) {
 	for i := range n {
 		e, first := table.reserve(keyOf(strconv.Itoa(bytes)+"-"+strconv.Itoa(i)).String(), uint64(i))
 		must.True(t, first)
@@ -31,17 +31,17 @@
 
 // The counted size of kept answers is compared with the heap that they take, below the
 // budget and once answers are dropped.
-func TestCountedBytesAreThoseOfTheHeap(t *testing.T) {
+func TestCountedBytesMatchHeap(t *testing.T) {
 	const budget = 8 << 20
 	for _, c := range []struct{ small, bytes, large int }{
 		{5000, 40, 0}, {100_000, 40, 0}, {100_000, 90, 0}, {20_000, 1000, 0}, {0, 0, 400}, {100_000, 40, 40}, {100_000, 40, 60}, {100_000, 40, 200},
 	} {
 		before := liveHeap()
 		table := newTable(budget)
-		keep(t, table, c.small, c.bytes)
-		keep(t, table, c.large, 100_000)
+		keepAnswers(t, table, c.small, c.bytes)
+		keepAnswers(t, table, c.large, 100_000)
 		heap := liveHeap() - before
-		counted, _ := table.kept()
+		counted, _ := table.keptAnswers()
 		what := must.Sprintf("%+v: counted %d, heap %d", c, counted, heap)
 		must.LessEq(t, budget, counted, what)
 		must.Less(t, counted+counted/20, heap, what)
@@ -53,7 +53,7 @@
 }
 
 // An answer larger than the budget is dropped itself; the others stay.
-func TestAnswerBeyondTheBudgetDropsNoOther(t *testing.T) {
+func TestAnswerLargerThanBudgetDropsNoOther(t *testing.T) {
 	a := newAnswers(10_000)
 	a.put("a.e.small", 1, &Outcome{Status: statusOK, Body: []byte("small")})
 	a.put("a.e.large", 2, &Outcome{Status: statusOK, Body: make([]byte, 10_000)})
--- a/submission/ask.go
+++ b/submission/ask.go
@@ -37,13 +37,13 @@
 		return Reply{Outcome: Refused(asFailure(err, k.String()))}
 	}
 	if claim.State == ClaimUnknown {
-		return Reply{Outcome: Refused(notFound(k.String()))}
+		return Reply{Outcome: Refused(notFoundFailure(k.String()))}
 	}
 	// The key may have been submitted here meanwhile.
 	if e := s.table.get(k.String()); claim.Self && e != nil && s.runsHere(ctx, e) {
 		return s.askLocal(ctx, e, ask)
 	}
-	if o := s.ended(k, claim); o != nil {
+	if o := s.endedOutcome(k, claim); o != nil {
 		return Reply{Outcome: o}
 	}
 	if ask == AskAnswer {
@@ -76,12 +76,12 @@
 // askRemote asks the runner for the state, or to cancel. A cancelled submission may take
 // longer to end than one request may last; its outcome is then awaited.
 func (s *Service) askRemote(ctx context.Context, k key.Key, claim Claim, ask Ask) Reply {
-	once, cancel := context.WithTimeout(ctx, waitPoll+waitMargin)
+	once, cancel := context.WithTimeout(ctx, waitTimeout+waitMargin)
 	defer cancel()
 	response, err := s.options.Peers.Wait(once, claim.RunnerAddress, &peerpb.WaitRequest{
 		Key:                 k.String(),
 		ReceiverIncarnation: claim.RunnerIncarnation,
-		WaitMs:              waitPoll.Milliseconds(),
+		WaitMs:              waitTimeout.Milliseconds(),
 		Cancel:              ask == AskCancel,
 		Look:                ask == AskState,
 	})
@@ -92,7 +92,7 @@
 		return Reply{Outcome: Refused(asFailure(err, k.String()))}
 	}
 	if !response.GetKnown() {
-		return Reply{Outcome: Refused(answerExpired(k.String(), api.OutcomeUnknown))}
+		return Reply{Outcome: Refused(answerExpiredFailure(k.String(), api.OutcomeUnknown))}
 	}
 	if response.GetDone() {
 		return Reply{Outcome: fromResponse(response)}
@@ -109,7 +109,7 @@
 	}}
 }
 
-func notFound(keyText string) *api.Failure {
+func notFoundFailure(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindNotFound,
 		Message: "nobody in this failure domain knows the key: submit it, or check the key",
--- a/submission/bounds_test.go
+++ b/submission/bounds_test.go
@@ -31,14 +31,14 @@
 	must.Eq(t, StatusOf(kind), o.Status)
 }
 
-func TestAnswersAreDroppedForRoom(t *testing.T) {
+func TestOldestAnswersAreDroppedBeyondBudget(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 2*(outcomeAt+indexBytes)+200)
+		w := newCluster(2, 2*(outcomeAt+indexBytes)+200)
 		w.runMS = 100
 		for _, unique := range []string{"k0", "k1", "k2", "k3"} {
 			must.Eq(t, 200, w.vms[0].service.Submit(background, newSubmission(unique, "p")).Status)
 		}
-		kept, dropped := w.vms[0].service.Kept()
+		kept, dropped := w.vms[0].service.KeptAnswers()
 		must.Eq(t, 2, dropped)
 		must.Positive(t, kept)
 		must.Eq(t, 0, w.vms[0].service.Unfinished())
@@ -54,24 +54,24 @@
 }
 
 // A caller waits at another VM for a submission that does not end.
-func TestWaitIsBounded(t *testing.T) {
+func TestWaitForAnotherVMIsBounded(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 1<<20)
+		w := newCluster(2, 1<<20)
 		must.Nil(t, w.vms[0].service.Start(newSubmission("k", "p")))
 		time.Sleep(time.Second)
 		c := &caller{sub: newSubmission("k", "p"), vm: 1, ask: askSubmit}
 		c.call(w)
 		mustFail(t, c.reply.Outcome, api.KindUnavailable, api.OutcomeUnknown)
 		must.StrContains(t, string(c.reply.Outcome.Body), "still running")
-		must.Between(t, maxJoin, c.end.Sub(c.begin), maxJoin+waitPoll)
+		must.Between(t, joinTimeout, c.end.Sub(c.begin), joinTimeout+waitTimeout)
 		mustFail(t, w.vms[1].service.Ask(background, keyOf("k"), AskCancel).Outcome, api.KindCancelled, api.Failed)
 	})
 }
 
 // Submissions are cancelled while no dispatcher has them yet.
-func TestCancelDuringClaim(t *testing.T) {
+func TestCancelDuringClaimEndsSubmission(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(1, 1<<20)
+		w := newCluster(1, 1<<20)
 		s := w.vms[0].service
 		for i := range 10 {
 			k := keyOf(strconv.Itoa(i))
@@ -98,10 +98,10 @@
 	})
 }
 
-func TestSilentRegistrar(t *testing.T) {
+func TestHangingClaimAndLookupTimeOut(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(1, 1<<20)
-		w.hang = true
+		w := newCluster(1, 1<<20)
+		w.claimsHang = true
 		begin := time.Now()
 		mustFail(t, w.vms[0].service.Submit(background, newSubmission("k", "p")), api.KindUnavailable, api.OutcomeUnknown)
 		mustFail(t, w.vms[0].service.Ask(background, keyOf("k"), AskState).Outcome, api.KindUnavailable, api.OutcomeUnknown)
@@ -111,7 +111,7 @@
 
 func TestAbandonEndsWaits(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 1<<20)
+		w := newCluster(2, 1<<20)
 		must.Nil(t, w.vms[0].service.Start(newSubmission("k", "p")))
 		time.Sleep(time.Second)
 		c := &caller{sub: newSubmission("k", "p"), vm: 1, ask: askSubmit}
@@ -129,16 +129,16 @@
 	})
 }
 
-func TestForeignAndUnknownKeys(t *testing.T) {
-	w := newWorld(1, 1<<20)
+func TestForeignAndUnknownKeysAreRefused(t *testing.T) {
+	w := newCluster(1, 1<<20)
 	s := w.vms[0].service
-	mustFail(t, s.Foreign(background, keyOf("k")), api.KindWrongDomain, api.OutcomeUnknown)
+	mustFail(t, s.AskForeign(background, keyOf("k")), api.KindWrongDomain, api.OutcomeUnknown)
 	mustFail(t, s.Ask(background, keyOf("k"), AskState).Outcome, api.KindNotFound, api.OutcomeUnknown)
 	must.False(t, s.ServeWait(background, &peerpb.WaitRequest{Key: "a.e.k"}).GetKnown())
 	must.False(t, s.ServeWait(background, &peerpb.WaitRequest{Key: "no key"}).GetKnown())
 }
 
-func TestFingerprint(t *testing.T) {
+func TestFingerprintDependsOnProfileAndPayloads(t *testing.T) {
 	seen := map[uint64]bool{}
 	for _, text := range []string{"p 1 2", "p 2 1", "p 12", "p 1 2 2", "p1 2", "q 1 2"} {
 		parts := strings.Fields(text)
@@ -171,7 +171,7 @@
 	must.MapLen(t, 2, x.byKey)
 }
 
-func TestEndIsKeptAfterManyStarts(t *testing.T) {
+func TestEndEventIsKeptAfterManyStarts(t *testing.T) {
 	x := newExplanations(2)
 	x.setProfile("k", "p")
 	for task := range 2 * maxEvents {
--- a/submission/explain.go
+++ b/submission/explain.go
@@ -42,7 +42,7 @@
 // explanations keeps the events of the newest submissions.
 type explanations struct {
 	mu    sync.Mutex
-	most  int
+	limit int
 	order *list.List
 	byKey map[string]*list.Element
 }
@@ -54,7 +54,7 @@
 }
 
 func newExplanations(limit int) *explanations {
-	return &explanations{most: limit, order: list.New(), byKey: map[string]*list.Element{}}
+	return &explanations{limit: limit, order: list.New(), byKey: map[string]*list.Element{}}
 }
 
 // setProfile records which profile a submission named.
@@ -100,7 +100,7 @@
 
 // trim drops the oldest explanations beyond the limit.
 func (x *explanations) trim() {
-	for x.order.Len() > x.most {
+	for x.order.Len() > x.limit {
 		oldest := x.order.Remove(x.order.Front()).(*explanation)
 		delete(x.byKey, oldest.keyText)
 	}
--- a/submission/foreign.go
+++ b/submission/foreign.go
@@ -12,8 +12,8 @@
 // AskForeign answers a question about a key of another failure domain. Nothing was
 // started here, but the key may have been submitted at its home, so the outcome is
 // unknown.
-func (s *Service) Foreign(_ context.Context, k key.Key) *Outcome {
-	return s.foreign(k, api.OutcomeUnknown, "submit there; if it can't be reached and this key was never sent before, "+takeNewKey)
+func (s *Service) AskForeign(_ context.Context, k key.Key) *Outcome {
+	return s.wrongDomain(k, api.OutcomeUnknown, "submit there; if it can't be reached and this key was never sent before, "+takeNewKey)
 }
 
 const takeNewKey = "take a key of this failure domain from GET /v1/epoch"
@@ -28,21 +28,21 @@
 	there := "ask there for the answer of this key, at " + r.GetCallersAddress()
 	switch r.GetState() {
 	case peerpb.KeyState_KEY_STATE_NOT_RUN:
-		return s.foreign(k, api.NotRun, "it was refused there for good and nothing was started: submit under a new key, "+takeNewKey)
+		return s.wrongDomain(k, api.NotRun, "it was refused there for good and nothing was started: submit under a new key, "+takeNewKey)
 	case peerpb.KeyState_KEY_STATE_RUNNING:
-		return s.foreign(k, api.OutcomeUnknown, "it runs there, at "+r.GetRunner()+": "+there)
+		return s.wrongDomain(k, api.OutcomeUnknown, "it runs there, at "+r.GetRunner()+": "+there)
 	case peerpb.KeyState_KEY_STATE_COMPLETED:
-		return s.foreign(k, api.Completed, "every task ran there: "+there)
+		return s.wrongDomain(k, api.Completed, "every task ran there: "+there)
 	case peerpb.KeyState_KEY_STATE_FAILED:
-		return s.foreign(k, api.Failed, "it was run there and failed: "+there)
+		return s.wrongDomain(k, api.Failed, "it was run there and failed: "+there)
 	case peerpb.KeyState_KEY_STATE_LOST:
-		return s.foreign(k, api.OutcomeUnknown, "the VM that ran it there is lost: check the work's effect before you submit it under a new key, or submit at once if it is idempotent")
+		return s.wrongDomain(k, api.OutcomeUnknown, "the VM that ran it there is lost: check the work's effect before you submit it under a new key, or submit at once if it is idempotent")
 	}
-	return s.Foreign(ctx, k)
+	return s.AskForeign(ctx, k)
 }
 
 // wrongDomain returns the refusal of a key of another failure domain.
-func (s *Service) foreign(k key.Key, run api.RunState, advice string) *Outcome {
+func (s *Service) wrongDomain(k key.Key, run api.RunState, advice string) *Outcome {
 	return Refused(&api.Failure{
 		Kind:    api.KindWrongDomain,
 		Message: "the key belongs to failure domain " + k.Domain + ", this VM serves " + s.options.Domain + ": " + advice,
@@ -67,7 +67,7 @@
 	}
 	if claim.Granted {
 		s.burned.Inc(1)
-		s.explain.add(r.GetKey(), "burned: it was submitted in another failure domain")
+		s.explanations.add(r.GetKey(), "burned: it was submitted in another failure domain")
 		response.State = peerpb.KeyState_KEY_STATE_NOT_RUN
 		return response
 	}
--- a/submission/foreign_test.go
+++ b/submission/foreign_test.go
@@ -18,11 +18,11 @@
 )
 
 // fakeHome answers burns with one response.
-type home struct{ response *peerpb.BurnResponse }
+type fakeHome struct{ response *peerpb.BurnResponse }
 
-func (h home) Burn(context.Context, key.Key) *peerpb.BurnResponse { return h.response }
+func (h fakeHome) Burn(context.Context, key.Key) *peerpb.BurnResponse { return h.response }
 
-func TestSubmitForeignTellsWhatTheHomeSays(t *testing.T) {
+func TestSubmitForeignReportsStateAtHome(t *testing.T) {
 	for state, want := range map[peerpb.KeyState]struct {
 		run    api.RunState
 		advice string
@@ -35,7 +35,7 @@
 		peerpb.KeyState_KEY_STATE_UNCLEAR:   {api.OutcomeUnknown, "submit there"},
 		99:                                  {api.OutcomeUnknown, "submit there"},
 	} {
-		s := NewService(Options{Domain: "b", Domains: home{&peerpb.BurnResponse{State: state, Runner: "vm7", CallersAddress: "192.0.2.7:1"}}})
+		s := NewService(Options{Domain: "b", Domains: fakeHome{&peerpb.BurnResponse{State: state, Runner: "vm7", CallersAddress: "192.0.2.7:1"}}})
 		o := s.SubmitForeign(background, keyOf("k"))
 		mustFail(t, o, api.KindWrongDomain, want.run)
 		must.StrContains(t, string(o.Body), want.advice)
@@ -48,7 +48,7 @@
 
 func TestBurnedKeyIsNeverStarted(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 1<<20)
+		w := newCluster(2, 1<<20)
 		must.Eq(t, peerpb.KeyState_KEY_STATE_NOT_RUN, burnAt(w.vms[0].service, "k"))
 		// Again, also at a VM that only knows the runner.
 		must.Eq(t, peerpb.KeyState_KEY_STATE_NOT_RUN, burnAt(w.vms[0].service, "k"))
@@ -61,9 +61,9 @@
 	})
 }
 
-func TestBurnTellsOfKnownKeys(t *testing.T) {
+func TestBurnReportsStateOfKnownKeys(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 1<<20)
+		w := newCluster(2, 1<<20)
 		go w.vms[0].service.Submit(background, newSubmission("k", "p"))
 		time.Sleep(time.Second)
 		for _, v := range w.vms {
@@ -88,7 +88,7 @@
 
 func TestBurnOfLostKeyAndOfSilentDomainEnds(t *testing.T) {
 	inBubble(t, func() {
-		w := newWorld(2, 1<<20)
+		w := newCluster(2, 1<<20)
 		w.seed = 1
 		go w.vms[0].service.Submit(background, newSubmission("k", "p"))
 		time.Sleep(time.Second)
@@ -97,22 +97,22 @@
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		must.Eq(t, peerpb.KeyState_KEY_STATE_LOST, burnAt(w.vms[1].service, "k"))
-		w.hang = true
+		w.claimsHang = true
 		begin := time.Now()
 		must.Eq(t, peerpb.KeyState_KEY_STATE_UNCLEAR, burnAt(w.vms[1].service, "other"))
 		must.LessEq(t, domains.ServeTimeout, time.Since(begin))
-		w.hang = false
+		w.claimsHang = false
 		w.vms[0].service.Ask(background, keyOf("k"), AskCancel)
 	})
 }
 
 // remotePeers reaches the VMs of a test cluster from another failure domain, with faults.
-type remote struct{ world *world }
+type remotePeers struct{ cluster *testCluster }
 
-func (r remote) Burn(ctx context.Context, address string, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error) {
-	w, name := r.world, "remote"+address+request.GetKey()
-	n := &node{world: w}
-	if n.pause(ctx, name, 60) != nil || w.fault(6, name) {
+func (r remotePeers) Burn(ctx context.Context, address string, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error) {
+	w, name := r.cluster, "remote"+address+request.GetKey()
+	n := &node{cluster: w}
+	if n.pause(ctx, name, 60) != nil || w.hasFault(6, name) {
 		return nil, twirp.NewError(twirp.Unavailable, "the request was lost")
 	}
 	var i int
@@ -134,14 +134,14 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if n.pause(ctx, name, 60) != nil || w.fault(6, name) {
+	if n.pause(ctx, name, 60) != nil || w.hasFault(6, name) {
 		return nil, twirp.NewError(twirp.Unavailable, "the answer was lost")
 	}
 	return response, nil
 }
 
 // newForeign returns a service of another failure domain that knows the VMs of a cluster.
-func newForeign(w *world) *Service {
+func newForeign(w *testCluster) *Service {
 	start := time.Now()
 	var addresses []string
 	for i := range w.vms {
@@ -149,7 +149,7 @@
 	}
 	return NewService(Options{Domain: "b", VM: "foreign", Domains: domains.New(domains.Options{
 		Directory: domains.NewDirectory("foreign", "b", []string{"a", "b"}, map[string][]string{"a": addresses}, domains.DefaultTimes()),
-		Peers:     remote{w},
+		Peers:     remotePeers{w},
 		Now:       func() time.Duration { return time.Since(start) },
 	})})
 }
@@ -157,11 +157,11 @@
 // Submissions are made at the home of keys and at another failure domain, with faults of
 // claims and messages and the loss of a VM. What the other failure domain replies is
 // true, stays true, and comes in time.
-func TestForeignIsTrue(t *testing.T) {
+func TestForeignRepliesMatchOracle(t *testing.T) {
 	replies := map[api.RunState]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
-			w := newWorld(rapid.IntRange(2, 3).Draw(rt, "vms"), 1<<20)
+			w := newCluster(rapid.IntRange(2, 3).Draw(rt, "vms"), 1<<20)
 			w.seed, w.runMS = rapid.Uint32().Draw(rt, "seed"), 3000
 			w.faulty = rapid.IntRange(0, 3).Draw(rt, "faulty") > 0
 			foreign := newForeign(w)
@@ -204,7 +204,7 @@
 }
 
 // checkForeign compares a caller's reply with the oracle's record of its key.
-func (c *caller) checkForeign(t *rapid.T, w *world) api.RunState {
+func (c *caller) checkForeign(t *rapid.T, w *testCluster) api.RunState {
 	must.False(t, c.end.IsZero(), must.Sprint("never ended"))
 	must.LessEq(t, domains.ExchangeTimeout, c.end.Sub(c.begin))
 	var body api.FailureBody
@@ -216,7 +216,7 @@
 	what := must.Sprintf("%s oracle %+v", c.reply.Outcome.Body, *r)
 	switch body.Error.Run {
 	case api.NotRun:
-		refused := r.outcome != nil && r.outcome.Run == api.NotRun || r.noted == api.NotRun
+		refused := r.outcome != nil && r.outcome.Run == api.NotRun || r.reportedRun == api.NotRun
 		must.True(t, refused, what)
 		must.True(t, r.submits == 0 || r.outcome.Run == api.NotRun, what)
 	case api.Completed, api.Failed:
--- a/submission/join.go
+++ b/submission/join.go
@@ -14,11 +14,11 @@
 const (
 	// waitTimeout is how long a runner may take to respond to one request for an answer.
 	// A runner that is silent for waitTimeout and waitMargin is looked up again.
-	waitPoll   = 2 * time.Second
-	waitMargin = 500 * time.Millisecond
+	waitTimeout = 2 * time.Second
+	waitMargin  = 500 * time.Millisecond
 	// joinTimeout bounds the wait for another VM's answer. Deadlines are shorter, so the
 	// runner ends every submission earlier.
-	maxJoin = 10 * time.Minute
+	joinTimeout = 10 * time.Minute
 	// lookupPause is the pause before the next lookup.
 	lookupPause = 100 * time.Millisecond
 )
@@ -28,10 +28,10 @@
 func (s *Service) join(ctx context.Context, k key.Key, fingerprint uint64, claim Claim) *Outcome {
 	ctx, span := s.tracer.Start(ctx, "join")
 	defer span.End()
-	ctx, cancel := context.WithTimeout(ctx, maxJoin)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	for {
-		if o := s.ended(k, claim); o != nil {
+		if o := s.endedOutcome(k, claim); o != nil {
 			return o
 		}
 		o, again := s.askRunner(ctx, k, fingerprint, claim)
@@ -40,7 +40,7 @@
 		}
 		next, err := s.lookupSoon(ctx, k)
 		if ctx.Err() != nil {
-			return Refused(stillRunning(k.String()))
+			return Refused(stillRunningFailure(k.String()))
 		}
 		if err != nil {
 			return Refused(asFailure(err, k.String()))
@@ -50,15 +50,15 @@
 }
 
 // endedOutcome returns the outcome of a claim for which no runner has an answer, or nil.
-func (s *Service) ended(k key.Key, claim Claim) *Outcome {
+func (s *Service) endedOutcome(k key.Key, claim Claim) *Outcome {
 	switch {
 	case claim.State == ClaimLost || claim.State == ClaimUnknown:
-		return Refused(lost(k.String()))
+		return Refused(runnerLostFailure(k.String()))
 	case claim.State == ClaimEnded:
-		return Refused(answerExpired(k.String(), claim.Run))
+		return Refused(answerExpiredFailure(k.String(), claim.Run))
 	case claim.Self:
 		// This VM ran the key and has dropped the answer.
-		return Refused(answerExpired(k.String(), claim.Run))
+		return Refused(answerExpiredFailure(k.String(), claim.Run))
 	}
 	return nil
 }
@@ -66,19 +66,19 @@
 // askRunner asks the runner once for the outcome. If again is true, the claim must be
 // looked up before the next request.
 func (s *Service) askRunner(ctx context.Context, k key.Key, fingerprint uint64, claim Claim) (o *Outcome, again bool) {
-	ctx, cancel := context.WithTimeout(ctx, waitPoll+waitMargin)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout+waitMargin)
 	defer cancel()
 	response, err := s.options.Peers.Wait(ctx, claim.RunnerAddress, &peerpb.WaitRequest{
 		Key:                 k.String(),
 		ReceiverIncarnation: claim.RunnerIncarnation,
-		WaitMs:              waitPoll.Milliseconds(),
+		WaitMs:              waitTimeout.Milliseconds(),
 		Fingerprint:         fingerprint,
 	})
 	if err != nil {
 		return replacedOutcome(k, err)
 	}
 	if !response.GetKnown() {
-		return Refused(answerExpired(k.String(), api.OutcomeUnknown)), false
+		return Refused(answerExpiredFailure(k.String(), api.OutcomeUnknown)), false
 	}
 	if !response.GetDone() {
 		return nil, true
@@ -90,7 +90,7 @@
 // that does not answer now. For the latter it returns nil and true.
 func replacedOutcome(k key.Key, err error) (*Outcome, bool) {
 	if e, ok := err.(twirp.Error); ok && e.Code() == twirp.FailedPrecondition {
-		return Refused(lost(k.String())), false
+		return Refused(runnerLostFailure(k.String())), false
 	}
 	return nil, true
 }
@@ -141,7 +141,7 @@
 func (s *Service) ServeWait(ctx context.Context, r *peerpb.WaitRequest) *peerpb.WaitResponse {
 	e := s.table.get(r.GetKey())
 	if e == nil {
-		return s.dropped(ctx, r.GetKey())
+		return s.responseWithoutEntry(ctx, r.GetKey())
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.GetWaitMs())*time.Millisecond)
 	defer cancel()
@@ -152,7 +152,7 @@
 		if !here {
 			return s.lookResponse(r.GetKey())
 		}
-		return toResponse(Refused(conflict(r.GetKey())))
+		return toResponse(Refused(conflictFailure(r.GetKey())))
 	}
 	if r.GetCancel() {
 		s.options.Dispatcher.Cancel(r.GetKey())
@@ -170,7 +170,7 @@
 
 // responseWithoutEntry returns the response for a key that has no entry here. The claim
 // records may still say how it ended.
-func (s *Service) dropped(ctx context.Context, keyText string) *peerpb.WaitResponse {
+func (s *Service) responseWithoutEntry(ctx context.Context, keyText string) *peerpb.WaitResponse {
 	k, err := key.Parse(keyText)
 	if err != nil {
 		return &peerpb.WaitResponse{}
@@ -179,7 +179,7 @@
 	if err != nil || !claim.Self {
 		return &peerpb.WaitResponse{}
 	}
-	return toResponse(Refused(answerExpired(keyText, claim.Run)))
+	return toResponse(Refused(answerExpiredFailure(keyText, claim.Run)))
 }
 
 func isDone(e *entry) bool {
@@ -207,7 +207,7 @@
 	}
 }
 
-func stillRunning(keyText string) *api.Failure {
+func stillRunningFailure(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindUnavailable,
 		Message: "the submission is still running at another VM: ask for the answer of this key",
@@ -216,7 +216,7 @@
 	}
 }
 
-func lost(keyText string) *api.Failure {
+func runnerLostFailure(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindRunnerLost,
 		Message: "the VM that ran the submission is lost and nobody can know what it started: check the work's effect before you submit it under a new key, or submit at once if it is idempotent",
@@ -225,7 +225,7 @@
 	}
 }
 
-func answerExpired(keyText string, run api.RunState) *api.Failure {
+func answerExpiredFailure(keyText string, run api.RunState) *api.Failure {
 	f := &api.Failure{Kind: api.KindAnswerExpired, Run: run, Key: keyText}
 	switch run {
 	case api.NotRun:
--- a/submission/service.go
+++ b/submission/service.go
@@ -98,11 +98,11 @@
 
 // Service serves submissions of callers and questions of other VMs about them.
 type Service struct {
-	options  Options
-	table    *table
-	draining atomic.Bool
-	explain  *explanations
-	tracer   trace.Tracer
+	options      Options
+	table        *table
+	draining     atomic.Bool
+	explanations *explanations
+	tracer       trace.Tracer
 
 	claims, joined, granted, burned tally.Counter
 }
@@ -113,14 +113,14 @@
 		o.Scope = tally.NoopScope
 	}
 	return &Service{
-		options: o,
-		table:   newTable(o.AnswerBytes),
-		explain: newExplanations(maxExplanations),
-		tracer:  otel.Tracer("burdockward/submission"),
-		claims:  o.Scope.Counter("claims"),
-		joined:  o.Scope.Counter("submissions_joined"),
-		granted: o.Scope.Counter("submissions_granted"),
-		burned:  o.Scope.Counter("keys_burned"),
+		options:      o,
+		table:        newTable(o.AnswerBytes),
+		explanations: newExplanations(maxExplanations),
+		tracer:       otel.Tracer("burdockward/submission"),
+		claims:       o.Scope.Counter("claims"),
+		joined:       o.Scope.Counter("submissions_joined"),
+		granted:      o.Scope.Counter("submissions_granted"),
+		burned:       o.Scope.Counter("keys_burned"),
 	}
 }
 
@@ -131,7 +131,7 @@
 		e := s.reserve(sub)
 		same := e.fingerprint == sub.Fingerprint
 		if !same && s.runsHere(ctx, e) {
-			return Refused(conflict(sub.KeyText))
+			return Refused(conflictFailure(sub.KeyText))
 		}
 		select {
 		case <-e.done:
@@ -149,7 +149,7 @@
 func (s *Service) reserve(sub *Submission) *entry {
 	e, first := s.table.reserve(sub.KeyText, sub.Fingerprint)
 	if first {
-		go s.own(e, sub)
+		go s.runOrJoin(e, sub)
 	} else if e.fingerprint == sub.Fingerprint {
 		s.joined.Inc(1)
 	}
@@ -170,30 +170,30 @@
 
 // runOrJoin claims the key of a reserved entry. Then it runs the submission here or waits
 // for the VM that has the key, and ends the entry.
-func (s *Service) own(e *entry, sub *Submission) {
+func (s *Service) runOrJoin(e *entry, sub *Submission) {
 	ctx := trace.ContextWithSpanContext(context.Background(), sub.Span)
 	claim, err := s.claim(ctx, sub)
 	if err != nil {
-		s.end(e, sub.Key, Refused(asFailure(err, sub.KeyText)))
+		s.endEntry(e, sub.Key, Refused(asFailure(err, sub.KeyText)))
 		return
 	}
 	if !claim.Granted {
 		s.joined.Inc(1)
-		s.explain.add(sub.KeyText, "the key is already claimed by "+claim.RunnerID+": waiting there for its answer")
-		s.table.decide(e)
-		s.end(e, sub.Key, s.join(ctx, sub.Key, sub.Fingerprint, claim))
+		s.explanations.add(sub.KeyText, "the key is already claimed by "+claim.RunnerID+": waiting there for its answer")
+		s.table.markDecided(e)
+		s.endEntry(e, sub.Key, s.join(ctx, sub.Key, sub.Fingerprint, claim))
 		return
 	}
 	s.granted.Inc(1)
 	s.table.setLocal(e)
-	s.explain.setProfile(sub.KeyText, sub.Profile)
-	s.explain.add(sub.KeyText, "granted to this VM")
+	s.explanations.setProfile(sub.KeyText, sub.Profile)
+	s.explanations.add(sub.KeyText, "granted to this VM")
 	if s.draining.Load() {
-		s.end(e, sub.Key, Refused(s.drainingFailure(sub.KeyText)))
+		s.endEntry(e, sub.Key, Refused(s.drainingFailure(sub.KeyText)))
 		return
 	}
-	s.options.Dispatcher.Submit(sub, func(o *Outcome) { s.end(e, sub.Key, o) })
-	s.table.decide(e)
+	s.options.Dispatcher.Submit(sub, func(o *Outcome) { s.endEntry(e, sub.Key, o) })
+	s.table.markDecided(e)
 }
 
 // claim claims the key in the failure domain, in a span of its own.
@@ -208,14 +208,14 @@
 
 // endEntry stores the outcome of an entry, and reports it to the claim duty if this VM
 // ran the submission.
-func (s *Service) end(e *entry, k key.Key, o *Outcome) {
+func (s *Service) endEntry(e *entry, k key.Key, o *Outcome) {
 	if s.table.isLocal(e) {
 		s.options.Claims.SetOutcome(k, o.Run)
 	}
 	if o.Kind != "" {
-		s.explain.add(e.keyText, "ended: "+string(o.Kind)+", "+string(o.Run))
+		s.explanations.add(e.keyText, "ended: "+string(o.Kind)+", "+string(o.Run))
 	} else {
-		s.explain.add(e.keyText, "answered whole")
+		s.explanations.add(e.keyText, "answered whole")
 	}
 	s.table.finish(e, o)
 }
@@ -226,7 +226,7 @@
 // Abandon ends all unfinished entries with a failure, when the time of a planned stop is
 // over. Their callers still wait for answers of other VMs.
 func (s *Service) Abandon() {
-	for _, e := range s.table.open() {
+	for _, e := range s.table.unfinishedEntries() {
 		s.table.finish(e, Refused(&api.Failure{
 			Kind:         api.KindUnavailable,
 			Message:      "this VM stopped while it waited for the answer: ask another VM for the answer of this key",
@@ -254,16 +254,16 @@
 
 // KeptAnswers returns the size of the kept answers in bytes and how many were dropped so
 // far.
-func (s *Service) Kept() (bytes, dropped int64) { return s.table.kept() }
+func (s *Service) KeptAnswers() (bytes, dropped int64) { return s.table.keptAnswers() }
 
 // Unfinished returns the number of submissions without outcome.
 func (s *Service) Unfinished() int { return s.table.unfinished() }
 
 // Explain returns the recorded events of a key.
-func (s *Service) Explain(keyText string) Explanation { return s.explain.get(keyText) }
+func (s *Service) Explain(keyText string) Explanation { return s.explanations.get(keyText) }
 
 // AddEvent adds an event to the explanation of a key.
-func (s *Service) Note(keyText string, e Event) { s.explain.addEvent(keyText, e) }
+func (s *Service) AddEvent(keyText string, e Event) { s.explanations.addEvent(keyText, e) }
 
 func (s *Service) drainingFailure(keyText string) *api.Failure {
 	return &api.Failure{
@@ -275,7 +275,7 @@
 	}
 }
 
-func conflict(keyText string) *api.Failure {
+func conflictFailure(keyText string) *api.Failure {
 	return &api.Failure{
 		Kind:    api.KindKeyConflict,
 		Message: "the key belongs to a submission with other content, which may have run; nothing of this content was started: use a new key for each submission",
@@ -309,7 +309,7 @@
 		return nil
 	}
 	if s.runsHere(context.Background(), e) {
-		return Refused(conflict(sub.KeyText))
+		return Refused(conflictFailure(sub.KeyText))
 	}
 	go s.Submit(context.Background(), sub)
 	return nil
--- a/submission/service_test.go
+++ b/submission/service_test.go
@@ -79,7 +79,7 @@
 	return c
 }
 
-func (c *caller) call(w *world) {
+func (c *caller) call(w *testCluster) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Minute)
 	defer cancel()
 	if c.leavesAfter > 0 {
@@ -102,7 +102,7 @@
 }
 
 // check compares a caller's reply with the oracle's record of its key.
-func (c *caller) check(t *rapid.T, w *world) {
+func (c *caller) check(t *rapid.T, w *testCluster) {
 	what := must.Sprintf("%+v", *c)
 	must.False(t, c.end.IsZero(), must.Sprint("never ended"), what)
 	if c.leavesAfter > 0 {
@@ -135,7 +135,7 @@
 	other := c.ask >= askSubmit && r.submits > 0 && r.content != c.sub.Fingerprint
 	switch body.Error.Kind {
 	case api.KindKeyConflict:
-		burned := r.submits == 0 && r.noted == api.NotRun
+		burned := r.submits == 0 && r.reportedRun == api.NotRun
 		must.True(t, other || burned, what)
 	case api.KindRunnerLost:
 		must.False(t, runner.lostAt.IsZero(), what)
@@ -147,12 +147,12 @@
 		must.Eq(t, api.OutcomeUnknown, body.Error.Run, what)
 	case api.KindAnswerExpired:
 		must.True(t, r.faults || !runner.leftAt.IsZero() || w.dropping, what)
-		must.SliceContains(t, []api.RunState{r.noted, api.OutcomeUnknown}, body.Error.Run, what)
+		must.SliceContains(t, []api.RunState{r.reportedRun, api.OutcomeUnknown}, body.Error.Run, what)
 	case api.KindNotFound:
-		must.True(t, r.grant == 0 || r.grant > c.order, what)
+		must.True(t, r.grantOrder == 0 || r.grantOrder > c.order, what)
 	case api.KindDraining:
 		must.Eq(t, 0, r.submits, what)
-		must.Eq(t, api.NotRun, r.noted, what)
+		must.Eq(t, api.NotRun, r.reportedRun, what)
 	default:
 		must.False(t, other, what)
 		must.Eq(t, string(r.outcome.Body), string(o.Body), what)
@@ -164,15 +164,17 @@
 
 // Callers, lost and leaving VMs and faults of claims and peers are drawn at random, and
 // every reply is checked against the oracle.
-func TestOnceAndTrue(t *testing.T) { checkOnceAndTrue(t, 1<<20, false) }
+func TestSubmissionsRunOnceAndRepliesMatchOracle(t *testing.T) {
+	checkRepliesAgainstOracle(t, 1<<20, false)
+}
 
 // The same with a budget for one answer at each VM.
-func TestOnceAndTrueWithDroppedAnswers(t *testing.T) { checkOnceAndTrue(t, 200, true) }
+func TestRepliesMatchOracleWithDroppedAnswers(t *testing.T) { checkRepliesAgainstOracle(t, 200, true) }
 
-func checkOnceAndTrue(t *testing.T, answerBytes int64, dropping bool) {
+func checkRepliesAgainstOracle(t *testing.T, answerBytes int64, dropping bool) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
-			w := newWorld(rapid.IntRange(2, 3).Draw(rt, "vms"), answerBytes)
+			w := newCluster(rapid.IntRange(2, 3).Draw(rt, "vms"), answerBytes)
 			w.dropping = dropping
 			w.seed, w.runMS = rapid.Uint32().Draw(rt, "seed"), 6000
 			w.faulty = rapid.IntRange(0, 3).Draw(rt, "faulty") > 0
@@ -208,7 +210,7 @@
 }
 
 // endVM loses VM 0 (1), lets it drain and leave (2), or only lets it drain (3 and more).
-func (w *world) endVM(kind int) {
+func (w *testCluster) endVM(kind int) {
 	v := w.vms[0]
 	if kind > 1 {
 		v.drainedAt = time.Now()
--- a/submission/table.go
+++ b/submission/table.go
@@ -20,7 +20,7 @@
 }
 
 // closedChannel is the channel of entries whose claim and run have ended.
-var closed = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -76,9 +76,9 @@
 	return &entry{
 		keyText:     keyText,
 		fingerprint: fingerprint,
-		decided:     closed,
+		decided:     closedChannel,
 		isDecided:   true,
-		done:        closed,
+		done:        closedChannel,
 		outcome:     o,
 		local:       true,
 	}
@@ -98,13 +98,13 @@
 }
 
 // markDecided records that the claim of the entry has ended.
-func (t *table) decide(e *entry) {
+func (t *table) markDecided(e *entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e.decide()
+	e.markDecided()
 }
 
-func (e *entry) decide() {
+func (e *entry) markDecided() {
 	if e.isDecided {
 		return
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	e.outcome = o
-	e.decide()
+	e.markDecided()
 	close(e.done)
 	delete(t.entries, e.keyText)
 	if e.local {
@@ -130,7 +130,7 @@
 }
 
 // unfinishedEntries returns the entries without outcome.
-func (t *table) open() []*entry {
+func (t *table) unfinishedEntries() []*entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]*entry, 0, len(t.entries))
@@ -142,7 +142,7 @@
 
 // keptAnswers returns the size of the kept answers in bytes and how many were dropped so
 // far.
-func (t *table) kept() (bytes, dropped int64) {
+func (t *table) keptAnswers() (bytes, dropped int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.answers.bytes(), t.answers.dropped
