--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -17,13 +17,13 @@
 // record is the oracle's record of a key.
 type record struct {
 	// runner is the VM that was granted the key; handedOut says that it got the grant.
-	runner  int
-	handed  bool
-	granted time.Time
+	runner    int
+	handedOut bool
+	granted   time.Time
 	// grantOrder is the position of the grant in the order of events; 0 is none.
-	grant int
+	grantOrder int
 	// reportedRun is the outcome that the runner reported.
-	noted api.RunState
+	reportedRun api.RunState
 	// submits counts the submissions of the key to a dispatcher. Content is the
 	// fingerprint of the last one and outcome its end.
 	submits int
@@ -45,14 +45,14 @@
 
 // testCluster holds the oracle and the VMs. Its faults depend on a seed and the name and
 // number of each call, so that the order of goroutines does not change them.
-type world struct {
+type testCluster struct {
 	mu     sync.Mutex
 	seed   uint32
 	faulty bool
 	// dropping says that answers may be dropped to stay within the budget.
 	dropping bool
 	// claimsHang makes claims and lookups wait for the end of their contexts.
-	hang bool
+	claimsHang bool
 	// runMS bounds the run time of submissions; with 0 they run until they are cancelled.
 	runMS int
 	keys  map[string]*record
@@ -63,16 +63,16 @@
 }
 
 // event returns the position of the next event in the order of events.
-func (w *world) event() int {
+func (w *testCluster) event() int {
 	w.events++
 	return w.events
 }
 
-func newWorld(n int, budget int64) *world {
-	w := &world{keys: map[string]*record{}, calls: map[string]int{}}
+func newCluster(n int, budget int64) *testCluster {
+	w := &testCluster{keys: map[string]*record{}, calls: map[string]int{}}
 	for i := range n {
 		v := &vm{jobs: map[string]chan struct{}{}}
-		node := &node{world: w, index: i}
+		node := &node{cluster: w, index: i}
 		v.service = NewService(Options{
 			Domain: "a", VM: fmt.Sprint("vm", i), AnswerBytes: budget,
 			ClaimTimeout: time.Second, DrainRetryAfter: time.Second,
@@ -84,7 +84,7 @@
 }
 
 // roll returns a pseudo-random number below n for the next call of a name.
-func (w *world) roll(n int, name string) int {
+func (w *testCluster) roll(n int, name string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[name]++
@@ -93,12 +93,12 @@
 	return int(h.Sum32()>>8) % n
 }
 
-func (w *world) fault(n int, name string) bool { return w.faulty && w.roll(n, name) == 0 }
+func (w *testCluster) hasFault(n int, name string) bool { return w.faulty && w.roll(n, name) == 0 }
 
 // node is the claims, dispatcher and peers of one VM.
 type node struct {
-	world *world
-	index int
+	cluster *testCluster
+	index   int
 }
 
 func (n *node) name(call, keyText string) string { return fmt.Sprint(call, n.index, keyText) }
@@ -107,11 +107,11 @@
 
 // pause waits for less than maxMS milliseconds, rarely for up to 20 times as long.
 func (n *node) pause(ctx context.Context, name string, maxMS int) error {
-	d := time.Duration(n.world.roll(maxMS, name)) * time.Millisecond
-	if n.world.fault(9, name) {
+	d := time.Duration(n.cluster.roll(maxMS, name)) * time.Millisecond
+	if n.cluster.hasFault(9, name) {
 		d *= 20
 	}
-	if n.world.hang {
+	if n.cluster.claimsHang {
 		d = time.Hour
 	}
 	select {
@@ -125,30 +125,30 @@
 // Claim grants each key once. The answer may be late, or lost after the grant; the next
 // claim of the runner then gets the grant.
 func (n *node) Claim(ctx context.Context, k key.Key) (Claim, error) {
-	w, name := n.world, n.name("claim", k.String())
+	w, name := n.cluster, n.name("claim", k.String())
 	early := n.pause(ctx, name, 60)
-	if early != nil || w.fault(12, name) {
-		n.note(k.String(), func(r *record) { r.faults = true })
+	if early != nil || w.hasFault(12, name) {
+		n.updateRecord(k.String(), func(r *record) { r.faults = true })
 		return Claim{}, errBusy
 	}
-	lose := w.fault(12, name)
+	lose := w.hasFault(12, name)
 	w.mu.Lock()
 	r := w.keys[k.String()]
 	if r == nil || r.granted.IsZero() {
 		faults := r != nil && r.faults
-		r = &record{runner: n.index, granted: time.Now(), grant: w.event(), faults: faults, noted: api.OutcomeUnknown}
+		r = &record{runner: n.index, granted: time.Now(), grantOrder: w.event(), faults: faults, reportedRun: api.OutcomeUnknown}
 		w.keys[k.String()] = r
 	}
-	granted := r.runner == n.index && !r.handed
+	granted := r.runner == n.index && !r.handedOut
 	if granted {
-		r.handed = true
+		r.handedOut = true
 	}
 	c := w.claim(r, n.index)
 	w.mu.Unlock()
 	if n.pause(ctx, name, 60) != nil || lose {
-		n.note(k.String(), func(r *record) {
+		n.updateRecord(k.String(), func(r *record) {
 			r.faults = true
-			r.handed = r.handed && !granted
+			r.handedOut = r.handedOut && !granted
 		})
 		return Claim{}, errBusy
 	}
@@ -158,14 +158,14 @@
 
 // Burn permanently takes a key that was not granted. The answer may be late or lost.
 func (n *node) Burn(ctx context.Context, k key.Key) (Claim, error) {
-	w, name := n.world, n.name("burn", k.String())
-	if n.pause(ctx, name, 60) != nil || w.fault(12, name) {
+	w, name := n.cluster, n.name("burn", k.String())
+	if n.pause(ctx, name, 60) != nil || w.hasFault(12, name) {
 		return Claim{}, errBusy
 	}
 	w.mu.Lock()
 	r := w.keys[k.String()]
 	if r == nil || r.granted.IsZero() {
-		r = &record{runner: n.index, handed: true, granted: time.Now(), faults: true, noted: api.NotRun, burned: true}
+		r = &record{runner: n.index, handedOut: true, granted: time.Now(), faults: true, reportedRun: api.NotRun, burned: true}
 		w.keys[k.String()] = r
 	}
 	c := w.claim(r, n.index)
@@ -177,27 +177,27 @@
 	return c, nil
 }
 
-func (n *node) note(keyText string, f func(*record)) {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
-	if n.world.keys[keyText] == nil {
-		n.world.keys[keyText] = &record{}
+func (n *node) updateRecord(keyText string, f func(*record)) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	if n.cluster.keys[keyText] == nil {
+		n.cluster.keys[keyText] = &record{}
 	}
-	f(n.world.keys[keyText])
+	f(n.cluster.keys[keyText])
 }
 
 // lossDetection is how long the failure domain takes to detect a lost VM. With some seeds
 // only VMs that send a request to the replaced process detect the loss.
-const lostAfter = 700 * time.Millisecond
+const lossDetection = 700 * time.Millisecond
 
-func (w *world) claim(r *record, asker int) Claim {
+func (w *testCluster) claim(r *record, asker int) Claim {
 	v := w.vms[r.runner]
 	c := Claim{
 		Self: r.runner == asker, RunnerID: fmt.Sprint("vm", r.runner),
-		RunnerAddress: fmt.Sprint(r.runner), RunnerIncarnation: 1, Run: r.noted,
+		RunnerAddress: fmt.Sprint(r.runner), RunnerIncarnation: 1, Run: r.reportedRun,
 	}
 	switch {
-	case !v.lostAt.IsZero() && time.Since(v.lostAt) >= lostAfter && w.seed%4 != 0:
+	case !v.lostAt.IsZero() && time.Since(v.lostAt) >= lossDetection && w.seed%4 != 0:
 		c.State = ClaimLost
 	case !v.leftAt.IsZero():
 		c.State = ClaimEnded
@@ -207,24 +207,24 @@
 
 func (n *node) Lookup(ctx context.Context, k key.Key) (Claim, error) {
 	if err := n.pause(ctx, n.name("lookup", k.String()), 40); err != nil {
-		n.note(k.String(), func(r *record) { r.faults = true })
+		n.updateRecord(k.String(), func(r *record) { r.faults = true })
 		return Claim{}, err
 	}
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
-	r := n.world.keys[k.String()]
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	r := n.cluster.keys[k.String()]
 	if r == nil || r.granted.IsZero() {
 		return Claim{State: ClaimUnknown}, nil
 	}
-	return n.world.claim(r, n.index), nil
+	return n.cluster.claim(r, n.index), nil
 }
 
 func (n *node) SetOutcome(k key.Key, run api.RunState) {
-	n.note(k.String(), func(r *record) { r.noted = run })
+	n.updateRecord(k.String(), func(r *record) { r.reportedRun = run })
 }
 
 // failedEnds are the failures with which a dispatcher may end a submission.
-var ends = []api.Failure{
+var failedEnds = []api.Failure{
 	{Kind: api.KindOverloaded, Run: api.NotRun, RetryAfterMS: 800},
 	{Kind: api.KindTaskFailed, Run: api.Failed},
 	{Kind: api.KindTargetLost, Run: api.OutcomeUnknown},
@@ -232,20 +232,20 @@
 
 // Submit ends a submission after some time, or when it is cancelled.
 func (n *node) Submit(s *Submission, done func(*Outcome)) {
-	w, name := n.world, n.name("run", s.KeyText)
+	w, name := n.cluster, n.name("run", s.KeyText)
 	cancel := make(chan struct{}, 1)
 	after := make(<-chan time.Time)
 	if w.runMS > 0 {
 		after = time.After(time.Duration(w.roll(w.runMS, name)) * time.Millisecond)
 	}
 	o := Answered(s.KeyText, []json.RawMessage{[]byte(fmt.Sprintf("%q", s.KeyText+s.Profile))})
-	if end := w.roll(6, name); w.faulty && end < len(ends) {
-		o = Refused(&ends[end])
+	if end := w.roll(6, name); w.faulty && end < len(failedEnds) {
+		o = Refused(&failedEnds[end])
 	}
 	w.mu.Lock()
 	w.vms[n.index].jobs[s.KeyText] = cancel
 	w.mu.Unlock()
-	n.note(s.KeyText, func(r *record) {
+	n.updateRecord(s.KeyText, func(r *record) {
 		r.submits++
 		r.content = s.Fingerprint
 	})
@@ -255,16 +255,16 @@
 		case <-cancel:
 			o = Refused(&api.Failure{Kind: api.KindCancelled, Run: api.Failed})
 		}
-		n.note(s.KeyText, func(r *record) { r.outcome = o })
+		n.updateRecord(s.KeyText, func(r *record) { r.outcome = o })
 		done(o)
 	}()
 }
 
 func (n *node) Cancel(keyText string) {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	select {
-	case n.world.vms[n.index].jobs[keyText] <- struct{}{}:
+	case n.cluster.vms[n.index].jobs[keyText] <- struct{}{}:
 	default:
 	}
 }
@@ -274,7 +274,7 @@
 // Wait passes a request to the runner. It fails or hangs at random, and when the runner
 // is lost or has left.
 func (n *node) Wait(ctx context.Context, address string, r *peerpb.WaitRequest) (*peerpb.WaitResponse, error) {
-	w, name := n.world, n.name("wait", r.GetKey())
+	w, name := n.cluster, n.name("wait", r.GetKey())
 	if err := n.pause(ctx, name, 20); err != nil {
 		return nil, err
 	}
@@ -287,14 +287,14 @@
 	switch {
 	case replaced:
 		return nil, twirp.NewError(twirp.FailedPrecondition, "replaced")
-	case gone && w.seed%3 == 0 || w.fault(9, name):
+	case gone && w.seed%3 == 0 || w.hasFault(9, name):
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case gone || w.fault(6, name):
+	case gone || w.hasFault(6, name):
 		return nil, twirp.NewError(twirp.Unavailable, "no connection")
 	}
 	response := v.service.ServeWait(ctx, r)
-	if w.fault(6, name) {
+	if w.hasFault(6, name) {
 		return nil, twirp.NewError(twirp.Unavailable, "the answer was lost")
 	}
 	return response, nil
--- a/tableservice/tableservice_test.go
+++ b/tableservice/tableservice_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestCommitMessage(t *testing.T) {
+func TestCommitSendsExpectationsAndWrites(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		must.Eq(t, "POST /v1/commit", r.Method+" "+r.URL.Path)
@@ -52,7 +52,7 @@
 	must.Eq(t, uint64(5), version)
 }
 
-func TestCommitErrors(t *testing.T) {
+func TestCommitErrorsByAnswer(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		body   string
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestCommitConflict(t *testing.T) {
+func TestCommitConflictNamesRow(t *testing.T) {
 	_, err := answering(t, 409, `{"conflict":{"table":"profiles","key":"a","version":9}}`).Commit(t.Context(), commit)
 	var conflict *ConflictError
 	must.True(t, errors.As(err, &conflict), must.Sprint(err))
@@ -110,7 +110,7 @@
 	must.ErrorIs(t, err, ErrUnknownOutcome)
 }
 
-func TestUnreachable(t *testing.T) {
+func TestUnreachableServiceIsUnavailable(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	client, err := New(Options{URL: "http://127.0.0.1:1", HTTP: sendonce.Options{Dial: refuse}})
 	must.NoError(t, err)
@@ -122,7 +122,7 @@
 	must.ErrorIs(t, err, ErrUnavailable)
 }
 
-func TestChanges(t *testing.T) {
+func TestChangesReturnsRowsAndDeletions(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		must.Eq(t, "/v1/tables/a%2Fb?since=7", r.URL.RequestURI())
 		_, _ = io.WriteString(w, `{"version":9,"rows":[{"key":"k","version":8,"value":{"n":1}},{"key":"l","version":9,"value":null}]}`)
@@ -134,7 +134,7 @@
 	must.True(t, changes.Rows[1].Deleted())
 }
 
-func TestVMs(t *testing.T) {
+func TestVMsReturnsList(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		must.Eq(t, "/v1/vms?domain=hall-a&since=6", r.URL.RequestURI())
 		_, _ = io.WriteString(w, `{"version":7,"vms":[{"id":"t","kind":"target","domain":"hall-a","rack":"r","address":"127.0.0.1:1","slots":8,"state":"leaving"}]}`)
@@ -144,7 +144,7 @@
 	must.Eq(t, List{Version: 7, VMs: []VM{{ID: "t", Kind: KindTarget, Domain: "hall-a", Rack: "r", Address: "127.0.0.1:1", Slots: 8, State: StateLeaving}}}, list)
 }
 
-func TestReadErrors(t *testing.T) {
+func TestReadErrorsByAnswer(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		body   string
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestNewRefusesOtherURLs(t *testing.T) {
+func TestNewRefusesInvalidURLs(t *testing.T) {
 	for _, url := range []string{"", "127.0.0.1:80", "https://127.0.0.1", "http://"} {
 		_, err := New(Options{URL: url})
 		must.Error(t, err, must.Sprint(url))
--- a/targetclient/revoke_test.go
+++ b/targetclient/revoke_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRevokeAnswers(t *testing.T) {
+func TestRevokeReturnsTasksAndRefusesMalformedAnswers(t *testing.T) {
 	holders := []string{"vm/1"}
 	running, err := New(Options{}).Revoke(t.Context(), serve(t, 200, `{"running":[{"submission":"k","task":2,"limits":["profile/p"]},{"submission":"k","task":3,"limits":[]}]}`), holders)
 	must.NoError(t, err)
--- a/targetclient/targetclient_test.go
+++ b/targetclient/targetclient_test.go
@@ -36,7 +36,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestStartAnswers(t *testing.T) {
+func TestStartReturnsOutcome(t *testing.T) {
 	const same = `"submission":"a.1.x","task":3,"running":2,"slots":8,"leaving":true`
 	load := Load{Running: 2, Slots: 8, Leaving: true}
 	for _, test := range []struct {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestStartRefusedByTarget(t *testing.T) {
+func TestStartRefusedByTargetIsNotStarted(t *testing.T) {
 	for _, reason := range []Reason{ReasonLeaseLapsed, ReasonLeaving, ReasonFull, "another"} {
 		body := `{"submission":"a.1.x","task":3,"outcome":"not_started","reason":"` + string(reason) + `","running":8,"slots":8}`
 		_, err := New(Options{}).Start(t.Context(), serve(t, 409, body), request)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestStartWithUnknownOutcome(t *testing.T) {
+func TestStartWithUnexpectedAnswerIsUnknown(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
 		body   string
@@ -90,14 +90,14 @@
 }
 
 // An answer without a task must not count as one for task 0.
-func TestStartTaskZeroNeedsEcho(t *testing.T) {
+func TestStartNeedsTaskInAnswer(t *testing.T) {
 	zero := request
 	zero.Task = 0
 	_, err := New(Options{}).Start(t.Context(), serve(t, 200, `{"submission":"a.1.x","outcome":"done"}`), zero)
 	mustBeUnknown(t, err, "no task")
 }
 
-func TestStartCutConnectionIsUnknown(t *testing.T) {
+func TestStartOverBrokenConnectionIsUnknown(t *testing.T) {
 	address := serveFunc(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	_, err := New(Options{}).Start(t.Context(), address, request)
 	mustBeUnknown(t, err, "cut")
@@ -164,7 +164,7 @@
 	must.True(t, errors.As(err, &notStarted), must.Sprint(err))
 }
 
-func TestLease(t *testing.T) {
+func TestLeaseIsGrantedOrRefused(t *testing.T) {
 	address := serveFunc(t, func(w http.ResponseWriter, r *http.Request) {
 		var body leaseRequest
 		_ = json.NewDecoder(r.Body).Decode(&body)
@@ -189,7 +189,7 @@
 	must.Error(t, err)
 }
 
-func TestStop(t *testing.T) {
+func TestStopReturnsStoppedTasks(t *testing.T) {
 	tasks := []TaskID{{Submission: "a.1.x", Task: 3}}
 	address := serveFunc(t, func(w http.ResponseWriter, r *http.Request) {
 		var body stopRequest
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -74,14 +74,14 @@
 	readers map[string]uint64
 	// published is the state that was published last. publishing says that a goroutine
 	// publishes the state; it also publishes every change until it is done.
-	handed      news
-	handingOver bool
+	published  digestState
+	publishing bool
 	// readFails says that the last read failed, so that only changes are logged.
-	down bool
+	readFails bool
 }
 
 // digestState is the state in a VM's digest.
-type news struct {
+type digestState struct {
 	version     uint64
 	readsForAll bool
 }
@@ -108,7 +108,7 @@
 	defer ticker.Stop()
 	passed := 0
 	for {
-		if d.due(passed) {
+		if d.isDue(passed) {
 			d.poll(ctx)
 			passed = 0
 		}
@@ -123,7 +123,7 @@
 
 // isDue reports whether to read the list when some intervals have passed since the last
 // read.
-func (d *Duty) due(passed int) bool {
+func (d *Duty) isDue(passed int) bool {
 	return passed >= followedReads || !d.follows()
 }
 
@@ -153,14 +153,14 @@
 	list, err := d.options.Source.VMs(ctx, d.options.Domain, d.Version())
 	if err != nil {
 		d.failed.Inc(1)
-		d.note(true, err)
+		d.logChange(true, err)
 		d.setReadsForAll(false)
 		return
 	}
-	d.note(false, nil)
+	d.logChange(false, nil)
 	peers := d.options.Peers()
 	reads := len(peers) > 0 && d.isReader(peers)
-	if d.offer(list) && reads {
+	if d.updateList(list) && reads {
 		d.push(list, peers)
 	}
 	d.setReadsForAll(reads)
@@ -178,10 +178,10 @@
 }
 
 // logChange logs when reading the platform's list begins to fail and when it works again.
-func (d *Duty) note(down bool, err error) {
+func (d *Duty) logChange(down bool, err error) {
 	d.mu.Lock()
-	changed := d.down != down
-	d.down = down
+	changed := d.readFails != down
+	d.readFails = down
 	d.mu.Unlock()
 	if !changed {
 		return
@@ -195,14 +195,14 @@
 
 // updateList puts a list in force if it is newer, and reports whether it is. A delayed
 // answer must not bring back a VM that has left.
-func (d *Duty) offer(list tableservice.List) bool {
+func (d *Duty) updateList(list tableservice.List) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if list.Version <= d.list.Version {
 		return false
 	}
 	d.list = list
-	d.handOver()
+	d.publish()
 	return true
 }
 
@@ -211,33 +211,35 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.readsForAll = reads
-	d.handOver()
+	d.publish()
 }
 
 // publish sets the digest and passes a newer list to the other duties. The caller holds
 // mu, which is released meanwhile. Lists may come from the platform and from peers
 // concurrently. Only one goroutine at a time publishes, so that an older list is not
 // passed on after a newer one.
-func (d *Duty) handOver() {
-	if d.handingOver {
+func (d *Duty) publish() {
+	if d.publishing {
 		return
 	}
-	d.handingOver = true
-	for d.handed != d.news() {
-		newest, state := d.list, d.news()
-		isNewer := state.version > d.handed.version
+	d.publishing = true
+	for d.published != d.digestState() {
+		newest, state := d.list, d.digestState()
+		isNewer := state.version > d.published.version
 		d.mu.Unlock()
 		d.options.SetDigest(digest(state))
 		if isNewer {
 			d.options.OnList(newest)
 		}
 		d.mu.Lock()
-		d.handed = state
+		d.published = state
 	}
-	d.handingOver = false
+	d.publishing = false
 }
 
-func (d *Duty) news() news { return news{version: d.list.Version, readsForAll: d.readsForAll} }
+func (d *Duty) digestState() digestState {
+	return digestState{version: d.list.Version, readsForAll: d.readsForAll}
+}
 
 // Version returns the version of the list in force, or 0 if there is none.
 func (d *Duty) Version() uint64 {
@@ -259,7 +261,7 @@
 }
 
 // digest encodes the state for heartbeats.
-func digest(n news) []byte {
+func digest(n digestState) []byte {
 	body, err := json.Marshal(message{Version: n.version, Reads: n.readsForAll})
 	if err != nil {
 		// The message holds only numbers and booleans, so it can always be encoded.
@@ -274,7 +276,7 @@
 	if json.Unmarshal(body, &m) != nil {
 		return
 	}
-	d.noteReader(from, m.Reads)
+	d.recordReader(from, m.Reads)
 	if m.Version <= d.Version() {
 		return
 	}
@@ -286,7 +288,7 @@
 }
 
 // recordReader records whether a peer reads for all.
-func (d *Duty) noteReader(from Peer, reads bool) {
+func (d *Duty) recordReader(from Peer, reads bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !reads {
@@ -294,14 +296,14 @@
 		return
 	}
 	if len(d.readers) >= maxReaders {
-		d.forgetReaders()
+		d.dropOutsideReaders()
 	}
 	d.readers[from.ID] = from.Incarnation
 }
 
 // dropOutsideReaders drops the readers outside the view. It runs only when there are
 // maxReaders, because a VM that is about to join reports only once that it reads.
-func (d *Duty) forgetReaders() {
+func (d *Duty) dropOutsideReaders() {
 	peers := d.options.Peers()
 	for id := range d.readers {
 		if !slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id }) {
@@ -327,7 +329,7 @@
 		return nil
 	}
 	if m.List != nil {
-		d.offer(*m.List)
+		d.updateList(*m.List)
 	}
 	if !m.Ask || m.Version >= d.Version() {
 		return nil
--- a/vmlist/vmlist_test.go
+++ b/vmlist/vmlist_test.go
@@ -32,7 +32,7 @@
 }
 
 // fixture is one duty with its platform, its peers and a record of its calls.
-type world struct {
+type fixture struct {
 	duty *Duty
 	mu   sync.Mutex
 	// list and err are the platform's answer; since holds the versions of the requests.
@@ -40,16 +40,16 @@
 	err   error
 	since []uint64
 	// published holds the versions that OnList got, each added after onList.
-	taken  []uint64
-	onList func(tableservice.List)
-	digest []byte
-	sent   [][]byte
+	published []uint64
+	onList    func(tableservice.List)
+	digest    []byte
+	sent      [][]byte
 	// pushed counts the messages to other VMs of newDomain.
 	pushed int
 	log    bytes.Buffer
 }
 
-func (w *world) VMs(_ context.Context, domain string, since uint64) (tableservice.List, error) {
+func (w *fixture) VMs(_ context.Context, domain string, since uint64) (tableservice.List, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.since = append(w.since, since)
@@ -59,13 +59,13 @@
 	return w.list, w.err
 }
 
-func newWorld() *world {
-	w := &world{onList: func(tableservice.List) {}}
+func newFixture() *fixture {
+	w := &fixture{onList: func(tableservice.List) {}}
 	w.duty = New(Options{
 		Domain: "a", Source: w, Interval: time.Second,
 		OnList: func(l tableservice.List) {
 			w.onList(l)
-			w.taken = append(w.taken, l.Version)
+			w.published = append(w.published, l.Version)
 		},
 		SetDigest: func(body []byte) { w.digest = body },
 		Send: func(_ string, _ uint64, duty peerpb.Duty, body []byte) bool {
@@ -89,15 +89,15 @@
 	return body
 }
 
-func (w *world) handle(bodies ...[]byte) [][]byte {
+func (w *fixture) handle(bodies ...[]byte) [][]byte {
 	return w.duty.HandlePeer(context.Background(), peer.Sender{}, bodies)
 }
 
 // Lists come from the platform and from peers in random order. The list in force never
 // gets older, and peers with an older one get it.
-func TestNewestListStays(t *testing.T) {
+func TestNewestListStaysInForce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w, newest := newWorld(), uint64(0)
+		w, newest := newFixture(), uint64(0)
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			version := rapid.Uint64Range(0, 9).Draw(rt, "version")
 			list := listOf(version)
@@ -131,19 +131,19 @@
 			}
 			must.Eq(rt, newest, w.duty.Version())
 			if newest > 0 {
-				must.Eq(rt, newest, w.taken[len(w.taken)-1])
+				must.Eq(rt, newest, w.published[len(w.published)-1])
 				must.Eq(rt, encode(rt, message{Version: newest}), w.digest)
 			}
 		}
-		for i := 1; i < len(w.taken); i++ {
-			must.Less(rt, w.taken[i], w.taken[i-1])
+		for i := 1; i < len(w.published); i++ {
+			must.Less(rt, w.published[i], w.published[i-1])
 		}
 	})
 }
 
 // A newer list arrives while an older one is being published.
-func TestListsAreHandedOverInOrder(t *testing.T) {
-	w := newWorld()
+func TestListsArePublishedInOrder(t *testing.T) {
+	w := newFixture()
 	w.onList = func(l tableservice.List) {
 		newer := listOf(l.Version + 1)
 		if newer.Version < 4 {
@@ -152,13 +152,13 @@
 	}
 	w.list = listOf(1)
 	w.duty.poll(context.Background())
-	must.Eq(t, []uint64{1, 2, 3}, w.taken)
+	must.Eq(t, []uint64{1, 2, 3}, w.published)
 }
 
-func TestPlatformDown(t *testing.T) {
+func TestListStaysInForceWhilePlatformIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld()
+		w := newFixture()
 		w.list = listOf(3)
 		go func() { _ = w.duty.Run(ctx) }()
 		for _, err := range []error{nil, errors.New("down"), nil} {
@@ -169,7 +169,7 @@
 			time.Sleep(5 * time.Second)
 		}
 		synctest.Wait()
-		must.Eq(t, []uint64{3}, w.taken)
+		must.Eq(t, []uint64{3}, w.published)
 		must.Len(t, 16, w.since)
 		must.Eq(t, 1, strings.Count(w.log.String(), "can't be read"))
 		must.Eq(t, 1, strings.Count(w.log.String(), "can be read again"))
@@ -221,10 +221,10 @@
 }
 
 // newDomain returns VMs of one view.
-func newDomain(ids ...string) []*world {
-	vms := make([]*world, len(ids))
+func newDomain(ids ...string) []*fixture {
+	vms := make([]*fixture, len(ids))
 	for i := range vms {
-		vms[i] = newWorld()
+		vms[i] = newFixture()
 	}
 	for i, w := range vms {
 		self := Peer{ID: ids[i], Incarnation: 1, Address: ids[i]}
@@ -256,20 +256,20 @@
 	return vms
 }
 
-func (w *world) reads() int {
+func (w *fixture) reads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.since)
 }
 
-func (w *world) answer(list tableservice.List, err error) {
+func (w *fixture) answer(list tableservice.List, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list, w.err = list, err
 }
 
 // The digests of others decide whether a VM reads the list itself.
-func TestWhoIsFollowed(t *testing.T) {
+func TestVMFollowsOnlyReaderWithHighestID(t *testing.T) {
 	peers := []Peer{{ID: "a", Incarnation: 1}, {ID: "c", Incarnation: 2}}
 	reads, silent := encode(t, message{Version: 1, Reads: true}), encode(t, message{Version: 1})
 	for _, c := range []struct {
@@ -289,22 +289,22 @@
 		{"this VM is the highest", "d", 1, []Peer{peers[1]}, [][]byte{reads}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld()
+			w := newFixture()
 			w.duty.options.Self = c.self
 			w.duty.options.Peers = func() []Peer { return peers }
-			w.duty.offer(listOf(c.version))
+			w.duty.updateList(listOf(c.version))
 			for i, from := range c.from {
 				w.duty.OnDigest(from, c.bodies[i])
 			}
 			must.Eq(t, c.want, w.duty.follows())
-			must.Eq(t, !c.want, w.duty.due(0))
-			must.True(t, w.duty.due(followedReads))
+			must.Eq(t, !c.want, w.duty.isDue(0))
+			must.True(t, w.duty.isDue(followedReads))
 		})
 	}
 }
 
 func TestReadersOutsideTheViewAreBounded(t *testing.T) {
-	w := newWorld()
+	w := newFixture()
 	member := Peer{ID: "member", Incarnation: 1}
 	w.duty.options.Peers = func() []Peer { return []Peer{member} }
 	w.duty.OnDigest(member, encode(t, message{Reads: true}))
