--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -185,13 +185,13 @@
 	starts := b.storedJob("j", 32)
 	must.SliceLen(t, 32, starts)
 	b.begin(starts)
-	fallen := map[string]bool{}
+	lost := map[string]bool{}
 	for _, start := range starts {
-		fallen[start.To.ID] = true
+		lost[start.To.ID] = true
 	}
-	must.Eq(t, 8, len(fallen))
+	must.Eq(t, 8, len(lost))
 	ids := []string{}
-	for id := range fallen {
+	for id := range lost {
 		ids = append(ids, id)
 	}
 	again := pickEffects[StartRun](b.falls(ids...))
--- a/scheduler/kept_test.go
+++ b/scheduler/kept_test.go
@@ -45,8 +45,8 @@
 // newestAcknowledged returns the newest completion that polls have acknowledged.
 func seen(effects []Effect) int64 {
 	newest := int64(0)
-	for _, look := range pickEffects[Look](effects) {
-		newest = max(newest, look.Seen)
+	for _, poll := range pickEffects[Look](effects) {
+		newest = max(newest, poll.Seen)
 	}
 	return newest
 }
--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -117,7 +117,7 @@
 // An absent job is started only by the request that asks for it again. The first request, which was
 // read but had to wait meanwhile, doesn't start it, whatever happened to the second one.
 func TestAnAbsentJobIsBegunOnce(t *testing.T) {
-	for name, room := range map[string]int64{"job starts": 1, "job refused": 0} {
+	for name, room := range map[string]int64{"job starts": 1, "refused": 0} {
 		b := newBench(t, Options{})
 		b.usable("a", 1)
 		b.s.EntrySeen("e", b.now+time.Hour)
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -147,13 +147,13 @@
 		b.s.Started(b.now, "a", start.Run, done(5000))
 		b.look("a", work.Held{Clock: 5000, Running: listing(start.Run)})
 		b.do()
-		looks := pickEffects[Look](b.pass(40 * ms))
+		polls := pickEffects[Look](b.pass(40 * ms))
 		if !lost {
-			must.SliceEmpty(t, looks, must.Sprint(name))
+			must.SliceEmpty(t, polls, must.Sprint(name))
 			continue
 		}
-		must.SliceLen(t, 1, looks)
-		must.Eq(t, disturbedWait, looks[0].Wait)
+		must.SliceLen(t, 1, polls)
+		must.Eq(t, disturbedWait, polls[0].Wait)
 		first := b.s.targets["a"].look.At
 		b.s.Looked(b.now, "a", first, work.Held{Clock: 5040, Ended: []work.End{{Number: 1, Run: start.Run, Kind: work.EndDone}}}, work.VerdictDone)
 		must.Eq(t, work.Completed, pickEffects[Answer](b.do())[0].Outcome.Result)
@@ -268,11 +268,11 @@
 		if lost {
 			b.disturb()
 		}
-		looks := pickEffects[Look](b.pass(20 * ms))
-		must.Eq(t, lost, len(looks) > 0, must.Sprint(name))
+		polls := pickEffects[Look](b.pass(20 * ms))
+		must.Eq(t, lost, len(polls) > 0, must.Sprint(name))
 		if lost {
-			must.Eq(t, 0, looks[0].Wait)
-			must.Eq(t, b.s.targets["a"].look.At, looks[0].At)
+			must.Eq(t, 0, polls[0].Wait)
+			must.Eq(t, b.s.targets["a"].look.At, polls[0].At)
 		}
 	}
 }
