--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -80,8 +80,9 @@
 	}
 }
 
-// This also holds if the copy is refused by another owner's target or by another incarnation: the
-// job counts as started, and its caller is told Unknown.
+// If one of several copies is refused because the target obeys another owner or is another
+// incarnation, another copy may still have started the run. So the job counts as started, and its
+// caller is told Unknown.
 func TestACopyThatMeetsAnotherOwnerLeavesTheJobBegun(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictGone} {
 		b := newBench(t, Options{})
