--- a/link/linkpb/link.twirp.go
+++ b/link/linkpb/link.twirp.go
@@ -31,25 +31,25 @@
 // Fleet Interface
 // ===============
 
-// Fleet is what an entry VM offers to the others.
+// Fleet serves the calls that entry VMs make to each other.
 type Fleet interface {
-	// Run runs a job to its end on the targets that the VM owns. The end of the
-	// request gives the job up.
+	// Run runs a job to its end on the targets that the VM owns. When the request ends early, the
+	// job is given up.
 	Run(context.Context, *RunRequest) (*RunReply, error)
 
-	// Release tells a successor which targets it may take.
+	// Release returns the targets that a successor may use.
 	Release(context.Context, *ReleaseRequest) (*ReleaseReply, error)
 
-	// Pass makes the VM the owner of a group, by word of its present owner.
+	// Pass makes the VM the owner of a group, by a claim that the present owner hands over.
 	Pass(context.Context, *PassRequest) (*PassReply, error)
 
-	// State tells how a kept job stands.
+	// State returns the state of a durable job.
 	State(context.Context, *JobRequest) (*StateReply, error)
 
-	// Cancel cancels a kept job.
+	// Cancel cancels a durable job and returns its state.
 	Cancel(context.Context, *JobRequest) (*StateReply, error)
 
-	// Tables gives what the VM last read from the platform's store.
+	// Tables returns what the VM last read from the platform's store.
 	Tables(context.Context, *TablesRequest) (*TablesReply, error)
 }
 
--- a/peer/peerpb/peer.twirp.go
+++ b/peer/peerpb/peer.twirp.go
@@ -31,18 +31,17 @@
 // Peer Interface
 // ==============
 
-// Peer is the interface between entry VMs. VMs of other failure domains use Burn,
-// and Deliver for the configuration alone.
+// Peer is the interface between entry VMs. VMs of other failure domains use only Burn,
+// and Deliver for the configuration.
 type Peer interface {
-	// Deliver hands over messages; the response carries those answers that the
-	// receiver has at once.
+	// Deliver delivers messages. The response carries the receiver's immediate replies.
 	Deliver(context.Context, *Batch) (*Batch, error)
 
 	// Wait gets the answer of a submission from its runner.
 	Wait(context.Context, *WaitRequest) (*WaitResponse, error)
 
-	// Burn refuses a key for good on behalf of another failure domain. Asking again
-	// gives the same answer.
+	// Burn refuses a key permanently on behalf of another failure domain. Repeated requests
+	// get the same answer.
 	Burn(context.Context, *BurnRequest) (*BurnResponse, error)
 }
 
