--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -124,7 +124,7 @@
 				latest[i].Update(views[len(views)-1], "store")
 			case "gossip":
 				if len(views) > 0 {
-					latest[i].Update(rapid.SampledFrom(views).Draw(rt, "view"), "peer")
+					latest[i].Update(rapid.SampledFrom(views).Draw(rt, "gossiped view"), "peer")
 				}
 			}
 			for _, b := range latest {
--- a/jobstore/world_test.go
+++ b/jobstore/world_test.go
@@ -390,14 +390,14 @@
 		w := newWorld(rt)
 		for range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			id := fmt.Sprintf("job%d", rapid.IntRange(0, 9).Draw(rt, "job"))
-			switch rapid.SampledFrom([]string{"accept", "accept", "record", "record", "write", "write", "write", "write", "apply delayed", "take over"}).Draw(rt, "action") {
+			switch rapid.SampledFrom([]string{"accept", "accept", "note", "note", "write", "write", "write", "write", "late", "take over"}).Draw(rt, "action") {
 			case "accept":
 				w.accept(id)
-			case "record":
+			case "note":
 				w.recordProgress()
 			case "write":
 				w.writeBatch()
-			case "apply delayed":
+			case "late":
 				w.store.applyDelayed()
 			case "take over":
 				w.takeOver(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "group"))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -53,7 +53,7 @@
 	Run work.RunID
 }
 
-// Poll asks a target for its runs and completions; the answer goes to Polled.
+// Poll asks a target for its runs and completions; the answer goes to HandlePollAnswer.
 type Poll struct {
 	To work.TargetAddress
 	// SentAt is when its first copy was sent; it distinguishes this poll from others of the target.
