--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -18,6 +18,8 @@
 	s.admit(now, sub)
 }
 
+// admit accepts a job, or answers at once why it is not run. Unlike Submit it does not check
+// whether a later request replaced this one.
 func (s *State) admit(now time.Duration, sub Submission) {
 	if s.leaving {
 		s.answer(sub, work.Outcome{Result: work.Moved, Reason: "another VM orders the targets"})
@@ -67,7 +69,7 @@
 	s.enqueue(j)
 }
 
-// unservableRetryAfter is told to callers where only a change of targets helps.
+// unservableRetryAfter is when a caller may retry a job that no known target can run.
 const unservableRetryAfter = 5 * time.Second
 
 func (s *State) answer(sub Submission, outcome work.Outcome) {
@@ -172,7 +174,8 @@
 }
 
 // refuseLate refuses a late job that, behind all jobs that can still be on time, would not start
-// while its answer is of any use. Its caller learns so now instead of at the end of that time.
+// while its answer is of any use. So its caller need not wait until the end of that time for a
+// refusal.
 func (s *State) refuseLate(now time.Duration, j *job) {
 	if j.isDurable() || j.sub.Part != nil {
 		return
@@ -192,7 +195,7 @@
 	s.finish(now, j, outcome)
 }
 
-// maxForecast bounds the wait that callers are told.
+// maxForecast bounds the forecast waits that callers and other VMs get.
 const maxForecast = 10 * time.Second
 
 // typicalWeight is the weight of the newest job in the moving average of needs.
@@ -249,7 +252,8 @@
 	return max(1-urgentDemandFactor*urgent/float64(p.openCPU), minCPUShare)
 }
 
-// need is what a job wants at its start, in thousandths of a core.
+// need is the processor that a job wants at its start, in thousandths of a core: each is that of
+// its largest task, total that of all tasks that can start at once.
 type need struct{ each, total int64 }
 
 func (j *job) initialNeed() need {
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -6,10 +6,11 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// ResolveVerdict tells a fenced order that this owner's own newer token has overtaken from one
-// that another owner's token refuses. sent is the token of the order. current is the owner's
-// token when the answer came. The token rises when the owner writes a claim that it was handed
-// over by message, while orders under the old token are still on their way.
+// ResolveVerdict returns VerdictStaleToken for an order that was fenced by this owner's own newer
+// token, and any other verdict unchanged: only another owner's token deposes this owner. sent is
+// the token of the order. current is the owner's token when the answer came. The token rises when
+// the owner writes a claim that it was handed over by message, while orders under the old token
+// are still on their way.
 func ResolveVerdict(verdict work.Verdict, sent, current int64) work.Verdict {
 	if verdict == work.VerdictFenced && sent < current {
 		return work.VerdictStaleToken
@@ -49,12 +50,13 @@
 	}
 }
 
-// isUnanswered reports whether an order may have been carried out although no answer came.
+// isUnanswered reports whether a verdict says that no answer came, so that the order may have been
+// carried out.
 func isUnanswered(verdict work.Verdict) bool {
 	return verdict == work.VerdictUnknown || verdict == work.VerdictConnectionLost
 }
 
-// handleCopyRefusal takes the refusal of one of several copies of a start. The refusal tells
+// handleCopyRefusal takes the refusal of one of several copies of a start. It shows
 // nothing about the others: if the run has already ended, another copy started it, and the
 // target lists its completion.
 func (s *State) handleCopyRefusal(now time.Duration, t *target, r *run, verdict work.Verdict) {
@@ -115,7 +117,7 @@
 	s.markChanged(t)
 }
 
-// markRunning notes that a run has certainly started.
+// markRunning records that a run has certainly started.
 func (s *State) markRunning(r *run) {
 	if r.state != running {
 		r.state = running
@@ -209,7 +211,7 @@
 }
 
 // HandlePollAnswer takes a target's answer to the poll that was first sent at the given time.
-func (s *State) HandlePollAnswer(now time.Duration, id string, at time.Duration, held work.PollAnswer, verdict work.Verdict) {
+func (s *State) HandlePollAnswer(now time.Duration, id string, at time.Duration, answer work.PollAnswer, verdict work.Verdict) {
 	s.resend.countAnswer(verdict)
 	t := s.targets[id]
 	if t == nil || !t.pollPending || at != t.poll.SentAt {
@@ -223,7 +225,7 @@
 	s.markChanged(t)
 	switch verdict {
 	case work.VerdictDone:
-		s.applyPoll(now, t, held)
+		s.applyPoll(now, t, answer)
 	case work.VerdictMisdirected, work.VerdictFenced:
 		s.handleTargetVerdict(now, t, verdict)
 	case work.VerdictStaleToken:
@@ -241,27 +243,27 @@
 
 // applyPoll takes what a target reports in a poll's answer: its incarnation and capacity, new
 // completions, and the runs in progress.
-func (s *State) applyPoll(now time.Duration, t *target, held work.PollAnswer) {
-	if !s.acceptIncarnation(now, t, held.Incarnation) {
+func (s *State) applyPoll(now time.Duration, t *target, answer work.PollAnswer) {
+	if !s.acceptIncarnation(now, t, answer.Incarnation) {
 		return
 	}
-	if held.Capacity != nil {
-		s.setCapacity(t, *held.Capacity)
+	if answer.Capacity != nil {
+		s.setCapacity(t, *answer.Capacity)
 	}
 	s.clearTargetLoss(t)
 	t.failedPolls = 0
 	t.fenced = true
 	t.ackedCompletion = t.ackSent
 	t.answered = t.poll.SentAt
-	t.lease.update(held.ClockMS, now)
-	for _, end := range held.Completions {
+	t.lease.update(answer.ClockMS, now)
+	for _, end := range answer.Completions {
 		if end.Number > t.lastCompletion {
 			t.lastCompletion = end.Number
 			s.handleCompletion(now, t, end)
 		}
 	}
-	listed := make(map[work.RunID]bool, len(held.Running))
-	for _, entry := range held.Running {
+	listed := make(map[work.RunID]bool, len(answer.Running))
+	for _, entry := range answer.Running {
 		listed[entry.Run] = true
 		s.handleListedRun(now, t, entry)
 	}
--- a/scheduler/callers_world_test.go
+++ b/scheduler/callers_world_test.go
@@ -14,10 +14,10 @@
 	owner    *fakeOwner
 	ref      Ref
 	answered bool
-	// refused is set once the caller was told that nothing of its job runs.
+	// refused is set once the caller got the answer that nothing of its job runs.
 	refused  bool
 	attempts int
-	// given is when its owner got the job.
+	// submittedAt is when its owner got the job.
 	given    time.Duration
 	outcomes []work.Result
 }
--- a/scheduler/cordon_world_test.go
+++ b/scheduler/cordon_world_test.go
@@ -18,7 +18,7 @@
 	changes int
 }
 
-// knownCordon is what an owner was told of the setting.
+// knownCordon is what was last reported to an owner of the setting.
 type knownCordon struct {
 	known, cordoned bool
 	// unconfirmedSince is when it last asked whether the setting still applies; 0 before the first
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -15,7 +15,7 @@
 // So a task under which a target was lost runs isolated on the next one. A completion there clears
 // it; a second lost target confirms that it crashes targets. Where a rack or many targets are lost
 // at the same time, the loss is correlated and does not count against the tasks that ran there.
-// Each task is excused like that only once.
+// For each task only one loss is left out like that.
 //
 // A silent target may only be cut off. Its loss counts as provisional until the target answers in
 // the same incarnation, and confirms nothing before that incarnation has certainly ended.
@@ -57,13 +57,13 @@
 	task               *task
 }
 
-// Crash names the incarnation of a target that was lost under a task. Life is 0 if the target
-// doesn't report its incarnation.
+// Crash names the incarnation of a target that was lost under a task. Incarnation is 0 if the
+// target doesn't report it.
 type Crash struct {
 	Target      string
 	Incarnation int64
-	// Correlated marks a correlated loss. Alone says that the task ran isolated there, and was known
-	// to have started.
+	// Correlated marks a correlated loss. Isolated says that the task ran isolated there, and was
+	// known to have started.
 	Correlated, Isolated bool
 }
 
@@ -135,11 +135,11 @@
 		return
 	}
 	t.presumedLost = true
-	end := targetLossEvent{target: t.ID, rack: t.Rack, pool: t.pool, at: now, jobs: map[string]bool{}, hadSuspect: t.isolated != nil}
+	event := targetLossEvent{target: t.ID, rack: t.Rack, pool: t.pool, at: now, jobs: map[string]bool{}, hadSuspect: t.isolated != nil}
 	for _, r := range t.runs {
-		end.jobs[r.task.job.sub.Job.ID] = true
+		event.jobs[r.task.job.sub.Job.ID] = true
 	}
-	s.crashes.events = append(s.crashes.events, end)
+	s.crashes.events = append(s.crashes.events, event)
 }
 
 // clearTargetLoss clears the losses of a silent target that answers again in the same incarnation.
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// newRackBench returns a bench with usable targets, two in each rack.
+// newRackHarness returns a harness with usable targets, two in each rack.
 func newRackBench(t *testing.T, targets int) *harness {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
@@ -222,7 +222,7 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
-	// The registry entry was read before and tells nothing new.
+	// The registry entry was read before, so its capacity is not new.
 	b.target("a", 0)
 	must.Eq(t, 3, b.s.targets["a"].Capacity.CPU)
 }
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// extraCrashes is how many more targets a task may crash for the owners that were lost. Only the
+// extraCrashes is how many more targets a task may crash because owners were lost. Only the
 // owner knows the losses of callers' jobs. For a durable job, a loss that isn't stored yet may be
 // lost with its owner while the store is away, and a target may be lost under the previous owner
 // beside one under the successor.
@@ -63,15 +63,15 @@
 // were lost under them for other reasons.
 func (w *world) mayBePoisoned(id string) bool { return w.poisonJobs[id] || w.lostUnder[id] }
 
-// checkPoisoned notes a violation if a job that failed as poisoned may not do so.
+// checkPoisoned records a violation if a job that failed as poisoned may not do so.
 func (w *world) checkPoisoned(id string) {
 	if !w.mayBePoisoned(id) {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s fails as poisoned, but other jobs crashed its targets", w.now, id))
 	}
 }
 
-// confirmClaim has the store tell an owner that the claim is still its own, unless another owner
-// has it or the store is away.
+// confirmClaim has the store confirm to an owner that the claim is still its own, unless another
+// owner has it or the store is away.
 func (w *world) confirmClaim(o *fakeOwner) {
 	asOf := w.now
 	w.after(time.Duration(2+w.random.IntN(8))*ms, func() {
@@ -85,7 +85,7 @@
 }
 
 // endPredecessors kills the owners before the newest one in worlds where targets restart. What a
-// previous owner that lives on does at a target that has restarted unnoticed is tested separately.
+// previous owner that goes on does at a target that has restarted unnoticed is tested separately.
 func (w *world) endPredecessors() {
 	for _, o := range w.owners[:len(w.owners)-1] {
 		o.dead = true
@@ -182,7 +182,7 @@
 	must.Greater(t, 0, poisoned)
 }
 
-// playCrashing plays a random history of crashing tasks. If alone is set, no previous owner lives
+// playCrashing plays a random history of crashing tasks. If alone is set, no previous owner goes
 // on where targets restart under their IDs.
 func playCrashing(rt *rapid.T, alone bool) *world {
 	share := func(name string) float64 { return float64(rapid.IntRange(0, 4).Draw(rt, name)) / 100 }
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -138,15 +138,15 @@
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
 		}
-		held := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
+		listed := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
 		if t.world.restarts {
-			held.Capacity = &work.Resources{CPU: t.capacity}
+			listed.Capacity = &work.Resources{CPU: t.capacity}
 		}
 		for task, r := range t.runs {
-			held.Running = append(held.Running, work.RunningRun{Run: work.RunID{Task: task, Number: r.number}, SavedState: r.saved})
+			listed.Running = append(listed.Running, work.RunningRun{Run: work.RunID{Task: task, Number: r.number}, SavedState: r.saved})
 		}
-		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
-		reply(held, work.VerdictDone)
+		slices.SortFunc(listed.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
+		reply(listed, work.VerdictDone)
 	}
 	if e.Wait == 0 || len(t.ended) > 0 {
 		answer()
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -33,7 +33,7 @@
 }
 
 // placeGang starts all tasks of a gang, or none.
-func (s *State) placeGang(now time.Duration, j *job, st *step, full *failedPlacements) {
+func (s *State) placeGang(now time.Duration, j *job, st *step, failed *failedPlacements) {
 	if len(st.pending) < len(st.members) {
 		// Some run of the last try has not ended yet.
 		return
@@ -43,7 +43,7 @@
 	}
 	places := s.findPlaces(now, j, st)
 	if places == nil {
-		full.count++
+		failed.count++
 		s.reserveForGang(now, j, st)
 		return
 	}
@@ -239,7 +239,7 @@
 	return available
 }
 
-// unreserve frees the targets that are reserved for a gang.
+// unreserveForGang frees the targets that are reserved for a gang.
 func (s *State) unreserve(p *pool, st *step) {
 	if p.reservedFor != st {
 		return
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -42,15 +42,15 @@
 	b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 }
 
-func (b *harness) answerPoll(id string, held work.PollAnswer) {
-	b.answerPollWith(id, held, work.VerdictDone)
+func (b *harness) answerPoll(id string, answer work.PollAnswer) {
+	b.answerPollWith(id, answer, work.VerdictDone)
 }
 
 // answerPollWith answers the poll that is on its way, and its copies.
-func (b *harness) answerPollWith(id string, held work.PollAnswer, verdict work.Verdict) {
+func (b *harness) answerPollWith(id string, answer work.PollAnswer, verdict work.Verdict) {
 	t := b.s.targets[id]
 	for range max(t.pollCopies.unanswered, 1) {
-		b.s.HandlePollAnswer(b.now, id, t.poll.SentAt, held, verdict)
+		b.s.HandlePollAnswer(b.now, id, t.poll.SentAt, answer, verdict)
 	}
 }
 
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -140,8 +140,8 @@
 // declared run times are wrong.
 func (t *target) isSlow() bool { return t.health.speed > slowSpeed*max(t.pool.medianSpeed, 1) }
 
-// isCold reports whether a target is still slow after its start. That is no fault: its runs teach
-// nothing of its speed, and other targets with capacity are preferred.
+// isCold reports whether a target is still slow after its start. That is no fault: its runs do
+// not count for its speed, and other targets with capacity are preferred.
 func (t *target) isCold(now time.Duration) bool { return now < t.warmAt }
 
 // computeMedianSpeed returns the median speed of a pool's targets.
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// job is a submission that has no answer yet.
+// job is a submission with its steps, its tasks and its progress.
 type job struct {
 	sub      Submission
 	estimate *queueEstimate
@@ -78,8 +78,8 @@
 	name   string
 	advice *advice
 	// backgroundCPU is what a background task wants of its target's processor, in thousandths
-	// of a core. clearedTarget is the target whose background tasks were stopped at clearedAt to
-	// make room for this latency-sensitive step.
+	// of a core. evictionTarget is the target whose background tasks were stopped at evictedAt, and
+	// which is reserved for this latency-sensitive step.
 	backgroundCPU int64
 	clearedTarget *target
 	clearedAt     time.Duration
@@ -295,7 +295,8 @@
 // mayHaveStarted reports whether anything of the job may have run.
 func (j *job) mayHaveStarted() bool { return j.possibleStarts > 0 }
 
-// hasPendingTasks reports whether a task of a current step waits for a target.
+// hasPendingTasks reports whether a task of a current step waits for a target, or for the steps
+// before it.
 func (j *job) hasPendingTasks() bool {
 	for _, st := range j.currentSteps() {
 		if len(st.pending) > 0 {
--- a/scheduler/kept.go
+++ b/scheduler/kept.go
@@ -50,7 +50,7 @@
 type CompletionRef struct {
 	Target string
 	Number int64
-	// Life counts the target's incarnations under its ID, as this owner has seen them.
+	// Restarts is how often the target had restarted under its ID, as this owner has seen it.
 	Life int
 }
 
@@ -99,8 +99,8 @@
 	s.enqueue(j)
 }
 
-// HandleJobStoreUncertain says that the store doesn't tell whether it has a job. The caller is
-// answered so; the job itself waits for HandleJobStored.
+// HandleJobStoreUncertain says that it is not known whether the store has a job. The caller's
+// answer is Unknown; the job itself waits for HandleJobStored.
 func (s *State) HandleJobStoreUncertain(id string) {
 	if j := s.jobsByKey[id]; j != nil && !j.stored {
 		s.answer(j.sub, work.Outcome{Result: work.Unknown, Reason: "the store doesn't tell whether it has the job"})
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -140,12 +140,12 @@
 	b.answerStarts(append(first, second...))
 	number := int64(0)
 	end := func(runs ...work.RunID) []Effect {
-		held := work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()}
+		answer := work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()}
 		for _, run := range runs {
 			number++
-			held.Completions = append(held.Completions, work.Completion{Number: number, Run: run, Kind: work.CompletionDone})
+			answer.Completions = append(answer.Completions, work.Completion{Number: number, Run: run, Kind: work.CompletionDone})
 		}
-		b.answerPoll("a", held)
+		b.answerPoll("a", answer)
 		return b.effects()
 	}
 	rest := pickEffects[StartRun](end(first[0].Run, second[0].Run))
@@ -250,8 +250,8 @@
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 }
 
-// A ticket that its target refuses is asked for again. After a question without an answer the
-// adviser is not asked for askPause.
+// A ticket that its target refuses is requested again. After a request without an answer the
+// adviser gets none for adviserRetryInterval.
 func TestRefusedTicketIsAskedForAgain(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
@@ -268,7 +268,7 @@
 	must.SliceLen(t, 1, pickEffects[AskAdviser](b.effects()))
 }
 
-// At most maxAsking questions to the adviser are open at a time.
+// At most maxOpenRequests requests to the adviser are open at a time.
 func TestQuestionsToAdviserAreBounded(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
@@ -285,7 +285,7 @@
 }
 
 // Background tasks take no capacity from others, go to the targets with the most free capacity, and
-// don't run beside latency-sensitive tasks: they are stopped to make place for those.
+// don't run beside latency-sensitive tasks: they are stopped to free a target for those.
 func TestBackgroundTasksYieldToLatencySensitiveOnes(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
--- a/scheduler/kinds_world_test.go
+++ b/scheduler/kinds_world_test.go
@@ -13,10 +13,10 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// wallBase is the time since 1970 at the world's time zero.
+// wallBase is the Unix time at the world's time zero.
 const wallBase = 1000 * time.Hour
 
-// fakeGang is one try of a gang, of which some members run.
+// fakeGang is one start of a gang under one run number. members holds those that run.
 type fakeGang struct {
 	members map[string]*gangMember
 	saved   string
--- a/scheduler/lend.go
+++ b/scheduler/lend.go
@@ -55,7 +55,7 @@
 const (
 	// capacityReportLifetime is how long another owner's reported capacity counts.
 	capacityReportLifetime = 100 * time.Millisecond
-	// withdrawTimeout is until withdrawn tasks are certainly stopped: a message, a stop, and the
+	// withdrawTimeout is the time after which withdrawn tasks are certainly stopped: a message, a stop, and the
 	// timeout of an owner that does not hear from this VM.
 	withdrawTimeout = 500 * time.Millisecond
 )
@@ -117,6 +117,7 @@
 	return best, most
 }
 
+// delegate hands tasks of a step to another owner as a new part.
 func (s *State) delegate(now time.Duration, j *job, st *step, tasks []*task, to capacityKey) {
 	s.lastPart++
 	s.parts[s.lastPart] = &delegatedPart{job: j, step: st, tasks: tasks, to: to}
@@ -167,6 +168,7 @@
 	}
 }
 
+// completePart marks the tasks of a part as done.
 func (s *State) completePart(now time.Duration, p *delegatedPart) {
 	for _, t := range p.tasks {
 		p.job.markDone(t)
--- a/scheduler/life.go
+++ b/scheduler/life.go
@@ -50,16 +50,16 @@
 
 // acceptIncarnation takes the incarnation that a target's answer or registry entry names, and
 // reports whether it is the present one.
-func (s *State) acceptIncarnation(now time.Duration, t *target, life int64) bool {
+func (s *State) acceptIncarnation(now time.Duration, t *target, incarnation int64) bool {
 	switch {
-	case life == 0 || life == t.Incarnation:
+	case incarnation == 0 || incarnation == t.Incarnation:
 		return true
-	case life < t.Incarnation:
+	case incarnation < t.Incarnation:
 		return false
 	case t.Incarnation != 0 && !t.incarnationUnknown:
 		s.beginIncarnation(now, t, "it names a later start")
 	}
-	t.Incarnation, t.incarnationUnknown = life, false
+	t.Incarnation, t.incarnationUnknown = incarnation, false
 	return true
 }
 
@@ -93,7 +93,7 @@
 }
 
 // noLeaseEnd is the lease end of a run that either of two incarnations may have started: the
-// present one's clock does not tell when it is over.
+// present one's clock does not show when it is over.
 const noLeaseEnd = math.MaxInt64
 
 // hasOnlyUnleasedRuns reports whether all runs of a target have no known lease end.
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -52,11 +52,12 @@
 	count        int
 }
 
-// maxFailedPlacements bounds the steps that one pass tries in vain.
+// maxFailedPlacements is how many failed attempts to place a step end a pass.
 const maxFailedPlacements = 24
 
 func (m *failedPlacements) limitReached() bool { return m.count >= maxFailedPlacements }
 
+// cannotFit reports whether a task that needs no more CPU found no target of the pool.
 func (m *failedPlacements) cannotFit(p *pool, need work.Resources) bool {
 	least, missed := m.smallestNeed[p]
 	return missed && need.CPU >= least
@@ -72,6 +73,9 @@
 	}
 }
 
+// placeJob starts the tasks of a job's ready steps that fit. For the others it asks the adviser and
+// other owners. Nothing starts while runs of an ended job with the same ID may still execute, or
+// while the caller is not presumed to wait.
 func (s *State) placeJob(now time.Duration, j *job, failed *failedPlacements) {
 	if s.stoppingRuns[j.sub.Job.ID] > 0 || !s.hasKeepalive(now, j) {
 		return
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -24,7 +24,7 @@
 	// free per millisecond.
 	openCPU     int64
 	releaseRate float64
-	// medianSpeed is the median run time factor of the targets.
+	// medianSpeed is the median of the targets' health.speed.
 	medianSpeed float64
 	// typicalCPU is the moving average of a task's need, in thousandths of a core; 0 before the
 	// first.
--- a/scheduler/rejoin.go
+++ b/scheduler/rejoin.go
@@ -46,8 +46,8 @@
 // String implements fmt.Stringer.
 func (p Presence) String() string { return [...]string{"absent", "present", "forgotten"}[p] }
 
-// rememberOutcome keeps the outcome of another VM's job for a while. If too many are kept already,
-// it notes instead that one was dropped.
+// rememberOutcome keeps the outcome of another VM's job for outcomeRetention. If there are too many
+// already, it records instead when one was discarded.
 func (s *State) rememberOutcome(now time.Duration, sub Submission, outcome work.Outcome) {
 	switch {
 	case sub.Entry == "":
--- a/scheduler/repeat.go
+++ b/scheduler/repeat.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SetWallClock sets the time since 1970 that corresponds to now.
+// SetWallClock sets the Unix time that corresponds to now. Occurrences of jobs become due by it.
 func (s *State) SetWallClock(now, wall time.Duration) { s.wallOffset = wall - now }
 
 // countDueSteps counts the steps of the job that belong to occurrences that are due by now.
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -10,7 +10,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// orderedRun returns a bench with two targets and a job of one task, whose start has no answer yet.
+// orderedRun returns a harness with two targets and a job of one task, whose start has no answer
+// yet.
 func orderedRun(t *testing.T) (*harness, StartRun) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
@@ -82,7 +83,7 @@
 
 // If one of several copies is refused because the target obeys another owner or is another
 // incarnation, another copy may still have started the run. So the job counts as started, and its
-// caller is told Unknown.
+// caller gets Unknown.
 func TestFencedCopyLeavesJobStarted(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictMisdirected} {
 		b := newHarness(t, Options{})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -41,24 +41,25 @@
 // Effect is an action or message that the State asks its caller to carry out.
 type Effect interface{ effect() }
 
-// StartRun orders the start of a run; the answer goes to Started.
+// StartRun orders the start of a run; the answer goes to HandleStartAnswer.
 type StartRun struct {
 	To work.TargetAddress
 	work.StartOrder
 }
 
-// StopRun orders a run to stop; the answer goes to Stopped.
+// StopRun orders a run to stop; the answer goes to HandleStopAnswer.
 type StopRun struct {
 	To  work.TargetAddress
 	Run work.RunID
 }
 
-// Poll asks a target for its runs and completions; the answer goes to Polled.
+// Poll asks a target for its runs and completions; the answer goes to HandlePollAnswer.
 type Poll struct {
 	To work.TargetAddress
 	// SentAt is when its first copy was sent; it distinguishes this poll from others of the target.
 	SentAt time.Duration
-	// LeaseUntil extends the target's lease; 0 leaves it unchanged.
+	// LeaseUntil is the lease end, on the target's clock, that the poll asks for; 0 leaves the
+	// lease unchanged.
 	LeaseUntil int64
 	// AckUpTo acknowledges all completions up to this number.
 	AckUpTo int64
@@ -158,7 +159,7 @@
 	jobs    map[Ref]*job
 	// dirty holds the targets that changed since the last call of Effects.
 	dirty []*target
-	// jobsByKey holds the job without an answer for each Submission.key.
+	// jobsByKey holds the jobs that have not ended, by Submission.key.
 	jobsByKey map[string]*job
 	// stoppingRuns counts, by job ID, the runs and withdrawn parts of ended jobs that may still
 	// execute.
@@ -209,8 +210,8 @@
 	dropped, droppedRenewTime time.Duration
 	// wallOffset is the Unix time at the State's time zero.
 	wallOffset time.Duration
-	// adviserRequests holds the steps with an unanswered request to the adviser, by name; asking is
-	// their number.
+	// adviserRequests holds the steps with an unanswered request to the adviser, by name;
+	// openAdviserRequests is their number.
 	adviserRequests map[string]*step
 	// recentOutcomes holds the outcomes of other VMs' jobs that ended lately.
 	recentOutcomes map[jobRef]recentOutcome
@@ -317,7 +318,7 @@
 }
 
 // TickInterval is the time between two calls of Tick: a fraction of the shortest timeout that Tick
-// checks. Later ticks show that this process is short of processor.
+// checks. Ticks that come later than that show that this process is short of processor.
 const TickInterval = 20 * time.Millisecond
 
 // Tick handles everything that changes by time alone. Call it every TickInterval.
@@ -408,7 +409,7 @@
 	}
 }
 
-// Jobs returns the number of submissions without an answer.
+// Jobs returns the number of jobs that have not ended.
 func (s *State) Jobs() int { return len(s.jobs) }
 
 // Targets returns the number of known targets.
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -4,7 +4,7 @@
 
 // Background tasks use the processor that others on their target leave unused, and disturb
 // latency-sensitive tasks. The two never share a target: where a latency-sensitive task finds no
-// other target, background tasks are stopped to make room.
+// other target, background tasks are stopped to free one.
 
 // excludeBackgroundCPU removes the processor that background tasks want from what they reserve on
 // their target.
@@ -25,7 +25,8 @@
 	return true
 }
 
-// countSharing counts a run of a step that starts or ends.
+// countSharing adds by to the target's counts of runs of the step's kind: 1 for a run that starts,
+// -1 for one that has ended.
 func (t *target) countSharing(st *step, by int) {
 	if st.Background {
 		t.backgroundRuns += by
@@ -70,7 +71,7 @@
 	}
 }
 
-// releaseHeld ends the reservation of a target for a latency-sensitive step.
+// unreserveForStep ends the reservation of a target for a latency-sensitive step.
 func (s *State) releaseHeld(st *step) {
 	if st.clearedTarget == nil {
 		return
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -15,12 +15,13 @@
 const (
 	// adopting targets may still have runs of a previous owner, or their clock is not known.
 	adopting targetState = iota
-	// usable targets answer.
+	// usable targets answer and may get tasks.
 	usable
 	// silent targets did not answer lately; their leases are not renewed.
 	silent
 )
 
+// poolOf returns the pool of a service, a new one if there is none yet.
 func (s *State) poolOf(service string) *pool {
 	p := s.pools[service]
 	if p == nil {
@@ -37,8 +38,8 @@
 	state targetState
 	// registryCapacity is the capacity in the last registry entry.
 	registryCapacity work.Resources
-	// incarnations counts the restarts under its ID; incarnationUnknown says that the present one
-	// has not told yet when it started.
+	// incarnations counts the restarts under its ID; incarnationUnknown says that the target has not
+	// reported yet when the present one started.
 	incarnations       int
 	incarnationUnknown bool
 	// presumedLost is set from when the target fell silent until it answers again. isolated is the
@@ -61,7 +62,8 @@
 	runs   map[string]*run
 	// releaseRate is the processor that its runs free per millisecond.
 	releaseRate float64
-	// indexed is its entry in the pool's index; dirty says that the next Effects checks it.
+	// indexed is its entry in the pool's index; dirty says that the next Effects checks whether to
+	// poll it.
 	indexed indexEntry
 	dirty   bool
 	// unknownRuns are runs whose owner or job is not known here; they are stopped.
@@ -91,7 +93,7 @@
 	// firstPollWait is the wait of its first copy.
 	firstPollWait time.Duration
 	pollPending   bool
-	// answered is when the newest answered poll was sent.
+	// answeredPollSentAt is when the newest answered poll was sent.
 	answered time.Duration
 	// lastAnswer is when the newest poll was answered; the runs that it listed were running then.
 	lastAnswer time.Duration
@@ -155,7 +157,8 @@
 
 // lease tracks a target's clock and the lease of its runs.
 type lease struct {
-	// clock was read by the target at readAt or earlier.
+	// clock is the newest known value of the target's clock; the target read it at readAt or
+	// earlier.
 	clock  int64
 	readAt time.Duration
 	known  bool
@@ -252,8 +255,8 @@
 	s.markChanged(t)
 }
 
-// TargetUnlisted records that the registry has no entry of a target any more. The target is kept
-// while it answers, as entries also lapse while the registry is away.
+// TargetUnlisted records that the registry has no entry of a target any more. The target stays
+// known while it answers, as entries also lapse while the registry is away.
 func (s *State) TargetUnlisted(now time.Duration, id string) {
 	if t := s.targets[id]; t != nil && t.unlistedSince == 0 {
 		t.unlistedSince = now
@@ -372,15 +375,15 @@
 const (
 	// stopRetryInterval is the pause between two attempts of a stop whose first few had no answer.
 	stopRetryInterval = 100 * time.Millisecond
-	// stopTimeout is how long a target's lease is still renewed while a stop there has no
+	// stopAnswerTimeout is how long a target's lease is still renewed while a stop there has no
 	// answer.
 	stopTimeout = 150 * time.Millisecond
 	// stopMargin is added to the platform's bound of a stop.
 	stopMargin = 20 * time.Millisecond
 )
 
-// shouldRetryStop reports whether to send a stop again, and counts the attempt. The first copies
-// follow as fast as those of other orders.
+// takeStopRetry reports whether to send a stop again now, and counts the attempt. The first copies
+// follow as fast as those of other orders, later ones every stopRetryInterval.
 func (s *State) shouldRetryStop(now time.Duration, o *stopTry) bool {
 	if o.acked != 0 || now-o.last < s.resend.resendInterval() {
 		return false
@@ -396,7 +399,9 @@
 
 func (o *stopTry) isOverdue(now time.Duration) bool { return o.acked == 0 && now-o.first > stopTimeout }
 
-// canRenewLease reports whether the target's lease may be renewed.
+// canRenewLease reports whether the target's lease may be renewed. It may not while the target does
+// not answer, has unknown runs or an overdue stop, or has runs that were left to another owner
+// longer ago than droppedRenewTime.
 func (s *State) canRenewLease(now time.Duration, t *target) bool {
 	if t.state != usable || t.failedPolls > 0 {
 		return false
@@ -441,6 +446,8 @@
 // be known by now. For jobs that are not durable it does not matter: their runs may be repeated.
 func (t *target) wouldList(r *run) bool { return !r.task.job.isDurable() || t.answered > r.stop.acked }
 
+// tickRun repeats the orders to a run that have no answer, and ends the run if it is over by time
+// alone.
 func (s *State) tickRun(now time.Duration, t *target, r *run) {
 	if r.stop != nil {
 		switch {
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -72,7 +72,7 @@
 	restarts bool
 }
 
-// worldFaults are shares of orders.
+// worldFaults holds the shares, from 0 to 1, of orders that meet each fault, and of runs that fail.
 type worldFaults struct {
 	lostOrders, lateOrders, lostAnswers float64
 	// broken orders get no answer, which shows at once; half of them are carried out.
@@ -124,7 +124,7 @@
 	accepting bool
 	// fails is what it knows of the failed runs of durable jobs, by job and task.
 	fails map[string]map[int]int
-	// cordon is what it was told of the cordon.
+	// cordon is what was last reported to it of the cordon.
 	cordon knownCordon
 }
 
@@ -146,7 +146,7 @@
 	capacity    int64
 	resized     time.Duration
 	overcommits bool
-	// life is when it started, in milliseconds; 0 if it does not report it.
+	// incarnation is when it started, in milliseconds; 0 if it does not report it.
 	life       int64
 	fence      int64
 	runs       map[string]*fakeRun
@@ -160,7 +160,7 @@
 	answerPoll func()
 	// ofOtherOwner marks the targets of the other owner.
 	ofOtherOwner bool
-	// leaseLapsed is when the lease was last over; endedAt is when each run ended.
+	// leaseLapsed is when the lease last lapsed; endedAt is when each run ended.
 	leaseLapsed time.Duration
 	endedAt     map[int64]time.Duration
 }
@@ -286,7 +286,8 @@
 	w.after(20*ms, func() { w.tick(o) })
 }
 
-// keepaliveTime and silenceTimeout are the bounds of the heartbeat.
+// keepaliveTime is how long a keepalive of the entry VM counts; silenceTimeout is after how long
+// without a message the entry VM gives an owner up.
 const (
 	keepaliveTime  = 320 * ms
 	silenceTimeout = 420 * ms
@@ -446,9 +447,9 @@
 	token := o.token
 	t := w.targets[e.To.ID]
 	life := t.life
-	reply := func(after time.Duration, held work.PollAnswer, verdict work.Verdict) {
+	reply := func(after time.Duration, got work.PollAnswer, verdict work.Verdict) {
 		w.after(after, func() {
-			w.deliver(o, func() { o.state.HandlePollAnswer(w.now, t.id, e.SentAt, held, ResolveVerdict(verdict, token, o.token)) })
+			w.deliver(o, func() { o.state.HandlePollAnswer(w.now, t.id, e.SentAt, got, ResolveVerdict(verdict, token, o.token)) })
 		})
 	}
 	ignore := func(work.PollAnswer, work.Verdict) {}
@@ -467,18 +468,18 @@
 		// The answer takes long, and others overtake it.
 		sent := w.now
 		w.after(ms, func() {
-			t.servePoll(token, e, func(held work.PollAnswer, verdict work.Verdict) {
-				reply(max(sent+timeout-ms-w.now, 0), held, verdict)
+			t.servePoll(token, e, func(got work.PollAnswer, verdict work.Verdict) {
+				reply(max(sent+timeout-ms-w.now, 0), got, verdict)
 			})
 		})
 	default:
 		w.after(ms, func() {
-			t.servePoll(token, e, func(held work.PollAnswer, verdict work.Verdict) {
+			t.servePoll(token, e, func(got work.PollAnswer, verdict work.Verdict) {
 				if verdict == work.VerdictUnknown {
-					reply(orderTimeout, held, verdict)
+					reply(orderTimeout, got, verdict)
 					return
 				}
-				reply(ms, held, verdict)
+				reply(ms, got, verdict)
 			})
 		})
 	}
