--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -56,7 +56,7 @@
 	return verdict == work.VerdictUnknown || verdict == work.VerdictConnectionLost
 }
 
-// handleCopyRefusal takes the refusal of one of several copies of a start. It shows
+// handleCopyRefusal takes the refusal of one of several copies of a start. The refusal shows
 // nothing about the others: if the run has already ended, another copy started it, and the
 // target lists its completion.
 func (s *State) handleCopyRefusal(now time.Duration, t *target, r *run, verdict work.Verdict) {
--- a/scheduler/cordon.go
+++ b/scheduler/cordon.go
@@ -35,8 +35,8 @@
 	// cordonConfirmTimeout is how long an uncertain state may stay unconfirmed. Where neither the
 	// store nor another VM can be reached, jobs are served according to the last known state.
 	cordonConfirmTimeout = time.Second
-	// cordonedRetryAfter is when callers may retry whose jobs no failure domain may run. The operator
-	// decides when one may, and a client's retry costs it little.
+	// cordonedRetryAfter is when callers may retry whose jobs no failure domain may run. The
+	// operator decides when one may, and a client's retry costs it little.
 	cordonedRetryAfter = 2 * time.Second
 )
 
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Where nobody confirms it, the last known state applies after a timeout: an isolated failure
-// domain serves what it can, unless it was cordoned.
+// Where nobody confirms it, the last known state applies after a timeout: a failure domain that
+// is cut off serves what it can, unless it was cordoned.
 func TestUnconfirmedCordonStateAppliesAfterTimeout(t *testing.T) {
 	for _, cordoned := range []bool{false, true} {
 		b := cordonedHarness(t)
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -15,7 +15,7 @@
 // So a task under which a target was lost runs isolated on the next one. A completion there clears
 // it; a second lost target confirms that it crashes targets. Where a rack or many targets are lost
 // at the same time, the loss is correlated and does not count against the tasks that ran there.
-// For each task only one loss is left out like that.
+// Only one loss of each task is left out like this.
 //
 // A silent target may only be cut off. Its loss counts as provisional until the target answers in
 // the same incarnation, and confirms nothing before that incarnation has certainly ended.
--- a/scheduler/delegate.go
+++ b/scheduler/delegate.go
@@ -55,8 +55,8 @@
 const (
 	// capacityReportLifetime is how long another owner's reported capacity counts.
 	capacityReportLifetime = 100 * time.Millisecond
-	// withdrawTimeout is the time after which withdrawn tasks are certainly stopped: a message, a stop, and the
-	// timeout of an owner that does not hear from this VM.
+	// withdrawTimeout is the time after which withdrawn tasks are certainly stopped: a message, a
+	// stop, and the timeout of an owner that does not hear from this VM.
 	withdrawTimeout = 500 * time.Millisecond
 )
 
--- a/scheduler/delegate_world_test.go
+++ b/scheduler/delegate_world_test.go
@@ -7,7 +7,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// addOther adds another owner with targets of its own.
+// addOtherOwner adds another owner with targets of its own.
 func (w *world) addOther(targets int) {
 	w.otherOwner = &fakeOwner{state: New(Options{}), token: 1, refs: map[Ref]*caller{}, partReplies: map[Ref]func(work.Outcome){}}
 	for range targets {
--- a/scheduler/durable_test.go
+++ b/scheduler/durable_test.go
@@ -37,7 +37,7 @@
 	return start.Run
 }
 
-// heldWithCompletion returns a poll's answer that lists one completion and no runs.
+// pollWithCompletion returns a poll's answer that lists one completion and no runs.
 func heldWithCompletion(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
 	return work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: number, Run: run, Kind: kind}}}
 }
@@ -45,8 +45,8 @@
 // newestAcknowledged returns the newest completion that polls have acknowledged.
 func newestAcknowledged(effects []Effect) int64 {
 	newest := int64(0)
-	for _, look := range pickEffects[Poll](effects) {
-		newest = max(newest, look.AckUpTo)
+	for _, poll := range pickEffects[Poll](effects) {
+		newest = max(newest, poll.AckUpTo)
 	}
 	return newest
 }
@@ -173,7 +173,7 @@
 			must.SliceLen(t, 1, pickEffects[StopRun](b.effects()))
 			b.s.HandleStopAnswer(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5100})
 			must.SliceEmpty(t, pickEffects[StartRun](b.advance(200*ms)))
-			// The poll that was on its way all the while says nothing of the stop.
+			// The answer to a poll that was sent before the stop does not show what ended before it.
 			b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
 			must.SliceEmpty(t, pickEffects[StartRun](b.advance(40*ms)))
 			if done {
@@ -254,7 +254,7 @@
 func TestResumedJobIsPendingUntilSeenStarted(t *testing.T) {
 	for name, test := range map[string]struct {
 		progress Progress
-		held     work.PollAnswer
+		answer   work.PollAnswer
 		pending  int
 	}{
 		"nothing is known":       {Progress{}, work.PollAnswer{ClockMS: 5000}, 1},
@@ -268,7 +268,7 @@
 			b := newHarness(t, Options{})
 			b.target("a", 4)
 			b.effects()
-			b.answerPoll("a", test.held)
+			b.answerPoll("a", test.answer)
 			b.s.ResumeJob(b.now, b.durableJob("j", 2), test.progress)
 			b.s.FinishResume(b.now)
 			must.Eq(t, test.pending, int(b.s.PendingDurable()["k"]))
@@ -282,15 +282,15 @@
 // A failed run counts once if the previous owner stored it but didn't acknowledge it.
 func TestStoredFailureCountsOnce(t *testing.T) {
 	for name, test := range map[string]struct {
-		noted int64
-		ended bool
+		lastFailed int64
+		ended      bool
 	}{"the stored one": {31, false}, "another one": {29, true}} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.target("a", 4)
 			b.effects()
 			b.answerPoll("a", heldWithCompletion(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
-			b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.noted}})
+			b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.lastFailed}})
 			b.s.FinishResume(b.now)
 			effects := b.effects()
 			must.Eq(t, test.ended, len(pickEffects[JobEnded](effects)) == 1)
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -122,12 +122,12 @@
 		}
 		return end.Number <= e.AckUpTo
 	})
-	replied, life := false, t.life
+	replied, incarnation := false, t.life
 	answer := func() {
 		if replied {
 			return
 		}
-		if t.life != life {
+		if t.life != incarnation {
 			replied = true
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
@@ -173,7 +173,7 @@
 	}
 }
 
-// lapse ends the runs once the lease has lapsed.
+// expireLease ends the runs once the lease has lapsed.
 func (t *fakeTarget) lapse() {
 	if t.down {
 		return
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -35,7 +35,7 @@
 	b.s.TargetListed(b.now, t)
 }
 
-// usable adds a target and answers its first poll.
+// addUsableTarget adds a target and answers its first poll.
 func (b *harness) usable(id string, cpu int64) {
 	b.target(id, cpu)
 	b.effects()
@@ -79,7 +79,7 @@
 	return all
 }
 
-// loseAnswers makes an answer of each target get lost.
+// loseAnswers records a missed answer of each target, so that answers count as being lost.
 func (b *harness) loseAnswers() {
 	for _, t := range b.s.targets {
 		b.s.recordMissedAnswer(b.now, t)
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -291,12 +291,12 @@
 	b.s.FinishResume(b.now)
 	b.usable("a", 4000)
 	b.usable("b", 2000)
-	fill := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
-	must.SliceLen(t, 3, fill)
-	must.Eq(t, "a", fill[0].To.ID)
-	must.Eq(t, "a", fill[1].To.ID)
-	must.Eq(t, "b", fill[2].To.ID)
-	b.answerStarts(fill)
+	background := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
+	must.SliceLen(t, 3, background)
+	must.Eq(t, "a", background[0].To.ID)
+	must.Eq(t, "a", background[1].To.ID)
+	must.Eq(t, "b", background[2].To.ID)
+	b.answerStarts(background)
 	plain := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("p", work.Step{Tasks: 1, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 1, plain)
 	must.Eq(t, "b", plain[0].To.ID)
@@ -305,19 +305,19 @@
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
 	must.SliceLen(t, 2, pickEffects[StopRun](effects))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
-		{Number: 1, Run: fill[0].Run, Kind: work.CompletionStopped}, {Number: 2, Run: fill[1].Run, Kind: work.CompletionStopped},
+		{Number: 1, Run: background[0].Run, Kind: work.CompletionStopped}, {Number: 2, Run: background[1].Run, Kind: work.CompletionStopped},
 	}})
-	serving := pickEffects[StartRun](b.effects())
-	must.SliceLen(t, 1, serving)
-	must.Eq(t, "s.0.0.0", serving[0].Run.Task)
-	b.answerStarts(serving)
+	sensitive := pickEffects[StartRun](b.effects())
+	must.SliceLen(t, 1, sensitive)
+	must.Eq(t, "s.0.0.0", sensitive[0].Run.Task)
+	b.answerStarts(sensitive)
 	must.SliceEmpty(t, pickEffects[StartRun](b.advance(100*ms)))
 	must.Eq(t, 0, b.s.targets["a"].backgroundRuns)
 	// A background task never counts as stuck.
 	for range 20 {
-		b.answerPoll("b", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(fill[2].Run, plain[0].Run)})
+		b.answerPoll("b", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(background[2].Run, plain[0].Run)})
 		for _, stop := range pickEffects[StopRun](b.advance(500 * ms)) {
-			must.NotEq(t, fill[2].Run, stop.Run)
+			must.NotEq(t, background[2].Run, stop.Run)
 		}
 	}
 }
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -371,8 +371,8 @@
 	must.Eq(t, "a", starts[0].To.ID)
 }
 
-// The same holds for a target whose entry has moved away while tasks run there. They are over when
-// its lease is.
+// A target whose entry has moved to another group while tasks run there doesn't depose this group's
+// owner either. Its runs are over once its lease has lapsed.
 func TestTargetMovedToAnotherGroupDoesNotDepose(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.usable("a", 1)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -57,7 +57,8 @@
 
 func (m *failedPlacements) limitReached() bool { return m.count >= maxFailedPlacements }
 
-// cannotFit reports whether a task that needs no more CPU found no target of the pool.
+// cannotFit reports whether a task that needs no more CPU than this found no target of the pool in
+// this pass.
 func (m *failedPlacements) cannotFit(p *pool, need work.Resources) bool {
 	least, missed := m.smallestNeed[p]
 	return missed && need.CPU >= least
--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -117,20 +117,20 @@
 // An absent job is started only by the request that asks for it again. The first request, which was
 // read but had to wait meanwhile, doesn't start it, whatever happened to the second one.
 func TestAbsentJobStartsOnce(t *testing.T) {
-	for name, room := range map[string]int64{"job starts": 1, "job refused": 0} {
+	for name, started := range map[string]int64{"job starts": 1, "job refused": 0} {
 		b := newHarness(t, Options{})
 		b.usable("a", 1)
 		b.s.EntryKeepalive("e", b.now+time.Hour)
 		first := Submission{
 			Ref: 100, Entry: "e",
-			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 2 - room}, DeclaredRunTime: 100 * ms}}},
+			Job:   work.Job{ID: "j", Steps: []work.Step{{Tasks: 1, PerTask: work.Resources{CPU: 2 - started}, DeclaredRunTime: 100 * ms}}},
 			Queue: work.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Allowance: time.Second},
 		}
 		again := b.askedAgain(first)
 		must.Eq(t, Absent, b.s.Rejoin(b.now, again, ms, true), must.Sprint(name))
 		effects := b.effects()
-		must.Eq(t, int(room), len(pickEffects[StartRun](effects)), must.Sprint(name))
-		must.Eq(t, int(1-room), len(pickEffects[Answer](effects)), must.Sprint(name))
+		must.Eq(t, int(started), len(pickEffects[StartRun](effects)), must.Sprint(name))
+		must.Eq(t, int(1-started), len(pickEffects[Answer](effects)), must.Sprint(name))
 		b.usable("b", 2)
 		b.s.Submit(b.now, first)
 		effects = b.effects()
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -149,13 +149,13 @@
 		b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
 		b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(start.Run)})
 		b.effects()
-		looks := pickEffects[Poll](b.advance(40 * ms))
+		polls := pickEffects[Poll](b.advance(40 * ms))
 		if !lost {
-			must.SliceEmpty(t, looks, must.Sprint(name))
+			must.SliceEmpty(t, polls, must.Sprint(name))
 			continue
 		}
-		must.SliceLen(t, 1, looks)
-		must.Eq(t, shortPollWait, looks[0].Wait)
+		must.SliceLen(t, 1, polls)
+		must.Eq(t, shortPollWait, polls[0].Wait)
 		first := b.s.targets["a"].poll.SentAt
 		b.s.HandlePollAnswer(b.now, "a", first, work.PollAnswer{ClockMS: 5040, Completions: []work.Completion{{Number: 1, Run: start.Run, Kind: work.CompletionDone}}}, work.VerdictDone)
 		must.Eq(t, work.Completed, pickEffects[Answer](b.effects())[0].Outcome.Result)
@@ -270,11 +270,11 @@
 		if lost {
 			b.loseAnswers()
 		}
-		looks := pickEffects[Poll](b.advance(20 * ms))
-		must.Eq(t, lost, len(looks) > 0, must.Sprint(name))
+		polls := pickEffects[Poll](b.advance(20 * ms))
+		must.Eq(t, lost, len(polls) > 0, must.Sprint(name))
 		if lost {
-			must.Eq(t, 0, looks[0].Wait)
-			must.Eq(t, b.s.targets["a"].poll.SentAt, looks[0].SentAt)
+			must.Eq(t, 0, polls[0].Wait)
+			must.Eq(t, b.s.targets["a"].poll.SentAt, polls[0].SentAt)
 		}
 	}
 }
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -4,8 +4,8 @@
 
 // Summary counts what a State holds.
 type Summary struct {
-	// Jobs counts the jobs that have not ended, Waiting those of them that still have tasks to place,
-	// and Runs the runs on all targets.
+	// Jobs counts the jobs that have not ended, Waiting those of them that still have tasks to
+	// place, and Runs the runs on all targets.
 	Jobs, Waiting, Runs int
 	// Targets counts all known targets; the others count subsets of them.
 	Targets, Usable, Suspected, Draining int
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -147,7 +147,10 @@
 	resized     time.Duration
 	overcommits bool
 	// incarnation is when it started, in milliseconds; 0 if it does not report it.
-	life       int64
+	life int64
+	// highestToken is the highest fencing token that it has seen; highestRuns holds the highest run
+	// number of each task that ended or was stopped; lastCompletion is the number of its last
+	// completion; leaseUntil is the end of its lease, on its clock.
 	fence      int64
 	runs       map[string]*fakeRun
 	highest    map[string]int64
@@ -286,7 +289,7 @@
 	w.after(20*ms, func() { w.tick(o) })
 }
 
-// keepaliveTime is how long a keepalive of the entry VM counts; silenceTimeout is after how long
+// keepaliveLifetime is how long a keepalive of the entry VM counts; silenceTimeout is after how long
 // without a message the entry VM gives an owner up.
 const (
 	keepaliveTime  = 320 * ms
@@ -387,11 +390,11 @@
 
 // deliverOrder simulates an order's way to a target and back.
 func (w *world) deliverOrder(o *fakeOwner, target string, carryOut func(token int64) work.OrderAnswer, back func(work.OrderAnswer)) {
-	token, life := o.token, w.targets[target].life
+	token, incarnation := o.token, w.targets[target].life
 	do := func() work.OrderAnswer { return carryOut(token) }
 	late := func() {
 		// An order that a target has received but not carried out is lost when it restarts.
-		if w.targets[target].life == life {
+		if w.targets[target].life == incarnation {
 			do()
 		}
 	}
@@ -446,7 +449,7 @@
 func (w *world) poll(o *fakeOwner, e Poll) {
 	token := o.token
 	t := w.targets[e.To.ID]
-	life := t.life
+	incarnation := t.life
 	reply := func(after time.Duration, got work.PollAnswer, verdict work.Verdict) {
 		w.after(after, func() {
 			w.deliver(o, func() { o.state.HandlePollAnswer(w.now, t.id, e.SentAt, got, ResolveVerdict(verdict, token, o.token)) })
@@ -459,7 +462,7 @@
 		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, func() {
-			if t.life == life {
+			if t.life == incarnation {
 				t.servePoll(token, e, ignore)
 			}
 		})
