--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -122,12 +122,12 @@
 		}
 		return end.Number <= e.AckUpTo
 	})
-	replied, life := false, t.life
+	replied, incarnation := false, t.life
 	answer := func() {
 		if replied {
 			return
 		}
-		if t.life != life {
+		if t.life != incarnation {
 			replied = true
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
@@ -138,15 +138,15 @@
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
 		}
-		held := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
+		listed := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
 		if t.world.restarts {
-			held.Capacity = &work.Resources{CPU: t.capacity}
+			listed.Capacity = &work.Resources{CPU: t.capacity}
 		}
 		for task, r := range t.runs {
-			held.Running = append(held.Running, work.RunningRun{Run: work.RunID{Task: task, Number: r.number}, SavedState: r.saved})
+			listed.Running = append(listed.Running, work.RunningRun{Run: work.RunID{Task: task, Number: r.number}, SavedState: r.saved})
 		}
-		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
-		reply(held, work.VerdictDone)
+		slices.SortFunc(listed.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
+		reply(listed, work.VerdictDone)
 	}
 	if e.Wait == 0 || len(t.ended) > 0 {
 		answer()
@@ -173,7 +173,7 @@
 	}
 }
 
-// lapse ends the runs once the lease has lapsed.
+// expireLease ends the runs once the lease has lapsed.
 func (t *fakeTarget) lapse() {
 	if t.down {
 		return
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -35,22 +35,22 @@
 	b.s.TargetListed(b.now, t)
 }
 
-// usable adds a target and answers its first poll.
+// addUsableTarget adds a target and answers its first poll.
 func (b *harness) usable(id string, cpu int64) {
 	b.target(id, cpu)
 	b.effects()
 	b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 }
 
-func (b *harness) answerPoll(id string, held work.PollAnswer) {
-	b.answerPollWith(id, held, work.VerdictDone)
+func (b *harness) answerPoll(id string, answer work.PollAnswer) {
+	b.answerPollWith(id, answer, work.VerdictDone)
 }
 
 // answerPollWith answers the poll that is on its way, and its copies.
-func (b *harness) answerPollWith(id string, held work.PollAnswer, verdict work.Verdict) {
+func (b *harness) answerPollWith(id string, answer work.PollAnswer, verdict work.Verdict) {
 	t := b.s.targets[id]
 	for range max(t.pollCopies.unanswered, 1) {
-		b.s.HandlePollAnswer(b.now, id, t.poll.SentAt, held, verdict)
+		b.s.HandlePollAnswer(b.now, id, t.poll.SentAt, answer, verdict)
 	}
 }
 
@@ -79,7 +79,7 @@
 	return all
 }
 
-// loseAnswers makes an answer of each target get lost.
+// loseAnswers records a missed answer of each target, so that answers count as being lost.
 func (b *harness) loseAnswers() {
 	for _, t := range b.s.targets {
 		b.s.recordMissedAnswer(b.now, t)
