--- a/owner/claim.go
+++ b/owner/claim.go
@@ -7,8 +7,8 @@
 	"github.com/burdockward/burdockward/bootclock"
 )
 
-// confirmClaim asks the store whether the claim is still this owner's. Unless the store
-// confirms that, the targets that wait for it stay unused.
+// confirmClaim asks the store whether the claim is still this owner's. Targets that started
+// lately stay unused until the store confirms that.
 func (o *Owner) confirmClaim(ctx context.Context) {
 	asOf := bootclock.Now()
 	held, err := o.options.ConfirmClaim(ctx)
--- a/owner/durable.go
+++ b/owner/durable.go
@@ -41,7 +41,7 @@
 	// time in which a completion is polled and recorded. Callers ask as soon as a job should
 	// have ended, and ask again only after a short objective.
 	jobEndTimeout = 80 * time.Millisecond
-	// unstoredRetryAfter is told to callers while jobs can't be stored.
+	// unstoredRetryAfter is sent to callers while jobs can't be stored.
 	unstoredRetryAfter = time.Second
 )
 
@@ -165,9 +165,9 @@
 	o.state.HandleJobStored(now, id, storeOutcome(r), r == jobstore.Stored)
 }
 
-// completionRecorded tells the State that a completion is in the store and may be acknowledged.
-func (o *Owner) completionRecorded(ctx context.Context, end scheduler.CompletionRef) {
-	o.post(ctx, func(time.Duration) { o.state.HandleCompletionStored(end) })
+// completionRecorded notifies the State that a completion is in the store and may be acknowledged.
+func (o *Owner) completionRecorded(ctx context.Context, completion scheduler.CompletionRef) {
+	o.post(ctx, func(time.Duration) { o.state.HandleCompletionStored(completion) })
 }
 
 // storeOutcome returns the outcome that the caller gets for the result of storing its job.
--- a/owner/lag.go
+++ b/owner/lag.go
@@ -10,7 +10,7 @@
 )
 
 // An owner with too little processor time for its targets falls behind: messages wait longer and
-// longer, until callers, targets and entry VMs take the owner for dead and its jobs are lost.
+// longer, until callers, targets and entry VMs consider the owner dead and its jobs are lost.
 // To prevent that, an owner adds its delay to the loads that it reports, so that entry VMs choose
 // other owners, and above a threshold it refuses new jobs.
 
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -80,8 +80,8 @@
 	// Observe records durations and Gauge values; they must not block.
 	Observe func(what string, took time.Duration)
 	Gauge   func(what string, value float64)
-	// AskPredecessor asks the previous owner, which hands over its targets, which of them it
-	// has released; nil if there is no handover.
+	// AskPredecessor asks the previous owner for the targets that it has released so far; nil if
+	// no previous owner hands over.
 	AskPredecessor func(ctx context.Context) (Released, error)
 	// Delegate has another owner run a part of a job and returns the outcome of the part.
 	Delegate func(ctx context.Context, owner string, sub scheduler.Submission) work.Outcome
@@ -434,7 +434,7 @@
 	})
 }
 
-// recordAnswerTime tells the State how long an answer took, from the decision to send the
+// recordAnswerTime records in the State how long an answer took, from the decision to send the
 // order until the loop handles the answer. That includes the delays within this process.
 func (o *Owner) recordAnswerTime(verdict work.Verdict, took time.Duration) {
 	switch verdict {
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -85,7 +85,7 @@
 )
 
 // takeOverTargets asks the previous owner for its targets until it has released all of them or
-// has been silent for heartbeat.Silence.
+// has been silent for heartbeat.SilenceTimeout.
 func (o *Owner) takeOverTargets(ctx context.Context) {
 	lastAnswer := bootclock.Now()
 	for ctx.Err() == nil {
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// queueFullRetryAfter is told to callers when the submission queue is full.
+// queueFullRetryAfter is sent to callers when the submission queue is full.
 const queueFullRetryAfter = time.Second
 
 // Submit runs a job and returns its outcome. The end of the context gives the job up. A durable
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -26,7 +26,7 @@
 const (
 	// feedTimeout bounds how long a dead connection to the store goes unnoticed.
 	feedTimeout = 3 * time.Second
-	// decideInterval is the time between two decisions, a fraction of heartbeat.Silence.
+	// decideInterval is the time between two decisions, a fraction of heartbeat.SilenceTimeout.
 	decideInterval = 40 * time.Millisecond
 	// claimRetryInterval is the minimum time between two attempts to write a claim.
 	claimRetryInterval = 250 * time.Millisecond
@@ -288,7 +288,7 @@
 	return len(rows.Rows) == 0 || rows.Rows[0].Version <= claim.Version, nil
 }
 
-// ClaimSender tells another VM directly that it owns a group now.
+// ClaimSender sends a claim directly to the VM that it makes the owner of a group.
 type ClaimSender interface {
 	HandOverClaim(ctx context.Context, address string, claim GroupClaim) error
 }
