--- a/entry/entry.go
+++ b/entry/entry.go
@@ -4,7 +4,7 @@
 //
 // A job that an owner refuses is offered to another one for a short time. A job that an owner hands
 // back (Moved) is sent again, until it could no longer meet its objective. A job whose outcome is
-// unknown may have started: it is not sent again, and its owner is told to give it up. An owner in
+// unknown may have started: it is not sent again, and its owner is asked to give it up. An owner in
 // a cordoned failure domain, or one that has been silent for too long, is not asked.
 package entry
 
@@ -24,7 +24,8 @@
 	"github.com/burdockward/burdockward/work"
 )
 
-// Peers gives what heartbeats have reported about owners, and tells them of jobs that are given up.
+// Peers gives what heartbeats have reported about owners, and notifies owners of jobs that are
+// given up.
 type Peers interface {
 	View(incarnation uint64) (heartbeat.View, bool)
 	GiveUp(owner uint64, job string)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -135,7 +135,7 @@
 	must.Eq(t, []string{"near", "near"}, f.asked)
 }
 
-// A job that may have started is not sent again, and its owner is told to give it up.
+// A job that may have started is not sent again, and its owner is asked to give it up.
 func TestUnknownJobIsGivenUpAndNotSentAgain(t *testing.T) {
 	f := newFakePeers([]work.Outcome{{Result: work.Unknown, Reason: "lost"}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Unknown, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -130,8 +130,8 @@
 	return pingers
 }
 
-// GiveUp tells an owner that nobody waits for a job any more: at once and, as datagrams get lost,
-// again in the next pings.
+// GiveUp notifies an owner that nobody waits for a job any more: at once and, as datagrams get
+// lost, again in the next pings.
 func (s *Service) GiveUp(owner uint64, job string) {
 	s.mu.Lock()
 	s.peers.givenUp[job] = bootclock.Now()
--- a/node/delegate.go
+++ b/node/delegate.go
@@ -14,7 +14,7 @@
 // ownerName returns the name under which the scheduler knows the owner of an incarnation.
 func ownerName(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
 
-// ReceiveLoads implements heartbeat.Listener. It tells the current owner the free capacity of
+// ReceiveLoads implements heartbeat.Listener. It gives the current owner the free capacity of
 // another owner, to which it may delegate tasks.
 func (n *Node) ReceiveLoads(incarnation uint64, loads []*linkpb.Load) {
 	o := n.currentOwner()
@@ -22,13 +22,13 @@
 		return
 	}
 	for _, load := range loads {
-		var room scheduler.FreeCapacity
+		var capacity scheduler.FreeCapacity
 		for i, places := range load.GetPlaces() {
-			if i < len(room.Tasks) {
-				room.Tasks[i] = int(places)
+			if i < len(capacity.Tasks) {
+				capacity.Tasks[i] = int(places)
 			}
 		}
-		o.UpdateCapacityOf(ownerName(incarnation), load.GetService(), room)
+		o.UpdateCapacityOf(ownerName(incarnation), load.GetService(), capacity)
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -293,8 +293,8 @@
 	return &ownedGroup{Owner: o, claim: held, cancel: cancel}
 }
 
-// probeOwner checks in the background whether an owner's process has ended, and tells the claim
-// keeper if so. Only one owner is checked at a time.
+// probeOwner checks in the background whether an owner's process has ended, and reports that to
+// the claim keeper if so. Only one owner is checked at a time.
 func (n *Node) probeOwner(suspect heartbeat.Owner) {
 	if !n.probingOwner.CompareAndSwap(false, true) {
 		return
