--- a/lab/replay/choose.go
+++ b/lab/replay/choose.go
@@ -7,7 +7,8 @@
 )
 
 // chooseOwner returns the index of the owner that an entry VM of the caller's failure domain
-// chooses by entry.Choose. Owners in refused and cordoned ones count as full.
+// chooses by entry.Choose. An owner whose index is in refused, or whose failure domain is
+// cordoned, counts as one that has refused the job.
 func (w *world) chooseOwner(a *arrival, refused map[int]bool) int {
 	candidates := make([]entry.Candidate, len(w.owners))
 	for i, o := range w.owners {
--- a/lab/replay/world.go
+++ b/lab/replay/world.go
@@ -388,7 +388,7 @@
 	w.requestCapacity(o)
 }
 
-// scheduleAfterHop adds an event one message between an owner and a target later.
+// scheduleAfterHop adds an event after the one-way delay between an owner and a target.
 func (w *world) scheduleAfterHop(do func()) { w.scheduleAfter(w.targetDelay(), do) }
 
 // targetDelay is the one-way delay between an owner and a target.
--- a/relay/router.go
+++ b/relay/router.go
@@ -73,7 +73,8 @@
 	plan           Plan
 	coresPerTarget float64
 	streams        map[uint64]*stream
-	// routes caches the stream of each target under the present plan; nil where the owner sends.
+	// routes caches the stream of each target under the present plan; nil where the owner
+	// sends its orders directly.
 	routes map[string]*stream
 }
 
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// failPending marks the connection as broken and answers all pending calls with VerdictBroken.
+// failPending marks the connection as broken and answers all pending calls with
+// VerdictConnectionLost.
 func (s *stream) failPending() {
 	s.mu.Lock()
 	pending := s.pending
@@ -153,7 +154,8 @@
 }
 
 // call has the relay send an order or a poll and waits for the answer. The verdict is
-// VerdictUnsent if the call was not written, VerdictUnknown if there is no answer in time.
+// VerdictUnsent if the call was not written, VerdictConnectionLost if the connection breaks
+// before the answer, and VerdictUnknown if there is no answer in time.
 func (s *stream) call(ctx context.Context, to work.TargetAddress, carry *linkpb.Carry, timeout time.Duration, prompt bool) *linkpb.Carried {
 	c := &call{answer: make(chan *linkpb.Carried, 1), prompt: prompt}
 	s.mu.Lock()
