--- a/heartbeat/book.go
+++ b/heartbeat/peertable.go
@@ -95,18 +95,18 @@
 }
 
 // setOwners sets the owners that hold claims. Previous owners stay until they are silent.
-func (b *peerTable) setOwners(now time.Duration, owners []Owner) {
+func (t *peerTable) setOwners(now time.Duration, owners []Owner) {
 	claimed := map[uint64]bool{}
 	for _, owner := range owners {
 		claimed[owner.Incarnation] = true
-		if b.views[owner.Incarnation] == nil {
-			b.views[owner.Incarnation] = newView(now, owner)
+		if t.views[owner.Incarnation] == nil {
+			t.views[owner.Incarnation] = newView(now, owner)
 		}
 	}
-	for incarnation, v := range b.views {
+	for incarnation, v := range t.views {
 		v.hasClaim = claimed[incarnation]
 	}
-	b.expire(now)
+	t.expire(now)
 }
 
 // newView creates the view of an owner that has not answered yet.
@@ -118,8 +118,8 @@
 
 // recordPong takes an owner's answer and returns the time since the last one. It ignores answers of
 // unknown owners and those that are older than the newest.
-func (b *peerTable) recordPong(now time.Duration, pong *linkpb.Pong) (gap time.Duration) {
-	v := b.views[pong.GetLife()]
+func (t *peerTable) recordPong(now time.Duration, pong *linkpb.Pong) (gap time.Duration) {
+	v := t.views[pong.GetLife()]
 	if v == nil || pong.GetStamp() < v.Timestamp {
 		return 0
 	}
@@ -139,8 +139,8 @@
 
 // expire ends Alive of silent owners, and removes silent previous owners, silent entry VMs and old
 // jobs that were given up.
-func (b *peerTable) expire(now time.Duration) {
-	for incarnation, v := range b.views {
+func (t *peerTable) expire(now time.Duration) {
+	for incarnation, v := range t.views {
 		if now-max(v.LastHeard, v.pingedSince) <= SilenceTimeout {
 			continue
 		}
@@ -148,32 +148,32 @@
 		// An owner that has handed over its claim is kept only while it answers: until then it
 		// may still run jobs.
 		if !v.hasClaim {
-			delete(b.views, incarnation)
+			delete(t.views, incarnation)
 		}
 	}
-	for id, p := range b.pingers {
+	for id, p := range t.pingers {
 		if now-p.LastHeard > pingerTimeout {
-			delete(b.pingers, id)
+			delete(t.pingers, id)
 		}
 	}
-	for id, at := range b.givenUp {
+	for id, at := range t.givenUp {
 		if now-at > givenUpRetention {
-			delete(b.givenUp, id)
+			delete(t.givenUp, id)
 		}
 	}
 }
 
 // recordPing takes an entry VM's ping and returns the time since the last one. It ignores unknown
 // entry VMs beyond maxPingers.
-func (b *peerTable) recordPing(now time.Duration, ping *linkpb.Ping) (gap time.Duration) {
+func (t *peerTable) recordPing(now time.Duration, ping *linkpb.Ping) (gap time.Duration) {
 	id := EntryID(ping.GetVm(), ping.GetLife())
-	p := b.pingers[id]
+	p := t.pingers[id]
 	if p == nil {
-		if len(b.pingers) >= maxPingers {
+		if len(t.pingers) >= maxPingers {
 			return 0
 		}
 		p = &Pinger{VM: ping.GetVm(), Incarnation: ping.GetLife(), FirstHeard: now}
-		b.pingers[id] = p
+		t.pingers[id] = p
 	} else {
 		gap = now - p.LastHeard
 	}
