--- a/jobstore/keeper_test.go
+++ b/jobstore/keeper_test.go
@@ -210,12 +210,12 @@
 	s.fenceVersion = 1
 	s.add(testJob, 5, 0, Progress{Group: "a", State: work.StateQueued}, 0)
 	notified := 0
-	note := func(task int) {
+	recordDone := func(task int) {
 		s.record(testJob, func(p *Progress) { p.Done = append(p.Done, task) }, func() { notified++ })
 	}
-	note(0)
+	recordDone(0)
 	must.SliceNotEmpty(t, s.nextBatch(0))
-	note(1)
+	recordDone(1)
 	s.handleResult(0, platform.WriteResult{Version: 6}, nil)
 	for _, call := range s.takeCallbacks() {
 		call()
--- a/jobstore/keeper.go
+++ b/jobstore/writer.go
@@ -231,7 +231,8 @@
 	panic("no shard for partition " + partition)
 }
 
-// update changes the shard of a job, wakes its writer and makes the pending callbacks.
+// update changes the shard of a job, wakes the goroutine that writes its partition, and makes the
+// pending callbacks.
 func (w *Writer) update(id string, do func(*shard)) {
 	w.mu.Lock()
 	s, partition := w.shardOf(id)
@@ -389,8 +390,8 @@
 	}
 }
 
-// hasWrite reports whether a partition has something to write. Only the partition's own goroutine
-// takes it.
+// hasWrite reports whether a partition has something to write. Only writePartition takes batches,
+// so true holds until its next call of nextBatch, unless Open replaces the shard meanwhile.
 func (w *Writer) hasWrite(partition int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
