--- a/lab/replay/site.go
+++ b/lab/replay/site.go
@@ -90,6 +90,7 @@
 	SlowFactor float64
 	// Hang keeps tasks that start meanwhile from ending.
 	Hang bool
+	// Gone has no effect.
 	Gone bool
 	// LostCalls is the share of calls that are neither carried out nor answered.
 	LostCalls float64
--- a/lab/replay/target.go
+++ b/lab/replay/target.go
@@ -202,16 +202,16 @@
 			return
 		}
 		p.answered = true
-		held := work.PollAnswer{ClockMS: t.clockMS(), Completions: slices.Clone(t.completions)}
+		answer := work.PollAnswer{ClockMS: t.clockMS(), Completions: slices.Clone(t.completions)}
 		for run := range t.running {
-			held.Running = append(held.Running, work.RunningRun{Run: run})
+			answer.Running = append(answer.Running, work.RunningRun{Run: run})
 		}
-		slices.SortFunc(held.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
+		slices.SortFunc(answer.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
 		t.sendReply(o, func(now time.Duration) {
 			if e.Wait == 0 {
 				o.state.RecordAnswerTime(now - sent)
 			}
-			o.state.HandlePollAnswer(now, t.ID, e.SentAt, held, work.VerdictDone)
+			o.state.HandlePollAnswer(now, t.ID, e.SentAt, answer, work.VerdictDone)
 		})
 	}
 	if len(t.completions) > 0 || e.Wait == 0 {
--- a/node/rejoin_test.go
+++ b/node/rejoin_test.go
@@ -132,9 +132,9 @@
 
 func (j *fakeTarget) Poll(ctx context.Context, _ work.TargetAddress, _, _, seen int64, wait time.Duration) (work.PollAnswer, work.Verdict) {
 	j.mu.Lock()
-	changed, hasNews := j.changed, len(j.ended) > int(seen)
+	changed, hasCompletions := j.changed, len(j.ended) > int(seen)
 	j.mu.Unlock()
-	if !hasNews && wait > 0 {
+	if !hasCompletions && wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -145,11 +145,11 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	held := work.PollAnswer{ClockMS: j.clock(), Completions: append([]work.Completion{}, j.ended[min(int(seen), len(j.ended)):]...)}
+	answer := work.PollAnswer{ClockMS: j.clock(), Completions: append([]work.Completion{}, j.ended[min(int(seen), len(j.ended)):]...)}
 	for run := range j.runs {
-		held.Running = append(held.Running, work.RunningRun{Run: run})
+		answer.Running = append(answer.Running, work.RunningRun{Run: run})
 	}
-	return held, work.VerdictDone
+	return answer, work.VerdictDone
 }
 
 // oneTargetStore is a store that lists one target.
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -22,8 +22,8 @@
 		return &GroupClaim{Group: "g", Version: 5, Claim: &linkpb.Claim{Vm: vm, Life: incarnation, Passed: handovers}}
 	}
 	for name, test := range map[string]struct {
-		belief Observation
-		want   bool
+		observed Observation
+		want     bool
 	}{
 		"no claim, delayed":     {Observation{ClaimAge: 10 * ms, ClaimDelay: 20 * ms}, false},
 		"no claim":              {Observation{ClaimAge: 30 * ms, ClaimDelay: 20 * ms}, true},
@@ -37,7 +37,7 @@
 		"owner dead":            {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerDead: true, ClaimAge: 10 * ms}, true},
 		"owner dead, delayed":   {Observation{Current: held("w", 2, 0), VM: "v", Incarnation: 1, OwnerDead: true, ClaimAge: 10 * ms, ClaimDelay: 20 * ms}, false},
 	} {
-		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, ShouldClaim(test.belief)) })
+		t.Run(name, func(t *testing.T) { must.Eq(t, test.want, ShouldClaim(test.observed)) })
 	}
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -43,32 +43,32 @@
 	return work.StartOrder{Run: runFromWire(s.GetRun()), Payload: s.GetPayload(), SavedState: s.GetSaved(), Ticket: s.GetTicket(), LeaseUntilMS: s.GetUntilMs()}
 }
 
-func heldToWire(held work.PollAnswer) *linkpb.Carried {
-	wire := &linkpb.Carried{ClockMs: held.ClockMS, Life: held.Incarnation}
-	for _, running := range held.Running {
+func heldToWire(answer work.PollAnswer) *linkpb.Carried {
+	wire := &linkpb.Carried{ClockMs: answer.ClockMS, Life: answer.Incarnation}
+	for _, running := range answer.Running {
 		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(running.Run), Saved: running.SavedState})
 	}
-	for _, end := range held.Completions {
+	for _, end := range answer.Completions {
 		wire.Ended = append(wire.Ended, &linkpb.EndedRun{Number: end.Number, Run: runToWire(end.Run), Kind: string(end.Kind), Saved: end.SavedState})
 	}
-	if c := held.Capacity; c != nil {
+	if c := answer.Capacity; c != nil {
 		wire.Capacity = &linkpb.Resources{Cpu: c.CPU, MemoryMb: c.MemoryMB, Gpu: c.GPU}
 	}
 	return wire
 }
 
 func heldFromWire(wire *linkpb.Carried) work.PollAnswer {
-	held := work.PollAnswer{ClockMS: wire.GetClockMs(), Incarnation: wire.GetLife()}
+	answer := work.PollAnswer{ClockMS: wire.GetClockMs(), Incarnation: wire.GetLife()}
 	for _, running := range wire.GetRunning() {
-		held.Running = append(held.Running, work.RunningRun{Run: runFromWire(running.GetRun()), SavedState: running.GetSaved()})
+		answer.Running = append(answer.Running, work.RunningRun{Run: runFromWire(running.GetRun()), SavedState: running.GetSaved()})
 	}
 	for _, end := range wire.GetEnded() {
-		held.Completions = append(held.Completions, work.Completion{
+		answer.Completions = append(answer.Completions, work.Completion{
 			Number: end.GetNumber(), Run: runFromWire(end.GetRun()), Kind: work.CompletionKind(end.GetKind()), SavedState: end.GetSaved(),
 		})
 	}
 	if c := wire.GetCapacity(); c != nil {
-		held.Capacity = &work.Resources{CPU: c.GetCpu(), MemoryMB: c.GetMemoryMb(), GPU: c.GetGpu()}
+		answer.Capacity = &work.Resources{CPU: c.GetCpu(), MemoryMB: c.GetMemoryMb(), GPU: c.GetGpu()}
 	}
-	return held
+	return answer
 }
