--- a/entry/entry.go
+++ b/entry/entry.go
@@ -190,8 +190,9 @@
 	}
 }
 
-// noBetterOwner reports whether no other owner is worth asking after a refusal: each has refused
-// the job too, or its forecast wait with farPenalty is no shorter than the refusal's retry delay.
+// noBetterOwner reports whether no other owner is worth asking after a refusal. One that has not
+// refused the job itself is worth it if its forecast wait plus farPenalty is shorter than the
+// refusal's retry delay.
 func noBetterOwner(candidates []Candidate, refused int, outcome work.Outcome) bool {
 	for i, c := range candidates {
 		if i != refused && !c.HasRefused && c.Wait+farPenalty < outcome.RetryAfter {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -179,8 +179,8 @@
 }
 
 // Owners in cordoned failure domains are not asked. If all are cordoned, the caller is refused at
-// once with a retry delay. If an owner refuses since it knows of its cordon before the entry does,
-// another owner is asked at once.
+// once with a retry delay. If an owner refuses because it knows of its cordon before the entry
+// does, another owner is asked at once.
 func TestCordonedDomainsAreNotAsked(t *testing.T) {
 	done, cordoned := work.Outcome{Result: work.Completed}, work.Outcome{Result: work.Refused, RetryAfter: time.Second}
 	for name, test := range map[string]struct {
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -7,8 +7,8 @@
 	"github.com/burdockward/burdockward/bootclock"
 )
 
-// confirmClaim asks the store whether the claim is still this owner's. Targets that started
-// lately stay unused until the store confirms that.
+// confirmClaim asks the store whether the claim is still this owner's. The targets that wait
+// for the answer, because they started lately, stay unused until the store confirms the claim.
 func (o *Owner) confirmClaim(ctx context.Context) {
 	asOf := bootclock.Now()
 	held, err := o.options.ConfirmClaim(ctx)
--- a/owner/cordon_test.go
+++ b/owner/cordon_test.go
@@ -21,9 +21,9 @@
 
 var cordonedView = cordon.View{Version: 5, Domains: []string{"domain"}}
 
-// An owner that starts in a cordoned failure domain starts no runs. Older views, and newer ones
-// that change only other failure domains, don't change that; a newer view without the cordon does
-// at once.
+// An owner in a cordoned failure domain starts no runs until it gets a newer view without the
+// cordon, and then starts them at once. Older views, and newer ones that change only other failure
+// domains, have no effect.
 func TestNewestCordonViewApplies(t *testing.T) {
 	target := newFencingTarget()
 	o := runCordonedOwner(t, target, cordonedView)
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -477,15 +477,15 @@
 }
 
 // logEvent logs and counts an event of the scheduler.
-func (o *Owner) logEvent(n scheduler.LogEvent) {
-	o.options.Count("notes", n.Message)
+func (o *Owner) logEvent(e scheduler.LogEvent) {
+	o.options.Count("notes", e.Message)
 	level := slog.LevelInfo
-	if n.Failure {
+	if e.Failure {
 		level = slog.LevelWarn
 	}
-	o.options.Log.LogAttrs(context.Background(), level, n.Message,
-		slog.String("job", n.Job), slog.String("task", n.Task), slog.String("target", n.Target),
-		slog.String("detail", n.Detail), slog.Duration("age", n.Age))
+	o.options.Log.LogAttrs(context.Background(), level, e.Message,
+		slog.String("job", e.Job), slog.String("task", e.Task), slog.String("target", e.Target),
+		slog.String("detail", e.Detail), slog.Duration("age", e.Age))
 }
 
 // logHistory logs what happened to a job, in a single log line so that the log's limit drops
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -233,7 +233,7 @@
 	return f.highestToken == token
 }
 
-// eventually waits up to some seconds for a condition and reports whether it came to hold.
+// eventually waits up to some seconds for a condition and reports whether it became true.
 func eventually(holds func() bool) bool {
 	for range 5000 {
 		if holds() {
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -102,9 +102,9 @@
 func TestRelaysAreReleasedAfterDelay(t *testing.T) {
 	plan := Plan{}.Next(0, budget(strong/8), Load{Targets: 100, Calls: 900}, vms(10, weak))
 	must.SliceNotEmpty(t, plan.Relays)
-	calm := Load{Targets: 100, Calls: 900}
-	plan = plan.Next(time.Second, budget(strong), calm, vms(10, weak))
+	load := Load{Targets: 100, Calls: 900}
+	plan = plan.Next(time.Second, budget(strong), load, vms(10, weak))
 	must.SliceNotEmpty(t, plan.Relays)
-	plan = plan.Next(time.Second+releaseDelay+1, budget(strong), calm, vms(10, weak))
+	plan = plan.Next(time.Second+releaseDelay+1, budget(strong), load, vms(10, weak))
 	must.SliceEmpty(t, plan.Relays)
 }
--- a/relay/router.go
+++ b/relay/router.go
@@ -25,7 +25,8 @@
 	pollTimeout  = 120 * time.Millisecond
 	// maxStoreAge is the age of the owner's last answer from the store up to which any relay may
 	// start runs for it. An owner that is cut off from the store doesn't know which targets
-	// leave, and a relay with access to the store would start runs there in its name.
+	// leave, and a relay with access to the store would start runs there in its name. Beyond this
+	// age the owner starts runs itself, unless the relay's last answer from the store is as old.
 	maxStoreAge = 2 * time.Second
 	// rateWeight is the weight of the newest interval's calls in the moving average.
 	rateWeight = 0.2
