--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -135,7 +135,7 @@
 	must.Eq(t, []string{"near", "near"}, f.asked)
 }
 
-// A job that may have started is not sent again, and its owner is told to give it up.
+// A job that may have started is not sent again, and its owner is asked to give it up.
 func TestUnknownJobIsGivenUpAndNotSentAgain(t *testing.T) {
 	f := newFakePeers([]work.Outcome{{Result: work.Unknown, Reason: "lost"}}, []work.Outcome{{Result: work.Completed}})
 	must.Eq(t, work.Unknown, newEntry(f).Dispatch(t.Context(), job, queue, 0).Result)
@@ -179,8 +179,8 @@
 }
 
 // Owners in cordoned failure domains are not asked. If all are cordoned, the caller is refused at
-// once with a retry delay. If an owner refuses since it knows of its cordon before the entry does,
-// another owner is asked at once.
+// once with a retry delay. If an owner refuses because it knows of its cordon before the entry
+// does, another owner is asked at once.
 func TestCordonedDomainsAreNotAsked(t *testing.T) {
 	done, cordoned := work.Outcome{Result: work.Completed}, work.Outcome{Result: work.Refused, RetryAfter: time.Second}
 	for name, test := range map[string]struct {
