--- a/configuration/duty.go
+++ b/configuration/duty.go
@@ -1,9 +1,12 @@
-// Package configuration holds the profiles and team quotas in force on one VM
-// and spreads changes between VMs, and it writes operators' changes.
+// Package configuration holds the profiles and team quotas in force on one VM,
+// spreads changes between VMs and writes operators' changes.
 //
-// State is the configuration at one version, Replica decides when to read the
-// store and which peer to ask, Duty is the goroutine around them, and Editor
-// writes changes for operators. docs/CONFIGURATION.md describes the design.
+// State is the configuration at one version; the version never falls, and a
+// change set applies as a whole or not at all. Replica decides, from the time,
+// the results of reads and peers' messages, when to read the store and which
+// peer to ask. Duty is the goroutine that runs a Replica. Editor writes changes
+// for operators; of changes based on the same version of an object, at most one
+// takes effect. docs/CONFIGURATION.md describes the design.
 package configuration
 
 import (
@@ -23,11 +26,11 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what is due.
+	// tickInterval is the time between two calls of Replica.Tick.
 	tickInterval = 250 * time.Millisecond
 	// readTimeout bounds one read of the store.
 	readTimeout = time.Second
-	// inboxSize is the most messages of peers that wait for the duty.
+	// inboxSize is the most requests of peers that wait for the duty.
 	inboxSize = 256
 )
 
@@ -53,13 +56,13 @@
 	Sender Sender
 	// Now is the monotonic time since the start of the process.
 	Now func() time.Duration
-	// Log gets changes of state; nil is silent.
+	// Log receives changes of state; nil discards them.
 	Log *slog.Logger
-	// Scope gets counters; nil is none.
+	// Scope receives counters; nil discards them.
 	Scope tally.Scope
 }
 
-// Duty keeps the configuration of one VM.
+// Duty keeps the configuration of one VM up to date.
 type Duty struct {
 	options  Options
 	inbox    *ring.Ring[request]
@@ -73,16 +76,17 @@
 	mu      sync.Mutex
 	members []Member
 	remotes []string
-	// membersSet and remotesSet say that new ones wait to be taken.
+	// membersSet and remotesSet say that members and remotes are not yet passed
+	// to the replica.
 	membersSet, remotesSet bool
 
-	// replica and reported are used by the goroutine of Run alone.
+	// replica, reported and failing are used only by the goroutine of Run.
 	replica  *Replica
 	reported Counts
 	failing  bool
 }
 
-// request is messages of one peer with the way back for the answers.
+// request is the messages of one peer and the channel for the replies.
 type request struct {
 	from    peer.Sender
 	bodies  [][]byte
@@ -97,14 +101,14 @@
 	err     error
 }
 
-// public is what other goroutines see of the replica.
+// public is the replica's state as published to other goroutines.
 type public struct {
 	digest digest
 	ready  bool
 	err    error
 }
 
-// New makes a duty. Run starts it.
+// New returns a duty that does nothing until Run.
 func New(options Options) *Duty {
 	if options.Times == (Times{}) {
 		options.Times = DefaultTimes()
@@ -131,13 +135,13 @@
 // Snapshot returns the configuration in force, never nil.
 func (d *Duty) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// OnChange adds a function that gets each new snapshot, in the order of
-// versions. It runs in the duty's goroutine and must not block. Add all before
-// Run.
+// OnChange adds a function that is called with each new snapshot, in the order
+// of versions. It runs in the duty's goroutine and must not block. All functions
+// must be added before Run.
 func (d *Duty) OnChange(f func(*Snapshot)) { d.onChange = append(d.onChange, f) }
 
 // SetMembers sets the entry VMs of the failure domain. Before the first view,
-// those of the platform's VM list serve, with incarnation 0.
+// callers pass those of the platform's VM list, with incarnation 0.
 func (d *Duty) SetMembers(members []Member) {
 	d.mu.Lock()
 	d.members, d.membersSet = members, true
@@ -153,6 +157,7 @@
 	d.signal()
 }
 
+// signal wakes Run.
 func (d *Duty) signal() {
 	select {
 	case d.wake <- struct{}{}:
@@ -160,14 +165,14 @@
 	}
 }
 
-// Digest is the message to put into every heartbeat, for DUTY_CONFIGURATION.
+// Digest encodes the message that every heartbeat carries for DUTY_CONFIGURATION.
 func (d *Duty) Digest() []byte {
 	digest := d.public.Load().digest
 	digest.sentAt = d.options.Now()
 	return digest.encode()
 }
 
-// Ready says whether the VM has caught up enough to serve; see Replica.Ready.
+// Ready reports whether the VM may serve; see Replica.Ready.
 func (d *Duty) Ready() bool { return d.public.Load().ready }
 
 // Status is the configuration's part of the admin port's status.
@@ -188,8 +193,9 @@
 	return status
 }
 
-// HandlePeer takes messages of another VM and returns the answers. Messages are
-// dropped when too many wait; heartbeats repeat what they say.
+// HandlePeer passes messages of another VM to the duty and returns the replies.
+// Messages are dropped when the inbox is full; later heartbeats repeat their
+// content.
 func (d *Duty) HandlePeer(ctx context.Context, from peer.Sender, bodies [][]byte) [][]byte {
 	r := request{from: from, bodies: bodies, replies: make(chan [][]byte, 1)}
 	if !d.inbox.Offer(r) {
@@ -206,8 +212,8 @@
 	}
 }
 
-// Run keeps the configuration until the context ends, then returns nil. It runs
-// once.
+// Run keeps the configuration up to date until the context ends, then returns
+// nil. It must be called at most once.
 func (d *Duty) Run(ctx context.Context) error {
 	defer close(d.stopped)
 	ticker := time.NewTicker(tickInterval)
@@ -231,6 +237,7 @@
 	}
 }
 
+// takeAddresses passes newly set members and remotes to the replica.
 func (d *Duty) takeAddresses() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -243,6 +250,7 @@
 	d.membersSet, d.remotesSet = false, false
 }
 
+// serve passes one peer's messages to the replica and returns its replies.
 func (d *Duty) serve(ctx context.Context, reading *sync.WaitGroup, r request) {
 	var replies [][]byte
 	for _, body := range r.bodies {
@@ -255,7 +263,7 @@
 	r.replies <- replies
 }
 
-// act does what the replica asks for.
+// execute publishes a change, sends the messages and starts the read of out.
 func (d *Duty) act(ctx context.Context, reading *sync.WaitGroup, out Output) {
 	if out.Changed {
 		d.changed()
@@ -269,8 +277,9 @@
 	}
 }
 
-// read is the only other goroutine: the store may take long, and peers' messages
-// must not wait for it. One read runs at a time, so the result always has room.
+// read reads the store, in a goroutine of its own: the store may take long, and
+// peers' messages must not wait for it. One read runs at a time, so sending the
+// result never blocks.
 func (d *Duty) read(ctx context.Context, sentAt time.Duration, since uint64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -278,13 +287,14 @@
 	d.reads <- readResult{sentAt: sentAt, since: since, changes: changes, err: err}
 }
 
+// readDone passes the result of a read to the replica.
 func (d *Duty) readDone(result readResult) Output {
 	set := changeSet(result.since, result.changes)
 	return d.replica.ReadDone(d.options.Now(), result.sentAt, result.changes.Version, set, result.err)
 }
 
-// changeSet takes the rows of a read. Its version is that of the newest row, not
-// the newest commit of the store, which counts other tables too.
+// changeSet converts the rows of a read. The set's version is that of the newest
+// row, not the newest commit of the store, which counts other tables too.
 func changeSet(since uint64, changes tableservice.Changes) ChangeSet {
 	set := ChangeSet{Since: since, Version: since}
 	for _, row := range changes.Rows {
@@ -294,6 +304,8 @@
 	return set
 }
 
+// publishSnapshot publishes the new configuration and calls the functions of
+// OnChange.
 func (d *Duty) changed() {
 	snapshot := d.replica.Snapshot()
 	d.snapshot.Store(snapshot)
@@ -306,10 +318,12 @@
 	}
 }
 
-// publish shows the replica's state and counts.
+// publish publishes the replica's state, logs changes of the store's
+// availability and updates the counters.
 func (d *Duty) publish() {
 	if d.replica.Loaded() && !d.Snapshot().Loaded() {
-		// The configuration is known to be empty.
+		// The first read found an empty configuration, which is no change of
+		// version, so that publishSnapshot has not run.
 		d.changed()
 	}
 	d.show()
@@ -317,8 +331,8 @@
 	d.count(d.replica.Counts())
 }
 
-// show makes the replica's state visible to other goroutines. It comes before
-// the functions of OnChange, which may ask for the digest.
+// publishState makes the replica's state visible to other goroutines. It must
+// run before the functions of OnChange, which may read the digest.
 func (d *Duty) show() {
 	r := d.replica
 	d.public.Store(&public{
@@ -328,7 +342,7 @@
 	})
 }
 
-// logStore writes a line when the store stops or starts to answer.
+// logStore logs when reads of the store begin to fail or succeed again.
 func (d *Duty) logStore(err error) {
 	if failing := err != nil; failing != d.failing {
 		d.failing = failing
@@ -340,6 +354,7 @@
 	}
 }
 
+// reportCounts adds the increase since the last call to the counters.
 func (d *Duty) count(c Counts) {
 	for _, counter := range []struct {
 		name      string
--- a/configuration/editor.go
+++ b/configuration/editor.go
@@ -13,24 +13,24 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// Errors of an Editor; a lost race is a *Conflict.
+// Errors of an Editor; a change that lost to another is a *Conflict.
 const (
 	// ErrOutcomeUnknown means that the answer of a commit was lost and reading
-	// back failed too.
+	// the history back didn't show whether it took effect.
 	ErrOutcomeUnknown = errs.Tag("it is not known whether the change was accepted: look for the change id in the history once the store answers")
 	// ErrInvalidChange means that a change can't be applied to what exists.
 	ErrInvalidChange = errs.Tag("invalid change")
 )
 
-// Edit is a change that an operator wants. Without Profile and Team it deletes
-// the object.
+// Edit is an operator's change of one object. Without Profile and Team it
+// deletes the object.
 type Edit struct {
 	Kind    Kind
 	Name    string
 	Profile *profile.Profile
 	Team    *profile.Team
-	// Seen is the version of the object that the operator decided on; nil takes
-	// the version that was just read. 0 is an object that never existed.
+	// Seen is the version of the object that the change is based on; nil takes
+	// the version just read. 0 means that the object must never have existed.
 	Seen *uint64
 }
 
@@ -59,14 +59,15 @@
 	Err error
 }
 
-// Exists says that the object is neither deleted nor unreadable.
+// Exists reports whether the object has a row that is neither deleted nor
+// unreadable.
 func (o Object) Exists() bool { return o.Version > 0 && o.Err == nil && !o.Record.Deleted }
 
 // Current is the configuration as one read of the store showed it.
 type Current struct {
 	// Version is the commit that last changed the configuration.
 	Version uint64
-	// Objects are ordered by key; deleted ones are among them.
+	// Objects are ordered by key and include deleted ones.
 	Objects []Object
 	byKey   map[string]int
 }
@@ -85,14 +86,14 @@
 	// Version is the commit of the change.
 	Version uint64
 	Change  string
-	// ReadBack says that an answer of the store was lost and the change was
-	// found by reading.
+	// ReadBack says that the store's answer was lost and the change was found in
+	// the history.
 	ReadBack bool
 }
 
-// Conflict says that another change won; nothing of this one took effect.
+// Conflict says that another change took effect first; nothing of this one did.
 type Conflict struct {
-	// Change is the id of the losing change.
+	// Change is the id of the refused change.
 	Change string
 	// Losses are the objects that others changed.
 	Losses []Loss
@@ -118,7 +119,7 @@
 	return text + ": look at the new state, then apply again"
 }
 
-// Limits of an Editor's patience.
+// Limits of committing again.
 const (
 	// maxAttempts bounds the rounds of committing and reading back.
 	maxAttempts = 8
@@ -127,8 +128,8 @@
 )
 
 // Editor writes operators' changes to the table service. Several editors may run
-// at once: every commit names the versions that it was decided on, and at most
-// one of those that name the same version takes effect.
+// at once: every commit names the object versions that it is based on, and at
+// most one of the commits that name the same version takes effect.
 type Editor struct {
 	Tables tableservice.Tables
 	// Wait waits between two rounds and fails when the context ends; nil uses a
@@ -168,10 +169,10 @@
 	return o
 }
 
-// Commit applies a change that was decided on current. It returns an error
-// tagged ErrInvalidChange, tableservice.ErrUnavailable or tableservice.ErrInvalid, or a
-// *Conflict, when nothing took effect, and ErrOutcomeUnknown when that isn't
-// known.
+// Commit applies a change that is based on current. When nothing took effect it
+// returns a *Conflict or an error tagged ErrInvalidChange,
+// tableservice.ErrUnavailable or tableservice.ErrInvalid. When that isn't known
+// it returns ErrOutcomeUnknown.
 func (e *Editor) Commit(ctx context.Context, current *Current, change Change) (Accepted, error) {
 	p, err := plan(current, change)
 	if err != nil {
@@ -181,7 +182,7 @@
 }
 
 // resolve commits until it is known whether the change took effect. Committing
-// again is safe: the versions that the commit names match once at most.
+// again is safe: the versions that the commit names match at most once.
 func (e *Editor) resolve(ctx context.Context, p *planned) (Accepted, error) {
 	// ambiguous says that an earlier commit may have taken effect.
 	ambiguous := false
@@ -238,9 +239,9 @@
 	}
 }
 
-// conflict reports who won. The commit was refused, so that this change can't
-// have taken effect even when the present winner can't be read; then known is
-// reported, which is what the refusal told.
+// conflict returns a *Conflict with the objects that other changes wrote. The
+// commit was refused, so this change can't have taken effect. When a winner
+// can't be read, known is reported, which came with the refusal.
 func (e *Editor) conflict(ctx context.Context, p *planned, known Object) error {
 	c := &Conflict{Change: p.change.ID}
 	current, err := e.Read(ctx)
@@ -263,16 +264,18 @@
 	return c
 }
 
-// planned is a change made ready to commit. Edit i has expectation i.
+// plannedChange is a change with its commit. Element i of revisions, bases and
+// the commit's expectations belongs to edit i.
 type planned struct {
 	change    Change
 	revisions []uint64
-	// bases are the versions of the rows that were read.
+	// bases are the row versions that the change is based on.
 	bases  []uint64
 	commit tableservice.Commit
 }
 
-// plan turns a change into a commit with the versions that it was decided on.
+// plan checks a change and turns it into a commit that expects the versions of
+// current.
 func plan(current *Current, change Change) (*planned, error) {
 	p := &planned{change: change}
 	if len(change.Edits) == 0 {
@@ -298,6 +301,8 @@
 	return p, nil
 }
 
+// checkEdit refuses an edit of an object that has another version than Seen, a
+// deletion of an object that doesn't exist and a profile of an unknown team.
 func checkEdit(current *Current, object Object, edit Edit, change Change) error {
 	if edit.Seen != nil && object.Version < *edit.Seen {
 		return tableservice.ErrUnavailable.Errorf("the store answered with a state older than version %d: try again", *edit.Seen)
@@ -328,6 +333,7 @@
 	return nil
 }
 
+// add appends the writes of one edit: its row and its history row.
 func (p *planned) add(object Object, edit Edit) error {
 	record := Record{
 		Change:   p.change.ID,
@@ -345,7 +351,7 @@
 	}
 	expected := object.Version
 	if object.Record.Change == "" && object.Err == nil {
-		// Deleted by other means: the row doesn't exist.
+		// Something else than an Editor deleted the row: it doesn't exist.
 		expected = 0
 	}
 	p.revisions = append(p.revisions, record.Revision)
--- a/configuration/exchange.go
+++ b/configuration/exchange.go
@@ -12,12 +12,12 @@
 type peerClock struct {
 	incarnation uint64
 	// offset is the smallest difference seen between our time of arrival and
-	// the peer's time of sending. A message that was delayed on the way so
-	// can't make an old read look recent.
+	// the peer's time of sending. With the smallest one, a message that was
+	// delayed on the way can't make an old read look recent.
 	offset time.Duration
 }
 
-// Digest says which version this VM has in force.
+// Digest encodes which version this VM has in force.
 func (r *Replica) Digest(now time.Duration) []byte {
 	return digest{
 		version: r.Version(),
@@ -27,7 +27,7 @@
 	}.encode()
 }
 
-// HandlePeer takes one message of another VM. The reply is nil when there is
+// HandlePeer handles one message of another VM. The reply is nil when there is
 // none.
 func (r *Replica) HandlePeer(now time.Duration, from peer.Sender, body []byte) (reply []byte, out Output) {
 	message, err := decode(body)
@@ -46,8 +46,9 @@
 	return nil, Output{}
 }
 
-// handleDigest learns from a member's version: a higher one is pulled, and a
-// read of the store by the member spares one here.
+// handleDigest pulls a member's version when it is higher. Otherwise the
+// member's newest read of the store counts as a read of this VM. Digests of
+// processes that are not members are ignored.
 func (r *Replica) handleDigest(now time.Duration, from peer.Sender, d digest) Output {
 	i := slices.IndexFunc(r.members, func(m Member) bool {
 		return m.ID == from.ID && (m.Incarnation == 0 || m.Incarnation == from.Incarnation)
@@ -68,7 +69,7 @@
 	return Output{}
 }
 
-// peerClock returns the clock of a process, made better by a new message.
+// peerClock returns the clock of a process, updated by a new message.
 func (r *Replica) peerClock(now time.Duration, from peer.Sender, sentAt time.Duration) *peerClock {
 	offset := now - sentAt
 	clock := r.peers[from.ID]
@@ -89,6 +90,7 @@
 	}
 }
 
+// pullFrom asks a member for changes unless a pull is under way.
 func (r *Replica) pullFrom(now time.Duration, m Member) Output {
 	if !r.pullIdle(now) {
 		return Output{}
@@ -96,19 +98,20 @@
 	return Output{Sends: []Send{r.startPull(now, m)}}
 }
 
-// pullIdle says whether no request for changes is under way. One at a time
-// keeps peers from all sending the same rows.
+// canPull reports whether no pull is under way or the last one timed out. One
+// pull at a time keeps several peers from sending the same rows.
 func (r *Replica) pullIdle(now time.Duration) bool {
 	return !r.pull.active || now >= r.pull.until
 }
 
+// startPull records a pull and returns its message.
 func (r *Replica) startPull(now time.Duration, m Member) Send {
 	r.pull = pull{active: true, until: now + r.times.PullTimeout}
 	r.counts.Pulls++
 	return Send{Address: m.Address, Incarnation: m.Incarnation, Body: encodePull(r.Version())}
 }
 
-// handlePull answers with the changes after since, or with the own version when
+// handlePull replies with the changes after since, or with this VM's digest when
 // there are none.
 func (r *Replica) handlePull(now time.Duration, since uint64) []byte {
 	set, newer := r.state.Changes(since)
@@ -118,6 +121,7 @@
 	return encodeChanges(set)
 }
 
+// handleChanges applies the answer to a pull, which ends the pull.
 func (r *Replica) handleChanges(_ time.Duration, set ChangeSet) Output {
 	r.pull = pull{}
 	changed, _ := r.apply(set)
@@ -127,10 +131,10 @@
 	return Output{Changed: changed}
 }
 
-// Ready says whether this VM may serve: it holds a configuration, and has
-// caught up with its peers unless they kept silent for ReadyWait. So a replaced
-// VM doesn't serve an older version than its predecessor did because of a stale
-// read. Once ready, a VM stays so.
+// Ready reports whether this VM may serve: it holds a configuration, and it has
+// no peers, has reached the highest version of those heard, or has waited
+// ReadyWait. The wait keeps a replaced VM from serving an older version than its
+// predecessor did because of a stale read. Once ready, a VM stays ready.
 func (r *Replica) Ready(now time.Duration) bool {
 	if r.ready || !r.loaded {
 		return r.ready
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -11,10 +11,11 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// readBack looks for who wrote the revision that the change was to write. Only
-// one change can write a revision of an object, so that its history row tells
-// who won, also when later changes followed. decided is false when the store
-// can't be read or answers with too old a state.
+// readBack reads from the history which change wrote the revisions that p was to
+// write. Only one change can write a revision of an object, so its history row
+// names the winner, also when later changes followed. decided is false when the
+// store can't be read, answers with too old a state, or later revisions have
+// overwritten the rows.
 func (e *Editor) readBack(ctx context.Context, p *planned) (accepted Accepted, decided bool, err error) {
 	history, err := e.Tables.Changes(ctx, HistoryTable, slices.Min(p.bases))
 	if err != nil {
@@ -31,7 +32,7 @@
 		}
 		record, ok := parseHistory(row)
 		if !ok || record.Revision != p.revisions[i] {
-			// Overwritten by a later revision: this object can't tell.
+			// A later revision has overwritten the row: another edit may decide.
 			continue
 		}
 		if record.Change == p.change.ID {
@@ -43,7 +44,7 @@
 	return Accepted{}, false, nil
 }
 
-// parseHistory reads a history row.
+// parseHistory parses a history row; ok is false when it holds no revision.
 func parseHistory(row tableservice.Row) (Record, bool) {
 	if row.Deleted() {
 		return Record{}, false
@@ -55,7 +56,7 @@
 	return r, r.Revision > 0
 }
 
-// Revision is one former or present state of an object.
+// Revision is a previous or the present state of an object.
 type Revision struct {
 	// Version is the commit of the change.
 	Version uint64
@@ -85,8 +86,8 @@
 	return list, nil
 }
 
-// FindRevision picks a revision by number; 0 picks the newest one before the
-// present that held an object.
+// FindRevision returns the revision with a number; 0 is the newest one before
+// the present that is not a deletion.
 func FindRevision(list []Revision, number uint64) (Revision, error) {
 	for i, r := range list {
 		previous := number == 0 && i > 0 && !r.Record.Deleted
--- a/configuration/message.go
+++ b/configuration/message.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/configuration/configurationpb"
 )
 
-// digest says which version a VM has in force. Times are of the sender's clock.
+// digest is the version that a VM has in force. Times are of the sender's clock.
 type digest struct {
 	version uint64
 	sentAt  time.Duration
@@ -61,8 +61,8 @@
 	return set
 }
 
-// encode can't fail for messages of this package: they hold no invalid UTF-8,
-// since keys are checked on arrival.
+// encode marshals a message. It can't fail for messages of this package: they
+// hold no invalid UTF-8, since keys are checked on arrival.
 func encode(m *configurationpb.Message) []byte {
 	body, err := proto.Marshal(m)
 	if err != nil {
--- a/configuration/record.go
+++ b/configuration/record.go
@@ -13,7 +13,8 @@
 	// Table holds one row for each profile and team. Both kinds share a table,
 	// so that one read gives a state of both at one commit.
 	Table = "configuration"
-	// HistoryTable holds former changes for operators; VMs never read it.
+	// HistoryTable holds the newest changes of each object for operators; VMs
+	// never read it.
 	HistoryTable = "configuration_history"
 	// HistoryDepth is the number of changes kept for each profile and team.
 	HistoryDepth = 32
@@ -32,12 +33,13 @@
 func RowKey(kind Kind, name string) string { return string(kind) + "/" + name }
 
 // historyKey is the key of the history row of an object's revision. Keys are
-// used again after HistoryDepth changes, which bounds the history.
+// reused after HistoryDepth changes, which bounds the size of the history.
 func historyKey(kind Kind, name string, revision uint64) string {
 	return fmt.Sprintf("%s/%d", RowKey(kind, name), revision%HistoryDepth)
 }
 
-// SplitRowKey reads a row key. ok is false for rows of no known kind.
+// SplitRowKey splits a row key. ok is false when the kind is unknown or the name
+// is empty.
 func SplitRowKey(key string) (kind Kind, name string, ok bool) {
 	first, name, found := strings.Cut(key, "/")
 	kind = Kind(first)
@@ -46,9 +48,8 @@
 }
 
 // Record is the value of a configuration row. A deleted object keeps its row,
-// marked as deleted: an object that is created again then never matches the
-// expectation of an older change, so that a repeated commit can't take effect
-// twice.
+// marked as deleted: an object that is created again never matches the
+// expectation of an older change, so a repeated commit can't take effect twice.
 type Record struct {
 	// Change identifies the change that wrote the record; it is unique.
 	Change string `json:"change"`
@@ -67,8 +68,8 @@
 	Team    *profile.Team    `json:"team,omitempty"`
 }
 
-// ParseRecord reads the value of a row and checks that it belongs there. Fields
-// of newer versions of the program are ignored.
+// ParseRecord parses the value of a row and checks that it holds the object that
+// the key names. Unknown fields, of newer versions of the program, are ignored.
 func ParseRecord(key string, value []byte) (Record, error) {
 	kind, name, ok := SplitRowKey(key)
 	if !ok {
--- a/configuration/replica.go
+++ b/configuration/replica.go
@@ -11,8 +11,8 @@
 // Member is an entry VM of the same failure domain.
 type Member struct {
 	ID string
-	// Incarnation is the process that is meant; 0 is any, for VMs that are
-	// known from the platform's VM list alone.
+	// Incarnation identifies the process; 0 matches any, for VMs known only from
+	// the platform's VM list.
 	Incarnation uint64
 	// Address is the peer address, "IP:port".
 	Address string
@@ -26,11 +26,13 @@
 	// Takeover is the age of the newest known read at which any VM reads the
 	// store itself. It exceeds Poll plus a heartbeat interval.
 	Takeover time.Duration
-	// RetryMin and RetryMax bound the wait after a failed read, which doubles.
+	// RetryMin is the wait after a failed read; it doubles with each further
+	// failure up to RetryMax.
 	RetryMin, RetryMax time.Duration
-	// PullTimeout is the wait for a peer's changes before another is asked.
+	// PullTimeout is the wait for a peer's changes before the next pull.
 	PullTimeout time.Duration
-	// ReadyWait is how long a new VM waits for its peers' versions.
+	// ReadyWait is how long a new VM waits for its peers' versions before it
+	// serves without them.
 	ReadyWait time.Duration
 }
 
@@ -50,7 +52,7 @@
 // Send is a message to a peer.
 type Send struct {
 	Address string
-	// Incarnation is the process that is meant; 0 is any.
+	// Incarnation identifies the receiving process; 0 matches any.
 	Incarnation uint64
 	Body        []byte
 }
@@ -58,7 +60,7 @@
 // Output is what a Replica asks its driver to do.
 type Output struct {
 	// Read asks for a read of the store for the changes after Since. The driver
-	// reports the result with ReadDone, always.
+	// must report the result, also an error, with ReadDone.
 	Read  bool
 	Since uint64
 	Sends []Send
@@ -75,7 +77,7 @@
 	state   State
 	loaded  bool
 	members []Member
-	// membersKnown says that the members have been set once.
+	// membersKnown says that SetMembers has been called.
 	membersKnown bool
 	remotes      []string
 
@@ -86,14 +88,13 @@
 	reads   reads
 	pull    pull
 	peers   map[string]*peerClock
-	// highest is the highest version that a peer has claimed.
+	// highest is the highest version that a member's digest named.
 	highest uint64
 	ready   bool
 	started time.Duration
-	// nextMember and nextRemote take turns among those to ask.
+	// nextMember and nextRemote rotate through the VMs to ask.
 	nextMember, nextRemote int
-	// counts are for metrics.
-	counts Counts
+	counts                 Counts
 }
 
 // reads is the state of reading the store.
@@ -102,9 +103,10 @@
 	// notBefore delays the next read after a failure.
 	notBefore time.Duration
 	failures  int
-	// storeVersion is the newest commit that the store has shown.
+	// storeVersion is the newest commit that a read has returned.
 	storeVersion uint64
-	// done and doneAt are the newest complete read, by its time of sending.
+	// done says that a read has succeeded; doneAt is when the newest successful
+	// one was sent.
 	done   bool
 	doneAt time.Duration
 	err    error
@@ -116,16 +118,16 @@
 	until  time.Duration
 }
 
-// Counts are totals since the start.
+// Counts are totals since the process started, for metrics.
 type Counts struct {
 	Reads, ReadsFailed, ReadsStale uint64
 	Pulls, RemotePulls             uint64
 	// Ignored counts change sets that were not newer, Rejected those with a gap
-	// or a contradiction.
+	// or a contradiction and unreadable messages.
 	Applied, Ignored, Rejected uint64
 }
 
-// NewReplica makes a replica that holds nothing.
+// NewReplica returns a replica that holds no configuration.
 func NewReplica(self peer.Sender, times Times, now time.Duration) *Replica {
 	return &Replica{self: self, times: times, started: now, peers: map[string]*peerClock{}}
 }
@@ -133,7 +135,7 @@
 // Version is the version in force.
 func (r *Replica) Version() uint64 { return r.state.Version() }
 
-// Loaded says that a configuration has come from the store or a peer.
+// Loaded reports whether a configuration has come from the store or a peer.
 func (r *Replica) Loaded() bool { return r.loaded }
 
 // Snapshot returns the configuration in force.
@@ -160,7 +162,8 @@
 // are asked while the store can't be read.
 func (r *Replica) SetRemotes(addresses []string) { r.remotes = slices.Clone(addresses) }
 
-// Tick decides what is due.
+// Tick starts a read of the store when one is due, and, while nothing is loaded,
+// a pull from the next member.
 func (r *Replica) Tick(now time.Duration) Output {
 	out := Output{}
 	if r.readDue(now) {
@@ -176,7 +179,8 @@
 	return out
 }
 
-// readDue says whether to read the store now.
+// isReadDue reports whether to read the store now: the leader after Poll, other
+// members after Takeover.
 func (r *Replica) readDue(now time.Duration) bool {
 	if r.reads.pending || now < r.reads.notBefore {
 		return false
@@ -191,8 +195,8 @@
 	return now-r.freshAt >= most
 }
 
-// leads says whether this VM has the lowest id of its view. Two leaders, or
-// none, only change the number of reads.
+// isLeader reports whether this VM has the lowest id of its view. Two leaders,
+// or none, change only the number of reads.
 func (r *Replica) leads() bool {
 	return len(r.members) == 0 || r.self.ID < r.members[0].ID
 }
@@ -241,7 +245,8 @@
 	return Output{Sends: []Send{{Address: address, Body: encodePull(r.Version())}}}
 }
 
-// backOff delays the next read; the wait doubles with each failure.
+// backOff delays the next read; the wait doubles with each failure up to
+// RetryMax.
 func (r *Replica) backOff(now time.Duration) {
 	wait := r.times.RetryMin
 	for range r.reads.failures {
@@ -251,14 +256,15 @@
 	r.reads.notBefore = now + wait
 }
 
+// setFresh records that the held version was the newest of the store at a time.
 func (r *Replica) setFresh(at time.Duration) {
 	if !r.fresh || at > r.freshAt {
 		r.fresh, r.freshAt = true, at
 	}
 }
 
-// apply takes a change set and reports whether the version rose, and whether
-// the set was usable.
+// apply applies a change set and reports whether the version rose, and whether
+// the set was valid.
 func (r *Replica) apply(set ChangeSet) (changed, ok bool) {
 	changed, err := r.state.Apply(set)
 	switch {
@@ -272,8 +278,8 @@
 	return changed, err == nil
 }
 
-// announce tells every member of the new version, since their next heartbeat
-// may be far. Each then asks for what it lacks.
+// announce sends the new version to every member without waiting for the next
+// heartbeat. Each member then pulls the changes that it lacks.
 func (r *Replica) announce(now time.Duration) []Send {
 	body := r.Digest(now)
 	sends := make([]Send, 0, len(r.members))
--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -47,8 +47,8 @@
 // Version is the commit that last changed the configuration.
 func (s *Snapshot) Version() uint64 { return s.version }
 
-// Loaded says that a configuration has come from the store or a peer. Before
-// that the snapshot is empty because nothing is known.
+// Loaded reports whether a configuration has come from the store or a peer.
+// Before that the snapshot is empty because nothing is known.
 func (s *Snapshot) Loaded() bool { return s.loaded }
 
 // Profile returns the profile of a name.
@@ -92,7 +92,7 @@
 // Invalid lists the keys of rows that couldn't be read.
 func (s *Snapshot) Invalid() []string { return slices.Clone(s.invalid) }
 
-// cloneTeam keeps callers from changing the map of a snapshot.
+// cloneTeam copies a team, so that callers can't change the map of a snapshot.
 func cloneTeam(t profile.Team) profile.Team {
 	t.Shares = maps.Clone(t.Shares)
 	return t
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// maxTombstones is the most deleted rows that a state remembers. A VM that is
-// further behind gets a snapshot.
+// maxTombstones is the most deleted rows that a state keeps. A VM that lacks
+// older deletions gets a snapshot.
 const maxTombstones = 256
 
 // MaxRows is the most rows of a configuration, so that one message or answer of
@@ -40,7 +40,7 @@
 	ErrMalformed = errors.New("malformed change set: pull it again from another VM or the store")
 )
 
-// entry is a row as the state holds it, read once.
+// entry is a row with its record, parsed once.
 type entry struct {
 	row    Row
 	record Record
@@ -51,22 +51,22 @@
 func (e entry) deleted() bool { return e.err == nil && e.record.Deleted }
 
 // State is the configuration at one version. The version is the commit that
-// last changed the configuration; it only ever rises. The zero State is empty
-// and at version 0.
+// last changed the configuration; it never falls. The zero State is empty and at
+// version 0.
 type State struct {
 	version uint64
 	entries map[string]entry
-	// floor is the version of the newest forgotten deleted row: changes since
-	// an older version are no longer known one by one.
+	// floor is the version of the newest deleted row that was dropped, or of the
+	// last snapshot applied: the deletions since an older version are not known.
 	floor uint64
 }
 
 // Version is the commit that last changed the configuration held.
 func (s *State) Version() uint64 { return s.version }
 
-// Apply takes a change set as a whole or not at all, and reports whether the
+// Apply applies a change set as a whole or not at all, and reports whether the
 // version rose. A set that is not newer than the state is ignored: it comes from
-// a stale read, an old peer or a delayed message.
+// a stale read, a peer that is behind or a delayed message.
 func (s *State) Apply(set ChangeSet) (bool, error) {
 	if err := set.check(); err != nil {
 		return false, err
@@ -97,7 +97,8 @@
 	return entry{row: row, record: record, err: err}
 }
 
-// check refuses a set whose rows can't be all the rows of its range.
+// check returns ErrMalformed for a set whose rows can't be all the rows written
+// in its range of versions.
 func (set ChangeSet) check() error {
 	if len(set.Rows) > MaxRows {
 		return fmt.Errorf("%w: %d rows, at most %d are allowed", ErrMalformed, len(set.Rows), MaxRows)
@@ -120,9 +121,8 @@
 	return nil
 }
 
-// Changes returns the changes after a version: as few rows as possible, or a
-// snapshot when rows deleted since then are forgotten. ok is false when the
-// state has nothing newer.
+// Changes returns the rows written after a version, or a snapshot when rows
+// deleted since then were dropped. ok is false when the state has nothing newer.
 func (s *State) Changes(since uint64) (set ChangeSet, ok bool) {
 	if since >= s.version {
 		return ChangeSet{}, false
@@ -145,8 +145,8 @@
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key))
 }
 
-// compact forgets the oldest deleted rows. Those of the newest version stay in
-// part, so that a snapshot has a row of its version.
+// compact drops the oldest deleted rows above maxTombstones. The newest ones
+// stay, so that a snapshot has a row of its own version.
 func (s *State) compact() {
 	var deleted []Row
 	for _, e := range s.entries {
