--- a/configuration/duty_test.go
+++ b/configuration/duty_test.go
@@ -15,7 +15,8 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// lockedStore lets a duty's reads and the test's writes meet.
+// lockedStore is a fakeStore for concurrent reads and writes. With hangs, reads
+// block until their context ends.
 type lockedStore struct {
 	mu    sync.Mutex
 	store fakeStore
@@ -40,13 +41,14 @@
 	must.NoError(t, err)
 }
 
-// dutyNetwork joins duties by address.
+// dutyNetwork delivers messages between duties by address.
 type dutyNetwork struct {
 	ctx    context.Context
 	duties map[string]*Duty
 }
 
-// dutySender is the network as one duty sees it.
+// dutySender sends one duty's messages over the network and returns the replies
+// to it.
 type dutySender struct {
 	network *dutyNetwork
 	self    peer.Sender
@@ -78,8 +80,8 @@
 	})
 }
 
-// TestDutiesSpreadChanges runs two duties on fake time: one with a store that
-// answers, one whose store hangs.
+// TestDutiesSpreadChanges runs two duties on fake time, one with a store that
+// answers and one whose store hangs: both get every change in time.
 func TestDutiesSpreadChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -92,7 +94,7 @@
 			versions = append(versions, s.Version())
 			message, err := decode(b.Digest())
 			must.NoError(t, err)
-			must.Eq(t, s.Version(), message.GetDigest().GetVersion(), must.Sprint("the digest is as new as the snapshot"))
+			must.Eq(t, s.Version(), message.GetDigest().GetVersion(), must.Sprint("OnChange runs after the digest has the new version"))
 		})
 		var running sync.WaitGroup
 		for _, d := range n.duties {
@@ -122,7 +124,8 @@
 	})
 }
 
-// TestEmptyStoreIsLoaded tells an empty configuration from an unknown one.
+// TestEmptyStoreIsLoaded requires that a read of an empty store counts as loaded,
+// unlike a configuration that was never read.
 func TestEmptyStoreIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/configuration/editor_test.go
+++ b/configuration/editor_test.go
@@ -34,7 +34,7 @@
 	return e.Commit(context.Background(), current, Change{ID: id, Operator: "op-" + id, Edits: edits})
 }
 
-// faultsOnce gives the faults in turn, then none.
+// faultsOnce returns the faults in turn, then none.
 func faultsOnce(faults ...commitFault) func() commitFault {
 	return func() commitFault {
 		if len(faults) == 0 {
@@ -54,8 +54,9 @@
 	must.Eq(t, 1, s.version)
 }
 
-// TestLostAnswerOfSupersededChange has others change the object before the
-// lost answer is looked into.
+// TestLostAnswerOfSupersededChange loses the answer of an applied change, and
+// another change follows before the history is read back: the first one is still
+// reported as accepted.
 func TestLostAnswerOfSupersededChange(t *testing.T) {
 	s := &fakeStore{}
 	other := testEditor(s, nil)
@@ -80,7 +81,8 @@
 	must.Eq(t, []uint64{1}, s.commitsOf("x"))
 }
 
-// TestLostCommitOfLoser has another change win while the answer is missing.
+// TestLostCommitReportsWinner loses a commit, and another change takes effect
+// before the history is read back: the result is a conflict that names it.
 func TestLostCommitOfLoser(t *testing.T) {
 	s := &fakeStore{fault: faultsOnce(commitLost)}
 	once := true
@@ -99,8 +101,8 @@
 	must.SliceEmpty(t, s.commitsOf("x"))
 }
 
-// TestRecreatedObjectDoesNotMatch has a created object deleted before the
-// lost answer of its creation is looked into.
+// TestRecreatedObjectDoesNotMatch deletes a created object before the lost answer
+// of its creation is resolved: committing again must not create it a second time.
 func TestRecreatedObjectDoesNotMatch(t *testing.T) {
 	s := &fakeStore{fault: faultsOnce(commitAnswerLost)}
 	once := true
@@ -141,8 +143,8 @@
 	must.ErrorIs(t, err, tableservice.ErrUnavailable, must.Sprint("nothing was sent"))
 }
 
-// TestOverwrittenHistoryIsUnknown has so many later changes that the history no
-// longer tells who wrote the revision.
+// TestOverwrittenHistoryIsUnknown makes so many later changes that the history no
+// longer holds the revision: the outcome is reported as unknown.
 func TestOverwrittenHistoryIsUnknown(t *testing.T) {
 	s := &fakeStore{fault: faultsOnce(commitAnswerLost)}
 	once := true
@@ -227,8 +229,8 @@
 	must.Eq(t, 30, named.Record.Profile.QueueTasks)
 }
 
-// TestConflictWithStaleRead refuses a commit while reads still show the state
-// that it was decided on: that state isn't the winner.
+// TestConflictWithStaleRead refuses a commit while reads still return the state
+// that it was based on: that state must not be reported as the winner.
 func TestConflictWithStaleRead(t *testing.T) {
 	s := &fakeStore{}
 	e := testEditor(s, nil)
@@ -246,8 +248,9 @@
 	must.Eq(t, 0, conflict.Losses[0].Winner.Version)
 }
 
-// TestOldHistoryDoesNotDecide has a row deleted by other means, so that its
-// revisions begin again while the history still holds the first one.
+// TestOldHistoryDoesNotDecide deletes a row without an Editor, so that its
+// revisions begin again while the history still holds the old first one: that one
+// must not decide the outcome of a lost commit.
 func TestOldHistoryDoesNotDecide(t *testing.T) {
 	s := &fakeStore{}
 	e := testEditor(s, nil)
--- a/configuration/fake_test.go
+++ b/configuration/fake_test.go
@@ -8,18 +8,18 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// commitFault is what befalls one commit.
+// commitFault is the fault of one commit.
 type commitFault int
 
 const (
 	commitOK commitFault = iota
-	// commitRefused: not applied, and said so.
+	// commitRefused: not applied; the answer says so.
 	commitRefused
-	// commitAnswerLost: applied, the answer lost.
+	// commitAnswerLost: applied, but the answer is lost.
 	commitAnswerLost
-	// commitDelayed: the answer lost, applied later.
+	// commitDelayed: applied later; the answer is lost.
 	commitDelayed
-	// commitLost: never applied, the answer lost.
+	// commitLost: never applied; the answer is lost.
 	commitLost
 )
 
@@ -30,16 +30,16 @@
 }
 
 // fakeStore is a table service that keeps all commits, so that it can answer
-// with old states and serve as the oracle.
+// with old states and tests can compare VMs with its state at any version.
 type fakeStore struct {
 	version uint64
 	log     []written
 	down    bool
-	// fault gives the fault of the next commit, lag how many commits the next
-	// read is behind. nil is none.
+	// fault returns the fault of the next commit, lag the number of commits that
+	// the next read is behind; nil means none.
 	fault func() commitFault
 	lag   func() uint64
-	// before runs ahead of each commit.
+	// before runs before each commit.
 	before  func()
 	delayed []tableservice.Commit
 }
@@ -116,7 +116,7 @@
 	return s.version, nil
 }
 
-// rowVersion is 0 for a row that doesn't exist.
+// rowVersion returns the version of a row, 0 for one that doesn't exist.
 func (s *fakeStore) rowVersion(table, key string) uint64 {
 	for _, w := range slices.Backward(s.log) {
 		if w.table == table && w.row.Key == key {
@@ -148,7 +148,8 @@
 	return newest
 }
 
-// liveAt is the oracle: the objects of the store at a version, by key.
+// liveAt returns the objects of the store at a version, by key; VMs must hold the
+// same.
 func (s *fakeStore) liveAt(version uint64) map[string]string {
 	live := map[string]string{}
 	for _, row := range s.rows(Table, 0, version) {
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -15,8 +15,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; a flag of the
-// command line goes before it.
+// TestMain sets defaults of rapid's flags, with a fixed seed, so that every run
+// has the same result. Flags of the command line override them.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"seed": "1", "nofailfile": "true", "steps": "50", "checks": "200", "shrinktime": "5s"} {
 		if err := flag.Set("rapid."+name, value); err != nil {
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// check compares every VM with the oracle.
+// check requires that no VM's version falls and that each VM holds exactly the
+// objects that the store had at that version.
 func (w *world) check() {
 	for _, m := range w.living() {
 		version := m.replica.Version()
@@ -55,8 +56,8 @@
 	return change
 }
 
-// editor makes an operator whose waits let delayed commits through and let
-// another operator in.
+// editor returns an editor whose waits may apply delayed commits, may run a
+// change of another operator (unless nested) and may fail.
 func (w *world) editor(nested bool) *Editor {
 	return &Editor{Tables: w.store, Wait: func(context.Context, time.Duration) error {
 		if rapid.Bool().Draw(w.t, "flush") {
@@ -72,7 +73,7 @@
 	}}
 }
 
-// operate makes one change and keeps what the operator was told.
+// operate makes one change and records its result.
 func (w *world) operate(nested bool) {
 	e := w.editor(nested)
 	current, err := e.Read(context.Background())
@@ -90,7 +91,7 @@
 	return c
 }
 
-// checkClaims compares what operators were told with the store's log.
+// checkResults compares the results reported to operators with the store's log.
 func (w *world) checkClaims() {
 	w.store.flush()
 	for _, c := range w.claims {
@@ -106,7 +107,7 @@
 	}
 }
 
-// faults makes the store's faults drawn ones.
+// faults makes the store draw a fault for each commit and a lag for each read.
 func (w *world) faults() {
 	w.store.fault = func() commitFault {
 		return rapid.SampledFrom([]commitFault{commitOK, commitOK, commitOK, commitRefused, commitAnswerLost, commitDelayed, commitLost}).Draw(w.t, "fault")
@@ -130,7 +131,8 @@
 	w.setMembers()
 }
 
-// settle runs the healed system for the promised time.
+// converge heals the system, runs it for maxChangeDelay and requires that every
+// VM then has the store's version.
 func (w *world) settle() {
 	w.heal()
 	for elapsed := time.Duration(0); elapsed < promise; elapsed += step {
@@ -211,8 +213,9 @@
 	}
 }
 
-// TestFuzz runs VMs, operators and the store through faults against the
-// oracle.
+// TestFuzzConfigurationConverges runs VMs, operators and the store through drawn
+// faults. No VM may go back or hold anything but the store's state at its version,
+// all VMs converge after the faults, and every reported result is true.
 func TestFuzz(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -223,8 +226,9 @@
 	})
 }
 
-// TestRace has operators decide on the same state with a store that loses no
-// request: one of those that change the same object wins, no other.
+// TestConcurrentChangesHaveOneWinner commits changes of one object that are based
+// on the same state, while answers and commits are lost or delayed: at most one is
+// accepted, and the others end as conflicts or with an unknown outcome.
 func TestRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, store: &fakeStore{}}
--- a/configuration/replica_test.go
+++ b/configuration/replica_test.go
@@ -17,12 +17,12 @@
 	both    = []Member{{"vm-1", 1, "a1"}, {"vm-2", 2, "a2"}}
 )
 
-// snapshotAt is a configuration whose only profile was written at a version.
+// snapshotAt is a snapshot with one profile, written at the version.
 func snapshotAt(version uint64) ChangeSet {
 	return ChangeSet{Version: version, Rows: []Row{profileRow("a", version)}}
 }
 
-// loadedReplica has read version at time 0.
+// loadedReplica returns a replica that has read a version at time 0.
 func loadedReplica(self peer.Sender, version uint64) *Replica {
 	r := NewReplica(self, DefaultTimes(), 0)
 	r.SetMembers(both)
@@ -91,7 +91,7 @@
 }
 
 func TestOnePullAtATime(t *testing.T) {
-	// The pull of the start is given up by then.
+	// The pull sent at the start has timed out by then.
 	now := DefaultTimes().PullTimeout
 	r := loadedReplica(second, 5)
 	ahead := loadedReplica(first, 6).Digest(now)
@@ -149,7 +149,8 @@
 	must.True(t, out.Changed)
 }
 
-// TestNewVMStartsFromPeers has no store at all.
+// TestNewVMStartsFromPeers loads the configuration of a new VM from a peer while
+// the store can't be read.
 func TestNewVMStartsFromPeers(t *testing.T) {
 	r := NewReplica(second, DefaultTimes(), 0)
 	r.SetMembers(both)
@@ -163,11 +164,12 @@
 	must.Eq(t, 6, r.Version())
 }
 
-// TestReadyWaitsForPeers starts a VM on a stale read while a peer holds more.
+// TestReadyWaitsForPeers starts a VM with a stale read while a peer holds a newer
+// version.
 func TestReadyWaitsForPeers(t *testing.T) {
 	ahead := loadedReplica(first, 9)
 	r := loadedReplica(second, 5)
-	must.False(t, r.Ready(0), must.Sprint("no peer was heard"))
+	must.False(t, r.Ready(0), must.Sprint("no digest of a peer has arrived"))
 	r.HandlePeer(0, first, ahead.Digest(0))
 	must.False(t, r.Ready(0), must.Sprint("behind a peer"))
 	r.HandlePeer(0, first, encodeChanges(snapshotAt(9)))
--- a/configuration/size_test.go
+++ b/configuration/size_test.go
@@ -27,7 +27,7 @@
 	return set
 }
 
-// TestMessageSizes bounds what the spread of changes costs on the wire.
+// TestMessageSizes bounds the encoded size of digests and change sets.
 func TestMessageSizes(t *testing.T) {
 	hour := digest{version: 1 << 40, sentAt: 1000 * time.Hour, readAt: 1000 * time.Hour, hasRead: true}
 	one := len(encodeChanges(fullSet(1)))
@@ -38,7 +38,7 @@
 	must.LessEq(t, 600_000, thousand)
 }
 
-// BenchmarkChange is the cost of one change on one VM that holds 1,000 rows.
+// BenchmarkChange measures one change on a VM that holds 1,000 rows.
 func BenchmarkChange(b *testing.B) {
 	var s State
 	set := fullSet(1000)
--- a/configuration/sleep_test.go
+++ b/configuration/sleep_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		must.NoError(t, Sleep(t.Context(), time.Minute))
-		must.Eq(t, time.Minute, time.Since(began), must.Sprint("by the clock of the bubble"))
+		must.Eq(t, time.Minute, time.Since(began), must.Sprint("by the fake clock of synctest"))
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
--- a/configuration/spread_test.go
+++ b/configuration/spread_test.go
@@ -14,11 +14,12 @@
 
 const (
 	spreadVMs = 9
-	// spreadDomains is the number of failure domains of the target size.
+	// spreadDomains is the number of failure domains of the planned deployment size.
 	spreadDomains = 24
 	spreadStep    = 10 * time.Millisecond
 	spreadRead    = 50 * time.Millisecond
-	// spreadHeartbeat and spreadSuspect are the intervals of the membership.
+	// spreadHeartbeat is the heartbeat interval of the membership, and
+	// spreadSuspect the time until it removes a dead VM.
 	spreadHeartbeat = 2 * time.Second
 	spreadSuspect   = 6 * time.Second
 	// readBudget is the share of the store's 2,000 reads a second that the
@@ -26,23 +27,24 @@
 	readBudget = 100
 )
 
-// way is one way to spread changes.
+// scenario is a setup under which a change spreads.
 type way struct {
 	name       string
 	times      Times
 	heartbeats bool
 	// leaderDies kills the leader when the change is made.
 	leaderDies bool
-	// readFails fails each VM's first read after the change, after the timeout.
+	// readFails makes each VM's first read after the change time out.
 	readFails bool
 	// noPulls drops announcements and requests for changes, so that every VM
 	// depends on its own reads.
 	noPulls bool
-	// worst is the longest delay allowed.
+	// maxDelay is the longest delay allowed.
 	worst time.Duration
 }
 
-// spread is one failure domain on a grid of time, with a store that answers.
+// spread simulates one failure domain in steps of spreadStep, with a store that
+// answers.
 type spread struct {
 	way    way
 	store  fakeStore
@@ -50,7 +52,7 @@
 	dead   map[int]bool
 	failed map[int]bool
 	reads  int
-	// due are the events to come, by the step in which they happen.
+	// due holds the scheduled events by their time.
 	due map[time.Duration][]func(now time.Duration)
 }
 
@@ -146,7 +148,8 @@
 	}
 }
 
-// stepVM runs what a VM does by the clock, each VM at a phase of its own.
+// stepVM runs a VM's ticks and heartbeats that are due, with a phase that
+// differs between VMs.
 func (s *spread) stepVM(now time.Duration, i int, r *Replica) {
 	if s.dead[i] {
 		return
@@ -165,6 +168,7 @@
 	}
 }
 
+// removeLeader installs a view without VM 0.
 func (s *spread) removeLeader() {
 	var members []Member
 	for i := 1; i < spreadVMs; i++ {
@@ -175,6 +179,7 @@
 	}
 }
 
+// allUpdated reports whether every living VM has the change.
 func (s *spread) settled() bool {
 	for i, r := range s.vms {
 		if !s.dead[i] && r.Version() < 2 {
@@ -184,9 +189,9 @@
 	return true
 }
 
-// TestSpread measures the delay of a change at the slowest VM, over changes at
-// every phase of the polls, and the reads of the target size. All in the time of
-// the test, with the store answering. docs/CONFIGURATION.md shows the figures.
+// TestChangeReachesAllVMsInTime bounds the delay of a change at the slowest VM,
+// over changes at every phase of the polls, and the reads a second at the planned
+// deployment size. Time is simulated. docs/CONFIGURATION.md shows the figures.
 func TestSpread(t *testing.T) {
 	everyPolls := DefaultTimes()
 	everyPolls.Poll, everyPolls.Takeover = 2*time.Second, 2*time.Second
--- a/configuration/state_test.go
+++ b/configuration/state_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// profileRow is a row of a profile.
+// profileRow is the row of a profile whose queue_tasks equals the version.
 func profileRow(name string, version uint64) Row {
 	value := fmt.Sprintf(`{"change":"c%d","revision":1,"profile":{"name":%q,"queue_tasks":%d}}`, version, name, version)
 	return Row{Key: RowKey(KindProfile, name), Version: version, Value: []byte(value)}
@@ -77,10 +77,11 @@
 	_, ok = s.Changes(4)
 	must.False(t, ok)
 	set, _ = s.Changes(1)
-	must.Eq(t, 0, set.Since, must.Sprint("what was deleted before the first snapshot is not known: a snapshot"))
+	must.Eq(t, 0, set.Since, must.Sprint("deletions before the first snapshot are not known, so that a snapshot is returned"))
 }
 
-// TestForgottenDeletionsGiveSnapshots deletes more rows than are remembered.
+// TestDroppedDeletionsGiveSnapshot deletes more rows than the state keeps, then
+// brings a state up to date that has none of these deletions.
 func TestForgottenDeletionsGiveSnapshots(t *testing.T) {
 	var s, behind State
 	first := ChangeSet{Version: 1, Rows: []Row{profileRow("keep", 1), profileRow("gone-0", 1)}}
--- a/configuration/world_test.go
+++ b/configuration/world_test.go
@@ -15,7 +15,7 @@
 
 const (
 	step = 250 * time.Millisecond
-	// promise is how soon an accepted change is in force.
+	// maxChangeDelay is the time within which an accepted change is in force.
 	promise = 6 * time.Second
 )
 
@@ -27,7 +27,7 @@
 	born    time.Duration
 	cutOff  bool // from the store
 	version uint64
-	// read is the answer of the store under way.
+	// read is the store's answer that has not arrived yet.
 	read *pendingRead
 }
 
@@ -38,7 +38,7 @@
 	err     error
 }
 
-// envelope is one message under way.
+// envelope is one message in flight; process is the incarnation it is meant for.
 type envelope struct {
 	from    peer.Sender
 	to      string
@@ -47,14 +47,14 @@
 	reply   bool
 }
 
-// claim is what an operator was told.
+// operatorResult is the result of a change as reported to the operator.
 type claim struct {
 	id       string
 	accepted Accepted
 	err      error
 }
 
-// world is the system under test with its oracle.
+// world simulates the entry VMs of several failure domains and a store.
 type world struct {
 	t        *rapid.T
 	now      time.Duration
@@ -64,7 +64,7 @@
 	domains  int
 	perVM    int
 	flight   []envelope
-	// past are change sets that were delivered, to be delivered again.
+	// delivered are messages with change sets, to be delivered again.
 	past    []envelope
 	cut     map[[2]string]bool
 	claims  []claim
@@ -97,7 +97,7 @@
 	w.machines[id] = m
 }
 
-// local is the clock of a process, which starts at its birth.
+// localTime is the time since the start of a VM's process.
 func (w *world) local(m *machine) time.Duration { return w.now - m.born }
 
 // setMembers gives every VM the living VMs of its domain.
@@ -137,7 +137,7 @@
 	}
 }
 
-// startRead fixes the answer now; it arrives later.
+// startRead takes the store's answer now; finishRead delivers it.
 func (w *world) startRead(m *machine, since uint64) {
 	must.Nil(w.t, m.read)
 	read := &pendingRead{sentAt: w.local(m), since: since}
@@ -174,7 +174,8 @@
 	w.act(m, out)
 }
 
-// deliverSome delivers messages in a drawn order, some of them again later.
+// deliverSome delivers up to n messages in a drawn order and keeps copies of some
+// for a second delivery.
 func (w *world) deliverSome(n int) {
 	for range n {
 		if len(w.flight) == 0 {
@@ -189,6 +190,7 @@
 	}
 }
 
+// heartbeats sends every VM's digest to the other VMs of its domain.
 func (w *world) heartbeats() {
 	for _, m := range w.living() {
 		for _, other := range w.living() {
