--- a/profile/check.go
+++ b/profile/check.go
@@ -13,15 +13,16 @@
 	MaxName = 63
 	// MaxUrgency is the highest urgency.
 	MaxUrgency = 9
-	// MaxSlots is the most slots of a share, limit or quota.
+	// MaxSlots is the largest share, limit or quota, in slots.
 	MaxSlots = 1_000_000
 	// MaxQueueTasks is the longest queue of one profile in one VM.
 	MaxQueueTasks = 1_000_000
-	// MaxTimeMS is the longest deadline or run of a task: one hour.
+	// MaxTimeMS is the longest deadline or run time of a task in milliseconds: one
+	// hour.
 	MaxTimeMS = 3_600_000
 	// MaxStragglerFactor is the largest straggler factor.
 	MaxStragglerFactor = 1000
-	// MaxShares is the most failure domains that a team's shares name.
+	// MaxShares is the most failure domains that a team's shares may name.
 	MaxShares = 64
 )
 
@@ -53,18 +54,22 @@
 	*ps = append(*ps, Problem{Path: path, Value: value, Remedy: remedy})
 }
 
+// checkName adds a problem when the name is invalid.
 func (ps *problems) name(path, name string) {
 	if !validName(name) {
 		ps.add(path, strconv.Quote(name), fmt.Sprintf("write 1 to %d lower-case letters, digits, '-' and '_', the first one a letter or digit", MaxName))
 	}
 }
 
+// checkBetween adds a problem when the value is outside [least, most].
 func (ps *problems) between(path string, value, least, most int64) {
 	if value < least || value > most {
 		ps.add(path, strconv.FormatInt(value, 10), fmt.Sprintf("write a whole number from %d to %d", least, most))
 	}
 }
 
+// isValidName reports whether a name has 1 to MaxName lower-case letters, digits,
+// '-' and '_', and starts with a letter or digit.
 func validName(name string) bool {
 	if name == "" || len(name) > MaxName {
 		return false
@@ -79,7 +84,7 @@
 	return true
 }
 
-// Check returns every fault of the profile, none when it may be applied.
+// Check returns all faults of the profile; it may be applied when there are none.
 func (p Profile) Check() []Problem {
 	var ps problems
 	ps.name("name", p.Name)
@@ -131,7 +136,7 @@
 	}
 }
 
-// Check returns every fault of the team, none when it may be applied.
+// Check returns all faults of the team; it may be applied when there are none.
 func (t Team) Check() []Problem {
 	var ps problems
 	ps.name("name", t.Name)
@@ -164,7 +169,7 @@
 	}
 }
 
-// shareDomains lists the failure domains of the shares by alphabet.
+// shareDomains returns the failure domains of the shares in alphabetical order.
 func (t Team) shareDomains() []string {
 	domains := make([]string, 0, len(t.Shares))
 	for domain := range t.Shares {
--- a/profile/share_test.go
+++ b/profile/share_test.go
@@ -37,8 +37,8 @@
 	must.Eq(t, []string{"hall-c", "hall-b", "hall-a"}, three, must.Sprint("the caller's list keeps its order"))
 }
 
-// What the failure domains get together is the quota, never more, in whatever
-// order each VM's settings list them.
+// TestSharesSumToTheQuota requires that the shares add up to the quota, also when
+// the settings of the VMs list the failure domains in different orders.
 func TestSharesSumToTheQuota(t *testing.T) {
 	domains := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for n := 1; n <= len(domains); n++ {
