--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -12,7 +12,7 @@
 	// StatusPath answers GET with a Status.
 	StatusPath = "/admin/v1/status"
 	// ExplainPath, followed by a submission key, answers GET with an
-	// Explanation, or 404 with an Error when this VM knows nothing of the key.
+	// Explanation, or 404 with an Error when this VM has no record of the key.
 	ExplainPath = "/admin/v1/explain/"
 	// ExplainPattern is the net/http pattern of the explain handler; the path
 	// value "key" is the submission key.
@@ -25,7 +25,7 @@
 	StatusPattern = "GET " + StatusPath
 )
 
-// Status is what one VM says about itself.
+// Status is the state of one VM.
 type Status struct {
 	// VM is the id of the entry VM.
 	VM string `json:"vm"`
@@ -36,10 +36,10 @@
 	Domain string `json:"domain"`
 	// UptimeMS is the time since the process started, in milliseconds.
 	UptimeMS int64 `json:"uptime_ms"`
-	// Draining says that the VM takes no new submissions and stops when those
+	// Draining says that the VM accepts no new submissions and stops once those
 	// in flight are answered.
 	Draining bool `json:"draining"`
-	// View is the VM's installed view of its failure domain.
+	// View is the installed view of the failure domain's entry VMs.
 	View View `json:"view"`
 	// Epoch is the epoch token for new submission keys; empty while the VM
 	// can't grant keys.
@@ -68,36 +68,37 @@
 	Incarnation uint64 `json:"incarnation,string"`
 	// Address is the peer address, "IP:port".
 	Address string `json:"address,omitempty"`
-	// Suspected says that the VM hasn't been heard of for longer than the
+	// Suspected says that no heartbeat of the VM has arrived for longer than the
 	// heartbeat timeout.
 	Suspected bool `json:"suspected,omitempty"`
 }
 
-// Configuration says which configuration a VM has in force.
+// Configuration is the state of the configuration on a VM.
 type Configuration struct {
 	// Version is the commit that last changed the configuration in force.
 	Version uint64 `json:"version"`
-	// Loaded says that the VM has had a configuration from the store or a peer.
+	// Loaded says that the VM has received a configuration from the store or a
+	// peer.
 	Loaded bool `json:"loaded"`
-	// StoreReadAgeMS is the time since this VM last read the store, -1 for
-	// never.
+	// StoreReadAgeMS is the time since this VM last read the store successfully;
+	// -1 is never.
 	StoreReadAgeMS int64 `json:"store_read_age_ms"`
-	// StoreError is the error of the newest read of the store; empty when it
+	// StoreError is the error of the last read of the store; empty when it
 	// succeeded.
 	StoreError string `json:"store_error,omitempty"`
 	// Invalid names the rows that this VM couldn't read, "profile/x".
 	Invalid []string `json:"invalid,omitempty"`
 }
 
-// TargetHealth is the placement's verdict on a target.
+// TargetHealth is the health of a target as the placement rates it.
 type TargetHealth string
 
-// The verdicts.
+// The values of TargetHealth.
 const (
 	TargetHealthy     TargetHealth = "healthy"
 	TargetQuarantined TargetHealth = "quarantined"
 	TargetProbing     TargetHealth = "probing"
-	// TargetSlow and TargetDoubted are used when nothing else is free.
+	// TargetSlow and TargetDoubted get tasks only when no healthy target is free.
 	TargetSlow        TargetHealth = "slow"
 	TargetDoubted     TargetHealth = "doubted"
 	TargetLeaving     TargetHealth = "leaving"
@@ -119,8 +120,8 @@
 	ID      string `json:"id"`
 	Address string `json:"address,omitempty"`
 	Rack    string `json:"rack,omitempty"`
-	// Slots is the number of slots of the target, SlotsHeld those that this VM
-	// may use and SlotsFree those of them without a running task.
+	// Slots is the number of slots of the target, SlotsHeld the number that this
+	// VM may use, and SlotsFree how many of these run no task.
 	Slots     int          `json:"slots"`
 	SlotsHeld int          `json:"slots_held"`
 	SlotsFree int          `json:"slots_free"`
@@ -130,14 +131,14 @@
 	// HealthAgeMS is the time since the health last changed.
 	HealthAgeMS int64      `json:"health_age_ms,omitempty"`
 	Lease       LeaseState `json:"lease"`
-	// LeaseLeftMS is the time until the lease lapses, 0 without one.
+	// LeaseLeftMS is the time until the lease lapses; 0 without a lease.
 	LeaseLeftMS int64 `json:"lease_left_ms,omitempty"`
 }
 
-// Profile is the work of one profile on one VM.
+// Profile is the load of one profile on one VM.
 type Profile struct {
 	Name string `json:"name"`
-	// Queued and Running count tasks now.
+	// Queued and Running are the present numbers of tasks.
 	Queued  int `json:"queued"`
 	Running int `json:"running"`
 	// Refused counts the refused submissions since the process started.
@@ -146,9 +147,9 @@
 	RefusedByKind map[string]uint64 `json:"refused_by_kind,omitempty"`
 }
 
-// Explanation says what a VM did with one submission.
+// Explanation is what a VM did with one submission.
 type Explanation struct {
-	// VM is the id of the VM that explains.
+	// VM is the id of the VM that answers.
 	VM  string `json:"vm"`
 	Key string `json:"key"`
 	// Profile is the profile that the submission named.
@@ -161,11 +162,11 @@
 	ConfigurationVersion uint64 `json:"configuration_version,omitempty"`
 	// Events are ordered by time.
 	Events []Event `json:"events"`
-	// EventsDropped counts the events that were no longer kept.
+	// EventsDropped counts the events that are no longer kept.
 	EventsDropped int `json:"events_dropped,omitempty"`
 }
 
-// Event is one step in the life of a submission.
+// Event is one step of the processing of a submission.
 type Event struct {
 	// AtMS is the time since the submission arrived at this VM, in
 	// milliseconds.
@@ -193,12 +194,12 @@
 
 // StateChange is one line of a VM's log.
 type StateChange struct {
-	// Time is by the VM's own wall clock, which may differ from that of others.
+	// Time is by the VM's own wall clock, which may differ from other VMs' clocks.
 	Time time.Time `json:"time"`
 	// Level is "INFO", "WARN" or "ERROR".
 	Level   string `json:"level"`
 	Message string `json:"msg"`
-	// Fields are the values that the line names.
+	// Fields are the attributes of the log line.
 	Fields map[string]any `json:"fields,omitempty"`
 }
 
--- a/api/api.go
+++ b/api/api.go
@@ -1,4 +1,4 @@
-// Package api defines the JSON messages of the callers' HTTP interface.
+// Package api defines the JSON messages of the HTTP interface for callers.
 //
 // docs/API.md describes the interface with examples.
 package api
@@ -15,7 +15,7 @@
 	HeaderRunner = "Burdockward-Runner"
 )
 
-// Limits of one submission. Larger ones are refused before they are read whole.
+// Limits of one submission. A larger body is refused before it is read whole.
 const (
 	// MaxTasks is the largest number of tasks of one submission.
 	MaxTasks = 170
@@ -33,7 +33,8 @@
 	// profile's deadline.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
 	// Idempotent says that the caller may safely submit the work again under a
-	// new key. It changes the advice in a failure, never the number of starts.
+	// new key. It changes only the remedy that a failure names, never the number
+	// of starts.
 	Idempotent bool `json:"idempotent,omitempty"`
 	// Tasks are run in parallel; results keep their order.
 	Tasks []Task `json:"tasks"`
@@ -43,8 +44,9 @@
 type Task struct {
 	// Payload is passed to the target unchanged.
 	Payload json.RawMessage `json:"payload"`
-	// ExpectedMS is the caller's guess of the run time in milliseconds; 0 is
-	// unknown. Guesses are often far off and only seed what is learned.
+	// ExpectedMS is the caller's estimate of the run time in milliseconds; 0 is
+	// unknown. Such estimates are often far off, so they serve only as the start
+	// value of the learned run time.
 	ExpectedMS int64 `json:"expected_ms,omitempty"`
 }
 
@@ -63,7 +65,7 @@
 	NotRun RunState = "not_run"
 	// Failed means that tasks were started and the submission failed.
 	Failed RunState = "failed"
-	// OutcomeUnknown means that it can't be known whether tasks were started.
+	// OutcomeUnknown means that the VM can't know whether tasks were started.
 	OutcomeUnknown RunState = "outcome_unknown"
 	// Completed means that every task ran, but the answer is no longer kept.
 	Completed RunState = "completed"
@@ -101,8 +103,8 @@
 	Kind    Kind     `json:"kind"`
 	Message string   `json:"message"`
 	Run     RunState `json:"run"`
-	// RetryAfterMS is when to come back, in milliseconds; 0 says that coming
-	// back does not help. The Retry-After header carries it in seconds.
+	// RetryAfterMS is the time to wait before a retry, in milliseconds; 0 means
+	// that a retry does not help. The Retry-After header carries it in seconds.
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	Key          string `json:"key,omitempty"`
 }
