--- a/ctl/admin.go
+++ b/ctl/admin.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// adminTimeout bounds one call of an admin port.
+	// adminTimeout bounds one request to an admin port.
 	adminTimeout = 2 * time.Second
-	// adminParallel is the most calls at the same time.
+	// adminParallel is the largest number of concurrent requests.
 	adminParallel = 32
-	// maxAdminBytes is the largest answer of an admin port.
+	// maxAdminBytes is the largest response of an admin port that is read.
 	maxAdminBytes = 16 << 20
 )
 
-// errNotKnown says that a VM knows nothing of a key.
+// errNotKnown says that a VM has no record of a key.
 var errNotKnown = errors.New("nothing known")
 
 // AdminClient reads the admin ports of daemons.
@@ -84,13 +84,13 @@
 
 // vm is an entry VM to ask.
 type vm struct {
-	// id and domain are empty for addresses from --vms until they answer.
+	// id and domain are empty for addresses from --vms until the VM answers.
 	id, domain string
 	address    string
 	leaving    bool
 }
 
-// name is the id, or the address of a VM that is not known otherwise.
+// name returns the id, or the address while the id is not known.
 func (v vm) name() string { return cmp.Or(v.id, v.address) }
 
 // vms lists the entry VMs: those of --vms, or those of the platform's VM list in
@@ -128,7 +128,7 @@
 	return list, nil
 }
 
-// entryVMs takes the entry VMs of a list with their admin addresses.
+// entryVMs returns the entry VMs of a VM list with their admin addresses.
 func entryVMs(list tableservice.List, domain string, port uint16) ([]vm, error) {
 	var entries []vm
 	for _, listed := range list.VMs {
@@ -149,14 +149,14 @@
 	return entries, nil
 }
 
-// answer is what one VM answered.
+// answer is the response of one VM or the error of the request.
 type answer[T any] struct {
 	vm    vm
 	value T
 	err   error
 }
 
-// askAll asks every VM at the same time and keeps the order.
+// askAll asks the VMs concurrently and returns the answers in the order of list.
 func askAll[T any](ctx context.Context, list []vm, ask func(ctx context.Context, address string) (T, error)) []answer[T] {
 	answers := make([]answer[T], len(list))
 	var g errgroup.Group
@@ -172,7 +172,7 @@
 	return answers
 }
 
-// statuses asks every VM for its status.
+// statuses asks every VM for its status and fills in the VMs' ids and domains.
 func (a *App) statuses(ctx context.Context, list []vm) []answer[adminapi.Status] {
 	answers := askAll(ctx, list, a.Admin.Status)
 	for i := range answers {
--- a/ctl/change.go
+++ b/ctl/change.go
@@ -18,21 +18,21 @@
 	// Version is the commit of an accepted change.
 	Version uint64 `json:"version,omitempty"`
 	Change  string `json:"change"`
-	// ReadBack says that the store's answer was lost and the change was found by
-	// reading.
+	// ReadBack says that the store's answer was lost and the change was found in
+	// the history.
 	ReadBack bool `json:"read_back,omitempty"`
-	// Conflicts show who won.
+	// Conflicts are the objects that other changes wrote first.
 	Conflicts []ConflictResult `json:"conflicts,omitempty"`
 	// InForce is the state at the VMs, with --wait.
 	InForce *InForce `json:"in_force,omitempty"`
 }
 
-// ConflictResult is one object that another change took.
+// ConflictResult is one object that another change wrote first.
 type ConflictResult struct {
 	// Winner is the object in the store; its version is 0 when it couldn't be
 	// read.
 	Winner Object `json:"winner"`
-	// Differences lead from the winner's object to the one that was refused.
+	// Differences compare the winner (old) with the refused object (new).
 	Differences []Difference `json:"differences"`
 }
 
@@ -61,6 +61,7 @@
 	return a.readAndCommit(ctx, c, []configuration.Edit{{Kind: configuration.KindProfile, Name: name}})
 }
 
+// readAndCommit commits edits that are based on the present configuration.
 func (a *App) readAndCommit(ctx context.Context, c *cli.Command, edits []configuration.Edit) error {
 	e, current, err := a.readToEdit(ctx, c)
 	if err != nil {
@@ -69,11 +70,11 @@
 	return a.commit(ctx, c, e, current, edits)
 }
 
-// commit makes a change and reports its outcome.
+// commit writes a change that is based on current and prints its outcome.
 func (a *App) commit(ctx context.Context, c *cli.Command, e *configuration.Editor, current *configuration.Current, edits []configuration.Edit) error {
 	if c.IsSet(flagSeen) {
 		if len(edits) != 1 {
-			return usagef("--%s goes with one object, got %d", flagSeen, len(edits))
+			return usagef("--%s goes with one object, got %d: apply the objects one by one", flagSeen, len(edits))
 		}
 		seen := c.Uint64(flagSeen)
 		edits[0].Seen = &seen
@@ -92,6 +93,7 @@
 	return a.reportAccepted(ctx, c, accepted)
 }
 
+// reportFailure prints a conflict or an unknown outcome, and returns err.
 func (a *App) reportFailure(c *cli.Command, change configuration.Change, err error) error {
 	result := ChangeResult{Change: change.ID}
 	var conflict *configuration.Conflict
@@ -132,8 +134,9 @@
 	}
 }
 
-// reportAccepted reports an accepted change and, with --wait, waits until it is
-// in force.
+// reportAccepted prints an accepted change. With --wait it first waits until the
+// change is in force at every reachable VM, and returns errNotInForce when it is
+// not.
 func (a *App) reportAccepted(ctx context.Context, c *cli.Command, accepted configuration.Accepted) error {
 	result := ChangeResult{
 		Outcome:  outcomeAccepted,
@@ -151,7 +154,8 @@
 		return err
 	}
 	if waitErr != nil {
-		// The change is accepted, whatever kept the wait from ending well.
+		// The change is accepted, so any error of the wait means only that it
+		// is not known to be in force.
 		return fmt.Errorf("%w: %w", errNotInForce, waitErr)
 	}
 	return nil
--- a/ctl/check.go
+++ b/ctl/check.go
@@ -20,7 +20,7 @@
 		Name:      "check",
 		ArgsUsage: "FILE...",
 		Usage:     "check profile files without the platform; every fault is reported at once",
-		Flags:     []cli.Flag{&cli.BoolFlag{Name: flagTeams, Usage: "the files hold teams"}},
+		Flags:     []cli.Flag{&cli.BoolFlag{Name: flagTeams, Usage: "check the files as teams; without it, as profiles"}},
 		Action:    a.action(a.check),
 	}
 }
@@ -41,7 +41,7 @@
 		return printErr
 	}
 	if len(faults) > 0 {
-		return usagef("%d of %d files have faults", len(faults), c.Args().Len())
+		return usagef("%d of %d files have faults: correct what is listed above", len(faults), c.Args().Len())
 	}
 	return nil
 }
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,8 +1,9 @@
-// Package ctl holds the commands of burdockctl, the operators' tool.
+// Package ctl implements the commands of burdockctl, the operators' tool.
 //
 // It writes profiles and quotas to the platform's table service, and reads the
-// admin ports of the entry VMs. It steers no task. docs/CONFIGURATION.md
-// describes the commands.
+// admin ports of the entry VMs. The exit code tells whether a change was
+// accepted, refused or of unknown outcome. No command starts, stops or moves a
+// task. docs/CONFIGURATION.md describes the commands.
 package ctl
 
 import (
@@ -20,18 +21,21 @@
 
 // Exit codes.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
 	// ExitUsage: wrong arguments or a file with faults; nothing was changed.
 	ExitUsage = 1
-	// ExitConflict: another operator's change won; nothing was changed.
+	// ExitConflict: another operator's change took effect first; nothing was
+	// changed.
 	ExitConflict = 2
-	// ExitUnavailable: the platform or the asked VMs can't be reached; nothing
+	// ExitUnavailable: the platform or the VMs asked can't be reached; nothing
 	// was changed.
 	ExitUnavailable = 3
-	// ExitUnknown: the answer of a change was lost and reading back failed.
+	// ExitUnknown: the answer of a change was lost and reading back didn't show
+	// whether it took effect.
 	ExitUnknown = 4
-	// ExitNotInForce: accepted, but not yet in force at every reachable VM.
+	// ExitNotInForce: the version is not yet in force at every reachable VM. A
+	// change made by the command was accepted.
 	ExitNotInForce = 5
 )
 
@@ -62,11 +66,11 @@
 const (
 	// defaultAdminPort is the port of a daemon's admin interface.
 	defaultAdminPort = 7102
-	// defaultTimeout bounds a command without --wait.
+	// defaultTimeout bounds a command; the time of --wait is added to it.
 	defaultTimeout = 20 * time.Second
 )
 
-// errUsage tags wrong arguments and faulty files.
+// errUsage matches, with errors.Is, wrong arguments and faulty files.
 var errUsage = errors.New("usage")
 
 // usageError is a wrong argument or a faulty file.
@@ -79,16 +83,17 @@
 	return &usageError{fmt.Sprintf(format, args...)}
 }
 
-// errNotInForce says that some reachable VM holds an older version.
+// errNotInForce says that a reachable VM holds an older version or that no VM
+// answered.
 var errNotInForce = errors.New("not in force at every reachable VM yet: run in-force with --wait, and look at the VMs named above")
 
-// Platform is what the tool uses of the platform.
+// Platform is the part of the platform that the tool uses.
 type Platform interface {
 	tableservice.Tables
 	tableservice.VMList
 }
 
-// App is the tool with its surroundings.
+// App is the tool with its dependencies.
 type App struct {
 	Stdout, Stderr io.Writer
 	// Open connects to the platform at a URL.
@@ -97,13 +102,13 @@
 	Now func() time.Time
 	// NewID makes a unique id for a change.
 	NewID func() string
-	// Wait waits between two looks at the VMs and fails when the context ends.
+	// Wait waits between two polls of the VMs and fails when the context ends.
 	Wait func(ctx context.Context, d time.Duration) error
 	// Admin reads the admin ports.
 	Admin AdminClient
 }
 
-// Run runs one command line, without the program's name, and returns the exit
+// Run runs one command, given without the program's name, and returns the exit
 // code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	err := a.command().Run(ctx, append([]string{"burdockctl"}, args...))
@@ -127,8 +132,8 @@
 	case errors.Is(err, tableservice.ErrUnavailable):
 		return ExitUnavailable
 	}
-	// Everything else is an input that has to be changed, the library's own
-	// errors about flags among them.
+	// All other errors are wrong input, among them the library's errors about
+	// flags.
 	return ExitUsage
 }
 
@@ -157,18 +162,18 @@
 
 func globalFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagPlatform, Usage: "base `URL` of the platform, http://IP:port", Sources: cli.EnvVars("BURDOCKCTL_PLATFORM")},
-		&cli.StringSliceFlag{Name: flagDomains, Usage: "failure `DOMAINS` whose entry VMs are asked", Sources: cli.EnvVars("BURDOCKCTL_DOMAINS")},
-		&cli.StringSliceFlag{Name: flagVMs, Usage: "admin `ADDRESSES` IP:port to ask instead of those of the platform's VM list", Sources: cli.EnvVars("BURDOCKCTL_VMS")},
-		&cli.Uint16Flag{Name: flagAdminPort, Usage: "admin `PORT` of the entry VMs", Value: defaultAdminPort, Sources: cli.EnvVars("BURDOCKCTL_ADMIN_PORT")},
-		&cli.StringFlag{Name: flagOperator, Usage: "`NAME` to record with changes", Sources: cli.EnvVars("BURDOCKCTL_OPERATOR", "USER")},
-		&cli.DurationFlag{Name: flagTimeout, Usage: "longest `TIME` of the command, besides --wait", Value: defaultTimeout, Sources: cli.EnvVars("BURDOCKCTL_TIMEOUT")},
-		&cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Usage: "`FORMAT` of the output, text or json", Value: outputText, Sources: cli.EnvVars("BURDOCKCTL_OUTPUT")},
+		&cli.StringFlag{Name: flagPlatform, Usage: "base `URL` of the platform's table service and VM list, http://IP:port; no default", Sources: cli.EnvVars("BURDOCKCTL_PLATFORM")},
+		&cli.StringSliceFlag{Name: flagDomains, Usage: "failure `DOMAINS` whose entry VMs are asked, separated by commas; no default", Sources: cli.EnvVars("BURDOCKCTL_DOMAINS")},
+		&cli.StringSliceFlag{Name: flagVMs, Usage: "admin `ADDRESSES` IP:port of the entry VMs to ask, separated by commas; without it, those of the platform's VM list", Sources: cli.EnvVars("BURDOCKCTL_VMS")},
+		&cli.Uint16Flag{Name: flagAdminPort, Usage: "admin `PORT` of the entry VMs of the platform's VM list", Value: defaultAdminPort, Sources: cli.EnvVars("BURDOCKCTL_ADMIN_PORT")},
+		&cli.StringFlag{Name: flagOperator, Usage: "`NAME` recorded as the author of a change; without it, the user's name", Sources: cli.EnvVars("BURDOCKCTL_OPERATOR", "USER")},
+		&cli.DurationFlag{Name: flagTimeout, Usage: "longest `TIME` that the command may take, such as 20s; the time of --wait is added", Value: defaultTimeout, Sources: cli.EnvVars("BURDOCKCTL_TIMEOUT")},
+		&cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Usage: "`FORMAT` of the output: text or json", Value: outputText, Sources: cli.EnvVars("BURDOCKCTL_OUTPUT")},
 	}
 }
 
-// action checks the global flags, which may stand anywhere on the line, and
-// bounds the command.
+// action wraps a command: it checks the output format, which may stand anywhere
+// on the line, and bounds the time of the command.
 func (a *App) action(run cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		if o := c.String(flagOutput); o != outputText && o != outputJSON {
@@ -180,7 +185,7 @@
 	}
 }
 
-// noSubcommand answers a command that lacks its subcommand or misspells it.
+// noSubcommand returns the error for a missing or unknown subcommand.
 func noSubcommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return usagef("%s has no command %q: run %s --help", c.FullName(), c.Args().First(), c.FullName())
@@ -210,10 +215,10 @@
 	return &configuration.Editor{Tables: p, Wait: a.Wait}, nil
 }
 
-// oneName takes the only argument.
+// onlyArgument returns the argument of a command that takes exactly one.
 func oneName(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", usagef("%s needs exactly one %s, got %d arguments", c.FullName(), what, c.Args().Len())
+		return "", usagef("%s needs exactly one %s, got %d arguments: give one", c.FullName(), what, c.Args().Len())
 	}
 	return c.Args().First(), nil
 }
--- a/ctl/events.go
+++ b/ctl/events.go
@@ -15,17 +15,17 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// defaultSince is how far back events looks.
+// defaultSince is the default age of the oldest events shown.
 const defaultSince = 15 * time.Minute
 
-// eventTime is how the time of an event is printed.
+// eventTime is the layout of printed event times.
 const eventTime = "2006-01-02T15:04:05.000Z07:00"
 
 // EventsResult is the output of events.
 type EventsResult struct {
-	// Events are those of all VMs, ordered by the VMs' own clocks.
+	// Events are those of all VMs, ordered by the times of the VMs' own clocks.
 	Events []VMEvent `json:"events"`
-	// Dropped counts by VM the older events that are no longer kept.
+	// Dropped is, for each VM, the number of older events no longer kept.
 	Dropped     map[string]uint64 `json:"dropped"`
 	Unreachable []UnreachableVM   `json:"unreachable"`
 }
@@ -42,7 +42,7 @@
 		Name:  "events",
 		Usage: "show what changed at the entry VMs, and why: members, targets, configuration, platform",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: flagSince, Usage: "look back for this `TIME`", Value: defaultSince},
+			&cli.DurationFlag{Name: flagSince, Usage: "show the events of the last `TIME`, such as 15m", Value: defaultSince},
 		},
 		Action: a.action(a.events),
 	}
@@ -50,7 +50,7 @@
 
 func (a *App) events(ctx context.Context, c *cli.Command) error {
 	if c.Args().Present() {
-		return usagef("%s takes no arguments", c.FullName())
+		return usagef("%s takes no arguments: remove them", c.FullName())
 	}
 	since := c.Duration(flagSince)
 	if since <= 0 {
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// gatherEvents merges what the VMs answered, and counts the VMs that did.
+// gatherEvents merges the events since from of all VMs, and counts the VMs that
+// answered.
 func gatherEvents(answers []answer[adminapi.Events], from time.Time) (EventsResult, int) {
 	result := EventsResult{Events: []VMEvent{}, Dropped: map[string]uint64{}, Unreachable: []UnreachableVM{}}
 	answered := 0
@@ -107,7 +108,7 @@
 	}
 }
 
-// fieldsText writes the values of an event by name.
+// fieldsText formats the values of an event as name=value, ordered by name.
 func fieldsText(fields map[string]any) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
--- a/ctl/file.go
+++ b/ctl/file.go
@@ -13,7 +13,7 @@
 // maxFileBytes is the largest file that is read.
 const maxFileBytes = 4 << 20
 
-// checked is a profile or team that can check itself.
+// checkable is a profile or team.
 type checked interface{ Check() []profile.Problem }
 
 // fileProblems are the faults of one file.
@@ -31,11 +31,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultyFiles are all faults of all files of a command.
+// faultyFiles is the error with all faults of all files of a command.
 type faultyFiles []fileProblems
 
 func (f faultyFiles) Error() string {
-	lines := []string{"the files have faults, nothing was changed"}
+	lines := []string{"the files have faults, nothing was changed: correct what is listed"}
 	for _, file := range f {
 		lines = append(lines, file.String())
 	}
@@ -44,8 +44,9 @@
 
 func (f faultyFiles) Is(target error) bool { return target == errUsage }
 
-// readFiles reads the objects of all files: JSON with comments, each one object
-// or a list of objects. Every fault of every file is reported at once.
+// readFiles reads the objects of all files. A file is JSON with comments and
+// holds one object or a list of objects. All faults of all files are reported
+// together.
 func readFiles[T checked](files []string) ([]T, error) {
 	if len(files) == 0 {
 		return nil, usagef("name at least one file")
@@ -80,7 +81,7 @@
 	return parse[T](text)
 }
 
-// unwrapPath leaves out the path, which the report names already.
+// unwrapPath removes the path from an error, since the report names the file.
 func unwrapPath(err error) error {
 	if pathErr, ok := err.(*fs.PathError); ok {
 		return pathErr.Err
@@ -88,7 +89,7 @@
 	return err
 }
 
-// parse reads one object or a list of objects.
+// parse decodes and checks one object or a list of objects.
 func parse[T checked](text []byte) ([]T, []profile.Problem) {
 	document, syntax := jsonc.Parse(text)
 	if document == nil {
@@ -104,8 +105,8 @@
 	return objects, problems
 }
 
-// parseObject decodes and checks one object. What the check says of a field that
-// could not be decoded is left out.
+// parseObject decodes and checks one object. Faults that the check finds in a
+// field that could not be decoded are left out.
 func parseObject[T checked](document *jsonc.Document) (T, []profile.Problem) {
 	var object T
 	found := document.Decode(&object).Problems
@@ -119,7 +120,7 @@
 	return object, problems
 }
 
-// problemsOf writes problems of decoding like those of checking.
+// problemsOf converts problems of decoding to those of checking.
 func problemsOf(found []jsonc.Problem) []profile.Problem {
 	problems := make([]profile.Problem, 0, len(found))
 	for _, p := range found {
--- a/ctl/inforce.go
+++ b/ctl/inforce.go
@@ -11,14 +11,15 @@
 	"github.com/burdockward/burdockward/adminapi"
 )
 
-// inForcePause is the time between two looks at the VMs.
+// inForcePollInterval is the time between two polls of the VMs.
 const inForcePause = 500 * time.Millisecond
 
-// InForce says which version each VM has in force.
+// InForce is the version that each VM has in force.
 type InForce struct {
-	// Version is the version that is asked for.
+	// Version is the version that the VMs are compared with.
 	Version uint64 `json:"version"`
-	// Everywhere says that every reachable VM holds at least Version.
+	// Everywhere says that at least one VM answered and that all that answered
+	// hold at least Version.
 	Everywhere bool `json:"everywhere"`
 	// VMs are the reachable ones.
 	VMs []VMVersion `json:"vms"`
@@ -26,13 +27,14 @@
 	Unreachable []UnreachableVM `json:"unreachable"`
 }
 
-// VMVersion is the version at one VM.
+// VMVersion is the version that one VM has in force.
 type VMVersion struct {
 	VM      string `json:"vm"`
 	Domain  string `json:"domain"`
 	Version uint64 `json:"version"`
 	InForce bool   `json:"in_force"`
-	// StoreReadAgeMS is the time since the VM last read the store, -1 for never.
+	// StoreReadAgeMS is the time since the VM last read the store, in
+	// milliseconds; -1 is never.
 	StoreReadAgeMS int64 `json:"store_read_age_ms"`
 	// Invalid names the rows that the VM couldn't read.
 	Invalid []string `json:"invalid,omitempty"`
@@ -56,8 +58,8 @@
 		Name:  "in-force",
 		Usage: "show which version of the configuration each VM has in force",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` to look for; without it the newest one of the store"},
-			&cli.DurationFlag{Name: flagWait, Usage: "wait up to this `TIME` until every reachable VM has it in force"},
+			&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` to look for; without it, the newest one in the store"},
+			&cli.DurationFlag{Name: flagWait, Usage: "wait up to this `TIME`, such as 30s, until every reachable VM has it in force; without it, ask once"},
 		},
 		Action: a.action(a.inForce),
 	}
@@ -65,7 +67,7 @@
 
 func (a *App) inForce(ctx context.Context, c *cli.Command) error {
 	if c.Args().Present() {
-		return usagef("%s takes no arguments", c.FullName())
+		return usagef("%s takes no arguments: remove them", c.FullName())
 	}
 	version := c.Uint64(flagVersion)
 	if !c.IsSet(flagVersion) {
@@ -85,9 +87,9 @@
 	return waitErr
 }
 
-// waitInForce looks at the VMs until the version is in force at every reachable
-// one or the time of --wait is over; at least once. VMs come and go, so that the
-// list is read each time.
+// waitInForce polls the VMs, at least once, until the version is in force at
+// every reachable one or the time of --wait is over. The list of VMs is read
+// for each poll, since VMs are added and removed meanwhile.
 func (a *App) waitInForce(ctx context.Context, c *cli.Command, version uint64) (InForce, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration(flagTimeout)+c.Duration(flagWait))
 	defer cancel()
@@ -130,7 +132,7 @@
 			StoreReadAgeMS: held.StoreReadAgeMS, Invalid: held.Invalid,
 		})
 	}
-	// Without any VM that answers nothing is known to be in force.
+	// When no VM answers, it is not known whether the version is in force.
 	state.Everywhere = behind == 0 && len(state.VMs) > 0
 	return state
 }
@@ -157,7 +159,7 @@
 	return n
 }
 
-// age writes a time ago in milliseconds; negative is never.
+// ageText formats an age in milliseconds; a negative one is "never".
 func age(ms int64) string {
 	if ms < 0 {
 		return "never"
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -14,7 +14,8 @@
 	"github.com/burdockward/burdockward/jsonc"
 )
 
-// print writes a result as JSON, or as text by the given function.
+// print writes a result to standard output: as JSON with -o json, else with the
+// function text.
 func (a *App) print(c *cli.Command, result any, text func(io.Writer)) error {
 	if c.String(flagOutput) == outputJSON {
 		return writeJSON(a.Stdout, result)
@@ -29,7 +30,7 @@
 	return encoder.Encode(v)
 }
 
-// table writes aligned columns.
+// writeTable writes a header and rows as aligned columns.
 func table(w io.Writer, header string, rows func(row func(columns ...any))) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, header)
@@ -49,7 +50,7 @@
 type Difference struct {
 	// Path is the JSON key, such as "shares.hall-a".
 	Path string `json:"path"`
-	// Old and New are JSON; empty when the field is absent.
+	// Old and New are JSON values; empty when the field is absent.
 	Old string `json:"old"`
 	New string `json:"new"`
 }
--- a/ctl/profile.go
+++ b/ctl/profile.go
@@ -26,7 +26,7 @@
 			{Name: "apply", ArgsUsage: "FILE...", Usage: "create or change profiles, all or none", Flags: changeFlags(), Action: a.action(a.apply(profileEdits))},
 			{Name: "delete", ArgsUsage: "NAME", Usage: "delete a profile", Flags: changeFlags(), Action: a.action(a.delete)},
 			{Name: "history", ArgsUsage: "NAME", Usage: "list the kept revisions of a profile", Action: a.action(a.history)},
-			{Name: "rollback", ArgsUsage: "NAME", Usage: "apply a former revision as a new one", Flags: rollbackFlags(), Action: a.action(a.rollback)},
+			{Name: "rollback", ArgsUsage: "NAME", Usage: "apply a previous revision as a new one", Flags: rollbackFlags(), Action: a.action(a.rollback)},
 		},
 	}
 }
@@ -47,17 +47,17 @@
 
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagNote, Usage: "`TEXT` to keep with the change"},
-		&cli.Uint64Flag{Name: flagSeen, Usage: "refuse unless the object is still at this `VERSION` (one object only; 0: it must be new)"},
-		&cli.DurationFlag{Name: flagWait, Usage: "wait up to this `TIME` until the change is in force at every reachable VM"},
+		&cli.StringFlag{Name: flagNote, Usage: "`TEXT` that the history keeps with the change; without it, none"},
+		&cli.Uint64Flag{Name: flagSeen, Usage: "refuse unless the object is still at this `VERSION` (one object only; 0: it must never have existed); without it, the version just read"},
+		&cli.DurationFlag{Name: flagWait, Usage: "wait up to this `TIME`, such as 30s, until the change is in force at every reachable VM; without it, don't wait"},
 	}
 }
 
 func rollbackFlags() []cli.Flag {
-	return append(changeFlags(), &cli.Uint64Flag{Name: flagRevision, Usage: "`REVISION` to apply; without it the one before the present"})
+	return append(changeFlags(), &cli.Uint64Flag{Name: flagRevision, Usage: "`REVISION` to apply; without it, the newest one before the present that is not a deletion"})
 }
 
-// readEdits makes edits of files.
+// readEdits reads files and returns an edit for each of their objects.
 type readEdits func(files []string) ([]configuration.Edit, error)
 
 func profileEdits(files []string) ([]configuration.Edit, error) {
@@ -78,7 +78,7 @@
 	return edits, err
 }
 
-// Object is a profile or team in the output.
+// Object is a profile or team as commands print it.
 type Object struct {
 	Kind     configuration.Kind `json:"kind"`
 	Name     string             `json:"name"`
@@ -102,7 +102,7 @@
 	}
 }
 
-// body is the profile or team itself, nil when it is deleted.
+// body returns the profile or team of a record, nil when it is deleted.
 func body(r configuration.Record) any {
 	switch {
 	case r.Profile != nil:
@@ -123,7 +123,7 @@
 func (a *App) list(kind configuration.Kind) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		if c.Args().Present() {
-			return usagef("%s takes no arguments", c.FullName())
+			return usagef("%s takes no arguments: remove them", c.FullName())
 		}
 		current, err := a.read(ctx, c)
 		if err != nil {
@@ -170,7 +170,8 @@
 	return current, err
 }
 
-// readToEdit reads the configuration and gives the editor that can change it.
+// readToEdit reads the configuration and returns it with the editor that can
+// change it.
 func (a *App) readToEdit(ctx context.Context, c *cli.Command) (*configuration.Editor, *configuration.Current, error) {
 	e, err := a.editor(c)
 	if err != nil {
@@ -202,7 +203,7 @@
 	}
 }
 
-// printObject writes a file that apply reads again.
+// printObject writes an object in the form of a file that apply accepts.
 func printObject(w io.Writer, o Object, r configuration.Record) {
 	fmt.Fprintf(w, "// %s %s, version %d, revision %d, by %q at %s\n", o.Kind, o.Name, o.Version, o.Revision, o.Operator, o.Time)
 	_ = writeJSON(w, body(r))
@@ -238,7 +239,7 @@
 	}
 }
 
-// diffEdit compares an object with what an edit makes of it.
+// diffEdit compares an object (old) with the result of an edit (new).
 func diffEdit(o configuration.Object, e configuration.Edit) ObjectDiff {
 	wanted := configuration.Record{Profile: e.Profile, Team: e.Team}
 	return ObjectDiff{Kind: e.Kind, Name: e.Name, Version: o.Version, Differences: differences(body(o.Record), body(wanted))}
@@ -276,7 +277,7 @@
 	return a.print(c, objects, func(w io.Writer) { printHistory(w, list) })
 }
 
-// printHistory shows each revision with what it changed.
+// printHistory writes each revision with its differences from the one before.
 func printHistory(w io.Writer, list []configuration.Revision) {
 	for i, r := range list {
 		state := ""
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -23,14 +23,14 @@
 func (a *App) statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "status",
-		Usage:  "show entry VMs with their views, targets, leases and quarantine",
+		Usage:  "show the entry VMs with their views, targets, leases and quarantined targets",
 		Action: a.action(a.status),
 	}
 }
 
 func (a *App) status(ctx context.Context, c *cli.Command) error {
 	if c.Args().Present() {
-		return usagef("%s takes no arguments", c.FullName())
+		return usagef("%s takes no arguments: remove them", c.FullName())
 	}
 	list, err := a.vms(ctx, c, c.StringSlice(flagDomains))
 	if err != nil {
@@ -93,7 +93,7 @@
 	return sums
 }
 
-// isOut says that a target gets no work but probes.
+// getsNoTasks reports whether a target gets no tasks, except for probes.
 func isOut(h adminapi.TargetHealth) bool {
 	return h == adminapi.TargetQuarantined || h == adminapi.TargetProbing || h == adminapi.TargetUnreachable
 }
@@ -125,7 +125,7 @@
 type ExplainResult struct {
 	Key          string                 `json:"key"`
 	Explanations []adminapi.Explanation `json:"explanations"`
-	// NotKnown lists the VMs that answered and know nothing of the key.
+	// NotKnown lists the VMs that answered and have no record of the key.
 	NotKnown    []string        `json:"not_known"`
 	Unreachable []UnreachableVM `json:"unreachable"`
 }
@@ -139,8 +139,8 @@
 	}
 }
 
-// explain asks the VMs of the key's home failure domain, the only ones that run
-// or refuse it.
+// explain asks the VMs of the failure domain that the key names, since only these
+// run or refuse the submission.
 func (a *App) explain(ctx context.Context, c *cli.Command) error {
 	text, err := oneName(c, "submission key")
 	if err != nil {
@@ -162,9 +162,9 @@
 	case len(result.Explanations) > 0:
 		return nil
 	case len(result.Unreachable) > 0 || len(list) == 0:
-		return tableservice.ErrUnavailable.Errorf("no VM that answered knows of the key, but %d didn't answer", len(result.Unreachable))
+		return tableservice.ErrUnavailable.Errorf("no VM that answered knows of the key, but %d didn't answer: try again, or check --admin-port and the network", len(result.Unreachable))
 	}
-	return usagef("no entry VM of %s knows of the key: it never arrived, or its record has expired", parsed.Domain)
+	return usagef("no entry VM of %s knows of the key: it never arrived, or its record has expired; check the key", parsed.Domain)
 }
 
 func (a *App) askExplanations(ctx context.Context, text string, list []vm) ExplainResult {
