--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -47,7 +47,8 @@
 	b.run(ExitUsage, "profile", "rollback", "balance", "--to", "99")
 }
 
-// TestRollbackNeedsPresentHistory has the history lag behind the profile.
+// TestRollbackRefusesStaleHistory reads a history that lags behind the profile:
+// rollback must not pick a revision from it.
 func TestRollbackNeedsPresentHistory(t *testing.T) {
 	b := newBench(t)
 	for _, queue := range []int{100, 200, 300} {
@@ -71,8 +72,8 @@
 	must.SliceEmpty(t, runJSON[ObjectList](b, ExitOK, "profile", "list").Objects)
 }
 
-// TestConflict has another operator change the profile between the tool's read
-// and its commit.
+// TestConflictReportsWinner lets another operator change the profile between the
+// tool's read and its commit.
 func TestConflict(t *testing.T) {
 	b := newBench(t)
 	b.run(ExitOK, "profile", "apply", b.profile(100))
@@ -182,7 +183,7 @@
 	must.StrContains(t, b.run(ExitOK, "in-force", "--vms", all, "--wait", "5s"), "2 of 2 reachable VMs, 1 unreachable")
 	must.Eq(t, 1, b.waits)
 	b.run(ExitNotInForce, "in-force", "--vms", all, "--wait", "2s", "--version", "9")
-	must.Eq(t, 5, b.waits, must.Sprint("one look each half second"))
+	must.Eq(t, 5, b.waits, must.Sprint("one poll each half second"))
 	b.run(ExitNotInForce, "in-force", "--vms", gone)
 
 	b.onWait = nil
@@ -207,7 +208,8 @@
 	b.run(ExitUnavailable, "status", "--vms", closedAddress(t))
 }
 
-// TestVMListGivesAddresses takes the entry VMs of the platform's list alone.
+// TestVMListGivesAdminAddresses derives the admin addresses from the platform's VM
+// list: entry VMs only, at the admin port.
 func TestVMListGivesAddresses(t *testing.T) {
 	b := newBench(t)
 	b.platform.vms["hall-a"] = []tableservice.VM{
@@ -246,7 +248,8 @@
 	b.run(ExitUnavailable, "explain", "hall-a.e1.y", "--vms", knows+","+closedAddress(t))
 }
 
-// TestReadBackIsSaid loses the answer of the commit while the store stays up.
+// TestReadBackIsReported loses the answer of the commit; the store answers again
+// when the history is read.
 func TestReadBackIsSaid(t *testing.T) {
 	b := newBench(t)
 	b.platform.downAfter = true
--- a/ctl/events_test.go
+++ b/ctl/events_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockward/burdockward/adminapi"
 )
 
-// journal serves the events of one VM and returns its address.
+// serveEvents serves the events of one VM and returns its address.
 func (b *bench) journal(events adminapi.Events) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc(adminapi.EventsPattern, func(w http.ResponseWriter, _ *http.Request) {
--- a/ctl/fake_test.go
+++ b/ctl/fake_test.go
@@ -27,11 +27,11 @@
 	tables  map[string]map[string]tableservice.Row
 	vms     map[string][]tableservice.VM
 	down    bool
-	// lagging is a table whose newest commit reads don't show.
+	// lagging is a table of which reads leave out the newest commit.
 	lagging string
-	// downAfter takes the service down after a commit whose answer is lost.
+	// downAfter loses the answer of the next commit and takes the service down.
 	downAfter bool
-	// before runs ahead of the next commit.
+	// before runs once, before the next commit.
 	before func()
 }
 
@@ -84,7 +84,7 @@
 	return tableservice.List{Version: 1, VMs: p.vms[domain]}, nil
 }
 
-// bench is the tool with fakes around it.
+// toolTest is the tool with a fake platform and a fake clock.
 type bench struct {
 	t        *testing.T
 	app      *App
@@ -124,7 +124,7 @@
 	return ctx.Err()
 }
 
-// run runs a command line and checks its exit code.
+// run runs a command line, checks its exit code and returns its output.
 func (b *bench) run(code int, line ...string) string {
 	b.t.Helper()
 	b.out.Reset()
@@ -146,6 +146,7 @@
 	return result
 }
 
+// writeFile writes a file and returns its path.
 func (b *bench) file(text string) string {
 	b.t.Helper()
 	path := filepath.Join(b.t.TempDir(), "objects.jsonc")
@@ -159,9 +160,10 @@
 	"deadline_ms": 1000, "max_deadline_ms": 2000, "max_run_ms": 500,
 }`
 
+// writeProfile writes a file with a profile and returns its path.
 func (b *bench) profile(queue int) string { return b.file(fmt.Sprintf(profileText, queue)) }
 
-// otherOperator commits a change of the profile behind the tool's back.
+// commitAsOtherOperator commits a change of the profile by another operator.
 func (b *bench) otherOperator() {
 	e := &configuration.Editor{Tables: b.platform}
 	current, err := e.Read(context.Background())
@@ -173,7 +175,8 @@
 	must.NoError(b.t, err)
 }
 
-// daemon serves an admin port on a loopback address and lists it as an entry VM.
+// serveAdminPort serves the status and explain paths of an admin port and returns
+// its address. A nil explanation, or one of another key, is answered with 404.
 func (b *bench) daemon(domain, id string, status *adminapi.Status, explanation *adminapi.Explanation) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc(adminapi.StatusPattern, func(w http.ResponseWriter, _ *http.Request) {
@@ -202,7 +205,7 @@
 	return l.Addr().String()
 }
 
-// refusingClient reaches nobody.
+// refusingClient fails every request.
 var refusingClient = &http.Client{Transport: refusingTransport{}}
 
 type refusingTransport struct{}
