--- a/telemetry/counters.go
+++ b/telemetry/counters.go
@@ -10,7 +10,7 @@
 const (
 	// maxKinds bounds the kinds of one counter; later ones count as otherKind.
 	maxKinds = 32
-	// otherKind gathers the kinds past maxKinds.
+	// otherKind is the kind under which events of further kinds are counted.
 	otherKind = "other"
 	// kindTag is the tag of a counter's kind.
 	kindTag = "kind"
@@ -19,13 +19,13 @@
 // Counters are the metrics of one duty. Names are fixed texts in snake case.
 // All methods may be called from several goroutines at once.
 type Counters interface {
-	// Add counts n events. The kind tells the events of one name apart; it is
+	// Add counts n events. The kind distinguishes the events of one name; it is
 	// one of a small fixed set, such as a failure kind, or empty. The metric's
 	// name ends in _total.
 	Add(name, kind string, n int64)
-	// Set sets the present value of a gauge.
+	// Set sets the value of a gauge.
 	Set(name string, value float64)
-	// Observe adds a duration to a histogram of 1 ms to about half a minute.
+	// Observe adds a duration to a histogram with buckets from 1 ms to 33 s.
 	// The metric's name ends in _seconds.
 	Observe(name string, d time.Duration)
 }
@@ -33,8 +33,8 @@
 // durationBuckets doubles from 1 ms to 33 s.
 var durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// Counters returns the metrics of a duty, whose name becomes a part of theirs.
-// Call it once for each duty.
+// Counters returns the metrics of a duty. The duty's name becomes a part of their
+// names. Call it once for each duty.
 func (t *Telemetry) Counters(duty string) Counters {
 	return &scopeCounters{
 		scope:      t.scope.SubScope(duty),
@@ -47,8 +47,8 @@
 
 type counterKey struct{ name, kind string }
 
-// scopeCounters keeps the metrics that it made: tally builds a string for each
-// look-up of a tagged one.
+// scopeCounters implements Counters. It keeps the metrics that it created, since
+// tally builds a string for each look-up of a tagged one.
 type scopeCounters struct {
 	scope tally.Scope
 
@@ -77,7 +77,8 @@
 		return counter
 	}
 	if c.kinds[id.name] >= maxKinds {
-		// Not kept under its own kind, so that the map is bounded as well.
+		// The counter isn't kept under its own kind, so that the map is bounded
+		// as well.
 		id.kind = otherKind
 	}
 	counter, known := c.counters[id]
@@ -101,7 +102,7 @@
 	return c.scope.Histogram(name+"_seconds", durationBuckets)
 }
 
-// lookUp returns the metric of a name and makes it on its first use.
+// lookUp returns the metric of a name and creates it on its first use.
 func lookUp[M any](mu *sync.RWMutex, metrics map[string]M, name string, make func(string) M) M {
 	mu.RLock()
 	metric, known := metrics[name]
--- a/telemetry/journal.go
+++ b/telemetry/journal.go
@@ -11,9 +11,9 @@
 	maxJournalBytes = 512 << 10
 )
 
-// Journal keeps the newest lines of the log in memory, so that operators can ask a
-// VM without a disk what changed there. A line is one JSON object, as slog's JSON
-// handler writes it.
+// Journal keeps the newest lines of the log in memory, so that operators can read
+// the changes of state of a VM without a disk. A line is one JSON object, as
+// slog's JSON handler writes it.
 type Journal struct {
 	mu    sync.Mutex
 	lines [][]byte
@@ -37,14 +37,16 @@
 	return len(line), nil
 }
 
-// Lines returns the kept lines, oldest first, and how many older ones are gone.
+// Lines returns the kept lines, oldest first, and how many older ones were
+// dropped.
 func (j *Journal) Lines() (lines [][]byte, dropped uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([][]byte(nil), j.lines...), j.dropped
 }
 
-// handler writes the log lines of level Info and above into the journal.
+// handler returns a handler that writes log lines of level Info and above to the
+// journal.
 func (j *Journal) handler() slog.Handler {
 	return slog.NewJSONHandler(j, &slog.HandlerOptions{Level: slog.LevelInfo})
 }
--- a/telemetry/journal_test.go
+++ b/telemetry/journal_test.go
@@ -32,7 +32,8 @@
 	must.Eq(t, 6, dropped)
 }
 
-// The journal has what an operator asks for, whatever the level of the log is.
+// TestJournalHasLinesBelowTheLogLevel requires that the journal has all lines of
+// level Info and above, also those that the level of the log leaves out.
 func TestJournalHasLinesBelowTheLogLevel(t *testing.T) {
 	var out bytes.Buffer
 	s := settings.Default()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,7 +1,9 @@
 // Package telemetry sets up logs, metrics and traces from the settings.
 //
-// Logs tell changes of state, metrics count, traces have a span for each hop.
-// Tracing is off by default and then costs no allocation.
+// Logs record changes of state, metrics hold counters, gauges and durations, and
+// traces have a span for each hop. Tracing is off by default; spans then cost no
+// allocation. The newest log lines stay in memory in a Journal, and the kinds of
+// a counter are bounded.
 package telemetry
 
 import (
@@ -25,13 +27,14 @@
 )
 
 const (
-	// metricPrefix starts the name of every metric of burdockward.
+	// metricPrefix is the prefix of the name of every metric of burdockward.
 	metricPrefix = "burdockward"
-	// reportInterval is the time from a count to its appearance in a scrape.
+	// reportInterval is the time between two reports of metrics to the registry:
+	// the longest time until a scrape shows a count.
 	reportInterval = time.Second
 )
 
-// Outputs are where logs and exported spans go.
+// Outputs are the destinations of logs and of spans exported to stdout.
 type Outputs struct {
 	// Log receives the log lines.
 	Log io.Writer
@@ -51,7 +54,7 @@
 	tracer trace.Tracer
 }
 
-// New sets up telemetry. Call Close to write out what is left.
+// New sets up telemetry. Call Close to report the last counts and spans.
 func New(s *settings.Settings, out Outputs) (*Telemetry, error) {
 	provider, err := newProvider(s, out.Spans)
 	if err != nil {
@@ -61,8 +64,8 @@
 	t := &Telemetry{log: newLogger(s, out.Log, journal), journal: journal, provider: provider}
 	t.openMetrics()
 	if provider != nil {
-		// Duties make their spans through the global provider, which costs
-		// nothing while none is set.
+		// Duties create their spans through the global provider, which costs
+		// nothing while no provider is set.
 		otel.SetTracerProvider(provider)
 		otel.SetTextMapPropagator(propagation.TraceContext{})
 		t.tracer = provider.Tracer("github.com/burdockward/burdockward")
@@ -74,16 +77,16 @@
 	return t, nil
 }
 
-// Metrics is telemetry of metrics alone, for a process whose log is set up
-// elsewhere. Call Close to report the last counts.
+// Metrics returns telemetry with metrics but no traces, for a process whose log
+// is set up elsewhere. Call Close to report the last counts.
 func Metrics(log *slog.Logger) *Telemetry {
 	t := &Telemetry{log: log, journal: &Journal{}}
 	t.openMetrics()
 	return t
 }
 
-// Discard is telemetry that writes no log and makes no spans; it still counts and
-// keeps the journal. It is meant for tests and needs no Close.
+// Discard returns telemetry that writes no log output and creates no spans; it
+// still counts and keeps the journal. It is meant for tests and needs no Close.
 func Discard() *Telemetry {
 	scope := tally.NewTestScope(metricPrefix, nil)
 	journal := &Journal{}
@@ -106,7 +109,7 @@
 func (t *Telemetry) Scope() tally.Scope { return t.scope }
 
 // MetricsHandler serves the metrics in the Prometheus text format. A count
-// shows up at most one second after it was made.
+// shows up at most reportInterval after it was made.
 func (t *Telemetry) MetricsHandler() http.Handler { return t.handler }
 
 // Close reports the last counts and exports the last spans.
@@ -121,7 +124,7 @@
 	return errors.Join(scopeErr, spanErr)
 }
 
-// openMetrics starts the reports to a registry of the process's own.
+// openMetrics creates a registry and starts the reports to it.
 func (t *Telemetry) openMetrics() {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -145,8 +148,8 @@
 	t.handler = reporter.HTTPHandler()
 }
 
-// newLogger writes to w what the settings ask for, and changes of state to the
-// journal as well.
+// newLogger returns a logger that writes to w in the level and format of the
+// settings, and all lines of level Info and above to the journal.
 func newLogger(s *settings.Settings, w io.Writer, journal *Journal) *slog.Logger {
 	options := &slog.HandlerOptions{Level: logLevel(s.Log.Level)}
 	var handler slog.Handler = slog.NewJSONHandler(w, options)
@@ -160,7 +163,8 @@
 	return slog.New(slog.NewMultiHandler(handler, journal.handler()))
 }
 
-// logLevel reads a level that the settings have checked.
+// logLevel parses a level that the settings have checked; an invalid one gives
+// Info.
 func logLevel(name string) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(name)); err != nil {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// open makes telemetry whose log and spans go to the buffers.
+// open creates telemetry whose log and spans go to the returned buffers.
 func open(t *testing.T, change func(*settings.Settings)) (tel *telemetry.Telemetry, log, spans *bytes.Buffer) {
 	t.Helper()
 	s := settings.Default()
@@ -34,7 +34,8 @@
 	return tel, log, spans
 }
 
-// scrape closes the telemetry, which reports what is left, and reads it.
+// scrape closes the telemetry, which reports the last counts, and returns the
+// metrics as text.
 func scrape(t *testing.T, tel *telemetry.Telemetry) string {
 	t.Helper()
 	must.NoError(t, tel.Close(context.Background()))
@@ -89,7 +90,8 @@
 	must.StrContains(t, text, fmt.Sprintf(`refusals_total{kind="other"} %d`, 2*(kinds-32)))
 }
 
-// A name used twice with different tags would end the process by default.
+// TestMetricClashIsLogged uses a name twice with different tags, which by default
+// would end the process.
 func TestMetricClashIsLogged(t *testing.T) {
 	tel, log, _ := open(t, func(*settings.Settings) {})
 	tel.Counters("a").Add("x", "", 1)
@@ -123,7 +125,7 @@
 	tel.InjectHTTP(ctx, header)
 	must.StrContains(t, header.Get("traceparent"), client.SpanContext().TraceID().String())
 
-	// The other process knows the headers alone.
+	// The other process gets only the headers.
 	remote := tel.ExtractHTTP(context.Background(), header)
 	_, server := tel.StartSpan(remote, "server hop", trace.SpanKindServer)
 	must.Eq(t, client.SpanContext().TraceID(), server.SpanContext().TraceID())
@@ -137,7 +139,8 @@
 	must.StrContains(t, spans.String(), "vm-1")
 }
 
-// Duties take their tracer and propagator from the globals of OpenTelemetry.
+// TestNewSetsGlobalsForDuties requires that New sets the global provider and propagator
+// of OpenTelemetry, from which duties take their tracer and propagator.
 func TestGlobalsServeDuties(t *testing.T) {
 	tel, _, spans := open(t, func(s *settings.Settings) {
 		s.Trace = settings.Trace{Exporter: settings.ExporterStdout, Ratio: 1}
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -20,16 +20,16 @@
 	"github.com/burdockward/burdockward/settings"
 )
 
-// otlpPath is where a collector takes spans, below its base URL.
+// otlpPath is the path, below its base URL, where a collector receives spans.
 const otlpPath = "/v1/traces"
 
-// offSpan stands for every span when tracing is off.
+// offSpan is returned for every span when tracing is off.
 var offSpan trace.Span = noop.Span{}
 
-// w3c carries the trace in the traceparent and tracestate headers.
+// w3c propagates the trace in the traceparent and tracestate headers.
 var w3c propagation.TraceContext
 
-// StartSpan starts the span of one hop below the span of ctx. End it with
+// StartSpan starts the span of one hop as a child of the span of ctx. End it with
 // EndSpan. Set attributes only when the span is recording, so that an unrecorded
 // one costs nothing.
 func (t *Telemetry) StartSpan(ctx context.Context, name string, kind trace.SpanKind) (context.Context, trace.Span) {
@@ -62,7 +62,7 @@
 	return w3c.Extract(ctx, propagation.HeaderCarrier(header))
 }
 
-// newProvider makes the tracer provider; nil when tracing is off.
+// newProvider creates the tracer provider; nil when tracing is off.
 func newProvider(s *settings.Settings, spans io.Writer) (*sdktrace.TracerProvider, error) {
 	exporter, err := newExporter(&s.Trace, spans)
 	if err != nil {
@@ -82,6 +82,7 @@
 	), nil
 }
 
+// newExporter creates the exporter that the settings name; nil when it is none.
 func newExporter(s *settings.Trace, spans io.Writer) (sdktrace.SpanExporter, error) {
 	switch s.Exporter {
 	case settings.ExporterStdout:
