--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples_test holds the example files to what the daemon accepts.
+// Package examples_test checks that the daemon accepts the example files.
 package examples_test
 
 import (
@@ -16,7 +16,8 @@
 	"github.com/burdockward/burdockward/settings"
 )
 
-// slotsPerDomain is about a third of 50 targets with 8 slots.
+// slotsPerDomain is a third, rounded down, of the slots of 50 targets with 8 slots
+// each.
 const slotsPerDomain = 133
 
 var domains = map[string][]string{
@@ -39,7 +40,7 @@
 	}
 }
 
-// The README starts a daemon with this file.
+// TestLocalSettingsAreValid loads the file with which the README starts a daemon.
 func TestLocal(t *testing.T) {
 	s, err := settings.Load("local.jsonc")
 	must.NoError(t, err)
@@ -84,7 +85,7 @@
 	return longest
 }
 
-// read reads a file of profiles or teams.
+// read reads a file of profiles or teams; an unknown key fails the test.
 func read[T any](t *testing.T, deployment, name string) []T {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(deployment, name))
