--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Generate Go code from every .proto file, or compare it with what is committed.
+# Generate Go code from every .proto file, or compare it with the committed code.
 #
 #   scripts/generate.sh write   write the code beside the .proto files
 #   scripts/generate.sh check   fail when the committed code differs
 #
 # It needs protoc (Debian: protobuf-compiler); the plugins are built from the
-# versions in tools/go.mod. The committed code builds without any of them, so
-# that check without protoc says "not checked" and passes.
+# versions in tools/go.mod. The committed code builds without any of them, so check
+# passes without protoc and prints "not checked".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -45,7 +45,8 @@
 	exit
 fi
 
-# The header names the version of protoc, which may differ from machine to machine.
+# The header names the version of protoc, which may differ between machines, so that
+# line is not compared.
 status=0
 while read -r file; do
 	if ! diff -u -I '^//[[:space:]]*protoc ' "$file" "$out/code/$file"; then
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,28 +1,29 @@
 #!/usr/bin/env bash
-# Break the code on purpose, one line at a time, and see that tests notice.
+# Change the code one line at a time and check that the tests of its package fail.
 #
 #   scripts/mutants.sh [-j COUNT] [-m MIB] [NAME...]
 #
-# runs all mutants, or those of the given names: COUNT at a time (1 to 4, else 1),
+# runs all mutants, or those of the given names: COUNT at a time (1 to 4, default 1),
 # each in a copy of the tree.
 #
-# Each directory testdata/mutants.txt lists mutants, one a line:
+# Each file testdata/mutants.txt lists mutants, one a line:
 #
 #   name | file | line to replace | replacement | package to test
 #
-# The fields are parted by " | ", so that no field may hold that. The file is a
-# path from the root of the repository; the line is compared without its
-# indentation and is replaced wherever it stands; an empty replacement removes
+# The fields are separated by " | ", so no field may contain it. The file is a
+# path from the root of the repository. The line is compared without its
+# indentation and is replaced at every occurrence; an empty replacement removes
 # it. Lines that start with # are comments. The package's own tests have to fail;
 # a mutant that does not build, or whose line is not found, is an error in the
-# list and not a success. TREE sets another tree.
+# list and not a success. The variable TREE sets the root of another tree.
 #
-# A run of tests that takes five times as long as without the change, and a minute
-# more, is ended and counts as "caught by timeout". A process that wants more than
-# MIB of memory (64 or more, else 2048) ends itself and counts as "caught by memory
-# bound". The bound is RLIMIT_DATA, which Linux applies to private writable memory:
-# RLIMIT_AS counts address space that Go only reserves, GOMEMLIMIT ends nothing, and
-# a watcher of the resident size is too late for a quick allocator.
+# A test run is killed, and counts as "caught by timeout", after five times the time
+# that the unchanged tests take plus one minute. A process that allocates more than
+# MIB of memory (64 or more, default 2048) fails and counts as "caught by memory
+# bound". The bound is RLIMIT_DATA, which Linux applies to private writable memory.
+# The other means don't work: RLIMIT_AS counts address space that Go only reserves,
+# GOMEMLIMIT never ends a process, and a watcher of the resident size reacts too late
+# to fast allocation.
 #
 # Exit status: 0 all caught, 1 not all, 2 bad usage.
 set -euo pipefail
@@ -35,7 +36,8 @@
 	exit 2
 }
 
-# number VALUE LEAST MOST checks a number of an option.
+# number VALUE LEAST MOST prints the usage and exits unless VALUE is a number from
+# LEAST to MOST.
 number() {
 	[[ $1 =~ ^[0-9]{1,6}$ ]] && [ "$1" -ge "$2" ] && [ "$1" -le "$3" ] || usage
 }
@@ -55,20 +57,21 @@
 wanted=("$@")
 
 work=$(mktemp -d)
-# Each worker is a process group, which ends with its tests.
+# Each worker is a process group of its own, so that killing the group also ends the
+# tests that it runs.
 set -m
 trap 'for pid in $(jobs -p); do kill -- "-$pid" 2>/dev/null || true; done; rm -rf "$work"' EXIT
 mkdir "$work/verdicts" "$work/baselines"
 
-# trim VALUE removes the space around it.
+# trim VALUE prints it without the space around it.
 trim() {
 	local value=$1
 	value=${value#"${value%%[![:space:]]*}"}
 	printf '%s' "${value%"${value##*[![:space:]]}"}"
 }
 
-# test_flags PACKAGE prints the flags for a quick verdict: the first failure is
-# enough, and rapid need not look for a smaller example.
+# test_flags PACKAGE prints the flags for a fast verdict: stop at the first failure,
+# and let rapid hardly search for a smaller example.
 test_flags() {
 	echo -test.failfast
 	if go list -f '{{.TestImports}} {{.XTestImports}}' "$1" | grep -q 'pgregory\.net/rapid'; then
@@ -77,7 +80,8 @@
 }
 
 # run_tests PACKAGE SECONDS FLAG... prints passed, failed, timeout, memory or unbuilt.
-# Compiling apart tells a mutant that tests notice from one that the compiler does.
+# Compiling is a separate step, so that a mutant that doesn't compile does not count
+# as failed by the tests.
 run_tests() {
 	local package=$1 seconds=$2
 	shift 2
@@ -110,7 +114,7 @@
 		END { exit found ? 0 : 1 }' "$1"
 }
 
-# is_wanted NAME says whether the mutant was asked for.
+# is_wanted NAME succeeds when the mutant was asked for.
 is_wanted() {
 	[ ${#wanted[@]} -eq 0 ] && return 0
 	local name
@@ -120,7 +124,8 @@
 	return 1
 }
 
-# try FILE LINE REPLACEMENT PACKAGE SECONDS FLAG... prints the verdict on one mutant.
+# try FILE LINE REPLACEMENT PACKAGE SECONDS FLAG... changes the file, runs the tests,
+# restores the file and prints the verdict on the mutant.
 try() {
 	local file=$1 line=$2 replacement=$3 result
 	shift 3
@@ -145,8 +150,8 @@
 	esac
 }
 
-# measure NUMBER runs the unchanged tests of a package, and writes down how they
-# ended, the time that changed ones are given, and their flags.
+# measure NUMBER runs the unchanged tests of a package, and records their result, the
+# timeout for its mutants in seconds, and their flags.
 measure() {
 	local package=${packages[$1]} begin=$SECONDS flags result
 	flags=$(test_flags "$package" | tr '\n' ' ')
@@ -154,7 +159,7 @@
 	echo "$result $((60 + 5 * (SECONDS - begin))) $flags" >"$work/baselines/$1"
 }
 
-# judge NUMBER gives the verdict on a mutant.
+# judge NUMBER prints and records the verdict on a mutant.
 judge() {
 	local entry=${entries[$1]} rest fields=() result seconds flags verdict
 	# An empty field may be written with one space.
@@ -179,7 +184,7 @@
 }
 
 # work_through TASK COUNT calls TASK for each number below COUNT that no other
-# worker has taken.
+# worker has taken. A worker takes a number by making a directory for it.
 work_through() {
 	local i
 	cd "$own/tree"
@@ -190,7 +195,8 @@
 	done
 }
 
-# side_by_side TASK COUNT lets the workers share the tasks, each in its own copy.
+# side_by_side TASK COUNT runs the tasks in all workers, each in its own copy of the
+# tree, and waits for them.
 side_by_side() {
 	local own
 	for own in "${copies[@]}"; do
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -1,4 +1,4 @@
-// Package scripts_test runs the scripts on small trees.
+// Package scripts_test runs the scripts on small source trees.
 package scripts_test
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// run runs a script and returns its exit status and all that it printed.
+// run runs a script and returns its exit status, its standard output, and its
+// standard output and error together.
 func run(t *testing.T, env []string, name string, args ...string) (status int, stdout, all string) {
 	t.Helper()
 	script, err := filepath.Abs(name)
@@ -30,7 +31,7 @@
 	return status, out.String(), out.String() + errOut.String()
 }
 
-// writeTree writes files below a new directory.
+// writeTree writes files below a new directory and returns its path.
 func writeTree(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -66,7 +67,7 @@
 }
 `
 
-// guardTree is a tree with the given list of mutants.
+// guardTree writes a tree whose package guard has the given list of mutants.
 func guardTree(t *testing.T, entries string) string {
 	t.Helper()
 	return writeTree(t, map[string]string{
@@ -97,7 +98,8 @@
 		"no tests":         {`upper | guard/guard.go | return 10 | return 11 | ./bare`, 1, "ERROR tests of ./bare before any change: unbuilt"},
 		"failed before":    {`upper | guard/guard.go | return 10 | return 11 | ./red`, 1, "ERROR tests of ./red before any change: failed"},
 		"few fields":       {`upper | guard/guard.go | return 10 | ./guard`, 1, "ERROR 4 fields"},
-		// The memory of these two is not touched, so that it costs the machine nothing.
+		// These two never write to the memory that they allocate, so the machine
+		// does not provide it.
 		"beyond memory": {`upper | guard/guard.go | return 10 | return copy(make([]byte, 3<<30), "x") + 9 | ./guard`, 0, "caught by memory bound\nmutants: 1 caught of 1"},
 		"within memory": {`upper | guard/guard.go | return 10 | return copy(make([]byte, 1<<30), "x") + 9 | ./guard`, 1, "SURVIVED"},
 		"empty list":    {`# nothing`, 1, "mutants: 0 caught of 0"},
@@ -187,7 +189,8 @@
 	must.StrContains(t, out, "usage")
 }
 
-// Without protoc the check says that it has not checked, and writing fails.
+// TestGenerateWithoutProtoc requires that, without protoc, check passes and prints
+// that it has not checked, and write fails.
 func TestGenerateWithoutProtoc(t *testing.T) {
 	bin := t.TempDir()
 	for _, tool := range []string{"bash", "dirname"} {
