--- a/configuration/editor_test.go
+++ b/configuration/editor_test.go
@@ -172,20 +172,20 @@
 	e := testEditor(s, nil)
 	_, err := commitOn(t, e, "x", profileEdit("a", 1))
 	must.NoError(t, err)
-	orphan := profileEdit("b", 1)
-	orphan.Profile.Team = "nobody"
+	withoutTeam := profileEdit("b", 1)
+	withoutTeam.Profile.Team = "nobody"
 	for name, edits := range map[string][]Edit{
 		"no edits":                  nil,
 		"the same object twice":     {profileEdit("a", 1), profileEdit("a", 2)},
 		"deletes what is not there": {{Kind: KindProfile, Name: "z"}},
-		"unknown team":              {orphan},
+		"unknown team":              {withoutTeam},
 	} {
 		_, err := commitOn(t, e, "y", edits...)
 		must.ErrorIs(t, err, ErrInvalidChange, must.Sprint(name))
 	}
 	must.Eq(t, 1, s.version)
 	team := Edit{Kind: KindTeam, Name: "nobody", Team: &profile.Team{Name: "nobody"}}
-	_, err = commitOn(t, e, "z", team, orphan)
+	_, err = commitOn(t, e, "z", team, withoutTeam)
 	must.NoError(t, err, must.Sprint("the team comes with the same change"))
 }
 
--- a/configuration/replica_test.go
+++ b/configuration/replica_test.go
@@ -125,8 +125,8 @@
 	r := loadedReplica(second, 5)
 	now := DefaultTimes().PullTimeout
 	ahead := loadedReplica(first, 6).Digest(now)
-	for _, stranger := range []peer.Sender{{ID: "vm-1", Incarnation: 9}, {ID: "vm-9", Incarnation: 1}} {
-		_, out := r.HandlePeer(now, stranger, ahead)
+	for _, nonMember := range []peer.Sender{{ID: "vm-1", Incarnation: 9}, {ID: "vm-9", Incarnation: 1}} {
+		_, out := r.HandlePeer(now, nonMember, ahead)
 		must.SliceEmpty(t, out.Sends)
 	}
 	_, out := r.HandlePeer(0, first, []byte("garbage"))
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -140,7 +140,7 @@
 func (a *App) command() *cli.Command {
 	return &cli.Command{
 		Name:  "burdockctl",
-		Usage: "manage profiles and quotas, and look at the entry VMs",
+		Usage: "manage profiles and quotas, and show the state of the entry VMs",
 		Description: "Exit codes: 0 done; 1 wrong arguments or faulty file; 2 another operator's change won; " +
 			"3 platform unavailable, nothing was changed; 4 outcome unknown; 5 accepted but not in force everywhere yet.",
 		Writer:         a.Stdout,
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -17,7 +17,7 @@
 # a mutant that does not build, or whose line is not found, is an error in the
 # list and not a success. The variable TREE sets the root of another tree.
 #
-# A test run is killed, and counts as "caught by timeout", after five times the time
+# A test run is ended, and counts as "caught by timeout", after five times the time
 # that the unchanged tests take plus one minute. A process that allocates more than
 # MIB of memory (64 or more, default 2048) fails and counts as "caught by memory
 # bound". The bound is RLIMIT_DATA, which Linux applies to private writable memory.
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -98,8 +98,8 @@
 		"no tests":         {`upper | guard/guard.go | return 10 | return 11 | ./bare`, 1, "ERROR tests of ./bare before any change: unbuilt"},
 		"failed before":    {`upper | guard/guard.go | return 10 | return 11 | ./red`, 1, "ERROR tests of ./red before any change: failed"},
 		"few fields":       {`upper | guard/guard.go | return 10 | ./guard`, 1, "ERROR 4 fields"},
-		// These two never write to the memory that they allocate, so the machine
-		// does not provide it.
+		// These two touch almost none of the memory that they allocate, so the
+		// machine does not provide it.
 		"beyond memory": {`upper | guard/guard.go | return 10 | return copy(make([]byte, 3<<30), "x") + 9 | ./guard`, 0, "caught by memory bound\nmutants: 1 caught of 1"},
 		"within memory": {`upper | guard/guard.go | return 10 | return copy(make([]byte, 1<<30), "x") + 9 | ./guard`, 1, "SURVIVED"},
 		"empty list":    {`# nothing`, 1, "mutants: 0 caught of 0"},
