--- a/lab/load/check.go
+++ b/lab/load/check.go
@@ -9,35 +9,35 @@
 	"github.com/burdockward/burdockward/api"
 )
 
-// Finding is the type of a broken promise.
+// Finding is the kind of a violation.
 type Finding string
 
 // The findings.
 const (
 	// FindingPartial is an answer without all results.
 	FindingPartial Finding = "partial_answer"
-	// FindingForeign is an answer with the result of other work.
+	// FindingForeign is an answer with the result of another task.
 	FindingForeign Finding = "foreign_answer"
 	// FindingInvalid is a response that breaks the callers' interface.
 	FindingInvalid Finding = "invalid_response"
-	// FindingLost is a submission that got no outcome at all, or none but that
-	// nobody can decide about it now.
+	// FindingLost is a submission without a final response: its requests failed, timed out, or were
+	// answered that the outcome can't be decided now.
 	FindingLost Finding = "lost"
-	// FindingContradiction is a key with two outcomes that exclude each other.
+	// FindingContradiction is a key with two outcomes that can't both be true.
 	FindingContradiction Finding = "contradiction"
 	// FindingDoubled is a task that was started more than once.
 	FindingDoubled Finding = "doubled_start"
-	// FindingFalseNotRun is a start of a submission that was said not to run.
+	// FindingFalseNotRun is a start of a submission that a response reported as not run.
 	FindingFalseNotRun Finding = "false_not_run"
-	// FindingNotStarted is a whole answer of which a task was never started.
+	// FindingNotStarted is an answer to a submission of which a task was never started.
 	FindingNotStarted Finding = "answer_without_start"
 	// FindingUnknown is an unknown outcome that no fault explains.
 	FindingUnknown Finding = "unexplained_unknown"
-	// FindingStranger is a start of a submission that nobody made.
+	// FindingUnknownSubmission is a start of a submission that no caller made.
 	FindingStranger Finding = "start_without_submission"
 )
 
-// Violation is one broken promise.
+// Violation is one violation of the guarantees that callers have.
 type Violation struct {
 	Finding Finding `json:"finding"`
 	Key     string  `json:"key"`
@@ -54,7 +54,7 @@
 // one for each start.
 type Starts map[TaskID][]string
 
-// Outage is a time in which an entry VM did not serve.
+// Outage is an interval in which an entry VM did not serve.
 type Outage struct {
 	// Domain and VM are indexes as in Job.
 	Domain, VM int
@@ -67,13 +67,13 @@
 // Faults are the faults that can explain unknown outcomes.
 type Faults struct {
 	Outages []Outage
-	// Targets names the targets that did not answer.
+	// Targets holds the ids of the targets that did not answer.
 	Targets []string
 }
 
-// Check compares what the callers got with the targets' starts and returns the
-// broken promises, sorted by finding and key. Nil starts are not known, and only
-// the callers' side is checked; an empty map says that there were none.
+// Check compares the callers' responses with the targets' starts and returns the violations, sorted
+// by finding and key. Nil starts are unknown: then only the responses are checked. An empty map
+// means that nothing was started.
 func Check(r *Result, starts Starts, faults Faults) []Violation {
 	c := checker{result: r, faults: faults, started: startsByKey(starts), atFault: keysAt(starts, faults.Targets)}
 	known := make(map[string]bool, len(r.Submissions))
@@ -97,8 +97,8 @@
 	found   []Violation
 }
 
-// startsByKey counts the tasks of each key that were started at all; nil when
-// starts are not known.
+// startsByKey counts the tasks of each key that were started at least once. It returns nil when the
+// starts are unknown.
 func startsByKey(starts Starts) map[string]int {
 	if starts == nil {
 		return nil
@@ -129,6 +129,7 @@
 	c.found = append(c.found, Violation{Finding: f, Key: key, Detail: fmt.Sprintf(format, args...)})
 }
 
+// checkStarts finds tasks that were started more than once and starts of unknown submissions.
 func (c *checker) starts(starts Starts, known map[string]bool) {
 	for id, at := range starts {
 		if len(at) > 1 {
@@ -140,6 +141,7 @@
 	}
 }
 
+// checkSubmission finds the violations of one submission.
 func (c *checker) submission(s *Submission) {
 	for _, resp := range s.Responses {
 		if resp.Finding != "" {
@@ -154,7 +156,7 @@
 	c.unknown(s)
 }
 
-// lost looks for a submission without any final outcome.
+// checkLost finds a submission without any final response.
 func (c *checker) lost(s *Submission) {
 	for i := range s.Responses {
 		if s.Responses[i].final() {
@@ -165,8 +167,8 @@
 	c.add(FindingLost, s.Key, "%d requests, the last one %s: %s", len(s.Responses), last.Outcome, last.Detail)
 }
 
-// agreement compares the final outcomes of one key with each other. Unknown
-// goes with all of them, since it claims nothing, and Completed with an answer.
+// checkAgreement compares the final outcomes of one key with each other. Unknown is consistent with
+// every outcome, and Completed with an answer.
 func (c *checker) agreement(s *Submission) {
 	var first *Response
 	for i := range s.Responses {
@@ -182,6 +184,7 @@
 	}
 }
 
+// comparePair finds a contradiction between two final responses under one key.
 func (c *checker) pair(key string, a, b *Response) {
 	ran := func(o Outcome) bool { return o == Answered || o == Completed }
 	switch {
@@ -202,7 +205,7 @@
 	return string(r.Outcome) + " (" + string(r.Kind) + ")"
 }
 
-// againstStarts compares the outcomes of one key with the targets' starts.
+// checkAgainstStarts compares the outcomes of one key with the targets' starts.
 func (c *checker) againstStarts(s *Submission) {
 	started := c.started[s.Key]
 	for i := range s.Responses {
@@ -216,8 +219,8 @@
 	}
 }
 
-// unknown looks for unknown outcomes of submissions that were neither in flight
-// at a VM while it did not serve, nor lost a target.
+// checkUnknown finds unknown outcomes that no fault explains: the submission had no request in
+// flight at a VM during its outage, and no task at a faulty target.
 func (c *checker) unknown(s *Submission) {
 	for i := range s.Responses {
 		resp := &s.Responses[i]
@@ -228,8 +231,7 @@
 	}
 }
 
-// inFlight says whether a request for the submission was at a VM while it did
-// not serve.
+// inFlightAtOutage reports whether a request of the submission was at a VM while it did not serve.
 func (c *checker) inFlight(s *Submission) bool {
 	domain := c.result.Jobs[s.Job].Domain
 	for _, f := range c.faults.Outages {
--- a/lab/load/check_test.go
+++ b/lab/load/check_test.go
@@ -13,7 +13,7 @@
 
 func refused(o Outcome, k api.Kind) Response { return Response{Outcome: o, Kind: k} }
 
-// oneSubmission is a run with one job of two tasks under the key k.
+// oneSubmission returns the result of a run with one job of two tasks under the key k.
 func oneSubmission(responses ...Response) *Result {
 	return &Result{
 		Jobs:        []Job{{Tasks: make([]Task, 2)}},
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -23,12 +23,12 @@
 	maxResponseBytes = 16 << 20
 )
 
-// Outcome is how one request of a caller ended.
+// Outcome is how one request of a caller finished.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// Answered is a whole answer.
+	// Answered is an answer with status 200; its Finding tells whether it is whole and correct.
 	Answered Outcome = "answered"
 	// NotRun, Failed, Unknown and Completed are the run states of a failure.
 	NotRun    Outcome = Outcome(api.NotRun)
@@ -53,21 +53,20 @@
 	// Kind and RetryAfter are those of the failure.
 	Kind       api.Kind
 	RetryAfter time.Duration
-	// Runner is the VM that the response names as the one that ran or refused
-	// the submission.
+	// Runner is the id of the VM that ran or refused the submission, as the response names it.
 	Runner string
-	// Digest tells bodies of answers apart.
+	// Digest is a hash of the answer's body, to compare answers.
 	Digest uint64
-	// Unsent says that no connection could be made, so that the VM can't know the
-	// key.
+	// Unsent is set when no connection could be made, so that the VM can't know the key.
 	Unsent bool
-	// Finding and Detail say what is wrong with the response; empty is nothing.
+	// Finding is what is wrong with the response; empty is nothing. Detail describes it, or carries
+	// the message of a failure.
 	Finding Finding
 	Detail  string
 }
 
-// final says that the response is the last word on the submission. Without one
-// the caller asks again under the same key, at another VM.
+// isFinal reports whether the response decides the submission. Otherwise the caller sends the same
+// key to another VM.
 func (r *Response) final() bool {
 	undecided := r.Outcome == Unknown && r.Kind == api.KindUnavailable
 	return r.Outcome != Unreachable && r.Outcome != TimedOut && !undecided
@@ -87,14 +86,13 @@
 	http   *http.Client
 
 	mu sync.Mutex
-	// epochs are the newest tokens by VM: a key with the token of the VM that it
-	// is sent to costs the VMs no messages. A caller behind a balancer keeps one
-	// for each connection.
+	// epochs holds the newest epoch token of each VM. A key with the token of the VM to which it is
+	// sent costs the VMs no messages. A caller behind a balancer keeps one token for each
+	// connection.
 	epochs map[int]string
-	// newest is the VM of the newest token.
+	// newest is the VM whose token was received last.
 	newest int
-	// away makes keys with the token of another VM than they are sent to, as far as
-	// one is known.
+	// nonHomeKeys makes each key with the token of another VM than it is sent to, when one is known.
 	away bool
 }
 
@@ -109,7 +107,7 @@
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// learnEpoch asks the VMs for the epoch token until one answers.
+// fetchAnyEpoch requests an epoch token from one VM after another until one answers.
 func (c *client) learnEpoch(ctx context.Context) error {
 	var errs []error
 	for vm, url := range c.domain.Entries {
@@ -119,9 +117,10 @@
 		}
 		errs = append(errs, err)
 	}
-	return fmt.Errorf("no entry VM of failure domain %s tells its epoch, start one first: %w", c.domain.Name, errors.Join(errs...))
+	return fmt.Errorf("no entry VM of failure domain %s returns its epoch token: start one first: %w", c.domain.Name, errors.Join(errs...))
 }
 
+// fetchEpoch requests the epoch token of one VM and stores it.
 func (c *client) askEpoch(ctx context.Context, vm int, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/v1/epoch", nil)
 	if err != nil {
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// keepEpoch keeps the epoch token that a response carries, if any.
+// storeEpoch stores the epoch token of a response and reports whether it has one.
 func (c *client) keepEpoch(vm int, resp *http.Response) bool {
 	epoch := resp.Header.Get(api.HeaderEpoch)
 	if epoch == "" {
@@ -152,8 +151,8 @@
 	return true
 }
 
-// newKey makes a key with the newest token of the VM that it will be sent to, or
-// of any VM.
+// newKey makes a key with the newest token of the VM to which it will be sent. When that is not
+// known it takes the token that was received last.
 func (c *client) newKey(vm int, unique string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +166,7 @@
 	return c.domain.Name + "." + epoch + "." + unique
 }
 
-// otherVM is the next VM after one, of those with a known token.
+// otherVM returns the next VM after vm whose token is known, or vm when there is none.
 func (c *client) otherVM(vm int) int {
 	n := len(c.domain.Entries)
 	for i := 1; i < n; i++ {
@@ -179,8 +178,8 @@
 	return vm
 }
 
-// submit sends the body to one VM and reads the whole response. The caller
-// fills in the times.
+// submit sends the body to one VM and reads the whole response. It leaves the times of the Response
+// to its caller.
 func (c *client) submit(ctx context.Context, vm int, body []byte, nonces []string) Response {
 	url := c.domain.Entries[vm] + "/v1/submissions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -204,11 +203,13 @@
 	return out
 }
 
+// isDialError reports whether no connection could be made.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// outcomeOfError returns the outcome of a request whose response could not be read.
 func brokenOutcome(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
 		return TimedOut
@@ -216,7 +217,7 @@
 	return Unreachable
 }
 
-// readResponse judges a whole response.
+// readResponse decodes a response and checks it against the callers' interface.
 func readResponse(status int, body []byte, nonces []string) Response {
 	if status == http.StatusOK {
 		return readAnswer(body, nonces)
@@ -240,6 +241,7 @@
 	}
 }
 
+// readAnswer decodes an answer and checks its results against the nonces.
 func readAnswer(body []byte, nonces []string) Response {
 	var answer api.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
--- a/lab/load/mix.go
+++ b/lab/load/mix.go
@@ -15,8 +15,8 @@
 	longestUsual = time.Second
 	shortestLong = 2 * time.Second
 	longestLong  = 6 * time.Second
-	// runSigma spreads usual run times, guessSigma the callers' guesses of
-	// them: four guesses in ten are off by more than a factor of two.
+	// runSigma is the lognormal sigma of usual run times, and guessSigma that of the callers'
+	// estimates: four estimates in ten are off by more than a factor of two.
 	runSigma   = 0.7
 	guessSigma = 0.8
 )
@@ -28,14 +28,14 @@
 	// Weight is the share of the class among the jobs of its mix, relative to
 	// the other weights.
 	Weight float64
-	// MinTasks and MaxTasks bound the number of tasks. Its logarithm is
-	// uniform, so that small jobs are the most frequent.
+	// MinTasks and MaxTasks bound the number of tasks. The logarithm of the number is uniform, so
+	// that small jobs are the most frequent.
 	MinTasks, MaxTasks int
 	// MedianRun is the median of usual run times.
 	MedianRun time.Duration
 	// LongShare is the share of tasks that take seconds.
 	LongShare float64
-	// Idempotent work may be submitted again under a new key.
+	// Idempotent marks jobs that may be submitted again under a new key.
 	Idempotent bool
 }
 
@@ -92,6 +92,7 @@
 	return nil
 }
 
+// pickClass draws a class in proportion to the weights.
 func (m *Mix) pick(rng *rand.Rand) *Class {
 	var total float64
 	for _, c := range m.Classes {
@@ -107,12 +108,14 @@
 	return &m.Classes[len(m.Classes)-1]
 }
 
+// drawTaskCount draws the number of tasks of a job.
 func (c *Class) tasks(rng *rand.Rand) int {
 	low, high := math.Log(float64(c.MinTasks)), math.Log(float64(c.MaxTasks+1))
 	n := int(math.Exp(low + rng.Float64()*(high-low)))
 	return min(max(n, c.MinTasks), c.MaxTasks)
 }
 
+// drawTask draws the run time of a task and the caller's estimate of it.
 func (c *Class) task(rng *rand.Rand) Task {
 	run := c.run(rng).Round(time.Millisecond)
 	guess := lognormal(rng, float64(run), guessSigma)
@@ -120,6 +123,7 @@
 	return Task{Run: run, Expected: max(expected, time.Millisecond)}
 }
 
+// drawRunTime draws a run time: seconds for LongShare of the tasks, else around MedianRun.
 func (c *Class) run(rng *rand.Rand) time.Duration {
 	if rng.Float64() < c.LongShare {
 		return shortestLong + time.Duration(rng.Float64()*float64(longestLong-shortestLong))
--- a/lab/load/payload.go
+++ b/lab/load/payload.go
@@ -9,13 +9,13 @@
 	"github.com/burdockward/burdockward/lab/standin/target"
 )
 
-// taskResult is what a target stand-in is asked to answer.
+// taskResult is the result that a target stand-in is asked to return.
 type taskResult struct {
 	Nonce   string `json:"nonce"`
 	Padding string `json:"padding,omitempty"`
 }
 
-// taskPayload asks a target stand-in to run a task and to answer its nonce.
+// taskPayload makes the payload that has a target stand-in run the task and return the nonce.
 func taskPayload(job *Job, t Task, nonce string) json.RawMessage {
 	return mustMarshal(target.Payload{
 		RunMS:  float64(t.Run.Milliseconds()),
@@ -32,15 +32,16 @@
 	return data
 }
 
-// nonce tells the tasks of all submissions of all runs apart. It does not
-// contain the key, so that nothing but the payload can yield it.
+// nonce returns a value that is unique to one task of one submission of one run. It doesn't contain
+// the key, so that a result can only have it from the task's payload.
 func nonce(run string, job, resubmission, task int) string {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s/%d/%d/%d", run, job, resubmission, task)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// checkResults says what is wrong with the results of a submission, or "".
+// checkResults returns what is wrong with the results of a submission and its detail, or empty
+// strings when each task's result has its nonce.
 func checkResults(results []json.RawMessage, nonces []string) (Finding, string) {
 	if len(results) != len(nonces) {
 		return FindingPartial, fmt.Sprintf("%d results for %d tasks", len(results), len(nonces))
--- a/lab/load/profiles.go
+++ b/lab/load/profiles.go
@@ -9,8 +9,8 @@
 // Bounds of the profiles of the mixes.
 const (
 	maxRun = 8 * time.Second
-	// queuePerSlot sizes the queue of a profile in one VM, in tasks for each
-	// slot of the failure domain; the largest job always fits minQueue.
+	// queuePerSlot is the queue length of a profile in one VM, in tasks per slot of the failure
+	// domain. The queue is at least minQueue, into which the largest job always fits.
 	queuePerSlot = 2
 	minQueue     = 340
 )
@@ -25,8 +25,8 @@
 	"thapa-tiles":  3,
 }
 
-// Profiles returns the profiles of a mix for failure domains with the slots.
-// Half of the slots are guaranteed, in equal shares.
+// Profiles returns the profiles of a mix for failure domains with this number of slots. Half of the
+// slots are guaranteed, in equal shares.
 func Profiles(mix Mix, slots int, deadline time.Duration) []profile.Profile {
 	var profiles []profile.Profile
 	for _, c := range mix.Classes {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -9,7 +9,7 @@
 	"github.com/burdockward/burdockward/api"
 )
 
-// RetryMode says what a caller does after a refusal with a Retry-After.
+// RetryMode is what a caller does after a refusal with a Retry-After.
 type RetryMode string
 
 // The retry modes.
@@ -32,37 +32,38 @@
 	return "", fmt.Errorf("unknown retry mode %q: take %s, %s or %s", name, RetryNever, RetryHonour, RetryImpatient)
 }
 
-// Bounds of a caller's patience.
+// Bounds of a caller's retries.
 const (
-	// maxSends bounds the requests for one key, maxTimeouts those of them that
-	// may time out, and maxResubmissions the further keys for one job.
+	// maxSends bounds the requests under one key, maxTimeouts those of them that may time out, and
+	// maxResubmissions the further keys of one job.
 	maxSends         = 8
 	maxTimeouts      = 2
 	maxResubmissions = 3
-	// resendPause is the wait before the key is sent to another VM.
+	// resendPause is the least wait before a key is sent to another VM, and impatientPause the wait
+	// of RetryImpatient before a new key.
 	resendPause    = 20 * time.Millisecond
 	impatientPause = 10 * time.Millisecond
 )
 
 // Config describes the callers.
 type Config struct {
-	// Run tells the keys and nonces of this run from those of other runs.
+	// Run is part of all keys and nonces, and distinguishes them from those of other runs.
 	Run     string
 	Domains []Domain
 	// Deadline is the deadline of each submission, and Margin how much longer
 	// callers wait for the response.
 	Deadline, Margin time.Duration
 	Retry            RetryMode
-	// MaxInFlight bounds the jobs in flight; jobs beyond it are not sent, and
-	// counted.
+	// MaxInFlight bounds the jobs in flight. A job that is due beyond it is not sent; its JobResult
+	// has Sent false.
 	MaxInFlight int
-	// Away sends each key to another VM than its home, as callers behind a balancer
-	// that picks any VM do for the most part.
+	// NonHomeKeys sends each key to another VM than the one whose epoch token it has. Callers
+	// behind a balancer that picks any VM mostly do so.
 	Away bool
 }
 
-// Submission is one key with the responses that its requests got, in the order
-// in which they came in.
+// Submission is one key with the responses to its requests. The responses of one series of requests
+// are in the order in which they arrived; those of a duplicate come last.
 type Submission struct {
 	Key       string
 	Job       int
@@ -70,25 +71,25 @@
 	Responses []Response
 }
 
-// JobResult is what the caller of one job got in the end.
+// JobResult is the final outcome of one job for its caller.
 type JobResult struct {
 	// Response is the last response under the last key.
 	Response
 	// Time is from the intended send to the response.
 	Time time.Duration
-	// Sent is false for a job that was beyond MaxInFlight.
+	// Sent is false for a job that was due beyond MaxInFlight, or after the context had ended.
 	Sent bool
 }
 
-// Result is what all callers got.
+// Result holds the outcomes of all jobs and submissions of a run.
 type Result struct {
 	Jobs        []Job
 	JobResults  []JobResult
 	Submissions []Submission
 	// Start is the time from which all times of the result count.
 	Start time.Time
-	// MaxLag is the longest delay between an intended send and the start of
-	// sending. A long one says that the machine was too busy for the load tool.
+	// MaxLag is the longest delay between the intended and the actual time of sending. A long one
+	// shows that the machine was too busy for the load tool.
 	MaxLag time.Duration
 }
 
@@ -101,9 +102,9 @@
 	result Result
 }
 
-// Run sends the jobs, which are sorted by intended send, and returns when the
-// last caller has its response. It stops sending when ctx ends. Run is bounded
-// by the last intended send, the deadline, the margin and the callers' bounds.
+// Run sends the jobs, which are sorted by intended time of sending, and returns when the last caller
+// has its response. It stops sending when ctx ends. The last intended time, the deadline, the margin
+// and the bounds of retries limit how long it takes.
 func Run(ctx context.Context, cfg Config, jobs []Job) (*Result, error) {
 	r := &runner{cfg: cfg}
 	for _, d := range cfg.Domains {
@@ -122,8 +123,8 @@
 	return &r.result, ctx.Err()
 }
 
-// sendAll starts a caller for each job at its intended send, and never waits
-// for a caller.
+// sendAll starts a goroutine with runJob for each job at its intended time, without waiting for
+// earlier ones. It skips jobs beyond MaxInFlight.
 func (r *runner) sendAll(ctx context.Context, callers *sync.WaitGroup, runJob func(context.Context, int)) {
 	inFlight := make(chan struct{}, r.cfg.MaxInFlight)
 	timer := time.NewTimer(0)
@@ -148,9 +149,10 @@
 	}
 }
 
+// now returns the time since the start of the run.
 func (r *runner) now() time.Duration { return time.Since(r.result.Start) }
 
-// runJob is one caller.
+// runJob submits a job as its caller, under new keys after refusals, and records its result.
 func (r *runner) runJob(ctx context.Context, i int) {
 	job := &r.result.Jobs[i]
 	result := JobResult{Sent: true}
@@ -167,11 +169,11 @@
 	r.result.JobResults[i] = result
 }
 
-// comeBack says whether, and after which pause, the caller submits the job
-// again under a new key.
+// resubmitPause reports whether the caller submits the job again under a new key, and after which
+// pause.
 func (r *runner) comeBack(job *Job, resp Response) (time.Duration, bool) {
 	if resp.Outcome == NotRun && resp.Kind == api.KindKeyExpired {
-		// A new key is all that is needed.
+		// Nothing was started, and a new key has a current epoch token: no pause is needed.
 		return 0, r.now() < job.At+r.cfg.Deadline
 	}
 	if resp.Outcome != NotRun || resp.RetryAfter == 0 {
@@ -188,8 +190,9 @@
 	return pause, r.now()+pause < job.At+r.cfg.Deadline
 }
 
-// runKey submits the job under one key, at two VMs at once for the first key
-// of a duplicated job, and returns the last response of the first request.
+// runKey submits the job under one key, records the submission and returns its last response. It
+// sends the first key of a duplicated job to two VMs at once, and returns the last response of the
+// first of the two series of requests.
 func (r *runner) runKey(ctx context.Context, i, n, vm int) Response {
 	job := &r.result.Jobs[i]
 	var req request
@@ -214,8 +217,8 @@
 	return responses[last]
 }
 
-// askFirst sends a new key to one VM. While no connection can be made, nobody
-// can know the key, and the caller takes one of the next VM in its place.
+// sendFirst sends a new key to one VM and returns the request and its response. While no connection
+// can be made, no VM can know the key, so the caller replaces it by a key of the next VM.
 func (r *runner) askFirst(ctx context.Context, i, n, vm int) (request, Response) {
 	job := &r.result.Jobs[i]
 	req := r.newRequest(i, n, vm)
@@ -228,9 +231,9 @@
 	return req, first
 }
 
-// concludeNotRun draws the conclusion that only the caller can draw: a key that
-// every VM to which it was sent refused as expired has started nothing. The
-// check against the targets' starts then holds it to that.
+// concludeNotRun sets the outcome NotRun when every VM to which the key was sent refused it as
+// expired: then the key started nothing. Only the caller can conclude this, since only it knows
+// where it sent the key. Check later compares the outcome with the targets' starts.
 func concludeNotRun(responses []Response) {
 	for _, resp := range responses {
 		if !resp.Unsent && resp.Kind != api.KindKeyExpired {
@@ -244,7 +247,8 @@
 	}
 }
 
-// request is a submission as it is sent, again and again.
+// request is the body of a submission, sent unchanged with each retry, and the nonces that its
+// results must have.
 type request struct {
 	job    *Job
 	key    string
@@ -252,7 +256,7 @@
 	nonces []string
 }
 
-// newRequest makes the request of the job's nth key, a key of the VM.
+// newRequest makes the request of the job's nth key, with the VM's epoch token.
 func (r *runner) newRequest(i, n, vm int) request {
 	job := &r.result.Jobs[i]
 	req := request{
@@ -278,17 +282,17 @@
 	return req
 }
 
-// ask sends the request to one VM after the other, under the same key, until
-// one gives its last word on it. It returns at least one response.
+// send sends the request to one VM after another, under the same key, until a response is final or
+// the bounds of retries are reached. It returns at least one response.
 func (r *runner) ask(ctx context.Context, req request, vm int) []Response {
 	return r.askOn(ctx, req, r.askOnce(ctx, req, vm))
 }
 
-// askOn goes on after the first response.
+// retry continues send after the first response, and returns all responses.
 func (r *runner) askOn(ctx context.Context, req request, first Response) []Response {
 	all := []Response{first}
-	patience := first.Sent + r.cfg.Deadline + r.cfg.Margin
-	for len(all) < maxSends && r.goesOn(all, patience) {
+	retryUntil := first.Sent + r.cfg.Deadline + r.cfg.Margin
+	for len(all) < maxSends && r.goesOn(all, retryUntil) {
 		last := all[len(all)-1]
 		if !Sleep(ctx, max(last.RetryAfter, resendPause)) {
 			break
@@ -298,8 +302,9 @@
 	return all
 }
 
-// goesOn says whether the caller asks another VM after these responses.
-func (r *runner) goesOn(all []Response, patience time.Duration) bool {
+// shouldRetry reports whether the caller sends the key to another VM after these responses. Once a
+// request has timed out, maxTimeouts bounds the retries instead of retryUntil.
+func (r *runner) goesOn(all []Response, retryUntil time.Duration) bool {
 	timeouts := 0
 	for i := range all {
 		if all[i].Outcome == TimedOut {
@@ -309,9 +314,10 @@
 	if timeouts > 0 {
 		return !all[len(all)-1].final() && timeouts < maxTimeouts
 	}
-	return !all[len(all)-1].final() && r.now() <= patience
+	return !all[len(all)-1].final() && r.now() <= retryUntil
 }
 
+// sendOnce sends the request to one VM and returns the response with its times.
 func (r *runner) askOnce(ctx context.Context, req request, vm int) Response {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Deadline+r.cfg.Margin)
 	defer cancel()
@@ -321,11 +327,12 @@
 	return resp
 }
 
+// nextVM returns the index of the entry VM after vm, in the job's failure domain.
 func (r *runner) nextVM(job *Job, vm int) int {
 	return (vm + 1) % len(r.cfg.Domains[job.Domain].Entries)
 }
 
-// Sleep waits for a time, and says whether it did before ctx ended.
+// Sleep waits for d and returns true, or returns false when ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lab/load/run_test.go
+++ b/lab/load/run_test.go
@@ -25,13 +25,13 @@
 	*httptest.Server
 	mu   sync.Mutex
 	keys []string
-	// cut breaks the connection instead of answering; refuse is how many
-	// submissions are refused first; change edits the answer.
-	cut    bool
-	refuse int
-	// refusal is how submissions are refused.
+	// cut breaks the connection of each submission instead of answering it.
+	cut bool
+	// refuse is the number of first submissions that get the failure refusal.
+	refuse  int
 	refusal api.Failure
-	change  func(*api.Answer)
+	// change, when set, edits each answer.
+	change func(*api.Answer)
 }
 
 func newFakeVM(t *testing.T) *fakeVM {
@@ -160,7 +160,7 @@
 	must.Len(t, 1, result.Submissions[0].Responses)
 	must.Zero(t, result.Submissions[0].Responses[0].VM)
 
-	job.Duplicated = true // its key may be known to the other VM
+	job.Duplicated = true // the other VM may know the key, so it is not replaced
 	result = run(t, RetryNever, []Job{job}, up, down)
 	must.Eq(t, Answered, result.JobResults[0].Outcome)
 	must.True(t, result.Submissions[0].Responses[0].Unsent)
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -1,8 +1,11 @@
-// Package load sends a trace of submissions to entry VMs and checks what the
-// callers got.
+// Package load draws a trace of jobs, submits them to entry VMs and checks the responses against
+// the starts that the targets recorded.
 //
-// Load is open loop: submissions leave at the times of the trace, whatever the
-// answers do, and response times are counted from those times.
+// Trace draws the jobs from a seed and a Mix, Run submits them and returns a Result, and Check
+// returns the violations of the callers' guarantees in that result.
+//
+// The load is open loop: each job is sent at its time in the trace, however long earlier responses
+// take, and response times count from that intended time.
 package load
 
 import (
@@ -20,16 +23,16 @@
 type Task struct {
 	// Run is the true run time, a whole number of milliseconds.
 	Run time.Duration
-	// Expected is the caller's guess of it, often far off.
+	// Expected is the caller's estimate of the run time, often far off.
 	Expected time.Duration
 	// Padding makes the result larger, in bytes.
 	Padding int
 }
 
-// Job is one piece of work of a caller. It becomes one submission, or several
-// when the caller comes back after a refusal.
+// Job is one piece of work of a caller. It becomes one submission, or several when the caller
+// submits it again after a refusal.
 type Job struct {
-	// At is the intended send, counted from the start of the run.
+	// At is the intended time of sending, counted from the start of the run.
 	At time.Duration
 	// Profile names the profile that the service picked.
 	Profile string
@@ -62,12 +65,11 @@
 	Domain, VMs int
 	// Slots is the number of slots of the failure domain's targets.
 	Slots int
-	// Load is the fraction of the slots that the trace keeps busy; above 1 is
-	// overload.
+	// Load is the fraction of the slots that the trace keeps busy. A value above 1 is overload.
 	Load float64
 	// Length is the time over which jobs arrive.
 	Length time.Duration
-	// Uneven sends UnevenShare of the jobs to the first VM.
+	// Uneven sends UnevenShare of the jobs to the first VM, and the others to the rest.
 	Uneven bool
 	// Duplicates is the fraction of jobs that are sent to two VMs at once.
 	Duplicates float64
@@ -78,12 +80,11 @@
 // UnevenShare is the share of the first VM in an uneven trace.
 const UnevenShare = 0.7
 
-// Trace draws the jobs of one failure domain, sorted by intended send.
+// Trace draws the jobs of one failure domain, sorted by intended time of sending.
 //
-// Jobs are drawn until their work fills Load of the slots over Length. Their
-// arrivals are independent and uniform over Length, which is a Poisson process
-// given its count. So the load of a short trace is the wanted one, without the
-// spread that a fixed arrival rate would give it.
+// It draws jobs until their run times fill the fraction Load of the slots over Length. Arrivals are
+// independent and uniform over Length: a Poisson process conditioned on its count. So even a short
+// trace has the load asked for, without the variance that a fixed arrival rate would add.
 func Trace(p TraceParams) ([]Job, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -110,6 +111,7 @@
 	return p.Mix.check()
 }
 
+// drawJob draws one job: its class, arrival time, entry VM and tasks.
 func (p *TraceParams) draw(rng *rand.Rand) Job {
 	class := p.Mix.pick(rng)
 	job := Job{
@@ -127,6 +129,7 @@
 	return job
 }
 
+// pickVM draws the entry VM to which a job is sent first.
 func (p *TraceParams) pickVM(rng *rand.Rand) int {
 	if !p.Uneven || p.VMs == 1 {
 		return rng.IntN(p.VMs)
@@ -137,8 +140,8 @@
 	return 1 + rng.IntN(p.VMs-1)
 }
 
-// Traces draws the traces of several failure domains, each with the slots and
-// VMs of p, and joins them.
+// Traces draws a trace for each of several failure domains, each with the slots and VMs of p, and
+// merges them by intended time of sending.
 func Traces(p TraceParams, domains int) ([]Job, error) {
 	var all []Job
 	for p.Domain = range domains {
@@ -152,9 +155,8 @@
 	return all, nil
 }
 
-// Ideal returns the response time that each job would have with one FIFO queue
-// over the slots of its failure domain. Jobs for which skip is true are left
-// out and get 0.
+// Ideal returns the response time that each job would have with a single FIFO queue over the slots
+// of its failure domain. Jobs for which skip returns true are left out and get 0.
 func Ideal(jobs []Job, slots int, skip func(i int) bool) []time.Duration {
 	times := make([]time.Duration, len(jobs))
 	for _, indexes := range byDomain(jobs, skip) {
@@ -169,6 +171,7 @@
 	return times
 }
 
+// byDomain returns the indexes of the jobs that are not skipped, by failure domain.
 func byDomain(jobs []Job, skip func(i int) bool) map[int][]int {
 	indexes := make(map[int][]int)
 	for i := range jobs {
@@ -179,6 +182,7 @@
 	return indexes
 }
 
+// runTimes returns the run times of the job's tasks.
 func runs(j *Job) []time.Duration {
 	out := make([]time.Duration, len(j.Tasks))
 	for i, t := range j.Tasks {
@@ -187,8 +191,8 @@
 	return out
 }
 
-// lognormal draws from a lognormal distribution with the median and the
-// standard deviation of the logarithm.
+// lognormal draws from the lognormal distribution with this median; sigma is the standard deviation
+// of the logarithm.
 func lognormal(rng *rand.Rand, median, sigma float64) float64 {
 	return median * math.Exp(sigma*rng.NormFloat64())
 }
