--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -102,9 +102,9 @@
 	result Result
 }
 
-// Run sends the jobs, which are sorted by intended time of sending, and returns when the last caller
-// has its response. It stops sending when ctx ends. The last intended time, the deadline, the margin
-// and the bounds of retries limit how long it takes.
+// Run sends the jobs, which are sorted by intended time of sending, and returns when the last
+// caller has its response. It stops sending when ctx ends. The last intended time, the deadline,
+// the margin and the bounds of retries limit how long it takes.
 func Run(ctx context.Context, cfg Config, jobs []Job) (*Result, error) {
 	r := &runner{cfg: cfg}
 	for _, d := range cfg.Domains {
--- a/lab/standin/platform/command.go
+++ b/lab/standin/platform/command.go
@@ -11,21 +11,22 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Limits of the command when no flag sets them, in calls a second.
 const (
+	// Limits when no flag sets them, in calls a second.
 	defaultReadsPerSecond  = 2000
 	defaultWritesPerSecond = 400
-	defaultCommitTime      = 5 * time.Millisecond
-	readHeaderTimeout      = 10 * time.Second
+	// defaultCommitTime is how long a commit takes when no flag sets it.
+	defaultCommitTime = 5 * time.Millisecond
+	readHeaderTimeout = 10 * time.Second
 )
 
-// ready is the line that the command prints when it serves.
+// ready is the JSON line that the command prints once it serves.
 type ready struct {
 	// URL is the base of all calls.
 	URL string `json:"url"`
 }
 
-// Command runs the stand-in as a process.
+// Command returns the command that serves the stand-in until its context ends.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
--- a/lab/standin/platform/server.go
+++ b/lab/standin/platform/server.go
@@ -1,8 +1,11 @@
-// Package platform is a stand-in of the platform for tests: the table service and
-// the VM list in memory, with faults that are switched on request.
+// Package platform is a stand-in for the platform in tests. It serves the table service and the VM
+// list from memory, and injects faults on request.
 //
-// Beside the interface of docs/PLATFORM.md it answers PUT and DELETE
-// /v1/vms/{id} (change the VM list), POST /fault (switch faults) and GET /stats.
+// Beside the interface of docs/PLATFORM.md it serves PUT and DELETE /v1/vms/{id} (change the VM
+// list), POST /fault (set the faults) and GET /stats (the counters).
+//
+// A commit applies all its writes or none. Limits and faults apply before a call has an effect,
+// except LoseAnswers, which drops the answer of a commit after it was applied.
 package platform
 
 import (
@@ -24,8 +27,8 @@
 type Options struct {
 	// ReadsPerSecond and WritesPerSecond limit reads and commits; 0 is no limit.
 	ReadsPerSecond, WritesPerSecond float64
-	// DelayReads delays reads beyond the limit instead of refusing them with 429.
-	// Commits beyond theirs are always delayed.
+	// DelayReads delays reads beyond the limit instead of refusing them with 429. Commits beyond
+	// their limit are always delayed.
 	DelayReads bool
 	// CommitTime is how long each commit takes.
 	CommitTime time.Duration
@@ -39,12 +42,13 @@
 	ListReads uint64 `json:"list_reads"`
 	// Writes counts applied row writes by table.
 	Writes map[string]uint64 `json:"writes"`
-	// Commits, Conflicts, Refused and LostAnswers count calls.
+	// Commits counts applied commits, Conflicts those whose expectations did not hold, Refused the
+	// refused calls, and LostAnswers the commits whose answers were dropped.
 	Commits     uint64 `json:"commits"`
 	Conflicts   uint64 `json:"conflicts"`
 	Refused     uint64 `json:"refused"`
 	LostAnswers uint64 `json:"lost_answers"`
-	// Version is the newest commit.
+	// Version is the number of the newest commit.
 	Version uint64 `json:"version"`
 }
 
@@ -60,11 +64,11 @@
 	reads  *bucket
 	writes *bucket
 	stats  Stats
-	// staleTurn alternates stale and fresh reads.
+	// staleTurn is whether the next read is stale, when stale and fresh reads alternate.
 	staleTurn bool
 }
 
-// New makes a stand-in without rows and VMs.
+// New returns a stand-in without rows and VMs.
 func New(options Options) *Server {
 	now := time.Now()
 	s := &Server{
@@ -103,7 +107,7 @@
 	s.list.put(time.Now(), vm)
 }
 
-// DeleteVM takes a VM off the list.
+// DeleteVM removes a VM from the list.
 func (s *Server) DeleteVM(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +186,8 @@
 	return s.store.changes(table, since, s.readVersion())
 }
 
-// readVersion is the commit whose state the next read shows.
+// readVersion returns the commit whose state the next read shows; it alternates when
+// StaleAlternate is set. It needs mu.
 func (s *Server) readVersion() uint64 {
 	if s.faults.StaleCommits == 0 {
 		return s.store.version
@@ -241,6 +246,8 @@
 	}
 }
 
+// commit applies a commit and counts it. It returns the version or the expectation that did not
+// hold, and whether the answer is to be dropped.
 func (s *Server) commit(commit client.Commit) (version uint64, conflict *client.Expectation, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,15 +267,16 @@
 	return version, nil, lost
 }
 
-// verdict is what becomes of a call before it has an effect.
+// verdict is what the limits decide about a call: how long it waits, and the status and reason of a
+// refusal; status 0 is none.
 type verdict struct {
 	wait   time.Duration
 	status int
 	reason string
 }
 
-// admit applies faults and limits and reports whether the call goes on. It does
-// not stop for a caller that has gone.
+// admit applies limits and faults to a call and reports whether the call proceeds. It refuses other
+// calls itself. Its delays last in full even when the caller has disconnected.
 func (s *Server) admit(w http.ResponseWriter, decide func(now time.Time) verdict) bool {
 	s.mu.Lock()
 	v := decide(time.Now())
@@ -290,6 +298,7 @@
 	return true
 }
 
+// admitRead applies the limit of reads; it needs mu.
 func (s *Server) admitRead(now time.Time) verdict {
 	wait := s.reads.take(now)
 	if wait == 0 || s.options.DelayReads {
@@ -299,6 +308,7 @@
 	return verdict{status: http.StatusTooManyRequests, reason: "too many reads"}
 }
 
+// admitWrite applies the limit of commits and their duration; it needs mu.
 func (s *Server) admitWrite(now time.Time) verdict {
 	return verdict{wait: s.writes.take(now) + s.options.CommitTime}
 }
@@ -322,6 +332,7 @@
 	Conflict client.Expectation `json:"conflict"`
 }
 
+// readJSON decodes the body of a request, or answers 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
--- a/lab/standin/platform/server_test.go
+++ b/lab/standin/platform/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// serve runs the stand-in on loopback and returns it with a client.
+// serve serves a stand-in on loopback and returns it with a client.
 func serve(t *testing.T, options Options) (*Server, *client.Client) {
 	s := New(options)
 	server := httptest.NewServer(s)
@@ -24,7 +24,7 @@
 	return s, c
 }
 
-// write commits one row under the expectation of a version.
+// write returns a commit that writes one row of table t if the row has the expected version.
 func write(key string, expect uint64, value string) client.Commit {
 	return client.Commit{
 		Expect: []client.Expectation{{Table: "t", Key: key, Version: expect}},
@@ -134,7 +134,7 @@
 	must.Eq(t, client.List{Version: 3}, list)
 }
 
-// get runs one request through the handler without a network.
+// serveRequest passes one request to the handler without a network.
 func get(s *Server, method, path, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	s.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
--- a/lab/standin/platform/store.go
+++ b/lab/standin/platform/store.go
@@ -7,8 +7,8 @@
 	client "github.com/burdockward/burdockward/tableservice"
 )
 
-// store keeps every write of every table, so that reads can be answered from any
-// old state. It is not safe for concurrent use.
+// store holds every write of every table, so that reads can be answered from any earlier state. It
+// is not safe for concurrent use.
 type store struct {
 	version uint64
 	tables  map[string]*table
@@ -17,7 +17,7 @@
 type table struct {
 	// log holds all writes, oldest first.
 	log []client.Row
-	// current is the newest version of each row that exists.
+	// current holds the newest version of each row that exists, by key.
 	current map[string]uint64
 }
 
@@ -32,7 +32,8 @@
 	return t
 }
 
-// changes returns the rows written after commit since, as of commit until.
+// changes returns the rows written after commit since, up to commit until: the newest write of each
+// key.
 func (s *store) changes(name string, since, until uint64) client.Changes {
 	answer := client.Changes{Version: until, Rows: []client.Row{}}
 	t := s.tables[name]
@@ -48,6 +49,7 @@
 	return answer
 }
 
+// firstAfter returns the index of the first write after a commit.
 func firstAfter(log []client.Row, version uint64) int {
 	i, _ := slices.BinarySearchFunc(log, version, func(row client.Row, v uint64) int {
 		if row.Version <= v {
@@ -72,7 +74,8 @@
 	return rows
 }
 
-// commit applies all writes, or none when an expectation does not hold.
+// commit applies all writes and returns the new version. When an expectation does not hold it
+// applies none, and returns the expectation with the row's present version.
 func (s *store) commit(c client.Commit) (uint64, *client.Expectation) {
 	for _, expected := range c.Expect {
 		present := s.table(expected.Table).current[expected.Key]
@@ -88,6 +91,7 @@
 	return s.version, nil
 }
 
+// apply writes one row; a null value deletes it.
 func (t *table) apply(version uint64, write client.Write) {
 	row := client.Row{Key: write.Key, Version: version, Value: write.Value}
 	if isNull(write.Value) {
--- a/lab/standin/platform/vms.go
+++ b/lab/standin/platform/vms.go
@@ -8,17 +8,18 @@
 	client "github.com/burdockward/burdockward/tableservice"
 )
 
-// maxHistory bounds the old states of the VM list, and with it the lag that can
-// be shown.
+// maxHistory bounds the number of stored states of the VM list, and so the longest lag that can be
+// served.
 const maxHistory = 4096
 
-// vmList keeps old states of the VM list, so that it can be served with a lag. It
-// is not safe for concurrent use.
+// vmList holds earlier states of the VM list, so that it can be served with a lag. It is not safe
+// for concurrent use.
 type vmList struct {
 	vms     map[string]client.VM
 	history []vmState
 }
 
+// vmState is the VM list as it was from a time until the next state.
 type vmState struct {
 	at      time.Time
 	version uint64
@@ -29,6 +30,7 @@
 	return &vmList{vms: map[string]client.VM{}, history: []vmState{{at: now}}}
 }
 
+// put adds or replaces a VM; a VM that is listed unchanged makes no new version.
 func (l *vmList) put(now time.Time, vm client.VM) {
 	if l.vms[vm.ID] == vm {
 		return
@@ -45,6 +47,7 @@
 	l.record(now)
 }
 
+// record appends the present VMs as a new version.
 func (l *vmList) record(now time.Time) {
 	vms := slices.Collect(maps.Values(l.vms))
 	sortVMs(vms)
@@ -55,7 +58,7 @@
 	}
 }
 
-// asOf returns the VMs of a failure domain (all when empty) as listed at a time.
+// asOf returns the VMs of a failure domain as listed at a time. An empty domain selects all VMs.
 func (l *vmList) asOf(at time.Time, domain string) client.List {
 	state := l.history[0]
 	for _, s := range l.history {
--- a/lab/standin/target/command.go
+++ b/lab/standin/target/command.go
@@ -14,7 +14,7 @@
 	defaultRackSize = 8
 )
 
-// Command runs targets as a process.
+// Command returns the command that serves a group of targets until its context ends.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "target",
--- a/lab/standin/target/faults.go
+++ b/lab/standin/target/faults.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Faults are the faults of a Server. The zero value has none.
+// Faults holds the faults that a Server injects. The zero value has none.
 type Faults struct {
-	// Frozen lets the target take connections and do nothing, as a paused process
-	// does: requests wait, tasks end unseen, leases go on lapsing.
+	// Frozen makes the target accept connections and do nothing else, like a paused process:
+	// requests wait, ends of tasks are not reported, and leases continue to lapse.
 	Frozen bool `json:"frozen,omitempty"`
-	// PauseMS freezes the target for so many milliseconds.
+	// PauseMS freezes the target for this many milliseconds.
 	PauseMS int64 `json:"pause_ms,omitempty"`
-	// BlackHole runs tasks and never answers their starts.
+	// BlackHole runs tasks but never answers the requests that start them.
 	BlackHole bool `json:"black_hole,omitempty"`
 	// FailAll fails each task at once.
 	FailAll bool `json:"fail_all,omitempty"`
 	// SlowFactor multiplies run times; 0 is 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// DropAfterStart runs tasks and breaks the connections of their starts at once.
+	// DropAfterStart runs tasks but breaks the connections of the requests that start them at once.
 	DropAfterStart bool `json:"drop_after_start,omitempty"`
-	// Refuse refuses all starts, not started, with this reason.
+	// Refuse refuses all starts with this reason and the outcome not_started.
 	Refuse string `json:"refuse,omitempty"`
-	// Leaving refuses starts and leases and says so in answers.
+	// Leaving refuses starts and leases with the reason leaving, and reports it in the load.
 	Leaving bool `json:"leaving,omitempty"`
-	// LeavingSilent is leaving by the VM list alone: the target goes on taking
-	// starts, and the log counts them as starts after leaving.
+	// LeavingSilent shows leaving in the VM list alone: the target still accepts starts, and the log
+	// counts them as starts after leaving.
 	LeavingSilent bool `json:"leaving_silent,omitempty"`
-	// Restart forgets all leases, stops all tasks and breaks all connections once.
+	// Restart drops all leases, stops all tasks and breaks all connections, once.
 	Restart bool `json:"restart,omitempty"`
 }
 
+// isLeaving reports whether the VM list shows the target as leaving.
 func (f Faults) leaves() bool { return f.Leaving || f.LeavingSilent }
 
-// SetFaults replaces all faults. A one-time fault (pause, restart) takes effect
-// now.
+// SetFaults replaces all faults, and calls OnLeaving when the target begins or ceases to leave. A
+// one-time fault (pause, restart) takes effect at once.
 func (s *Server) SetFaults(faults Faults) {
 	changed := s.setFaults(faults)
 	if changed && s.options.OnLeaving != nil {
@@ -60,7 +61,8 @@
 	return leavingChanged
 }
 
-// freeze needs mu; a pause of 0 lasts until the faults change.
+// freeze freezes the target for a pause, or until the faults change when pause is 0. The end of an
+// older pause does not end a newer freeze. It needs mu.
 func (s *Server) freeze(pause time.Duration) {
 	thawed := make(chan struct{})
 	s.thawed = thawed
@@ -76,7 +78,7 @@
 	})
 }
 
-// thaw needs mu.
+// thaw ends a freeze, if any; it needs mu.
 func (s *Server) thaw() {
 	if s.thawed != nil {
 		close(s.thawed)
@@ -97,7 +99,8 @@
 	}
 }
 
-// restart needs mu.
+// restart simulates a new process: it drops all leases and ends all tasks without an answer. It
+// needs mu.
 func (s *Server) restart() {
 	s.process++
 	s.stats.Restarts++
@@ -109,8 +112,8 @@
 	}
 }
 
-// pausable makes a handler wait while the target is frozen and breaks requests
-// that a restart overtook.
+// pausable makes a handler wait while the target is frozen. It breaks the connections of requests
+// that waited over a restart.
 func (s *Server) pausable(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		process := s.processNumber()
@@ -124,13 +127,14 @@
 	}
 }
 
-// wait counts the requests that wait for the end of a freeze.
+// addWaiting adds n to the count of requests that wait for the end of a freeze.
 func (s *Server) wait(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Waiting += n
 }
 
+// processNumber returns how often the target has restarted.
 func (s *Server) processNumber() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/standin/target/group.go
+++ b/lab/standin/target/group.go
@@ -22,18 +22,18 @@
 
 // GroupOptions are the settings of a Group.
 type GroupOptions struct {
-	// Count is the number of targets, each with Slots and lease time TTL.
+	// Count is the number of targets. Each has Slots slots and leases that live for TTL.
 	Count, Slots int
 	TTL          time.Duration
-	// Listen is "IP:port" of the first target; the others take the next ports, or
-	// free ones when the port is 0.
+	// Listen is "IP:port" of the first target. The others take the next ports, or free ones when the
+	// port is 0.
 	Listen string
 	// Control is "IP:port" of the group's own interface.
 	Control string
-	// Platform is the URL of the platform's stand-in; empty registers nowhere.
+	// Platform is the URL of the platform's stand-in. When it is empty, targets are not registered.
 	Platform string
-	// Domain is the failure domain. Racks of RackSize targets are named after
-	// IDPrefix, as are the targets.
+	// Domain is the failure domain. Ids of targets, and names of racks of RackSize targets, begin
+	// with IDPrefix.
 	Domain   string
 	RackSize int
 	IDPrefix string
@@ -49,22 +49,21 @@
 	listener net.Listener
 }
 
-// Group is targets in one process that share a log. Its control interface answers
-// POST /fault (all targets, or those named by ?target=ID), GET /stats (a list)
-// and GET /starts.
+// Group serves several targets in one process with one shared log. Its control interface serves
+// POST /fault (for all targets, or those named by ?target=ID), GET /stats (a list) and GET /starts.
 type Group struct {
 	options GroupOptions
 	log     *StartLog
 	// Control is the address of the control interface.
 	Control string `json:"control"`
-	// Targets are in the order of their numbers.
+	// Targets holds the targets in the order of their numbers.
 	Targets []*Member `json:"targets"`
 
 	control net.Listener
 	client  *http.Client
 }
 
-// NewGroup opens all listeners; Run serves.
+// NewGroup opens all listeners. Run serves on them.
 func NewGroup(options GroupOptions) (*Group, error) {
 	if options.Count <= 0 || options.RackSize <= 0 {
 		return nil, errors.New("count and rack size must be at least 1")
@@ -121,6 +120,8 @@
 	return m, nil
 }
 
+// nthAddress returns the address of the i-th target: listen with its port raised by i, unless the
+// port is 0.
 func nthAddress(listen string, i int) (string, error) {
 	host, portText, err := net.SplitHostPort(listen)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(port)), nil
 }
 
-// Run registers the targets, calls ready and serves until ctx ends.
+// Run serves and registers the targets, then calls ready. It returns when ctx has ended.
 func (g *Group) Run(ctx context.Context, ready func() error) error {
 	work, ctx := errgroup.WithContext(ctx)
 	serve(ctx, work, g.control, g.controlHandler())
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// register puts a target into the VM list of the platform's stand-in.
+// register writes a target to the VM list of the platform's stand-in, as live or leaving.
 func (g *Group) register(m *Member, leaving bool) error {
 	if g.options.Platform == "" {
 		return nil
--- a/lab/standin/target/revoke.go
+++ b/lab/standin/target/revoke.go
@@ -16,8 +16,8 @@
 	writeJSON(w, http.StatusOK, client.RevokeResponse{Running: s.revoke(request.Holders)})
 }
 
-// revoke drops the leases of all holders but the given ones and lists what runs
-// of the others.
+// revoke drops the leases of all holders except the given ones, and returns the running tasks that
+// were started under leases of those other holders.
 func (s *Server) revoke(holders []string) []client.RunningTask {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/standin/target/revoke_test.go
+++ b/lab/standin/target/revoke_test.go
@@ -21,7 +21,7 @@
 		must.Eq(t, client.OutcomeDone, (<-ended).Outcome)
 		must.Eq(t, client.OutcomeDone, (<-other).Outcome)
 		must.SliceEmpty(t, revokeBut(t, s, "vm/2"))
-		// The holder may come back: what it decides from now on is its own affair.
+		// A revoked holder can take a new lease.
 		must.NotEq(t, lease, takeLease(t, s, "vm/1"))
 	})
 }
--- a/lab/standin/target/server.go
+++ b/lab/standin/target/server.go
@@ -1,9 +1,11 @@
-// Package target is a stand-in of targets for tests: slots, leases and tasks that
-// sleep and answer, with faults that are switched on request.
+// Package target is a stand-in for targets in tests. A Server grants leases and runs tasks that
+// sleep and return a result, up to its slots, and injects faults on request.
 //
-// Beside the interface of docs/PLATFORM.md a Server answers POST /fault (switch
-// faults), GET /stats (its counters) and GET /starts (what its log saw; with
-// full=1 each start as a line of JSON).
+// Beside the interface of docs/PLATFORM.md a Server serves POST /fault (set the faults), GET /stats
+// (its counters) and GET /starts (the summary of its log, or with full=1 each start as a line of
+// JSON).
+//
+// A task starts only under a lease that has not lapsed, and each start is logged.
 package target
 
 import (
@@ -31,21 +33,21 @@
 type Options struct {
 	// ID is the target's VM id.
 	ID string
-	// Slots is the most tasks that run at once.
+	// Slots is the largest number of tasks that run at once.
 	Slots int
 	// TTL is the time to live of leases.
 	TTL time.Duration
-	// Log records starts; targets may share one. Nil makes one.
+	// Log records starts. Targets may share one; nil makes a new one.
 	Log *StartLog
 	// OnLeaving is called when the target begins or ceases to leave; may be nil.
 	OnLeaving func(leaving bool)
 }
 
-// Stats counts what a Server did since its start.
+// Stats holds the counters of a Server since its start.
 type Stats struct {
 	ID    string `json:"id"`
 	Slots int    `json:"slots"`
-	// Running counts running tasks, MaxRunning the most at once.
+	// Running counts the running tasks, and MaxRunning is the most that ran at once.
 	Running    int `json:"running"`
 	MaxRunning int `json:"max_running"`
 	// LeaseRequests, StartRequests, StopRequests and RevokeRequests count requests.
@@ -53,15 +55,16 @@
 	StartRequests  uint64 `json:"start_requests"`
 	StopRequests   uint64 `json:"stop_requests"`
 	RevokeRequests uint64 `json:"revoke_requests"`
-	// Starts counts tasks that were started, Refused those that were not, by reason.
+	// Starts counts the starts that were accepted, Refused those that were refused, by reason.
 	Starts  uint64            `json:"starts"`
 	Refused map[string]uint64 `json:"refused"`
-	// Stopped counts tasks stopped on request, Checkpoints those with a checkpoint.
+	// Stopped counts the tasks stopped on request, Checkpoints those of them for which the request
+	// asked for a checkpoint.
 	Stopped     uint64 `json:"stopped"`
 	Checkpoints uint64 `json:"checkpoints"`
 	Restarts    uint64 `json:"restarts"`
-	// Leases counts the leases that have not lapsed, Waiting the requests that wait
-	// for the end of a freeze.
+	// Leases counts the leases that have not lapsed, Waiting the requests that wait for the end of a
+	// freeze.
 	Leases  int `json:"leases"`
 	Waiting int `json:"waiting"`
 }
@@ -76,7 +79,7 @@
 type Server struct {
 	options Options
 	mux     *http.ServeMux
-	// nonce keeps lease ids apart from those of other processes.
+	// nonce distinguishes lease ids from those of other Servers.
 	nonce uint32
 
 	mu sync.Mutex
@@ -86,15 +89,15 @@
 	running map[*run]struct{}
 	stats   Stats
 	faults  Faults
-	// thawed is closed at the end of a freeze; nil when not frozen.
+	// thawed is closed at the end of a freeze, and nil when the target is not frozen.
 	thawed chan struct{}
-	// process counts restarts; ended is closed at the end of a process.
+	// process counts restarts, and ended is closed at the next one.
 	process      int
 	ended        chan struct{}
 	leavingSince time.Time
 }
 
-// New makes a target without leases.
+// New returns a target without leases.
 func New(options Options) *Server {
 	if options.Slots == 0 {
 		options.Slots = DefaultSlots
@@ -127,10 +130,10 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Close ends a freeze and all tasks, so that no handler stays.
+// Close ends a freeze and all tasks, so that all handlers return.
 func (s *Server) Close() { s.setFaults(Faults{Restart: true}) }
 
-// Log is the log of the target's starts.
+// Log returns the log of the target's starts.
 func (s *Server) Log() *StartLog { return s.options.Log }
 
 // Stats returns the counters.
@@ -147,7 +150,7 @@
 	return stats
 }
 
-// liveLeases needs mu.
+// liveLeases counts the leases that have not lapsed; it needs mu.
 func (s *Server) liveLeases(now time.Time) int {
 	n := 0
 	for _, l := range s.leases {
@@ -158,7 +161,7 @@
 	return n
 }
 
-// load needs mu.
+// load returns the load that answers report; it needs mu.
 func (s *Server) load() client.Load {
 	return client.Load{Running: len(s.running), Slots: s.options.Slots, Leaving: s.faults.Leaving}
 }
@@ -184,6 +187,7 @@
 	writeJSON(w, http.StatusOK, granted)
 }
 
+// grant returns a lease for the holder with a full time to live, or false when the target leaves.
 func (s *Server) grant(holder string) (client.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,8 +201,7 @@
 	return client.Lease{ID: held.id, TTLMS: s.options.TTL.Milliseconds(), Load: s.load()}, true
 }
 
-// leaseOf returns the holder's live lease or a new one and drops lapsed ones; it
-// needs mu.
+// leaseOf drops lapsed leases, and returns the holder's lease or a new one; it needs mu.
 func (s *Server) leaseOf(holder string, now time.Time) *lease {
 	var held *lease
 	for id, l := range s.leases {
@@ -236,7 +239,8 @@
 	Error string `json:"error"`
 }
 
-// readJSON reads the whole body, so that net/http notices when the caller goes.
+// readJSON decodes the body of a request, or answers 400 and returns false. It reads the whole
+// body, so that net/http notices when the caller disconnects.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
--- a/lab/standin/target/server_test.go
+++ b/lab/standin/target/server_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// reply is the answer to one call; cut is set when the connection was broken.
+// reply is the answer to one call; cut is true when the target broke the connection.
 type reply struct {
 	startBody
 	status  int
@@ -21,7 +21,7 @@
 	elapsed time.Duration
 }
 
-// call runs one request through the handler, in the caller's goroutine.
+// call passes one request to the handler, in the caller's goroutine.
 func call(t *testing.T, s *Server, path string, message any) (got reply, body []byte) {
 	t.Helper()
 	text, err := json.Marshal(message)
@@ -59,7 +59,7 @@
 	return got
 }
 
-// goStart starts a task in a goroutine and returns when it waits.
+// goStart starts a task in a goroutine and returns once that goroutine blocks.
 func goStart(t *testing.T, s *Server, lease string, task int, payload Payload) <-chan reply {
 	done := make(chan reply, 1)
 	go func() { done <- startTask(t, s, lease, task, payload, 0) }()
@@ -67,7 +67,7 @@
 	return done
 }
 
-// bubble runs a test on a target with fake time.
+// bubble runs a test on a target with fake time and a lease of vm/1.
 func bubble(t *testing.T, options Options, test func(t *testing.T, s *Server, lease string)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(options)
--- a/lab/standin/target/startlog.go
+++ b/lab/standin/target/startlog.go
@@ -17,10 +17,10 @@
 	maxListedAges       = 1000
 )
 
-// notLeaving is the leaving age of a target that does not leave.
+// notLeaving is the leaving age of a target that is not leaving.
 const notLeaving time.Duration = -1
 
-// start is one start as a target saw it.
+// start is one start as a target reports it to the log.
 type start struct {
 	id     client.TaskID
 	target string
@@ -30,7 +30,7 @@
 	age time.Duration
 }
 
-// taskStart is a start as the log keeps it, under its submission.
+// taskStart is a start as the log stores it, under its submission.
 type taskStart struct {
 	task   int
 	target string
@@ -42,28 +42,29 @@
 // concurrent use.
 type StartLog struct {
 	mu sync.Mutex
-	// submissions hold their starts in the order of arrival.
+	// submissions holds the starts of each submission in the order of arrival.
 	submissions map[string][]taskStart
-	// names keeps one copy of each target and holder.
-	names      map[string]string
-	total      int
+	// names holds one copy of each target's and holder's name, to save memory.
+	names map[string]string
+	total int
+	// running counts running tasks by label, and runningAll those with and without one.
 	running    map[string]int
 	summary    Summary
 	runningAll int
 }
 
-// Summary is what a log saw.
+// Summary sums up the starts of a log.
 type Summary struct {
 	// Total counts started tasks.
 	Total int `json:"total"`
-	// DuplicateTasks counts tasks that were started more than once; Duplicates
-	// lists the first of them.
+	// DuplicateTasks counts tasks that were started more than once. Duplicates lists the first of
+	// them by submission and task, at most maxListedDuplicates.
 	DuplicateTasks int         `json:"duplicate_tasks"`
 	Duplicates     []Duplicate `json:"duplicates"`
 	// AfterLeaving counts starts and refused starts at leaving targets.
 	AfterLeaving AfterLeaving `json:"after_leaving"`
-	// MaxRunning is the most tasks that ran at once, over all targets of the log,
-	// and MaxRunningByLabel those of each label.
+	// MaxRunning is the most tasks that ran at once over all targets of the log, and
+	// MaxRunningByLabel the most of each label.
 	MaxRunning        int            `json:"max_running"`
 	MaxRunningByLabel map[string]int `json:"max_running_by_label"`
 }
@@ -89,13 +90,13 @@
 type AfterLeaving struct {
 	Accepted int `json:"accepted"`
 	Refused  int `json:"refused"`
-	// MaxAgeMS is the longest time from the begin of leaving to a start, accepted
-	// or refused, in milliseconds, and AgesMS the first such times.
+	// MaxAgeMS is the longest time from the beginning of leaving to a start, accepted or refused, in
+	// milliseconds. AgesMS lists the first such times, at most maxListedAges.
 	MaxAgeMS int64   `json:"max_age_ms"`
 	AgesMS   []int64 `json:"ages_ms"`
 }
 
-// NewStartLog makes an empty log.
+// NewStartLog returns an empty log.
 func NewStartLog() *StartLog {
 	return &StartLog{
 		submissions: map[string][]taskStart{},
@@ -105,6 +106,7 @@
 	}
 }
 
+// addStart records an accepted start of a task with this label.
 func (l *StartLog) began(label string, s start) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,6 +129,7 @@
 	}
 }
 
+// addRefused records a refused start if the target was leaving.
 func (l *StartLog) refused(age time.Duration) {
 	if age == notLeaving {
 		return
@@ -137,6 +140,7 @@
 	l.summary.AfterLeaving.addAge(age)
 }
 
+// addEnd records that a task with this label no longer runs.
 func (l *StartLog) ended(label string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +150,7 @@
 	}
 }
 
-// name needs mu.
+// name returns the log's copy of s; it needs mu.
 func (l *StartLog) name(s string) string {
 	if kept, ok := l.names[s]; ok {
 		return kept
@@ -163,7 +167,7 @@
 	}
 }
 
-// Summary returns what the log saw so far.
+// Summary sums up the starts recorded so far.
 func (l *StartLog) Summary() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,6 +190,7 @@
 	return summary
 }
 
+// duplicatesOf returns the tasks of a submission that were started more than once.
 func duplicatesOf(submission string, starts []taskStart) []Duplicate {
 	byTask := make(map[int]int, len(starts))
 	for _, s := range starts {
@@ -238,7 +243,7 @@
 	return all
 }
 
-// ServeHTTP answers the summary, or with full=1 every start as a line of JSON.
+// ServeHTTP answers with the summary, or when full is set with every start as a line of JSON.
 func (l *StartLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("full") == "" {
 		writeJSON(w, http.StatusOK, l.Summary())
--- a/lab/standin/target/tasks.go
+++ b/lab/standin/target/tasks.go
@@ -9,19 +9,19 @@
 	client "github.com/burdockward/burdockward/targetclient"
 )
 
-// Payload is what a task of the stand-in does.
+// Payload says what a task of the stand-in does.
 type Payload struct {
 	// RunMS is how long the task sleeps, in milliseconds.
 	RunMS float64 `json:"run_ms"`
-	// Result is its answer.
+	// Result is the result of the task; empty is null.
 	Result json.RawMessage `json:"result,omitempty"`
-	// Fail makes it fail at its end.
+	// Fail makes the task fail at its end.
 	Fail bool `json:"fail,omitempty"`
-	// Label counts running tasks of a kind in the log, such as those of a profile.
+	// Label groups tasks, such as those of a profile: the log counts running tasks by label.
 	Label string `json:"label,omitempty"`
 }
 
-// Texts of failed tasks.
+// Error texts of failed tasks.
 const (
 	errorMalformed = "payload is malformed"
 	errorFailed    = "task failed as its payload asked"
@@ -33,17 +33,18 @@
 type run struct {
 	id    client.TaskID
 	label string
-	// holder is whose lease it was started under, limits what came with the start.
+	// holder is the holder of the lease under which the task was started.
 	holder string
+	// limits holds the limits that the start request named.
 	limits []string
-	// time and final are what happens when nothing stops the task.
+	// time is how long the task runs, and final how it ends, unless it is stopped before.
 	time  time.Duration
 	final ending
-	// stop receives at most one ending from outside.
+	// stop receives at most one ending, from a stop request or a restart.
 	stop chan ending
 }
 
-// ending is how a task ends. The zero value is the end of its process.
+// ending is how a task ends. The zero value means that the task's process restarted.
 type ending struct {
 	outcome client.Outcome
 	result  json.RawMessage
@@ -81,6 +82,8 @@
 	}
 }
 
+// answer waits for the end of the task and writes its outcome. It breaks the connection when the
+// process has restarted.
 func (s *Server) answer(w http.ResponseWriter, begun *run) {
 	end, load := s.await(begun)
 	if end.outcome == "" {
@@ -96,7 +99,8 @@
 	})
 }
 
-// swallow runs the task and holds the connection until its caller goes.
+// runWithoutAnswer waits for the end of the task, and holds the connection until the caller
+// disconnects or the target restarts.
 func (s *Server) swallow(begun *run, r *http.Request) {
 	s.mu.Lock()
 	ended := s.ended
@@ -109,7 +113,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// begin starts a task or says why not.
+// begin starts a task and renews its lease, or returns the refusal. It also returns the faults that
+// hold for the request.
 func (s *Server) begin(request client.StartRequest) (*run, *startBody, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +140,7 @@
 	return begun, nil, s.faults
 }
 
-// refusal needs mu; an empty reason is none.
+// refusal returns the reason to refuse a start, or "" when the task can start; it needs mu.
 func (s *Server) refusal(request client.StartRequest, now time.Time) string {
 	if s.faults.Leaving {
 		return string(client.ReasonLeaving)
@@ -153,7 +158,7 @@
 	return ""
 }
 
-// refuse needs mu.
+// refuse counts a refused start and returns the body of its answer; it needs mu.
 func (s *Server) refuse(request client.StartRequest, reason string, now time.Time) *startBody {
 	s.stats.Refused[reason]++
 	s.options.Log.refused(s.leavingAge(now))
@@ -166,8 +171,7 @@
 	}
 }
 
-// leavingAge is how long the target has been leaving, negative when it is not; it
-// needs mu.
+// leavingAge returns how long the target has been leaving, or notLeaving; it needs mu.
 func (s *Server) leavingAge(now time.Time) time.Duration {
 	if !s.faults.leaves() {
 		return notLeaving
@@ -175,6 +179,7 @@
 	return now.Sub(s.leavingSince)
 }
 
+// newRun returns the run of a start request, bounded by the request's run limit.
 func newRun(request client.StartRequest, faults Faults) *run {
 	r := &run{
 		id:     client.TaskID{Submission: request.Submission, Task: request.Task},
@@ -195,6 +200,7 @@
 	return r
 }
 
+// plan returns how long a task runs and how it ends, under the faults.
 func plan(payload Payload, faults Faults) (time.Duration, ending) {
 	if faults.FailAll {
 		return 0, failed(errorFailAll)
@@ -217,7 +223,8 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// await returns when the task has ended and the target is not frozen.
+// await waits until the task has ended and the target is not frozen, and returns the ending. It
+// returns the zero ending when the process restarted meanwhile.
 func (s *Server) await(r *run) (ending, client.Load) {
 	timer := time.NewTimer(r.time)
 	defer timer.Stop()
@@ -237,14 +244,14 @@
 	return end, s.load()
 }
 
-// end ends a task with its process; it needs mu.
+// end removes a task when its process restarts; it needs mu.
 func (s *Server) end(r *run) {
 	delete(s.running, r)
 	s.options.Log.ended(r.label)
 	r.sendStop(ending{})
 }
 
-// sendStop reports whether the task had not been stopped before.
+// sendStop stops the task with this ending. It returns false when the task was stopped before.
 func (r *run) sendStop(e ending) bool {
 	select {
 	case r.stop <- e:
@@ -271,6 +278,7 @@
 	writeJSON(w, http.StatusOK, stopAnswer{Stopped: s.stopTasks(request)})
 }
 
+// stopTasks stops the running tasks that the request names, and returns how many it stopped.
 func (s *Server) stopTasks(request stopRequest) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
