--- a/lab/cmd/lab/main.go
+++ b/lab/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab runs the parts of burdockward's test bench that are processes of
-// their own. It is not shipped.
+// Command lab runs the stand-ins, the demo and the measurements of burdockward's test bench, one
+// per subcommand. It is not shipped.
 package main
 
 import (
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo shows burdockward at work on one machine: three failure domains
-// under the load of two services, and the loss of an entry VM.
+// Package demo runs three failure domains on one machine under the load of two services, injects a
+// fault mid-way (by default the loss of an entry VM), and reports the outcomes. The command fails
+// when a submission was lost or started twice, or an answer was wrong.
 package demo
 
 import (
@@ -30,7 +31,7 @@
 	longest = 2 * time.Minute
 )
 
-// Command runs the demo.
+// Command returns the command that runs the demo.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
@@ -48,7 +49,7 @@
 	}
 }
 
-// errBroken is the end of a demo in which something was lost or doubled.
+// errViolations is the error of a demo whose report is not good.
 var errBroken = errors.New("the demo found broken promises: see the report above")
 
 func run(ctx context.Context, c *cli.Command) error {
@@ -105,6 +106,7 @@
 	}, nil
 }
 
+// write writes the report as text or JSON.
 func write(w io.Writer, rep *report.Report, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(rep)
--- a/lab/deploy/binaries.go
+++ b/lab/deploy/binaries.go
@@ -11,8 +11,9 @@
 	Daemon, Lab string
 }
 
-// FindBinaries returns this program and the daemon: at the path, or beside this
-// program when the path is empty.
+// FindBinaries returns the paths of this program and of the daemon. When daemon is empty, the
+// daemon is the file burdockward beside this program. It returns an error when there is no such
+// file.
 func FindBinaries(daemon string) (Binaries, error) {
 	lab, err := os.Executable()
 	if err != nil {
--- a/lab/deploy/deploy.go
+++ b/lab/deploy/deploy.go
@@ -1,6 +1,8 @@
-// Package deploy starts a deployment of burdockward on the loopback interface:
-// the platform's stand-in, entry VMs and targets, each as processes. It injects
-// faults into them and ends every process that it started.
+// Package deploy starts a deployment of burdockward on the loopback interface: the platform's
+// stand-in, the targets of each failure domain and each entry VM as separate processes. It injects
+// faults into them and collects their counters.
+//
+// Close ends every process that Start started and removes their files. A failed Start does so too.
 package deploy
 
 import (
@@ -39,7 +41,7 @@
 	// VMs, Targets and Slots are the entry VMs of a failure domain, the targets
 	// of a failure domain and the slots of a target.
 	VMs, Targets, Slots int
-	// Policy is the daemons' choice of targets; empty is their default.
+	// Policy names how the daemons choose targets; empty is their default.
 	Policy string
 	// Profiles are applied before the VMs start.
 	Profiles []profile.Profile
@@ -57,12 +59,12 @@
 	// vms holds the entry VMs by failure domain.
 	vms  [][]*entryVM
 	http *http.Client
-	// lost holds the last known messages of daemons that were killed.
+	// messagesOfEnded holds the last known counts of daemons that were killed or stopped.
 	lost Messages
 }
 
-// Start starts a deployment and waits until every entry VM is ready. On an
-// error nothing of it is left.
+// Start starts a deployment and waits until every entry VM is ready. On an error it ends all
+// processes and removes all files before it returns.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "burdockward-lab-")
 	if err != nil {
@@ -109,6 +111,7 @@
 	return err
 }
 
+// applyProfiles commits the profiles to the configuration in the platform's tables.
 func (d *Deployment) applyProfiles(ctx context.Context) error {
 	client, err := tableservice.New(tableservice.Options{URL: d.platformURL})
 	if err != nil {
@@ -128,7 +131,7 @@
 	return err
 }
 
-// startVMs starts the entry VMs of all failure domains at once.
+// startVMs starts the entry VMs of all failure domains, without waiting until they are ready.
 func (d *Deployment) startVMs(context.Context) error {
 	ports, err := freePorts(portsOfVM * d.options.VMs * len(d.options.Domains))
 	if err != nil {
@@ -149,6 +152,7 @@
 	return nil
 }
 
+// planVMs assigns ids and ports to the entry VMs of a failure domain. Each has all as seeds.
 func (d *Deployment) planVMs(domain string, ports []netip.AddrPort) []*entryVM {
 	var vms []*entryVM
 	var seeds []netip.AddrPort
@@ -202,7 +206,7 @@
 	}
 }
 
-// get reads a URL whole; a status other than 200 is an error.
+// get returns the body of a URL; a status other than 2xx is an error.
 func (d *Deployment) get(ctx context.Context, url string) ([]byte, error) {
 	return d.call(ctx, http.MethodGet, url, nil)
 }
@@ -240,9 +244,8 @@
 	return domains
 }
 
-// Close ends all processes and removes all files. Entry VMs stop first, since
-// they need the others to finish their work. The error names processes that
-// did not end well.
+// Close ends all processes and removes all files. Entry VMs stop first, since they need the other
+// processes to finish their work. The error names the processes that had to be killed or failed.
 func (d *Deployment) Close() error {
 	var vms, others []*process
 	for _, domain := range d.vms {
@@ -259,7 +262,7 @@
 	return errors.Join(err, os.RemoveAll(d.dir))
 }
 
-// stopAll stops processes at the same time; nil ones are skipped.
+// stopAll stops processes concurrently. It skips nil ones and those that have ended.
 func stopAll(processes []*process) error {
 	var all errgroup.Group
 	errs := make([]error, len(processes))
--- a/lab/deploy/deploy_test.go
+++ b/lab/deploy/deploy_test.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// shell starts a child process that runs a shell script, and kills it after the test.
 func shell(t *testing.T, script string) *process {
 	p, err := start("child", filepath.Join(t.TempDir(), "log"), "/bin/sh", "-c", script)
 	must.NoError(t, err)
@@ -62,15 +63,15 @@
 }
 
 func TestProcessStop(t *testing.T) {
-	polite := shell(t, `trap 'exit 0' TERM; echo 1; while :; do sleep 0.01; done`)
+	exitsOnTERM := shell(t, `trap 'exit 0' TERM; echo 1; while :; do sleep 0.01; done`)
 	var one int
-	must.NoError(t, polite.firstLine(&one))
-	must.NoError(t, polite.stop(time.Minute))
+	must.NoError(t, exitsOnTERM.firstLine(&one))
+	must.NoError(t, exitsOnTERM.stop(time.Minute))
 
-	deaf := shell(t, `trap '' TERM; echo 1; while :; do sleep 0.01; done`)
-	must.NoError(t, deaf.firstLine(&one))
-	must.ErrorContains(t, deaf.stop(50*time.Millisecond), "did not end")
-	must.False(t, deaf.running())
+	ignoresTERM := shell(t, `trap '' TERM; echo 1; while :; do sleep 0.01; done`)
+	must.NoError(t, ignoresTERM.firstLine(&one))
+	must.ErrorContains(t, ignoresTERM.stop(50*time.Millisecond), "did not end")
+	must.False(t, ignoresTERM.running())
 }
 
 func TestStartFailureLeavesNothing(t *testing.T) {
--- a/lab/deploy/metrics.go
+++ b/lab/deploy/metrics.go
@@ -8,14 +8,13 @@
 	"strings"
 )
 
-// messagesMetric is the part of a metric's name that tells the counters of sent
-// messages.
+// messagesMetric is a part of the name of each counter of sent messages.
 const messagesMetric = "messages_sent"
 
 // Messages counts the messages that daemons sent, by kind.
 type Messages map[string]float64
 
-// add adds the counts of other.
+// add adds the counts of other to those of m.
 func (m Messages) add(other Messages) {
 	for kind, n := range other {
 		m[kind] += n
@@ -46,7 +45,7 @@
 	return messages, lines.Err()
 }
 
-// label returns the value of one label of a metric.
+// label returns the value of the named label in a metric's label list, or "".
 func label(labels, name string) string {
 	for l := range strings.SplitSeq(labels, ",") {
 		key, value, _ := strings.Cut(l, "=")
--- a/lab/deploy/ports.go
+++ b/lab/deploy/ports.go
@@ -8,14 +8,14 @@
 	"net/netip"
 )
 
-// Ports are taken from below the range that kernels give to outgoing
-// connections, so that none of those takes one while its VM is restarted.
+// Ports are below the range that kernels assign to outgoing connections, so that no such connection
+// takes a VM's port while the VM restarts.
 const (
 	firstPort = 12_000
 	lastPort  = 30_000
 )
 
-// freePorts finds loopback ports that nobody listens on now.
+// freePorts returns n distinct loopback ports on which no process listens now.
 func freePorts(n int) ([]netip.AddrPort, error) {
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	var ports []netip.AddrPort
--- a/lab/deploy/process.go
+++ b/lab/deploy/process.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// stopGrace is how long a process may take to end after SIGTERM.
+	// stopGrace is how long Close waits for a process to end after SIGTERM.
 	stopGrace = 5 * time.Second
-	// firstLineTimeout bounds the wait for the line that says a process serves.
+	// firstLineTimeout bounds the wait for the line that a stand-in prints once it serves.
 	firstLineTimeout = 10 * time.Second
 	// logTail is how much of a process's log is shown in an error, in bytes.
 	logTail = 2 << 10
 )
 
-// process is a child process. Its standard error goes to a file.
+// process is a child process. Its standard error goes to the file logPath. done is closed when it
+// has ended, and err then holds its exit error.
 type process struct {
 	name    string
 	logPath string
@@ -33,8 +34,8 @@
 	err     error
 }
 
-// startOnce starts children from one thread that never ends, because the
-// kernel ends a child when the thread that started it ends.
+// childStarter returns a channel of functions that run on one thread that never ends. Children
+// are started there, because the kernel kills a child when the thread that started it ends.
 var startOnce = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
@@ -46,7 +47,8 @@
 	return calls
 })
 
-// start starts a child. It ends with this process, however that one ends.
+// start starts a child process. On Linux the kernel kills the child when this process ends, however
+// it ends.
 func start(name, logPath, path string, args ...string) (*process, error) {
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -70,8 +72,8 @@
 	return p, nil
 }
 
-// wait hands over the first line of standard output, drops the others and
-// collects the end of the process.
+// wait sends the first line of standard output to lines, discards the others, and waits for the end
+// of the process.
 func (p *process) wait(stdout io.Reader) {
 	reader := bufio.NewReader(stdout)
 	if line, err := reader.ReadBytes('\n'); err == nil {
@@ -82,7 +84,7 @@
 	close(p.done)
 }
 
-// firstLine decodes the JSON line that a stand-in prints when it serves.
+// firstLine waits for the JSON line that a stand-in prints once it serves, and decodes it.
 func (p *process) firstLine(into any) error {
 	select {
 	case line := <-p.lines:
@@ -94,7 +96,7 @@
 	}
 }
 
-// running says whether the process has not ended.
+// running reports whether the process still runs.
 func (p *process) running() bool {
 	select {
 	case <-p.done:
@@ -118,8 +120,9 @@
 	<-p.done
 }
 
-// stop asks the process to end, and kills it when it takes longer than grace.
-// It returns an error when the process had to be killed or failed.
+// stop sends SIGTERM to the process, and kills it when it takes longer than grace to end. SIGCONT
+// comes first, since a frozen process would not end. It returns an error when the process had to be
+// killed or failed.
 func (p *process) stop(grace time.Duration) error {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// failure is an error that shows the end of the process's log.
+// failure returns an error with the end of the process's log.
 func (p *process) failure(what string) error {
 	text, _ := os.ReadFile(p.logPath)
 	if len(text) > logTail {
--- a/lab/deploy/process_linux.go
+++ b/lab/deploy/process_linux.go
@@ -2,9 +2,9 @@
 
 import "syscall"
 
-// processAttributes puts a child in a process group of its own, so that an
-// interrupt of the terminal doesn't reach it before Close does, and ends it
-// with this process.
+// processAttributes puts a child in its own process group, so that an interrupt from the terminal
+// doesn't end it before Close stops it in order. It also has the kernel kill the child when this
+// process ends.
 func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/lab/deploy/process_other.go
+++ b/lab/deploy/process_other.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// processAttributes puts a child in a process group of its own, so that an
-// interrupt of the terminal doesn't reach it before Close does.
+// processAttributes puts a child in its own process group, so that an interrupt from the terminal
+// doesn't end it before Close stops it in order.
 func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true}
 }
--- a/lab/deploy/settings.go
+++ b/lab/deploy/settings.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// vmSettings holds the keys of a settings file that a lab sets; the daemon's
-// defaults hold for all others.
+// vmSettings holds the keys of a daemon's settings file that the lab sets. The daemon's defaults
+// hold for all other keys.
 type vmSettings struct {
 	VMID           string            `json:"vm_id"`
 	FailureDomain  string            `json:"failure_domain"`
@@ -41,6 +41,7 @@
 	Level string `json:"level"`
 }
 
+// write writes the settings file.
 func (s vmSettings) write(path string) error {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/lab/deploy/standins.go
+++ b/lab/deploy/standins.go
@@ -19,6 +19,7 @@
 	ids     []string
 }
 
+// startTargets starts a process with the targets of each failure domain.
 func (d *Deployment) startTargets(context.Context) error {
 	for _, domain := range d.options.Domains {
 		if err := d.startTargetGroup(domain); err != nil {
@@ -57,8 +58,7 @@
 	return nil
 }
 
-// TargetFault switches the faults of the first n targets of a failure domain
-// and returns their ids.
+// TargetFault sets the faults of the first n targets of a failure domain and returns their ids.
 func (d *Deployment) TargetFault(domain, n int, faults target.Faults) ([]string, error) {
 	group := d.targets[domain]
 	ids := group.ids[:n]
@@ -66,7 +66,7 @@
 	return ids, d.post(group.control+"/fault?"+query.Encode(), faults)
 }
 
-// PlatformFault switches the faults of the platform's stand-in.
+// PlatformFault sets the faults of the platform's stand-in.
 func (d *Deployment) PlatformFault(faults platformstandin.Faults) error {
 	return d.post(d.platformURL+"/fault", faults)
 }
@@ -80,7 +80,7 @@
 	return err
 }
 
-// Starts returns every start that the targets saw.
+// Starts returns every start that the targets logged.
 func (d *Deployment) Starts(ctx context.Context) ([]target.Start, error) {
 	var all []target.Start
 	for _, group := range d.targets {
--- a/lab/deploy/stop.go
+++ b/lab/deploy/stop.go
@@ -10,19 +10,19 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// Stopped is how the planned stop of an entry VM went.
+// Stopped is the result of a planned stop of an entry VM.
 type Stopped struct {
 	VM string
 	// Took is the time from SIGTERM to the end of the process.
 	Took time.Duration
-	// Err says that the process had to be killed or failed.
+	// Err is set when the process had to be killed or failed.
 	Err error
-	// Log is what the daemon logged from the signal on.
+	// Log is what the daemon logged after the signal.
 	Log string
 }
 
-// StopTogether asks the daemons of several entry VMs for a planned stop at the same
-// time and waits for all of them.
+// StopTogether marks several entry VMs as leaving in the VM list, then stops their daemons
+// concurrently and waits for all of them.
 func (d *Deployment) StopTogether(ids ...string) ([]Stopped, error) {
 	var vms []*entryVM
 	for _, id := range ids {
@@ -47,6 +47,7 @@
 	return stopped, all.Wait()
 }
 
+// stopTimed stops the daemon and returns how long that took and what it logged meanwhile.
 func (vm *entryVM) stopTimed() (Stopped, error) {
 	before, err := os.ReadFile(vm.process.logPath)
 	if err != nil {
--- a/lab/deploy/vm.go
+++ b/lab/deploy/vm.go
@@ -14,7 +14,8 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-// plannedStopGrace is how long a daemon may take to answer what is in flight.
+// plannedStopGrace is how long a daemon may take after SIGTERM to answer the submissions in flight
+// and end.
 const plannedStopGrace = 35 * time.Second
 
 // entryVM is one entry VM; process is nil while it does not run.
@@ -25,7 +26,7 @@
 	process               *process
 }
 
-// startVM registers the VM in the platform's list and starts its daemon.
+// startVM registers the VM as live in the platform's list and starts its daemon.
 func (d *Deployment) startVM(vm *entryVM) error {
 	if err := d.register(vm, tableservice.StateLive); err != nil {
 		return err
@@ -75,9 +76,10 @@
 	return err
 }
 
-// VM returns the id of an entry VM by the indexes of failure domain and VM.
+// VM returns the id of an entry VM, given the indexes of its failure domain and of the VM in it.
 func (d *Deployment) VM(domain, i int) string { return d.vms[domain][i].id }
 
+// find returns the running entry VM with the id.
 func (d *Deployment) find(id string) (*entryVM, error) {
 	for _, vms := range d.vms {
 		for _, vm := range vms {
@@ -93,8 +95,8 @@
 	return nil, fmt.Errorf("unknown entry VM %q", id)
 }
 
-// Kill ends the daemon of an entry VM at once, as the loss of the VM does. The
-// platform's list goes on naming it.
+// Kill ends the daemon of an entry VM at once, as the loss of the VM does. The platform's list
+// still shows the VM as live.
 func (d *Deployment) Kill(id string) error {
 	vm, err := d.find(id)
 	if err != nil {
@@ -108,7 +110,8 @@
 	return nil
 }
 
-// Stop asks the daemon of an entry VM for a planned stop and waits for it.
+// Stop makes a planned stop: it marks the VM as leaving in the platform's list, sends its daemon
+// SIGTERM and waits for its end.
 func (d *Deployment) Stop(id string) error {
 	vm, err := d.find(id)
 	if err != nil {
@@ -125,8 +128,8 @@
 	return err
 }
 
-// Restart starts the daemon of an entry VM that was killed or stopped. It has
-// the same id and addresses, and knows nothing.
+// Restart starts the daemon of an entry VM that was killed or stopped. The new process has the same
+// id and addresses, and no state of the previous one.
 func (d *Deployment) Restart(id string) error {
 	for _, vms := range d.vms {
 		for _, vm := range vms {
@@ -138,11 +141,10 @@
 	return fmt.Errorf("no entry VM %q that has ended: kill or stop it first", id)
 }
 
-// Freeze stops the processor time of an entry VM's daemon; Continue gives it
-// back.
+// Freeze pauses the daemon of an entry VM with SIGSTOP until Continue.
 func (d *Deployment) Freeze(id string) error { return d.signal(id, syscall.SIGSTOP) }
 
-// Continue ends a Freeze.
+// Continue resumes a daemon that was paused by Freeze.
 func (d *Deployment) Continue(id string) error { return d.signal(id, syscall.SIGCONT) }
 
 func (d *Deployment) signal(id string, s syscall.Signal) error {
@@ -153,9 +155,8 @@
 	return vm.process.signal(s)
 }
 
-// Messages returns how many messages all daemons have sent since the start, by
-// kind. The daemons report their counts with a lag of a second, so that the
-// last second of a daemon that was killed is missing.
+// Messages returns how many messages all daemons have sent since the start, by kind. Daemons report
+// their counts with a lag of a second, so the counts of a killed daemon lack its last second.
 func (d *Deployment) Messages(ctx context.Context) (Messages, error) {
 	sum := Messages{}
 	sum.add(d.lost)
@@ -174,6 +175,7 @@
 	return sum, nil
 }
 
+// scrape reads the counts of sent messages from the metrics of a VM's daemon.
 func (d *Deployment) scrape(ctx context.Context, vm *entryVM) (Messages, error) {
 	data, err := d.get(ctx, "http://"+vm.admin.String()+"/metrics")
 	if err != nil {
--- a/lab/standin/target/group_test.go
+++ b/lab/standin/target/group_test.go
@@ -63,7 +63,7 @@
 	must.Eq(t, []platformclient.State{"live", "leaving", "live"}, []platformclient.State{list.VMs[0].State, list.VMs[1].State, list.VMs[2].State})
 }
 
-// TestClientAgainstTarget drives the real client against the stand-in.
+// TestClientWorksWithStandIn runs the real target client against the stand-in.
 func TestClientAgainstTarget(t *testing.T) {
 	group, _ := runGroup(t, GroupOptions{Count: 1, Slots: 4, RackSize: 1, IDPrefix: "x"})
 	address := group.Targets[0].Address
