--- a/lab/e2e/caller_test.go
+++ b/lab/e2e/caller_test.go
@@ -17,7 +17,8 @@
 	"github.com/burdockward/burdockward/lab/standin/target"
 )
 
-// response is what a caller got: a whole response, or an error.
+// response is what one request of a caller got: an answer, a failure, or an error err when there is
+// no whole response.
 type response struct {
 	key     string
 	tasks   int
@@ -30,9 +31,10 @@
 	err     error
 }
 
+// hasAnswer reports whether the response is an answer with results.
 func (r *response) whole() bool { return r.answer != nil }
 
-// run is the run state of a failure.
+// runState returns the run state of a failure, or "".
 func (r *response) run() api.RunState {
 	if r.failure == nil {
 		return ""
@@ -47,11 +49,11 @@
 	return r.failure.Kind
 }
 
-// undecided says that nobody could decide about the key: the same key has to be
-// sent again.
+// isUndecided reports whether the outcome of the key is still open, so that the caller has to send
+// the same key again.
 func (r *response) undecided() bool { return r.err != nil || r.kind() == api.KindUnavailable }
 
-// neverConnected says that the request did not reach any process.
+// neverConnected reports whether the request failed before it reached any process.
 func (r *response) neverConnected() bool {
 	var op *net.OpError
 	return errors.As(r.err, &op) && op.Op == "dial"
@@ -64,14 +66,14 @@
 	return fmt.Sprintf("%s at VM %d: status %d %s", r.key, r.vm, r.status, bytes.TrimSpace(r.body))
 }
 
-// callers opens a connection for each request, so that a connection that a
-// process closes while it is idle can't be taken for a cut request.
+// callers opens a connection for each request. A process may close an idle connection, which a test
+// would otherwise mistake for a request that was cut off.
 var callers = &http.Client{
 	Timeout:   2 * patience,
 	Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext},
 }
 
-// sleepers makes tasks that run for so long and answer their number.
+// sleepTasks returns n tasks that run for a time and have their index as result.
 func sleepers(n int, run time.Duration, label string) []api.Task {
 	tasks := make([]api.Task, n)
 	for i := range tasks {
@@ -85,7 +87,7 @@
 	return tasks
 }
 
-// key makes a new key with the epoch that a VM gives out.
+// key waits for the VM's epoch and returns a new key with it.
 func (w *world) key(vm int) string {
 	w.t.Helper()
 	var key string
@@ -97,7 +99,8 @@
 	return key
 }
 
-// tryKey is key for the goroutines of a load, which must not end the test.
+// tryKey returns a new key, or false when the VM has no epoch. Unlike key it does not end the test,
+// so that the goroutines of a load can use it.
 func (w *world) tryKey(vm int) (string, bool) {
 	resp, err := callers.Get(w.url(vm) + "/v1/epoch")
 	if err != nil {
@@ -115,7 +118,7 @@
 
 func (w *world) url(vm int) string { return "http://" + w.vms[vm].callers.String() }
 
-// job is a submission of the common profile.
+// job returns a submission of the common profile.
 func job(key string, tasks []api.Task) api.Submission {
 	return api.Submission{Key: key, Profile: common.Name, Tasks: tasks}
 }
@@ -129,8 +132,8 @@
 	return w.send(http.MethodPost, vm, "/v1/submissions", s.Key, len(s.Tasks), body)
 }
 
-// submitFinally sends the same key again, at the next VM of the list, until
-// somebody has decided.
+// submitUntilDecided sends the submission to one VM of the list after another, under the same key,
+// until a response decides it.
 func (w *world) submitFinally(s api.Submission, vms ...int) *response {
 	w.t.Helper()
 	var last *response
@@ -143,7 +146,7 @@
 	return last
 }
 
-// send makes one request about a key and notes the response.
+// send makes one request about a key and adds the response to the ledger.
 func (w *world) send(method string, vm int, path, key string, tasks int, body []byte) *response {
 	r := &response{key: key, tasks: tasks, vm: vm}
 	defer func() { w.ledger.add(r) }()
@@ -166,6 +169,7 @@
 	return r
 }
 
+// decode sets the answer or the failure from the body, or err when it is neither.
 func (r *response) decode() {
 	if r.status == http.StatusOK {
 		r.answer = &api.Answer{}
@@ -179,7 +183,7 @@
 	r.failure = failure.Error
 }
 
-// load is callers that submit small jobs, one after the other, until it is stopped.
+// load is a set of callers that each submit jobs, one after the other, until stop.
 type load struct {
 	stopped chan struct{}
 	once    sync.Once
@@ -189,8 +193,8 @@
 // thinkTime is the pause of a caller between two jobs.
 const thinkTime = 5 * time.Millisecond
 
-// startLoad starts so many callers at each of the VMs. A caller goes on to the
-// next VM when its own refuses because it stops, or can't be reached.
+// startLoad starts callersOfVM callers at each of the VMs. A caller switches to the next VM when
+// its own is stopping or can't be reached.
 func (w *world) startLoad(callersOfVM int, s api.Submission, vms ...int) *load {
 	l := &load{stopped: make(chan struct{})}
 	w.t.Cleanup(l.stop)
@@ -200,6 +204,7 @@
 	return l
 }
 
+// caller submits jobs, one after the other, until the load is stopped.
 func (w *world) caller(l *load, s api.Submission, vms []int, at int) {
 	for ; !closed(l.stopped); time.Sleep(thinkTime) {
 		vm := vms[at%len(vms)]
@@ -222,7 +227,7 @@
 	l.callers.Wait()
 }
 
-// pending is a request that goes on beside the test.
+// pending is a request that runs concurrently with the test. got is set when done is closed.
 type pending struct {
 	done chan struct{}
 	got  *response
@@ -232,6 +237,7 @@
 	return w.later(func() *response { return w.submit(vm, s) })
 }
 
+// runAsync makes a request in a goroutine.
 func (w *world) later(request func() *response) *pending {
 	p := &pending{done: make(chan struct{})}
 	go func() {
@@ -241,7 +247,7 @@
 	return p
 }
 
-// answered says whether the response has come.
+// hasResponse reports whether the response has arrived.
 func (p *pending) answered() bool {
 	select {
 	case <-p.done:
@@ -280,8 +286,8 @@
 	})
 }
 
-// awaitGranted waits until the VM runs the keys, which other VMs then can't start, or
-// has answered them already.
+// awaitGranted waits until each key was granted to the VM, so that no other VM can start it, or was
+// answered.
 func (w *world) awaitGranted(vm int, keys ...string) {
 	w.t.Helper()
 	for _, key := range keys {
@@ -301,7 +307,7 @@
 	}
 }
 
-// holds says whether the holder of a lease is a process of the VM.
+// isHeldBy reports whether the holder of a lease is a process of the VM.
 func holds(holder, vm string) bool { return len(holder) > len(vm) && holder[:len(vm)+1] == vm+"/" }
 
 // startedTasks counts the starts of a key.
@@ -315,8 +321,8 @@
 	return n
 }
 
-// mustAnswer submits a small job under a new key until it is answered whole, as a
-// patient caller does, and fails when that never happens.
+// mustAnswer submits small jobs to the VM, each under a new key, until one is answered. It fails
+// the test when none is within the timeout.
 func (w *world) mustAnswer(vm int) *response {
 	w.t.Helper()
 	last := &response{}
--- a/lab/e2e/cancel_test.go
+++ b/lab/e2e/cancel_test.go
@@ -12,8 +12,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// TestWavesOfCancellations fills all slots and queues with jobs that would run for
-// long, and cancels all of them at once, several times.
+// TestCancelStopsTasksAndQueuedJobs fills all slots and queues with long jobs and cancels all jobs
+// at once, three times. Each cancellation reaches two VMs concurrently.
 func TestWavesOfCancellations(t *testing.T) {
 	const targets, slots = 4, 4
 	w := newWorld(t, []profile.Profile{common}, rack{targets: targets, slots: slots})
@@ -36,7 +36,7 @@
 			for _, c := range cancels[i] {
 				w.wantCancelled(w.wait(c))
 			}
-			// A late duplicate is told the same.
+			// A later duplicate gets the same outcome.
 			w.wantCancelled(w.submitFinally(s, (i+1)%vmCount))
 		}
 		w.await("all tasks are stopped", func() bool { return w.runningAt(0) == 0 })
@@ -48,7 +48,7 @@
 	must.Positive(t, w.ledger.count(func(r *response) bool { return r.run() == api.Failed }))
 }
 
-// cancelAll cancels each job at once at its runner and at another VM.
+// cancelAll cancels all jobs concurrently, each at its runner and at another VM.
 func (w *world) cancelAll(jobs []api.Submission) [][]*pending {
 	all := make([][]*pending, len(jobs))
 	for i, s := range jobs {
--- a/lab/e2e/claims_test.go
+++ b/lab/e2e/claims_test.go
@@ -66,7 +66,7 @@
 
 func TestKilledRegistrarLosesNoAnswer(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
-	// Of so many keys the killed VM decides on some and keeps records of others.
+	// With this many keys the killed VM is the registrar of some and holds records of others.
 	const keys = 24
 	var jobs []api.Submission
 	var sent []*pending
@@ -94,10 +94,10 @@
 	for vm := 1; vm < vmCount; vm++ {
 		w.awaitView(vm, 1, 2)
 	}
-	// Of so many new keys the killed VM would have decided on some.
+	// With this many new keys the killed VM would have been the registrar of some.
 	w.awaitAnswers(200)
 	load.stop()
-	// What nobody could decide while the registrar was lost is decided now.
+	// Keys that could not be decided while the registrar was lost can be decided now.
 	for _, r := range w.ledger.all() {
 		if r.undecided() {
 			w.submitFinally(job(r.key, sleepers(1, 5*time.Millisecond, "")), 1, 2)
@@ -111,7 +111,7 @@
 	var jobs []api.Submission
 	var sent []*pending
 	for range 8 {
-		// More tasks than slots, so that starts are still to come when the VM wakes.
+		// There are more tasks than slots, so that the VM still has tasks to start when it resumes.
 		s := job(w.key(0), sleepers(6, time.Second, ""))
 		jobs = append(jobs, s)
 		sent = append(sent, w.submitLater(0, s))
@@ -126,7 +126,7 @@
 	w.mustAnswer(2)
 	w.wake(0)
 	for _, p := range sent {
-		// Some response, and no hang; verify holds it against the log.
+		// Each request gets some response; verify checks it against the targets' logs.
 		must.NoError(t, w.wait(p).err)
 	}
 	w.awaitView(1, 0, 1, 2)
--- a/lab/e2e/configuration_test.go
+++ b/lab/e2e/configuration_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// other is a profile beside the common one.
+// other returns a second profile with this urgency.
 func other(urgency int) profile.Profile {
 	p := common
 	p.Name = "other"
@@ -34,7 +34,7 @@
 	for vm := range vmCount {
 		w.wantWhole(w.submit(vm, w.otherJob(vm)))
 	}
-	// A VM that knows nothing does not bring the former state back.
+	// A VM that restarts without state does not revert the change.
 	w.kill(0)
 	w.restart(0)
 	w.awaitServing(0)
@@ -51,7 +51,7 @@
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
 	changed := w.applyWith([]string{"--wait", patience.String()}, other(1))
 	must.Eq(t, ctl.ExitOK, changed.code, must.Sprint(changed.text))
-	// Every read shows the state before the profile was there.
+	// Every read shows the state before the change.
 	w.platformFault(platformstandin.Faults{StaleCommits: 1})
 	w.kill(0)
 	w.restart(0)
@@ -65,7 +65,7 @@
 	}
 }
 
-// version is the configuration that a VM says it has in force.
+// version returns the version of the configuration that the VM reports as in force.
 func (w *world) version(vm int) uint64 {
 	status, _ := w.status(vm)
 	return status.Configuration.Version
@@ -73,13 +73,13 @@
 
 func TestLostCommitAnswerIsNeverMistaken(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
-	// The commit took effect, its answer was lost.
+	// The commit takes effect, but its answer is lost.
 	w.platformFault(platformstandin.Faults{LoseAnswers: true})
 	lost := w.apply(other(1))
 	w.platformFault(platformstandin.Faults{})
 	must.Eq(t, ctl.ExitOK, lost.code, must.Sprint(lost.text))
 	must.True(t, lost.change.ReadBack)
-	// Nothing took effect, and no answer came either.
+	// The commit takes no effect, and no answer arrives either.
 	w.platformFault(platformstandin.Faults{Cut: true})
 	cut := w.apply(other(2))
 	w.platformFault(platformstandin.Faults{})
@@ -88,7 +88,7 @@
 	down := w.apply(other(3))
 	w.platformFault(platformstandin.Faults{})
 	must.Eq(t, ctl.ExitUnavailable, down.code, must.Sprint(down.text))
-	// One revision, the accepted one, is in force.
+	// Only the accepted change is in force.
 	inForce := w.ctl("in-force", "--wait", patience.String())
 	must.Eq(t, ctl.ExitOK, inForce.code, must.Sprint(inForce.text))
 	for vm := range vmCount {
@@ -114,8 +114,8 @@
 	must.Eq(t, ctl.ExitOK, inForce.code, must.Sprint(inForce.text))
 }
 
-// race applies two changes of the same object at once, by two operators who have
-// seen the same version.
+// race applies changes of the same object concurrently, each by an operator who has read the same
+// version.
 func (w *world) race(seen uint64, profiles ...profile.Profile) []ran {
 	results := make([]ran, len(profiles))
 	var operators sync.WaitGroup
--- a/lab/e2e/domains_test.go
+++ b/lab/e2e/domains_test.go
@@ -44,7 +44,7 @@
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
 	other := w.addDomain(rack{targets: 2, slots: 8})
 
-	// VM 0 learns the other failure domain's VMs from the platform's list alone.
+	// VM 0 knows the other failure domain's VMs only from the platform's list.
 	var burned api.Submission
 	w.await("a key of the other failure domain is burned", func() bool {
 		burned = job(w.key(other), sleepers(1, time.Millisecond, ""))
@@ -64,15 +64,16 @@
 	must.Eq(t, api.Completed, w.submit(0, long).run())
 	must.Eq(t, api.OutcomeUnknown, w.submit(0, job(otherDomain+".1-1.k", sleepers(1, time.Millisecond, ""))).run())
 
-	// Submissions on both sides at the same instant: one of them wins.
+	// The key is submitted in both failure domains at once: either it runs at home, or it is
+	// burned.
 	for range 20 {
 		s := job(w.key(other), sleepers(1, time.Millisecond, ""))
 		home, foreign := w.submitLater(other, s), w.submitLater(0, s)
-		told := w.wait(foreign).run()
-		must.True(t, told == api.NotRun || w.wait(home).whole(), must.Sprint(home.got, foreign.got))
+		foreignRun := w.wait(foreign).run()
+		must.True(t, foreignRun == api.NotRun || w.wait(home).whole(), must.Sprint(home.got, foreign.got))
 	}
 
-	// VMs that take connections and never answer.
+	// Frozen VMs accept connections and never answer.
 	cut := job(w.key(other), sleepers(1, time.Millisecond, ""))
 	for i := range otherVMs {
 		w.freeze(other + i)
--- a/lab/e2e/errors_test.go
+++ b/lab/e2e/errors_test.go
@@ -58,7 +58,7 @@
 			must.StrContains(t, r.failure.Message, ":", must.Sprint("no remedy: ", r))
 		}
 	}
-	// The key that met other content still has its own answer.
+	// The key that was sent again with other content still has its first answer.
 	w.wantWhole(w.submitFinally(used, 1))
 	unknown := w.send(http.MethodGet, 0, "/v1/submissions/"+w.key(0), "", 0, nil)
 	must.Eq(t, api.KindNotFound, unknown.kind(), must.Sprint(unknown))
--- a/lab/e2e/leases_test.go
+++ b/lab/e2e/leases_test.go
@@ -14,17 +14,17 @@
 	client "github.com/burdockward/burdockward/targetclient"
 )
 
-// TestStartUnderLapsedLeaseIsPlacedElsewhere lets starts reach a target that no
-// longer knows their lease.
+// TestStartUnderLapsedLeaseIsPlacedElsewhere sends starts to a target that no longer has their
+// lease. The target refuses them, and the VM starts the tasks elsewhere or under a new lease.
 func TestStartUnderLapsedLeaseIsPlacedElsewhere(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 4})
-	// The target is restarted between two jobs, the holder is not told.
+	// The target restarts between two jobs, without notice to the holder of its lease.
 	w.awaitRefusedAsLapsed(func() {
 		w.wantWhole(w.submit(0, w.slotsJob()))
 		w.targetFault(0, target.Faults{Restart: true}, w.groups[0].ids[0])
 		w.wantWhole(w.submit(0, w.slotsJob()))
 	})
-	// The target is frozen for longer than its leases, with starts on their way.
+	// The target is frozen until its leases lapse, while starts wait at it.
 	w.awaitRefusedAsLapsed(func() {
 		w.wantWhole(w.submit(0, w.slotsJob()))
 		id := w.groups[0].ids[0]
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestVMFrozenPastItsLeasesAnswers freezes a VM for longer than the leases that it
-// holds, while it has work waiting.
+// TestVMFrozenPastItsLeasesAnswers freezes a VM with waiting tasks until the leases that it holds
+// have lapsed. After it resumes, it takes new leases and answers the job.
 func TestVMFrozenPastItsLeasesAnswers(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 4})
 	s := job(w.key(0), sleepers(40, 200*time.Millisecond, ""))
@@ -55,13 +55,13 @@
 	before := w.startedTasks(s.Key)
 	must.Less(t, len(s.Tasks), before)
 	w.wake(0)
-	// The VM takes leases again, whether or not the others have removed it.
+	// The VM takes new leases, whether or not the other VMs have removed it from their view.
 	w.wantWhole(w.wait(sent))
 	w.awaitView(1, 0, 1, 2)
 	w.mustAnswer(0)
 }
 
-// slotsJob has a task for each slot of rack 0.
+// slotsJob returns a job with a task for each slot of rack 0.
 func (w *world) slotsJob() api.Submission {
 	slots := 0
 	for _, stats := range w.targetStats(0) {
--- a/lab/e2e/ledger_test.go
+++ b/lab/e2e/ledger_test.go
@@ -12,11 +12,11 @@
 	"github.com/burdockward/burdockward/api"
 )
 
-// ledger keeps all responses.
+// ledger records all responses of a test.
 type ledger struct {
 	mu        sync.Mutex
 	responses []*response
-	// violations are what verify found.
+	// violations holds the findings of verify.
 	violations []string
 }
 
@@ -33,9 +33,9 @@
 	return append([]*response(nil), l.responses...)
 }
 
-// verify compares all responses with the targets' logs: no task was started twice,
-// answers are whole and the caller's own, "not run" is true, and one key has one
-// outcome.
+// verify compares all responses with the targets' logs and reports violations: a task that was
+// started twice, an answer that is incomplete or has the results of other work, a key reported as
+// not run whose tasks were started, and two outcomes of one key.
 func (w *world) verify() {
 	w.ledger.violations = nil
 	defer w.reportViolations()
@@ -70,6 +70,7 @@
 	}
 }
 
+// verifyOne checks one response, given how many tasks of its key were started.
 func (w *world) verifyOne(r *response, started int) {
 	switch {
 	case r.whole() && r.tasks > 0:
@@ -93,7 +94,7 @@
 	}
 }
 
-// shownViolations bounds the output of a test in which much is broken.
+// shownViolations bounds the number of violations that a failed test prints.
 const shownViolations = 10
 
 func (w *world) violation(format string, args ...any) {
@@ -122,7 +123,7 @@
 	must.True(w.t, r.whole(), must.Sprint(r))
 }
 
-// count counts the responses so far with a property.
+// count counts the responses so far for which has returns true.
 func (l *ledger) count(has func(*response) bool) int {
 	n := 0
 	for _, r := range l.all() {
--- a/lab/e2e/limits_test.go
+++ b/lab/e2e/limits_test.go
@@ -13,7 +13,7 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// limited is a profile with a limit.
+// limited returns a profile with a limit of slots.
 func limited(slots int) profile.Profile {
 	p := common
 	p.Name = "limited"
@@ -41,7 +41,7 @@
 func TestLimitHoldsWhenVMIsKilled(t *testing.T) {
 	const limit = 3
 	w := newWorld(t, []profile.Profile{limited(limit)}, rack{targets: 4, slots: 8})
-	// Tasks of the killed VM go on running at their targets.
+	// Tasks of the killed VM continue at their targets and count against the limit.
 	load := w.startLoad(4, limitedJob(1, 300*time.Millisecond), 0, 1, 2)
 	w.awaitUsed("limited", limit)
 	w.await("the VM to be killed runs tasks", func() bool { return w.startedBy(0) > 0 })
@@ -55,15 +55,15 @@
 	must.Eq(t, limit, w.summary(0).MaxRunningByLabel["limited"])
 }
 
-// longLimited is a profile whose limit would stay unused for longer than a test
-// waits, if nothing but time told that no former task runs.
+// longLimited returns a limited profile whose longest run exceeds the timeout of tests. So a test
+// passes only if VMs find out from the targets, and not by waiting, that earlier tasks have ended.
 func longLimited(slots int) profile.Profile {
 	p := limited(slots)
 	p.MaxRunMS = (patience + 50*time.Second).Milliseconds()
 	return p
 }
 
-// holdUnits starts a job of a VM that holds units of the limit for so long.
+// holdUnits starts a job at a VM that holds units of the limit for the run time.
 func (w *world) holdUnits(vm, units int, run time.Duration) *pending {
 	s := limitedJob(units, run)
 	s.Key = w.key(vm)
@@ -76,7 +76,7 @@
 func TestLimitIsUsedAgainAfterAllVMsWereKilled(t *testing.T) {
 	const limit = 3
 	w := newWorld(t, []profile.Profile{longLimited(limit)}, rack{targets: 4, slots: 8})
-	// Tasks of the former processes go on running all the time.
+	// Tasks of the previous processes run throughout the test.
 	held := w.holdUnits(0, limit-1, untilKilled)
 	for vm := range vmCount {
 		w.kill(vm)
@@ -99,7 +99,7 @@
 	const limit = 3
 	w := newWorld(t, []profile.Profile{longLimited(limit)}, rack{targets: 4, slots: 8})
 	held := w.holdUnits(0, limit-1, untilKilled)
-	// The only unit that comes free while the test waits.
+	// This unit is the only one that becomes free during the test.
 	short := w.holdUnits(0, 1, 5*time.Second)
 	w.kill(0)
 	w.awaitView(1, 1, 2)
@@ -112,9 +112,9 @@
 	must.Error(t, w.wait(short).err)
 }
 
-// TestTeamQuotaHoldsWhenVMIsKilled runs two profiles of one team, neither with a
-// limit of its own, through all VMs. Tasks of the killed VM go on running at their
-// targets when the others have removed it.
+// TestTeamQuotaHoldsWhenVMIsKilled runs two profiles of one team, neither with a limit of its own,
+// through all VMs. Tasks of the killed VM continue at their targets after the others have removed
+// it, and still count against the quota.
 func TestTeamQuotaHoldsWhenVMIsKilled(t *testing.T) {
 	const quota, share = 5, 3
 	const longRun = 5 * time.Second
@@ -139,13 +139,13 @@
 	for vm := 1; vm < vmCount; vm++ {
 		w.awaitView(vm, 1, 2)
 	}
-	// Its units come back.
+	// The units of the killed VM become usable again.
 	for _, p := range []profile.Profile{first, second} {
 		s := api.Submission{Profile: p.Name, Tasks: sleepers(1, 50*time.Millisecond, "after")}
 		w.startLoad(3, s, 1, 2)
 	}
 	w.awaitUsed("after", share)
-	// The rack runs nothing but work of the team.
+	// The rack runs only tasks of the team.
 	must.Eq(t, share, w.summary(0).MaxRunning)
 }
 
@@ -166,8 +166,8 @@
 func TestOverloadIsRefusedAtOnceAndTruly(t *testing.T) {
 	narrow := limited(1)
 	narrow.QueueTasks = 4
-	// After the start of a whole failure domain a limit stays unused until no
-	// task of former processes can run: the longest run and about 16 s more.
+	// After the start of a whole failure domain a limit stays unused until no task of previous
+	// processes can still run: the longest run and about 16 s more.
 	narrow.MaxRunMS = heldRun.Milliseconds()
 	w := newWorld(t, []profile.Profile{narrow}, rack{targets: 2, slots: 8})
 	// One job takes the only unit while the others are refused.
@@ -183,7 +183,7 @@
 		s.DeadlineMS = narrow.MaxDeadlineMS
 		sent = append(sent, w.submitLater(0, s))
 	}
-	// The queue takes two of them; the others are told while the long job runs.
+	// The queue takes two of them; the others are refused while the long job runs.
 	w.await("refusals", func() bool { return w.ledger.count(overloaded) >= 10 })
 	must.False(t, closed(running.done))
 	for _, r := range w.ledger.all() {
--- a/lab/e2e/main_test.go
+++ b/lab/e2e/main_test.go
@@ -10,15 +10,15 @@
 	"path/filepath"
 	"testing"
 
-	// The go command keeps results of tests until something that they are built
-	// of changes; the programs under test are built of this.
+	// The go command caches test results until a dependency of the tests changes. This import makes
+	// the daemon a dependency.
 	_ "github.com/burdockward/burdockward/daemon"
 )
 
 // parallelWorlds is how many tests run at once, each with about six processes.
 const parallelWorlds = "2"
 
-// binaries are the programs under test, built once.
+// binaries holds the paths of the programs under test, which TestMain builds once.
 var binaries struct{ daemon, ctl, lab string }
 
 func TestMain(m *testing.M) {
@@ -27,8 +27,8 @@
 	os.Exit(buildAndRun(m))
 }
 
-// readMains reads the main packages, which can't be imported, so that the go
-// command runs the tests again when they change.
+// readMains reads the sources of the main packages, which can't be imported. The go command then
+// runs the tests again when these files change.
 func readMains() error {
 	files, err := filepath.Glob("../../cmd/*/*.go")
 	for _, f := range files {
@@ -39,6 +39,7 @@
 	return err
 }
 
+// buildAndRun builds the programs under test, runs the tests and returns the exit status.
 func buildAndRun(m *testing.M) int {
 	if err := readMains(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/lab/e2e/network_test.go
+++ b/lab/e2e/network_test.go
@@ -15,8 +15,7 @@
 	"github.com/burdockward/burdockward/peer/peerpb"
 )
 
-// network carries the messages between the VMs of a world and loses those of
-// routes that are cut.
+// network forwards the messages between the VMs of a world, and drops those on routes that are cut.
 type network struct {
 	t   *testing.T
 	mu  sync.Mutex
@@ -28,7 +27,8 @@
 
 func newNetwork(t *testing.T) *network { return &network{t: t, cut: map[route]bool{}} }
 
-// before starts a relay before the peer port of a VM and returns its address.
+// startRelay starts a relay to the peer port of a VM and returns the relay's address. A nil network
+// has no relays and returns the port itself.
 func (n *network) before(vm *entryVM) netip.AddrPort {
 	if n == nil {
 		return vm.peers
@@ -49,13 +49,14 @@
 	}
 }
 
+// isCut reports whether the route between two VMs is cut.
 func (n *network) loses(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[route{from, to}]
 }
 
-// losesSome says that a route from or to the VM is cut.
+// hasCutAt reports whether any route from or to the VM is cut.
 func (n *network) losesSome(vm string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,8 +68,8 @@
 	return false
 }
 
-// relay passes on the requests to one VM. A request is lost with the route to the
-// VM, and the answer to a request that has arrived with the route back.
+// relay forwards the requests to one VM. It drops a request when the route to the VM is cut, and
+// the answer when the route back is cut.
 type relay struct {
 	network *network
 	vm      string
@@ -87,8 +88,8 @@
 	return response, err
 }
 
-// Wait implements peerpb.Peer. The request does not name its sender, so that it is
-// lost when any route of the VM is cut.
+// Wait implements peerpb.Peer. The request does not name its sender, so the relay drops it when any
+// route of the VM is cut.
 func (r *relay) Wait(ctx context.Context, request *peerpb.WaitRequest) (*peerpb.WaitResponse, error) {
 	if r.network.losesSome(r.vm) {
 		return nil, lost(ctx)
@@ -112,7 +113,7 @@
 	return response, err
 }
 
-// lost waits until the sender gives up, as it does without an answer.
+// lost waits until the sender gives up, as it does when no answer arrives.
 func lost(ctx context.Context) error {
 	<-ctx.Done()
 	return errors.New("the message is lost")
--- a/lab/e2e/operator_test.go
+++ b/lab/e2e/operator_test.go
@@ -21,25 +21,25 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// ran is what a command of burdockctl came to.
+// ran is the result of one command of burdockctl.
 type ran struct {
 	code   int
 	text   string
 	change ctl.ChangeResult
 }
 
-// apply applies profiles by burdockctl.
+// apply applies profiles with burdockctl.
 func (w *world) apply(profiles ...profile.Profile) ran {
 	return w.applyWith(nil, profiles...)
 }
 
-// applyWith applies profiles by burdockctl with more arguments.
+// applyWith applies profiles with burdockctl and further arguments.
 func (w *world) applyWith(args []string, profiles ...profile.Profile) ran {
 	w.t.Helper()
 	return w.ctl(append([]string{"profile", "apply", w.profileFile(profiles...)}, args...)...)
 }
 
-// applyTeams applies quotas of teams, if there are any.
+// applyTeams applies teams with burdockctl, if there are any.
 func (w *world) applyTeams(teams ...profile.Team) ran {
 	w.t.Helper()
 	if len(teams) == 0 {
@@ -48,7 +48,7 @@
 	return w.ctl("team", "apply", w.objectsFile(teams))
 }
 
-// profileFile writes a file for burdockctl.
+// profileFile writes profiles to a file for burdockctl and returns its path.
 func (w *world) profileFile(profiles ...profile.Profile) string {
 	w.t.Helper()
 	return w.objectsFile(profiles)
@@ -65,7 +65,7 @@
 
 func version(v uint64) string { return strconv.FormatUint(v, 10) }
 
-// tableReads is how many reads of tables the platform has answered.
+// tableReads returns how many reads of tables the platform has answered.
 func (w *world) tableReads() int {
 	var stats struct{ Reads map[string]int }
 	must.NoError(w.t, json.Unmarshal(w.call(http.MethodGet, w.platformURL+"/stats", nil), &stats))
--- a/lab/e2e/partition_test.go
+++ b/lab/e2e/partition_test.go
@@ -12,9 +12,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// TestVMCutOffFromItsPeers cuts the messages between VM 0 and the others, in one
-// direction and in both, and heals the network each time. All VMs go on reaching
-// callers and targets.
+// TestVMCutOffFromItsPeers cuts the messages between VM 0 and the others, in one direction and in
+// both, and heals the network each time. All VMs still reach callers and targets.
 func TestVMCutOffFromItsPeers(t *testing.T) {
 	const limit = 3
 	net := newNetwork(t)
@@ -25,7 +24,7 @@
 	w.awaitUsed("limited", limit)
 	for _, cut := range []struct {
 		from, to bool
-		// serving are the VMs that serve new work in spite of it.
+		// serving holds the VMs that accept new jobs during the cut.
 		serving []int
 	}{
 		{from: true, serving: []int{1, 2}},
@@ -52,7 +51,7 @@
 	}
 	load.stop()
 	limits.stop()
-	// Each side may lend the whole limit while it can't know of the other.
+	// Each side may use the whole limit while it can't reach the other.
 	most := w.summary(0).MaxRunningByLabel["limited"]
 	must.LessEq(t, 2*limit, most)
 	t.Logf("at most %d tasks ran at once under a limit of %d", most, limit)
@@ -77,7 +76,7 @@
 	n.setCut(routes...)
 }
 
-// someViewIsSmaller says whether some VM has a view without another one.
+// someViewIsSmaller reports whether the view of some VM lacks another VM.
 func (w *world) someViewIsSmaller() bool {
 	for vm := range vmCount {
 		if status, ok := w.status(vm); ok && len(status.View.Members) < vmCount {
@@ -87,7 +86,7 @@
 	return false
 }
 
-// submitEverywhere sends keys of each VM to all VMs at once.
+// submitEverywhere submits keys of each VM, each key to all VMs concurrently.
 func (w *world) submitEverywhere() []*pending {
 	var sent []*pending
 	for home := range vmCount {
@@ -101,7 +100,7 @@
 	return sent
 }
 
-// wantLimitAgain fails unless the limit holds for new work and is used whole.
+// wantLimitAgain fails unless new jobs use the limit fully and do not exceed it.
 func (w *world) wantLimitAgain(limit int) {
 	w.t.Helper()
 	s := api.Submission{Profile: "limited", Tasks: sleepers(1, 20*time.Millisecond, "healed")}
--- a/lab/e2e/platform_test.go
+++ b/lab/e2e/platform_test.go
@@ -23,8 +23,8 @@
 	for vm := range vmCount {
 		w.wantWhole(w.submit(vm, job(w.key(vm), sleepers(3, 10*time.Millisecond, ""))))
 	}
-	// A VM that the platform's list does not name, and that can't read any list,
-	// profile or target but from its peers.
+	// This VM is not in the platform's list, and can only get the list, profiles and targets from
+	// its peers.
 	w.startVM(w.vms[vmCount])
 	w.awaitServing(vmCount)
 	r := w.mustAnswer(vmCount)
@@ -46,8 +46,8 @@
 	w.mustAnswer(0)
 }
 
-// TestSlowStoreLosesNoChange makes the store slow, its reads old and its answers
-// lost, first one by one and then all at once, while operators make changes.
+// TestSlowStoreLosesNoChange makes the store slow, its reads stale and its answers lost, first with
+// one further fault at a time and then with all, while an operator makes changes.
 func TestSlowStoreLosesNoChange(t *testing.T) {
 	const slowMS = 300
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
@@ -67,13 +67,13 @@
 	}
 	load.stop()
 	w.wantOnly((*response).whole)
-	// A VM that knows nothing meets such a store.
+	// A VM restarts without state while the store has all these faults.
 	w.kill(0)
 	w.restart(0)
 	w.awaitServing(0)
 	w.awaitVersion(o.accepted, 0, 1, 2)
 	w.wantWhole(w.submitFinally(w.otherJob(0), 0))
-	// Slower than anybody's patience: a change is refused, and the work goes on.
+	// The store is slower than all timeouts: a change is refused, and jobs are still answered.
 	w.platformFault(platformstandin.Faults{SlowMS: (10 * time.Second).Milliseconds()})
 	o.refused()
 	for vm := range vmCount {
@@ -84,16 +84,16 @@
 	o.wantTold()
 }
 
-// operator changes one profile again and again and keeps what burdockctl told.
+// operator makes changes of one profile and records the result of each.
 type operator struct {
 	w *world
 	// accepted is the version of the newest accepted change.
 	accepted uint64
-	// told is what burdockctl told of each change, by the change's note.
+	// exitCodes holds the exit code of burdockctl for each change, by the change's note.
 	told map[string]int
 }
 
-// change makes a change, again when burdockctl says that nothing took effect.
+// change makes a change, and repeats it while burdockctl reports that it took no effect.
 func (o *operator) change() {
 	o.w.t.Helper()
 	o.w.await("the change is accepted", func() bool {
@@ -124,7 +124,7 @@
 	return r
 }
 
-// wantTold fails unless exactly the accepted changes took effect.
+// wantAcceptedOnly fails unless exactly the accepted changes took effect.
 func (o *operator) wantTold() {
 	o.w.t.Helper()
 	history := o.w.ctl("profile", "history", "other")
@@ -148,8 +148,8 @@
 	}
 }
 
-// watchVersions looks at the configurations of all VMs until the returned function
-// is called, which tells each process that went back to an older one.
+// watchVersions polls the configuration versions of all VMs until the returned function is called.
+// That function returns each case in which a process went back to an older version.
 func (w *world) watchVersions() func() []string {
 	stopped := make(chan struct{})
 	found := make(chan []string, 1)
@@ -184,7 +184,7 @@
 	load := w.startLoad(2, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
 	w.await("tasks fail there", func() bool { return w.ledger.count(failed) > 0 })
 	w.awaitShunned(bad)
-	// The list goes on naming the targets of a rack that is lost.
+	// The platform's list still names the targets of a rack that is lost.
 	w.await("the rack gets work", func() bool { return len(w.startsOf(w.groups[1])) > 0 })
 	w.killRack(1)
 	w.awaitShunned(bad)
--- a/lab/e2e/process_test.go
+++ b/lab/e2e/process_test.go
@@ -21,7 +21,7 @@
 // logTail is how much of a process's log a failed test shows, in bytes.
 const logTail = 4 << 10
 
-// process is a child that ends with its test at the latest.
+// process is a child process that is killed at the end of its test.
 type process struct {
 	name    string
 	logPath string
@@ -30,8 +30,9 @@
 	done    chan struct{}
 }
 
-// startOnce starts children from one thread that never ends, because the kernel
-// ends a child with a parent death signal when the thread that started it ends.
+// childStarter returns a channel of functions that run on one thread that never ends. Children are
+// started there, because the kernel sends a child its parent death signal when the thread that
+// started it ends.
 var startOnce = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
@@ -43,7 +44,8 @@
 	return calls
 })
 
-// startProcess starts a program; its standard error goes to a file.
+// startProcess starts a program whose standard error goes to the file logPath. It kills the program
+// at the end of the test, and shows the end of the log when the test failed.
 func startProcess(t *testing.T, name, logPath, path string, args ...string) *process {
 	t.Helper()
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -66,7 +68,7 @@
 	return p
 }
 
-// wait hands over the first line of standard output and collects the end.
+// wait sends the first line of standard output to lines and waits for the end of the process.
 func (p *process) wait(stdout io.Reader) {
 	reader := bufio.NewReader(stdout)
 	if line, err := reader.ReadBytes('\n'); err == nil {
@@ -77,7 +79,7 @@
 	close(p.done)
 }
 
-// firstLine decodes the line that a stand-in prints when it serves.
+// firstLine waits for the line that a stand-in prints once it serves, and decodes it.
 func (p *process) firstLine(t *testing.T, into any) {
 	t.Helper()
 	select {
@@ -101,8 +103,7 @@
 	<-p.done
 }
 
-// awaitExit waits for the end of a process that was asked to stop and returns its
-// exit status.
+// awaitExit waits for the end of a process that was asked to stop, and returns its exit status.
 func (p *process) awaitExit(t *testing.T) int {
 	t.Helper()
 	select {
@@ -113,7 +114,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// logged says whether the process has logged the text.
+// logged reports whether the log of the process contains the text.
 func (p *process) logged(text string) bool {
 	all, _ := os.ReadFile(p.logPath)
 	return bytes.Contains(all, []byte(text))
--- a/lab/e2e/quota_test.go
+++ b/lab/e2e/quota_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// lendingQuota is split evenly over two failure domains, of which the test
-	// plays the other one.
+	// lendingQuota is split evenly over two failure domains. The test writes the rows of the second
+	// one itself.
 	lendingQuota = 8
 	baseShare    = lendingQuota / 2
 	lentUnits    = 2
@@ -34,7 +34,7 @@
 	must.Eq(w.t, 0, w.ctl("team", "apply", path).code)
 }
 
-// tables is a client of the platform's table service.
+// tables returns a client of the platform's table service.
 func (w *world) tables() *tableservice.Client {
 	w.t.Helper()
 	client, err := tableservice.New(tableservice.Options{URL: w.platformURL})
@@ -43,7 +43,7 @@
 	return client
 }
 
-// shareOf reads the row of a team in a failure domain.
+// shareOf reads the row of a team in a failure domain, and returns it with its version.
 func (w *world) shareOf(c *tableservice.Client, team, domain string) (quota.Entry, uint64) {
 	w.t.Helper()
 	changes, err := c.Changes(w.t.Context(), quota.Table, 0)
--- a/lab/e2e/racks_test.go
+++ b/lab/e2e/racks_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockward/burdockward/lab/standin/target"
 )
 
-// starts returns every start that the targets logged. Starts of a killed rack are
-// those that were read before.
+// starts returns every start that the targets logged. Those of a killed rack are the ones read
+// before it was killed.
 func (w *world) starts() []target.Start {
 	var all []target.Start
 	for _, g := range w.groups {
@@ -37,14 +37,14 @@
 	return starts
 }
 
-// summary is the log of a rack's targets, summed up.
+// summary returns the summary of the log of a rack's targets.
 func (w *world) summary(group int) target.Summary {
 	var s target.Summary
 	must.NoError(w.t, json.Unmarshal(w.call(http.MethodGet, w.groups[group].control+"/starts", nil), &s))
 	return s
 }
 
-// awaitRunningAt waits until so many tasks run at the same time at a rack.
+// awaitRunningAt waits until at least n tasks run at a rack.
 func (w *world) awaitRunningAt(group, n int) {
 	w.t.Helper()
 	w.await(fmt.Sprint(n, " tasks run at rack ", group), func() bool {
@@ -62,8 +62,8 @@
 	return running
 }
 
-// killRack ends the targets of a rack. They are frozen first, so that the log has
-// every start when it is read for the last time.
+// killRack kills the process of a rack's targets. It freezes them first, so that the log has every
+// start when it is read for the last time.
 func (w *world) killRack(group int) {
 	w.targetFault(group, target.Faults{Frozen: true})
 	g := w.groups[group]
@@ -72,7 +72,7 @@
 	g.process.kill()
 }
 
-// awaitUsed waits until so many tasks with a label ran at once at rack 0.
+// awaitUsed waits until at least n tasks with a label have run at once at rack 0.
 func (w *world) awaitUsed(label string, n int) {
 	w.t.Helper()
 	w.await(fmt.Sprint(n, " tasks run with the label ", label), func() bool {
@@ -80,7 +80,7 @@
 	})
 }
 
-// targetStats are the counters of a rack's targets by id.
+// targetStats returns the counters of a rack's targets by id.
 func (w *world) targetStats(group int) map[string]target.Stats {
 	w.t.Helper()
 	var list []target.Stats
--- a/lab/e2e/slow_test.go
+++ b/lab/e2e/slow_test.go
@@ -13,8 +13,8 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// TestSlowTargetGetsLessWork makes one of four targets thirty times as slow. There are
-// far more slots than work, so that a choice at random would give it an equal part.
+// TestSlowTargetGetsLessWork makes one of four targets thirty times as slow. There are far more
+// slots than tasks, so that a random choice would give it an equal share.
 func TestSlowTargetGetsLessWork(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
 	slow := w.groups[0].ids[0]
@@ -27,9 +27,9 @@
 		return (w.startsAt(slow)-at)*2*len(w.groups[0].ids) < len(w.starts())-all
 	})
 	load.stop()
-	// What runs there is waited for.
+	// Tasks that run at the slow target are still answered.
 	w.wantOnly((*response).whole)
-	// Slow or not, its slots are used when all others are taken.
+	// Its slots are used when all others are taken.
 	before := w.startsAt(slow)
 	w.await("the slow target is used again", func() bool {
 		var sent []*pending
@@ -43,12 +43,12 @@
 	})
 }
 
-// TestStragglerIsStoppedAsTheProfileAsks has a task that runs far longer than all
-// others of a profile that lets no straggler run.
+// TestStragglerIsStoppedAsTheProfileAsks submits a task that runs far longer than all others, of a
+// profile that stops stragglers.
 func TestStragglerIsStoppedAsTheProfileAsks(t *testing.T) {
-	impatient := common
-	impatient.Straggler = profile.StragglerStop
-	w := newWorld(t, []profile.Profile{impatient}, rack{targets: 2, slots: 8})
+	stopping := common
+	stopping.Straggler = profile.StragglerStop
+	w := newWorld(t, []profile.Profile{stopping}, rack{targets: 2, slots: 8})
 	// The VM learns the run times of the profile from enough submissions.
 	for range 30 {
 		w.wantWhole(w.submit(0, job(w.key(0), sleepers(2, 5*time.Millisecond, ""))))
@@ -60,7 +60,7 @@
 	must.Eq(t, api.Failed, r.run(), must.Sprint(r))
 	w.await("the straggler is stopped", func() bool { return w.runningAt(0) == 0 })
 	must.Eq(t, len(tasks), w.startedTasks(s.Key))
-	// The same failure for the same key at another VM, and nothing starts.
+	// Another VM returns the same failure for the key and starts nothing.
 	again := w.submitFinally(s, 1)
 	must.Eq(t, api.Failed, again.run(), must.Sprint(again))
 	must.Eq(t, len(tasks), w.startedTasks(s.Key))
--- a/lab/e2e/stop_test.go
+++ b/lab/e2e/stop_test.go
@@ -21,7 +21,7 @@
 	w.wantWhole(w.submit(0, before))
 	load := w.startLoad(6, job("", sleepers(3, 20*time.Millisecond, "")), 0, 1, 2)
 	w.await("the load runs", func() bool { return w.ledger.count((*response).whole) > 60 })
-	// Started last, so that they still run when the stop begins.
+	// These jobs start last, so that they still run when the stop begins.
 	var running []api.Submission
 	var sent []*pending
 	for range 6 {
@@ -64,7 +64,7 @@
 func TestAllVMsStoppedAtOnceCutNothing(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
 	_, sent := w.runAt(0, 1, 2)
-	// A connection that its caller keeps in reserve.
+	// The stop must not wait for a caller's idle connection.
 	reserve, err := net.Dial("tcp", w.vms[0].callers.String())
 	must.NoError(t, err)
 	defer reserve.Close()
@@ -75,7 +75,8 @@
 	w.wantNothingCut()
 }
 
-// A VM may leave without handing over when the loss is noticed too late; it says so.
+// TestPlannedStopWhileAnotherVMIsKilled kills a VM while another one makes a planned stop. The
+// stopping VM may leave without handing over when it notices the loss too late; it logs that.
 func TestPlannedStopWhileAnotherVMIsKilled(t *testing.T) {
 	for _, lost := range []int{0, 2} {
 		t.Run(fmt.Sprint("VM ", lost), func(t *testing.T) {
@@ -98,7 +99,8 @@
 	}
 }
 
-// runAt answers a job at each VM, and leaves jobs running there.
+// runAt has each VM answer a job and start three more. It returns all jobs, and the requests of
+// those that still run.
 func (w *world) runAt(vms ...int) (jobs []api.Submission, running []*pending) {
 	for _, vm := range vms {
 		before := job(w.key(vm), sleepers(2, time.Millisecond, ""))
@@ -126,8 +128,8 @@
 	}
 }
 
-// wantNothingCut fails unless every request that reached a VM was answered, and every
-// refusal by a planned stop says that nothing was run and when to come back.
+// wantNothingCut fails unless every request that reached a VM got a response, and every refusal by
+// a planned stop has the run state not_run and a Retry-After.
 func (w *world) wantNothingCut() {
 	w.t.Helper()
 	for _, r := range w.ledger.all() {
@@ -143,8 +145,8 @@
 
 func draining(r *response) bool { return r.kind() == api.KindDraining }
 
-// wantHandedOver fails unless the VMs that stay know how the keys of the stopped ones
-// ended: those that were answered, and those that they refused.
+// wantHandedOver fails unless the remaining VMs have the outcomes of the keys of the stopped ones,
+// both of those that were answered and of those that were refused.
 func (w *world) wantHandedOver(answered []api.Submission, stay ...int) {
 	w.t.Helper()
 	for _, s := range answered {
--- a/lab/e2e/targets_test.go
+++ b/lab/e2e/targets_test.go
@@ -15,7 +15,7 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-// inARow is how many answers in a row show that a faulty target gets no work.
+// inARow is the number of consecutive answers that shows that a faulty target gets no tasks.
 const inARow = 40
 
 func TestLeavingTargetGetsNoStart(t *testing.T) {
@@ -23,9 +23,9 @@
 		name  string
 		fault target.Faults
 	}{
-		// The target refuses and says why; the platform's list says it as well.
+		// The target refuses starts with the reason, and the platform's list shows it as leaving.
 		{"told by its answers", target.Faults{Leaving: true}},
-		// Only the platform's list says it: the target goes on taking starts.
+		// Only the platform's list shows it as leaving: the target still accepts starts.
 		{"told by the list alone", target.Faults{LeavingSilent: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			for vm := range vmCount {
 				w.awaitLeaving(vm, leaving)
 			}
-			// What was sent before has arrived when all jobs are answered.
+			// When all jobs are answered, all earlier starts have arrived.
 			load.stop()
 			before := w.startsAt(leaving)
 			load = w.startLoad(3, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
@@ -55,7 +55,7 @@
 	}
 }
 
-// wantOnly fails unless every response of the ledger is as wanted.
+// wantOnly fails unless wanted returns true for every response of the ledger.
 func (w *world) wantOnly(wanted func(*response) bool) {
 	w.t.Helper()
 	for _, r := range w.ledger.all() {
@@ -73,7 +73,7 @@
 	return n
 }
 
-// awaitAnswers waits for so many more whole answers.
+// awaitAnswers waits for n more answers.
 func (w *world) awaitAnswers(n int) {
 	w.t.Helper()
 	before := w.ledger.count((*response).whole)
@@ -96,8 +96,8 @@
 	})
 }
 
-// awaitShunned waits, under load, for a stretch of answers in which the target
-// was given no task.
+// awaitNoStartsAt waits, under load, until inARow consecutive answers arrive while the target gets
+// no start.
 func (w *world) awaitShunned(id string) {
 	w.t.Helper()
 	w.await("no work goes to "+id, func() bool {
@@ -129,7 +129,7 @@
 	return jobs, sent
 }
 
-// startsOnce returns the starts of a rack, killed or not.
+// startsSoFar returns the starts of a rack: those read last when it was killed.
 func (w *world) startsOnce(g *targetGroup) []target.Start {
 	if g.dead {
 		return g.last
@@ -137,9 +137,9 @@
 	return w.startsOf(g)
 }
 
-// awaitRunningFor waits until a rack runs a task of a job that was sent to one of the
-// VMs from the given one on. Without it the rack may run nothing but jobs of the VMs
-// before, and its loss costs the others nothing.
+// awaitRunningFor waits until a rack runs a task of a job that was sent to VM fromVM or a later
+// one. Otherwise the rack might run only jobs of the earlier VMs, and its loss would not affect the
+// others.
 func (w *world) awaitRunningFor(group int, jobs []api.Submission, sent []*pending, fromVM int) {
 	w.t.Helper()
 	w.await(fmt.Sprintf("rack %d runs a job of the VMs from %d on", group, fromVM), func() bool {
@@ -156,9 +156,9 @@
 	})
 }
 
-// wantLostAtRack waits for the responses from the VMs from the given one on after
-// rack 1 was killed: what ran there is lost, what was not logged anywhere may have
-// been on its way there, and all others are answered.
+// wantLostAtRack waits for the responses of VM fromVM and the later ones after rack 1 was killed. A
+// job that ran there must be lost, a job that no target logged may be lost, since its start may
+// have been on the way there, and every other job must be answered.
 func (w *world) wantLostAtRack(jobs []api.Submission, sent []*pending, fromVM int) {
 	w.t.Helper()
 	at := map[string]int{}
@@ -185,8 +185,7 @@
 	must.Positive(w.t, lost)
 }
 
-// wantAnswersInARow waits until all VMs together answer so many jobs without one
-// that fails.
+// wantAnswersInARow waits until the VMs, in turn, answer inARow consecutive jobs.
 func (w *world) wantAnswersInARow() {
 	w.t.Helper()
 	n := 0
@@ -209,8 +208,8 @@
 		w.awaitGranted(i, jobs[i].Key)
 	}
 	w.await("the target runs tasks", func() bool { return w.targetStats(0)[id].Running > 0 })
-	// The process of the target ends and comes back without its leases. Frozen
-	// first, it starts and ends nothing between the reading of the log and its end.
+	// The target's process restarts without its leases. It is frozen first, so that it starts and
+	// ends no task between the reading of its log and the restart.
 	w.targetFault(0, target.Faults{Frozen: true}, id)
 	running := w.targetStats(0)[id].Running
 	killed := map[string]bool{}
@@ -230,7 +229,7 @@
 			must.True(t, r.whole() || targetLost(r), must.Sprint(r))
 		}
 	}
-	// Those that it had ended before are whole.
+	// Only the tasks that still ran are lost; those that had ended are answered.
 	must.Positive(t, running)
 	must.Eq(t, running, lostThere)
 	w.wantAnswersInARow()
--- a/lab/e2e/two_faults_test.go
+++ b/lab/e2e/two_faults_test.go
@@ -28,7 +28,7 @@
 	}
 	w.mustAnswer(1)
 	w.mustAnswer(2)
-	// It comes back with nothing but its settings and its peers.
+	// It restarts with only its settings and its peers.
 	w.restart(0)
 	w.awaitServing(0)
 	w.mustAnswer(0)
--- a/lab/e2e/world_test.go
+++ b/lab/e2e/world_test.go
@@ -30,16 +30,16 @@
 
 const (
 	domain = "hall-a"
-	// otherDomain has VMs in the tests alone that start some.
+	// otherDomain is a second failure domain. It has VMs only in tests that start some.
 	otherDomain = "hall-b"
 	// vmCount is the number of entry VMs.
 	vmCount = 3
-	// patience bounds every wait; reaching it is a failure.
+	// waitTimeout bounds every wait; a wait that reaches it fails the test.
 	patience = 60 * time.Second
-	// pollPause is the time between two looks at a condition.
+	// pollPause is the time between two checks of a condition.
 	pollPause = 20 * time.Millisecond
-	// leaseTTL is the lease time of targets. The profiles with limits have runs so
-	// short that reclaimAfter is more than both together.
+	// leaseTTL is the lease time of targets. The profiles with limits have such short runs that
+	// reclaimAfter exceeds leaseTTL and limitedRun together.
 	leaseTTL     = 2 * time.Second
 	longestRun   = time.Minute
 	limitedRun   = time.Second
@@ -59,7 +59,8 @@
 	MaxRunMS:        longestRun.Milliseconds(),
 }
 
-// world is one failure domain of real processes with what callers were told.
+// world is a deployment of real processes, with one failure domain or two, and the ledger of all
+// responses.
 type world struct {
 	t           *testing.T
 	dir         string
@@ -78,18 +79,18 @@
 	domain  string
 	control string
 	ids     []string
-	// last are the starts that were read before the process was killed.
+	// last holds the starts that were read last, before the process was killed.
 	last []target.Start
 	dead bool
 }
 
-// entryVM is one entry VM.
+// entryVM is one entry VM and its daemon.
 type entryVM struct {
 	id, domain            string
 	callers, peers, admin netip.AddrPort
-	// reached is where its peers reach it: its own port or a relay before it.
+	// peerAddress is where its peers reach it: its own port, or a relay to it.
 	reached netip.AddrPort
-	// seeds are the VMs of its failure domain, domainSeeds those of others.
+	// seeds holds peer addresses of VMs of its failure domain, domainSeeds those of other domains.
 	seeds       []netip.AddrPort
 	domainSeeds map[string][]netip.AddrPort
 	process     *process
@@ -99,15 +100,15 @@
 type options struct {
 	profiles []profile.Profile
 	teams    []profile.Team
-	// network carries all messages between the VMs; nil sends them directly.
+	// network forwards all messages between the VMs; when it is nil they are sent directly.
 	network *network
 }
 
 // rack is the size of a group of targets.
 type rack struct{ targets, slots int }
 
-// newWorld starts a failure domain with the profiles and racks and waits until
-// every VM serves, in one view, and has the targets.
+// newWorld starts a failure domain with the profiles and racks. It waits until every VM serves, has
+// all targets, and is in one view with the others.
 func newWorld(t *testing.T, profiles []profile.Profile, racks ...rack) *world {
 	t.Helper()
 	return newWorldWith(t, options{profiles: profiles}, racks...)
@@ -132,17 +133,17 @@
 	for i := range vmCount {
 		w.awaitServing(i)
 	}
-	// Nobody is still about to join, which would change the view under a test.
+	// All VMs must have joined: a VM that joins later would change the view during the test.
 	for i := range vmCount {
 		w.awaitView(i, 0, 1, 2)
 	}
-	// Runs before the processes end, which is the order of clean-ups.
+	// Clean-ups run in reverse order, so these run before the processes are killed.
 	t.Cleanup(w.verify)
 	t.Cleanup(w.showStatus)
 	return w
 }
 
-// planVMs adds VMs of a failure domain, the first of which are seeds for all.
+// planVMs adds n VMs of a failure domain with their ports. The first ones are the seeds of all.
 func (w *world) planVMs(domain string, seeds, n int, network *network) {
 	ports := freePorts(w.t, 3*n)
 	var addresses []netip.AddrPort
@@ -198,8 +199,8 @@
 	w.groups = append(w.groups, g)
 }
 
-// freePorts finds loopback ports below the range of outgoing connections, so that
-// none is taken while its VM is restarted.
+// freePorts returns free loopback ports below the range of outgoing connections, so that no such
+// connection takes a VM's port while the VM restarts.
 func freePorts(t *testing.T, n int) []netip.AddrPort {
 	t.Helper()
 	var ports []netip.AddrPort
@@ -223,7 +224,7 @@
 	w.call(http.MethodPut, w.platformURL+"/v1/vms/"+vm.id, []byte(body))
 }
 
-// startVM starts the daemon of a VM, which knows nothing but its settings.
+// startVM starts the daemon of a VM, without any state but its settings.
 func (w *world) startVM(vm *entryVM) {
 	settings := map[string]any{
 		"vm_id":           vm.id,
@@ -233,7 +234,7 @@
 		"advertise":       map[string]any{"peers": vm.reached},
 		"platform":        map[string]any{"url": w.platformURL, "poll_interval": "300ms"},
 		"peers":           map[string]any{"seeds": vm.seeds, "domain_seeds": vm.domainSeeds},
-		// Quicker than the defaults, yet patient enough for a busy machine.
+		// Shorter than the defaults to save time, but long enough for a busy machine.
 		"membership": map[string]any{"heartbeat_interval": "500ms", "probe_timeout": "400ms", "probe_attempts": 4, "view_lease": "2s"},
 		"leases":     map[string]any{"reclaim_after": reclaimAfter.String()},
 		"log":        map[string]any{"format": "text"},
@@ -249,10 +250,10 @@
 func (w *world) freeze(vm int) { w.vms[vm].process.signal(w.t, syscall.SIGSTOP) }
 func (w *world) wake(vm int)   { w.vms[vm].process.signal(w.t, syscall.SIGCONT) }
 
-// restart starts a killed VM again, on the same addresses.
+// restart starts the daemon of a killed VM again, on the same addresses.
 func (w *world) restart(vm int) { w.startVM(w.vms[vm]) }
 
-// await polls until the condition holds.
+// await polls until the condition holds, and fails the test when it doesn't within the timeout.
 func (w *world) await(what string, holds func() bool) {
 	w.t.Helper()
 	deadline := time.Now().Add(patience)
@@ -264,8 +265,7 @@
 	}
 }
 
-// awaitServing waits until a VM is ready and has all targets of the racks that
-// live.
+// awaitServing waits until a VM is ready and has all targets of its failure domain.
 func (w *world) awaitServing(vm int) {
 	w.t.Helper()
 	w.await(w.vms[vm].id+" serves", func() bool {
@@ -289,7 +289,8 @@
 	return n
 }
 
-// status is what a VM says about itself. Tests wait by it and do not judge by it.
+// status returns the status that a VM reports about itself. Tests use it to wait, and check their
+// results by responses and the targets' logs.
 func (w *world) status(vm int) (adminapi.Status, bool) {
 	var status adminapi.Status
 	resp, err := w.admin.Get("http://" + w.vms[vm].admin.String() + adminapi.StatusPath)
@@ -300,7 +301,7 @@
 	return status, json.NewDecoder(resp.Body).Decode(&status) == nil
 }
 
-// awaitView waits until the VM is in a settled view of the given VMs.
+// awaitView waits until the VM has a settled view with exactly these members.
 func (w *world) awaitView(vm int, members ...int) {
 	w.t.Helper()
 	w.await(fmt.Sprintf("%s is in the view %v", w.vms[vm].id, members), func() bool {
@@ -324,7 +325,8 @@
 
 func (w *world) platformFault(f platformstandin.Faults) { w.post(w.platformURL+"/fault", f) }
 
-// targetFault replaces the faults of the targets of a rack; without ids, of all.
+// targetFault replaces the faults of the targets of a rack with these ids, or of all when there are
+// none.
 func (w *world) targetFault(group int, f target.Faults, ids ...string) {
 	w.post(w.groups[group].control+"/fault?"+url.Values{"target": ids}.Encode(), f)
 }
@@ -349,7 +351,7 @@
 	return data
 }
 
-// showStatus prints what the VMs say about their capacity when the test failed.
+// showStatus logs the targets and profiles that the VMs report, when the test failed.
 func (w *world) showStatus() {
 	if !w.t.Failed() {
 		return
