--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs one load against one deployment under one fault and
-// reports what came of it.
+// Package experiment runs one load against one deployment, injects one fault, and returns a report
+// of the outcomes, response times and messages. It ends all processes that it started.
 package experiment
 
 import (
@@ -17,12 +17,12 @@
 )
 
 const (
-	// metricsLag is how long daemons may take to show a count in a scrape.
+	// metricsLag is how long daemons may take until a scrape shows a count.
 	metricsLag = 1500 * time.Millisecond
 	// maxJobs and maxInFlight bound the load.
 	maxJobs     = 200_000
 	maxInFlight = 8_000
-	// margin is how much longer than the deadline callers wait.
+	// margin is how much longer than the deadline callers wait for a response.
 	margin = 3 * time.Second
 	// DefaultDeadline is the deadline of every submission.
 	DefaultDeadline = 15 * time.Second
@@ -43,14 +43,15 @@
 	Retry      load.RetryMode
 	// Deadline is that of every submission.
 	Deadline time.Duration
-	// Fault begins FaultAfter the first intended send.
+	// Fault is injected FaultAfter the start of the load.
 	Fault      Fault
 	FaultAfter time.Duration
-	// Log is told what happens, one line each; nil is nobody.
+	// Log is called with each line of progress; nil logs nothing.
 	Log func(format string, args ...any)
 }
 
-// Run runs an experiment. It ends all processes that it started.
+// Run runs an experiment and ends all processes that it started. The report may come with an error
+// when a process did not end as it should.
 func Run(ctx context.Context, o Options) (rep *report.Report, err error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -72,6 +73,7 @@
 	return r.run(ctx)
 }
 
+// trace draws the jobs of all failure domains.
 func (o *Options) trace() ([]load.Job, error) {
 	return load.Traces(load.TraceParams{
 		Seed:       o.Seed,
@@ -113,7 +115,7 @@
 	return r.report(ctx, result, before)
 }
 
-// load sends the load and injects the fault beside it.
+// load sends the load, and injects the fault while it runs.
 func (r *run) load(ctx context.Context) (*load.Result, error) {
 	r.Log("sending %d jobs over %v at %.0f %% of the slots", len(r.jobs), r.Length, 100*r.Load)
 	var result *load.Result
@@ -143,6 +145,8 @@
 	return result, nil
 }
 
+// report reads the counters and logs after the load and sums up the run. It counts messages since
+// before.
 func (r *run) report(ctx context.Context, result *load.Result, before deploy.Messages) (*report.Report, error) {
 	after, err := r.deployment.Messages(ctx)
 	if err != nil {
--- a/lab/experiment/fault.go
+++ b/lab/experiment/fault.go
@@ -10,8 +10,8 @@
 	"github.com/burdockward/burdockward/lab/standin/target"
 )
 
-// Fault is what happens to the deployment in an experiment. All but FaultFreeze
-// and FaultRolling last to the end.
+// Fault is a fault that an experiment injects into its deployment. All faults except FaultFreeze
+// and FaultRolling last to the end of the experiment.
 type Fault string
 
 // The faults.
@@ -19,15 +19,15 @@
 	FaultNone Fault = "none"
 	// FaultKill kills one entry VM of the first failure domain.
 	FaultKill Fault = "kill"
-	// FaultFreeze stops the processor time of one entry VM of the first failure
-	// domain for a while, longer than its peers wait for it.
+	// FaultFreeze pauses the daemon of one entry VM of the first failure domain, for longer than
+	// its peers wait for it.
 	FaultFreeze Fault = "freeze"
 	// FaultStop makes a planned stop of one entry VM of the first failure domain.
 	FaultStop Fault = "stop"
 	// FaultRolling makes a planned stop of each entry VM of the first failure
 	// domain in turn, and starts it again.
 	FaultRolling Fault = "rolling"
-	// FaultBlackHole lets one target run its tasks and never answer.
+	// FaultBlackHole makes one target run its tasks and never answer.
 	FaultBlackHole Fault = "black_hole"
 	// FaultSlow makes a tenth of the targets of each failure domain slow.
 	FaultSlow Fault = "slow"
@@ -46,22 +46,23 @@
 	faultyVM = 1
 	// freezeLength is how long FaultFreeze lasts.
 	freezeLength = 8 * time.Second
-	// slowShare is the number of targets for each slow one, and slowFactor how
-	// much longer tasks take there.
+	// FaultSlow slows one of slowShare targets, rounded up. Tasks take slowFactor times as long
+	// there.
 	slowShare  = 10
 	slowFactor = 10
 )
 
-// injected is what a fault left behind for the check of outcomes.
+// injected records the effects of a fault that the check of outcomes needs.
 type injected struct {
-	// outage has times from and to instead of its own.
+	// outage lasts from from to to; its own times are set by faults.
 	outage   load.Outage
 	from, to time.Time
-	// targets names the targets that don't answer.
+	// targets holds the ids of the targets that don't answer.
 	targets []string
 }
 
-// inject begins the fault.
+// inject injects the fault. It returns when the fault is in effect, or has ended for FaultFreeze
+// and FaultRolling.
 func (r *run) inject(ctx context.Context) error {
 	var err error
 	switch r.Fault {
@@ -85,8 +86,8 @@
 	return err
 }
 
-// outage keeps the time in which fail lets the faulty VM serve nobody. Planned
-// stops are no outage: they must not make any outcome unknown.
+// outage calls fail and records its duration as an outage of the faulty VM. Planned stops are not
+// recorded as outages, since they must not make any outcome unknown.
 func (r *run) outage(fail func(id string) error) error {
 	id := r.deployment.VM(0, faultyVM)
 	r.injected.outage = load.Outage{Domain: 0, VM: faultyVM, ID: id}
@@ -96,6 +97,7 @@
 	return err
 }
 
+// freeze pauses a VM's daemon for freezeLength.
 func (r *run) freeze(ctx context.Context, id string) error {
 	if err := r.deployment.Freeze(id); err != nil {
 		return err
@@ -104,6 +106,7 @@
 	return r.deployment.Continue(id)
 }
 
+// rolling stops and restarts each VM of the first failure domain in turn.
 func (r *run) rolling(ctx context.Context) error {
 	for i := range r.Deploy.VMs {
 		id := r.deployment.VM(0, i)
@@ -121,6 +124,7 @@
 	return nil
 }
 
+// slow slows a tenth of the targets of each failure domain.
 func (r *run) slow() error {
 	n := (r.Deploy.Targets + slowShare - 1) / slowShare
 	for domain := range r.Deploy.Domains {
@@ -132,7 +136,7 @@
 	return nil
 }
 
-// faults returns the faults with times from the start of the load.
+// faults returns the faults with their times counted from the start of the load.
 func (i *injected) faults(start time.Time) load.Faults {
 	f := load.Faults{Targets: i.targets}
 	if i.outage.ID == "" {
--- a/lab/experiment/loadcommand.go
+++ b/lab/experiment/loadcommand.go
@@ -15,10 +15,10 @@
 	"github.com/burdockward/burdockward/lab/report"
 )
 
-// errUnhappy is the end of a load that broke a promise.
+// errViolations is the error of a load whose report is not good.
 var errUnhappy = errors.New("callers saw broken promises: see the report above")
 
-// LoadCommand sends a load to a deployment that runs already.
+// LoadCommand returns the command that sends a load to a running deployment.
 func LoadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
@@ -76,6 +76,7 @@
 	return err
 }
 
+// tracesOf draws the jobs that the flags describe, for all failure domains.
 func tracesOf(c *cli.Command, domains []load.Domain) ([]load.Job, error) {
 	mix, err := load.MixByName(c.String("mix"))
 	if err != nil {
@@ -94,7 +95,8 @@
 	}, len(domains))
 }
 
-// parseDomains reads failure domains of the form NAME=IP:PORT+IP:PORT.
+// parseDomains parses failure domains of the form NAME=IP:PORT+IP:PORT. All must have the same
+// number of entry VMs.
 func parseDomains(texts []string) ([]load.Domain, error) {
 	var domains []load.Domain
 	for _, text := range texts {
--- a/lab/orders/burst.go
+++ b/lab/orders/burst.go
@@ -20,15 +20,15 @@
 	burstName  = "burst"
 	burstTasks = 50 // of each job
 	burstAt    = 10 * time.Second
-	burstTime  = 20 * time.Second // for which its work fills all slots
+	burstTime  = 20 * time.Second // for which the burst's tasks fill all slots
 )
 
-// burstCase says what the steady profile runs beside.
+// burstCase is a load in which the delays of the steady jobs are measured.
 type burstCase struct {
 	name string
-	// burst adds the burst.
+	// burst adds the burst to the steady load.
 	burst bool
-	// shared puts both loads into the steady profile.
+	// shared submits both loads under the steady profile.
 	shared bool
 }
 
@@ -39,8 +39,8 @@
 	caseShared = burstCase{name: "in one queue with the burst", burst: true, shared: true}
 )
 
-// delays returns, sorted, by how many milliseconds the steady jobs that came in
-// the 20 s after the burst took longer than their longest task.
+// delays returns the delays of the steady jobs that arrived in the 20 s after the burst, sorted. A
+// delay is the response time beyond the job's longest task, in milliseconds.
 func (c burstCase) delays(seed uint64) []float64 {
 	trace := c.trace(seed)
 	steady := profile.Profile{Name: steadyName, Urgency: 5, GuaranteedSlots: 80, QueueTasks: unbounded, DeadlineMS: farDeadlineMS}
@@ -59,7 +59,7 @@
 	return delays
 }
 
-// trace is the steady load with the burst of the case.
+// trace returns the arrivals of the steady load and, if the case has it, of the burst.
 func (c burstCase) trace(seed uint64) []arrival {
 	trace := makeTrace(traceOptions{seed: seed, profile: steadyName, jobs: steadyJobs, most: steadyMost, slots: slots, load: steadyLoad})
 	if !c.burst {
@@ -75,7 +75,7 @@
 	return trace
 }
 
-// burstJobs draws jobs that arrive at once and fill all slots for burstTime.
+// burstJobs draws jobs that all arrive at burstAt and fill all slots for burstTime.
 func burstJobs(seed uint64) []arrival {
 	r := rand.New(rand.NewPCG(seed, streamBurst))
 	var jobs []arrival
--- a/lab/orders/candidates.go
+++ b/lab/orders/candidates.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// leastWork serves the submission with the least remaining work first. Waiting
-// ages linearly: a unit of work is worth Aging units of waiting.
+// leastWork serves the submission with the least remaining work first, with linear aging: a unit of
+// work weighs as much as Aging units of waiting time.
 type leastWork struct{ Aging float64 }
 
 // Name implements admission.Order.
@@ -35,8 +35,8 @@
 	return j.ArrivedAt + time.Duration(o.Aging*float64(j.Work))
 }
 
-// mixed is leastWork with a bound on how long a job can be passed, and puts a
-// job that is about to miss its deadline forward.
+// mixed is leastWork with a bound: a job is overtaken only by jobs that arrive less than MaxAdvance
+// after it. It also advances a job that is about to miss its deadline.
 type mixed struct {
 	Aging      float64
 	MaxAdvance time.Duration
--- a/lab/orders/drive.go
+++ b/lab/orders/drive.go
@@ -8,14 +8,15 @@
 	"github.com/burdockward/burdockward/admission"
 )
 
-// outcomes holds the response time of each submission, 0 when it has none.
+// outcomes holds the response time of each submission of a trace, 0 for those that were refused or
+// expired, and the numbers of these.
 type outcomes struct {
 	response []time.Duration
 	refused  int
 	expired  int
 }
 
-// drive runs a trace through a State over a number of slots without overhead.
+// drive simulates a trace with a State over a number of slots, without any overhead.
 func drive(s *admission.State, trace []arrival, slots int) outcomes {
 	d := newDriver(s, trace, slots)
 	for d.queue.Len() > 0 {
@@ -36,8 +37,8 @@
 	state    *admission.State
 	trace    []arrival
 	capacity admission.Capacity
-	place    map[admission.ID]int // of submissions in the trace
-	left     []int                // unfinished tasks by place
+	place    map[admission.ID]int // index of each submission in the trace
+	left     []int                // unfinished tasks by place; negative when expired
 	queue    events
 	free     int
 	seq      int
@@ -64,12 +65,14 @@
 	return d
 }
 
+// arrive submits the submission of an arrival.
 func (d *driver) arrive(e event) {
 	if d.state.Admit(e.at, d.trace[e.place].sub, d.capacity) != nil {
 		d.out.refused++
 	}
 }
 
+// finish records the end of a task, and the response time when it was the submission's last one.
 func (d *driver) finish(e event) {
 	d.free++
 	d.state.RecordEnd(e.at, e.ref, e.ran, admission.OutcomeDone)
@@ -79,14 +82,15 @@
 	}
 }
 
+// expire counts the submissions whose deadline has passed.
 func (d *driver) expire(now time.Duration) {
-	for _, given := range d.state.Expire(now) {
+	for _, expired := range d.state.Expire(now) {
 		d.out.expired++
-		d.left[d.place[given.ID]] = -1 // tasks that still run answer nobody
+		d.left[d.place[expired.ID]] = -1 // ends of its running tasks make no response any more
 	}
 }
 
-// start fills the free slots.
+// start starts waiting tasks while slots are free.
 func (d *driver) start(now time.Duration) {
 	for d.free > 0 {
 		ref, ok := d.state.Next(now, func(string) bool { return true })
@@ -106,7 +110,7 @@
 type event struct {
 	at    time.Duration
 	seq   int // orders events of the same time
-	place int // of the submission in the trace
+	place int // index of the submission in the trace
 	ref   admission.TaskRef
 	ran   time.Duration
 }
--- a/lab/orders/orders.go
+++ b/lab/orders/orders.go
@@ -1,7 +1,7 @@
-// Package orders measures the orders in which one profile's submissions can be
-// served, and what a burst of one profile does to another. It drives admission's
-// decisions over a number of slots, without network, overhead or clock, so that
-// the same seed gives the same figures on every machine.
+// Package orders compares the orders in which one profile's submissions can be served, and measures
+// how a burst of one profile delays another. It simulates admission's decisions over a number of
+// slots, without network, overhead or clock, so that the same seed gives the same figures on every
+// machine.
 package orders
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/burdockward/burdockward/admission"
 )
 
-// Command measures orders and, below it, a burst.
+// Command returns the command that compares orders, with a subcommand that measures a burst.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "orders",
@@ -66,8 +66,9 @@
 	return table.write()
 }
 
-// orderHeadings names the columns. ratio is the response time over that of one
-// FIFO queue over the same slots, slowdown that over the job's longest task.
+// orderHeadings returns the names of the columns. Ratio is the response time divided by that with
+// one FIFO queue over the same slots, and slowdown the response time divided by the job's longest
+// task.
 func orderHeadings(deadlines bool) []string {
 	if deadlines {
 		return []string{"load", "order", "in time", "refused at once", "given up later", "slowdown p50", "p99", "mean ms"}
@@ -75,6 +76,7 @@
 	return []string{"load", "order", "ratio p50", "p99", "p99.9", "slowdown p50", "p99", "p99.9", "mean ms", "unanswered"}
 }
 
+// orderRow returns the row of one order, in the columns of orderHeadings.
 func orderRow(e experiment, order admission.Order) []string {
 	res := e.try(order)
 	name := []string{fmt.Sprintf("%.0f%%", 100*e.load), fmt.Sprintf("%s%v", order.Name(), order)}
@@ -101,7 +103,7 @@
 	)
 }
 
-// part writes a number of submissions as a part of all.
+// percentage formats a number of submissions as a percentage of all.
 func (r *result) part(n int) string {
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(r.submitted))
 }
--- a/lab/orders/orders_test.go
+++ b/lab/orders/orders_test.go
@@ -9,11 +9,11 @@
 	"github.com/burdockward/burdockward/admission"
 )
 
-// meanRunTime is about that of a task, in milliseconds.
+// meanRunTime is about the mean run time of a task, in milliseconds.
 const meanRunTime = 300
 
-// TestDefaultOrder holds the default order to what it was chosen for: at 80 %
-// load the tail stays near that of one FIFO queue, and small jobs wait less.
+// TestDefaultOrderServesSmallJobsSooner checks what the default order is for: at 80 % load the tail
+// stays near that of one FIFO queue, and small jobs wait less.
 func TestDefaultOrder(t *testing.T) {
 	e := experiment{load: 0.8, jobs: 4000, traces: 1}
 	plain := e.try(admission.FIFO{})
@@ -24,10 +24,9 @@
 	must.Less(t, 0.9*quantile(plain.slowdown, .5), quantile(res.slowdown, .5))
 }
 
-// TestBurstDelaysNoGuaranteedProfile compares a profile within its guarantee
-// without and with the burst of another, and with both in one profile. Running
-// tasks are not interrupted, so that the guaranteed profile waits for slots to
-// come free: less than a mean run time.
+// TestBurstDelaysNoGuaranteedProfile compares a profile within its guarantee alone, beside a burst
+// of another profile, and with the burst in the same profile. Running tasks are not interrupted, so
+// the guaranteed profile waits until slots become free: less than a mean run time.
 func TestBurstDelaysNoGuaranteedProfile(t *testing.T) {
 	alone, beside, shared := caseAlone.delays(1), caseBeside.delays(1), caseShared.delays(1)
 	for _, q := range []float64{.5, .99, .999} {
@@ -38,7 +37,7 @@
 	must.Greater(t, 10*quantile(beside, .99), quantile(shared, .99))
 }
 
-// TestTables runs the commands; one job alone takes as long as its longest task.
+// TestCommandsWriteTables runs the commands. A job that is alone takes as long as its longest task.
 func TestTables(t *testing.T) {
 	run := func(args ...string) (string, error) {
 		var out strings.Builder
--- a/lab/orders/result.go
+++ b/lab/orders/result.go
@@ -19,21 +19,21 @@
 	farDeadlineMS = 3_600_000
 )
 
-// experiment is what an order is tried on.
+// experiment describes the traces on which an order is measured.
 type experiment struct {
 	load float64
-	// deadlines says whether submissions have deadlines that they can miss.
+	// deadlines gives submissions deadlines that they can miss.
 	deadlines bool
 	jobs      int
-	// seed is that of the first trace, the others take the next ones.
+	// seed is the seed of the first trace; the others take the next ones.
 	seed   uint64
 	traces int
 }
 
-// result is what one order made of all traces of an experiment.
+// result sums up all traces of an experiment under one order.
 type result struct {
-	// ratio is the response time over that of one FIFO queue over the same
-	// slots, slowdown that over the longest task of the job; both sorted.
+	// ratio holds the response times divided by those with one FIFO queue over the same slots, and
+	// slowdown those divided by the longest task of the job. Both are sorted.
 	ratio, slowdown []float64
 	mean            float64 // response time in seconds
 	submitted       int
@@ -42,7 +42,7 @@
 	inTime          int
 }
 
-// try runs the traces under one order.
+// measure simulates the traces under one order.
 func (e experiment) try(order admission.Order) result {
 	var res result
 	p := profile.Profile{Name: "tiles", QueueTasks: unbounded, DeadlineMS: farDeadlineMS, MaxRunMS: 60_000}
@@ -62,6 +62,7 @@
 	return res
 }
 
+// add adds the outcomes of one trace.
 func (r *result) add(trace []arrival, out outcomes) {
 	r.submitted += len(trace)
 	r.refused += out.refused
@@ -80,7 +81,7 @@
 	}
 }
 
-// idealTimes returns the response times of one queue over the same slots.
+// idealTimes returns the response times with one FIFO queue over the same slots.
 func idealTimes(trace []arrival) []time.Duration {
 	jobs := make([]ideal.Job, len(trace))
 	for i, a := range trace {
@@ -89,7 +90,7 @@
 	return ideal.ResponseTimes(jobs, slots)
 }
 
-// quantile returns NaN when there are no values.
+// quantile returns the q-quantile of sorted values, or NaN when there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
--- a/lab/orders/table.go
+++ b/lab/orders/table.go
@@ -14,14 +14,15 @@
 	formatMarkdown = "markdown"
 )
 
-// table gathers rows and writes them.
+// table collects rows and writes them as text or Markdown.
 type table struct {
 	out    io.Writer
 	format string
 	rows   [][]string // the headings first
 }
 
-// newTable refuses an unknown format before the first run.
+// newTable returns a table with headings. It refuses an unknown format, before any measurement
+// runs.
 func newTable(out io.Writer, format string, headings []string) (*table, error) {
 	if format != formatText && format != formatMarkdown {
 		return nil, fmt.Errorf("unknown format %q: take %s or %s", format, formatText, formatMarkdown)
--- a/lab/orders/trace.go
+++ b/lab/orders/trace.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/admission"
 )
 
-// Streams of random numbers that belong to one seed.
+// Streams of random numbers from one seed, so that each use draws independently.
 const (
 	streamJobs      = 1
 	streamDeadlines = 2
@@ -25,10 +25,10 @@
 	sub     admission.Submission
 }
 
-// longest is the response time of the submission in an empty system.
+// longest returns the longest run time: the response time of the submission in an empty system.
 func (a arrival) longest() time.Duration { return slices.Max(a.runs) }
 
-// work is the run time of all tasks together.
+// work returns the sum of the run times of all tasks.
 func (a arrival) work() time.Duration {
 	var work time.Duration
 	for _, ran := range a.runs {
@@ -37,7 +37,7 @@
 	return work
 }
 
-// newArrival makes a submission with declared run times, to arrive at 0.
+// newArrival returns the arrival at 0 of a submission with declared run times.
 func newArrival(r *rand.Rand, id, profileName string, runs []time.Duration) arrival {
 	return arrival{
 		profile: profileName,
@@ -50,7 +50,7 @@
 	}
 }
 
-// traceOptions describe a trace.
+// traceOptions describes a trace.
 type traceOptions struct {
 	seed    uint64
 	profile string
@@ -58,11 +58,12 @@
 	// most is the largest number of tasks of a job.
 	most  int
 	slots int
-	// load is the part of the slots that the jobs keep busy.
+	// load is the fraction of the slots that the jobs keep busy.
 	load float64
 }
 
-// makeTrace draws jobs with Poisson arrivals.
+// makeTrace draws jobs and their Poisson arrivals. The rate of arrivals follows from the jobs' run
+// times and the load.
 func makeTrace(o traceOptions) []arrival {
 	r := rand.New(rand.NewPCG(o.seed, streamJobs))
 	trace := make([]arrival, o.jobs)
@@ -90,13 +91,13 @@
 	}
 }
 
-// jobTasks draws 1 to most tasks, more often few.
+// jobTasks draws a number of tasks from 1 to most, with small numbers more frequent.
 func jobTasks(r *rand.Rand, most int) int {
 	return int(math.Exp(r.Float64() * math.Log(float64(most+1))))
 }
 
-// jobRuns draws the true run times of one job: alike within a factor of two,
-// 50 ms to 1 s, and one job in fifty of 2 to 6 s.
+// jobRuns draws the true run times of one job's n tasks. They are within a factor of two of each
+// other, from 50 ms to 1 s, or for one job in fifty from 2 to 6 s.
 func jobRuns(r *rand.Rand, n int) []time.Duration {
 	base := 0.07 * math.Exp(r.Float64()*math.Log(0.7/0.07))
 	if r.IntN(50) == 0 {
@@ -109,8 +110,8 @@
 	return runs
 }
 
-// declare draws declared times: unknown for a third of the jobs, else off by a
-// factor of up to 8 that differs from job to job.
+// declare draws the declared run times of one job: none (zeros) for a third of the jobs, otherwise
+// the true ones times a factor from 1/8 to 8, one factor for each job.
 func declare(r *rand.Rand, runs []time.Duration) []time.Duration {
 	declared := make([]time.Duration, len(runs))
 	if r.IntN(3) == 0 {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,6 @@
-// Package report sums up a run of the lab: what callers got, how long it took
-// against the ideal, and how many messages it cost.
+// Package report sums up a run of the lab: the outcomes of jobs, their response times compared with
+// those of an ideal FIFO queue, the messages that daemons sent, and the violations of guarantees
+// that load.Check finds.
 package report
 
 import (
@@ -12,13 +13,13 @@
 	"github.com/burdockward/burdockward/lab/standin/target"
 )
 
-// Input is what a run left behind.
+// Input holds the results of a run and the counters read after it.
 type Input struct {
 	Result *load.Result
 	// Slots is the number of slots of a failure domain's targets.
 	Slots int
-	// Starts are all starts that the targets saw; StartsUnknown says that nobody
-	// asked them.
+	// Starts holds all starts that the targets logged. StartsUnknown is set when their logs were
+	// not read.
 	Starts        []target.Start
 	StartsUnknown bool
 	// Refused counts the starts that targets refused, by reason.
@@ -31,15 +32,14 @@
 
 // Report sums up a run.
 type Report struct {
-	// Jobs counts the pieces of work, Sent those of them that were sent, and
-	// Submissions the keys under which they were. Requests counts the HTTP
-	// requests that callers made for them.
+	// Jobs counts the jobs of the trace, Sent those that were sent, and Submissions the keys under
+	// which they were sent. Requests counts the HTTP requests that callers made for them.
 	Jobs        int `json:"jobs"`
 	Sent        int `json:"sent"`
 	Submissions int `json:"submissions"`
 	Requests    int `json:"requests"`
-	// Answered counts the jobs with a whole answer, NotRun those that were
-	// refused, and Failures all without an answer by kind and run state.
+	// Answered counts the jobs with an answer, NotRun those that were refused, and Failures all
+	// jobs without an answer, by kind and run state.
 	Answered int            `json:"answered"`
 	NotRun   int            `json:"not_run"`
 	Failures map[string]int `json:"failures"`
@@ -51,21 +51,20 @@
 	Started         int               `json:"started"`
 	DuplicateStarts int               `json:"duplicate_starts"`
 	RefusedStarts   map[string]uint64 `json:"refused_starts"`
-	// Violations are the broken promises.
+	// Violations holds the violations of the callers' guarantees.
 	Violations []load.Violation `json:"violations"`
-	// Total is over all profiles.
+	// Total holds the times over all profiles.
 	Total    Times   `json:"total"`
 	Profiles []Times `json:"profiles"`
-	// Windows are those of the first failure domain, the one of the outage if
-	// there was any; OutageS is when it began, in seconds from the start, -1
-	// for none.
+	// Windows sums up the failure domain of the outage, or the first one when there was no outage.
+	// OutageS is when the outage began, in seconds from the start; -1 is none.
 	Windows []Window `json:"windows"`
 	OutageS float64  `json:"outage_s"`
 	// Messages counts the messages that daemons sent, by kind.
 	Messages map[string]float64 `json:"messages"`
-	// Wasted is the messages beyond one start for each task and one answer for
-	// each submission, for each task. Unexplained answers and starts of a
-	// killed VM that it had not yet reported don't lower it.
+	// Wasted is the number of messages per task beyond one start for each task and one answer for
+	// each submission. A killed VM's last counts are missing; fewer starts or answers than needed
+	// count as 0 and don't lower it.
 	Wasted float64 `json:"wasted_per_task"`
 	// MaxLagMS is the longest delay of the load tool itself in milliseconds.
 	MaxLagMS float64 `json:"max_lag_ms"`
@@ -106,13 +105,13 @@
 	return r
 }
 
-// Good says that no submission was lost or doubled, that no answer was wrong,
-// and that the load tool could send all jobs.
+// Good reports whether no guarantee was violated, no task was started twice, all jobs were sent and
+// at least one was answered.
 func (r *Report) Good() bool {
 	return len(r.Violations) == 0 && r.DuplicateStarts == 0 && r.Sent == r.Jobs && r.Answered > 0
 }
 
-// startsOf sorts the starts by task; nil is not known.
+// startsOf returns the targets of the starts by task, or nil when the starts are unknown.
 func startsOf(in Input) load.Starts {
 	if in.StartsUnknown {
 		return nil
@@ -125,6 +124,7 @@
 	return starts
 }
 
+// countResponses counts the requests of one submission, and the submission if it was refused.
 func (r *Report) countResponses(responses []load.Response) {
 	r.Requests += len(responses)
 	for _, resp := range responses {
@@ -135,6 +135,7 @@
 	}
 }
 
+// countJobs counts the jobs by outcome.
 func (r *Report) countJobs(result *load.Result) {
 	for _, jr := range result.JobResults {
 		switch {
@@ -186,7 +187,7 @@
 	kindAnswer = "answer"
 )
 
-// wasted is the number of messages that the work did not need, for each task.
+// wasted returns the number of messages per task beyond those that the tasks and submissions need.
 func wasted(messages map[string]float64, tasks, submissions int) float64 {
 	if tasks == 0 {
 		return 0
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// input is a run of two jobs of one task of 100 ms on one slot: the first one
-// is answered after 150 ms, the second one refused.
+// input returns a run of two jobs, each with one task of 100 ms, on one slot. The first job is
+// answered after 150 ms, the second one is refused.
 func input() Input {
 	job := load.Job{Profile: "p", Tasks: []load.Task{{Run: 100 * ms}}}
 	answered := load.Response{Outcome: load.Answered}
@@ -53,10 +53,10 @@
 }
 
 func TestReportWastedMessages(t *testing.T) {
-	// Two starts too many, no answer too many, four messages between peers.
+	// Two more starts than tasks, no more answers than submissions, four messages between peers.
 	must.Eq(t, 6.0, New(input()).Wasted)
 	in := input()
-	in.Messages["start"] = 0 // of a killed VM that had not reported it
+	in.Messages["start"] = 0 // a killed VM had not reported its start
 	must.Eq(t, 4.0, New(in).Wasted)
 	in.Starts = nil
 	must.Zero(t, New(in).Wasted)
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -10,7 +10,7 @@
 	"github.com/burdockward/burdockward/lab/load"
 )
 
-// maxShown bounds the violations that a text shows in full.
+// maxShown bounds the violations that the text lists one by one.
 const maxShown = 10
 
 // Write writes the report as text.
--- a/lab/report/times.go
+++ b/lab/report/times.go
@@ -11,14 +11,14 @@
 // Times compares the response times of answered jobs with the ideal.
 type Times struct {
 	Profile string `json:"profile"`
-	// Jobs counts the jobs that were due, Answered the whole answers.
+	// Jobs counts the jobs of the profile, Answered those with an answer.
 	Jobs     int `json:"jobs"`
 	Answered int `json:"answered"`
-	// Measured and Ideal are response times; Ideal is that of the same jobs in
-	// a queue with all jobs of the trace.
+	// Measured holds the response times of the answered jobs, and Ideal those of the same jobs in
+	// one FIFO queue with all jobs of the trace.
 	Measured Quantiles `json:"measured_ms"`
 	Ideal    Quantiles `json:"ideal_ms"`
-	// Ratio is Measured over Ideal.
+	// Ratio is Measured divided by Ideal, quantile by quantile.
 	Ratio Quantiles `json:"ratio"`
 }
 
@@ -35,7 +35,7 @@
 	digits        = 3
 )
 
-// timer gathers the response times of a set of jobs.
+// timer collects the response times of a set of jobs.
 type timer struct {
 	sums            Times
 	measured, ideal *hdrhistogram.Histogram
@@ -49,6 +49,7 @@
 	}
 }
 
+// add adds a job, and its response times if it was answered.
 func (t *timer) add(jr *load.JobResult, ideal time.Duration) {
 	t.sums.Jobs++
 	if jr.Outcome != load.Answered {
@@ -59,6 +60,7 @@
 	record(t.ideal, ideal)
 }
 
+// record adds a duration to a histogram, bounded to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), longestMicros))
 }
--- a/lab/report/windows.go
+++ b/lab/report/windows.go
@@ -8,13 +8,13 @@
 	"github.com/burdockward/burdockward/lab/load"
 )
 
-// windowLength is the length of a window of intended sends.
+// windowLength is the length of a window, by intended times of sending.
 const windowLength = time.Second
 
-// Window sums up the jobs of one failure domain that were due in one second. It
-// shows how long a fault is felt.
+// Window sums up the jobs of one failure domain that were due in one second. The windows show for
+// how long a fault affects response times.
 type Window struct {
-	// FromS is the begin of the window in seconds from the start.
+	// FromS is the beginning of the window in seconds from the start.
 	FromS    int `json:"from_s"`
 	Jobs     int `json:"jobs"`
 	Answered int `json:"answered"`
@@ -50,7 +50,7 @@
 	return windows
 }
 
-// writeOutage writes the windows from the begin of the outage on.
+// writeOutage writes the windows from the one in which the outage began.
 func (r *Report) writeOutage(w io.Writer) {
 	if r.OutageS < 0 {
 		return
