--- a/lab/slopes/decisions.go
+++ b/lab/slopes/decisions.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// decision measures a benchmark at one size: the time and allocations of one
-// decision, and the memory of the state that it works on.
+// decision returns the function that measures a benchmark at one size: the time and allocations of
+// one decision, and the memory of the state that it works on. build makes that state and returns
+// the decision.
 func decision(build func(size int) func()) func(context.Context, *runner, float64) (costs, error) {
 	return func(_ context.Context, r *runner, x float64) (costs, error) {
 		if err := r.setBenchTime(); err != nil {
@@ -89,8 +90,7 @@
 	}
 }
 
-// setBenchTime sets the least time of a benchmark, which package testing takes
-// from a flag alone.
+// setBenchTime sets the least time of a benchmark. Package testing reads it only from a flag.
 func (r *runner) setBenchTime() error {
 	testing.Init()
 	length := fullBench
@@ -100,6 +100,7 @@
 	return flag.Set("test.benchtime", length)
 }
 
+// liveHeap returns the size of the heap after a garbage collection, in bytes.
 func liveHeap() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -107,7 +108,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// benchPlacement picks a target and reports a good end.
+// benchPlacement returns a decision that picks a target, and records the start and the successful
+// end of a task there.
 func benchPlacement(targets int) func() {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := placement.New(placement.Options{})
@@ -139,7 +141,7 @@
 	}
 }
 
-// submissionNames are made beforehand, so that benchmarks don't measure it.
+// submissionNames are made beforehand, so that benchmarks don't measure the formatting.
 var submissionNames = func() []string {
 	names := make([]string, 1024)
 	for i := range names {
@@ -148,10 +150,10 @@
 	return names
 }()
 
-// benchAdmission hands out and finishes the tasks of one profile.
+// benchAdmission returns a decision that starts and ends a task, with waiting tasks of one profile.
 func benchAdmission(waiting int) func() { return benchOrder(waiting, 1) }
 
-// benchProfiles does the same over many profiles.
+// benchProfiles returns the same decision with waiting tasks of many profiles.
 func benchProfiles(profiles int) func() { return benchOrder(profiles*tasksOfBenchJob*4, profiles) }
 
 const (
@@ -159,6 +161,8 @@
 	benchDeadline   = 10 * time.Hour
 )
 
+// benchOrder returns a decision that takes the next waiting task, starts and ends it, and admits
+// jobs so that about the same number of tasks waits.
 func benchOrder(waiting, profiles int) func() {
 	s := admission.New(admission.Config{Domain: baseDomain, Domains: []string{baseDomain}, MaxQueuedTasks: 1 << 30})
 	list := manyProfiles(profiles)
@@ -168,8 +172,8 @@
 		list[i].Team = ""
 	}
 	s.SetProfiles(0, list, nil)
-	room := admission.Capacity{Slots: 1 << 20, Share: 1}
-	s.SetCapacity(room)
+	manySlots := admission.Capacity{Slots: 1 << 20, Share: 1}
+	s.SetCapacity(manySlots)
 	now, n := time.Duration(0), 0
 	durations := make([]time.Duration, tasksOfBenchJob)
 	admit := func() {
@@ -179,7 +183,7 @@
 			Profile:    list[n%profiles].Name,
 			DeadlineAt: now + benchDeadline,
 			Tasks:      durations,
-		}, room)
+		}, manySlots)
 		if failure != nil {
 			panic(failure)
 		}
@@ -202,7 +206,8 @@
 	}
 }
 
-// benchLimits tells the capacity of all limits that nothing waits for them.
+// benchLimits returns a decision that reports to the capacity duty, for all limits and quotas, that
+// no task waits for them.
 func benchLimits(profiles int) func() {
 	self := capacity.Member{ID: "vm-0", Incarnation: 1}
 	s := dispatch.NewShared(dispatch.SharedOptions{
@@ -229,7 +234,8 @@
 	}
 }
 
-// benchCapacity takes a unit of a target that this VM holds and gives it back.
+// benchCapacity returns a decision that takes a unit of a target that this VM holds, and returns
+// it.
 func benchCapacity(targets int) func() {
 	self := capacity.Member{ID: "vm-0", Incarnation: 1}
 	s := capacity.New(capacity.Options{Self: self})
--- a/lab/slopes/experiment.go
+++ b/lab/slopes/experiment.go
@@ -24,9 +24,9 @@
 	// variable is the number that varies.
 	variable string
 	points   []float64
-	// long says that --short leaves the experiment out unless it is named.
+	// long makes --short leave the experiment out unless it is named.
 	long bool
-	// alone says that points are never measured at the same time.
+	// alone prevents points from being measured concurrently.
 	alone bool
 	// measure measures all costs at one value.
 	measure func(ctx context.Context, r *runner, x float64) (costs, error)
@@ -42,17 +42,18 @@
 	binaries deploy.Binaries
 	short    bool
 	repeats  int
-	// window is the time over which a run is measured, settle the wait before it.
+	// window is the time over which a run is measured, and settle the wait before it.
 	window, settle time.Duration
 	log            func(format string, args ...any)
 
 	mu sync.Mutex
-	// faults are what went wrong beside the measurement.
+	// faults holds the errors that did not affect measurements, such as a daemon that did not stop
+	// in time.
 	faults []string
 }
 
-// close ends a deployment. A process that does not end well is a fault to be
-// reported, and no reason to lose what was measured.
+// close ends a deployment. When a process had to be killed or failed, close records a fault, and
+// the run keeps its measurements.
 func (r *runner) close(b *bench) {
 	err := b.Close()
 	if err == nil {
@@ -73,6 +74,7 @@
 	return faults
 }
 
+// run measures all points of an experiment.
 func (r *runner) run(ctx context.Context, e experiment) (*result, error) {
 	res := &result{
 		Experiment: e.name,
@@ -104,7 +106,7 @@
 	return res, err
 }
 
-// parallel is the number of points that are measured at the same time.
+// parallel returns the number of points that are measured concurrently.
 func (r *runner) parallel(e experiment) int {
 	if r.short && !e.alone {
 		return pointsOfShort
@@ -127,7 +129,7 @@
 	return runs, nil
 }
 
-// thin keeps n points with the first and the last among them.
+// thin returns n of the points, evenly chosen, with the first and the last.
 func thin(points []float64, n int) []float64 {
 	if len(points) <= n {
 		return points
@@ -139,7 +141,7 @@
 	return kept
 }
 
-// version asks a binary for its version.
+// version returns the version that a binary prints, or "unknown".
 func version(ctx context.Context, path string) string {
 	out, err := exec.CommandContext(ctx, path, "--version").Output()
 	if err != nil {
@@ -148,7 +150,7 @@
 	return strings.TrimSpace(string(out))
 }
 
-// pause waits unless ctx ends first.
+// pause waits for d, or returns the error of ctx when it ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lab/slopes/failures.go
+++ b/lab/slopes/failures.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// viewPoll is the time between two looks at views, and viewLongest the wait
-	// for the expected one.
+	// viewPoll is the time between two polls of a view, and viewLongest bounds the wait for the
+	// expected view.
 	viewPoll    = 20 * time.Millisecond
 	viewLongest = 30 * time.Second
 	// failureWindow covers the loss of a VM and the repair of its view.
 	failureWindow = 15 * time.Second
-	// probeRate and probeSeconds are the jobs that look for the first answer.
+	// probeRate is the number of jobs a second that find the time of the first answer, and
+	// probeSeconds for how long they are sent.
 	probeRate    = 4
 	probeSeconds = 40
 	never        = time.Duration(math.MaxInt64)
@@ -59,8 +60,9 @@
 	}
 }
 
-// loss kills the last VM of a deployment after some jobs, measures the
-// survivors, and starts it again.
+// loss kills the last VM of a deployment after a number of jobs, measures the costs of the other
+// VMs and the time until they have a view without it, then restarts it and measures the time until
+// it is back in the view.
 func (r *runner) loss(ctx context.Context, o deploy.Options, jobs int) (costs, error) {
 	b, err := r.startSettled(ctx, o)
 	if err != nil {
@@ -98,8 +100,8 @@
 	return c, nil
 }
 
-// awaitView waits until every measured daemon has a settled view of the size and
-// hands out an epoch, and returns how long that took.
+// awaitView waits until every measured daemon has a settled view with this number of members and an
+// epoch, and returns how long that took.
 func (b *bench) awaitView(ctx context.Context, members int) (time.Duration, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, viewLongest)
@@ -114,6 +116,7 @@
 	return time.Since(began), nil
 }
 
+// hasView reports whether a daemon has a settled view with this number of members and an epoch.
 func (b *bench) hasView(ctx context.Context, d daemon, members int) bool {
 	var status adminapi.Status
 	if b.getJSON(ctx, "http://"+d.settings.Listen.Admin.String()+adminapi.StatusPath, &status) != nil {
@@ -122,7 +125,8 @@
 	return status.View.Settled && len(status.View.Members) == members && status.Epoch != ""
 }
 
-// domainReturn kills all VMs and starts them again.
+// domainReturn kills all VMs of a failure domain and restarts them. It measures the time until all
+// are ready, until they are in one view, and until a job under a quota is answered.
 func domainReturn(ctx context.Context, r *runner, x float64) (costs, error) {
 	o := base()
 	o.VMs = int(x)
--- a/lab/slopes/fit.go
+++ b/lab/slopes/fit.go
@@ -12,14 +12,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fit is a line through all runs of a cost.
+// fit is the least-squares line through all runs of a cost.
 type fit struct {
 	Slope, Intercept float64
-	// Error is the standard error of the slope, R2 the share of the variance
-	// that the line explains.
+	// Error is the standard error of the slope, and R2 the share of the variance that the line
+	// explains.
 	Error, R2 float64
-	// Spread is the widest range of repeated runs at one point, and First and
-	// Last are the means at the outermost points.
+	// Spread is the widest range of repeated runs at one point. First and Last are the means at the
+	// first and the last point.
 	Spread, First, Last float64
 }
 
@@ -48,6 +48,7 @@
 	return f
 }
 
+// values returns one cost of each run at the point that has it.
 func (p point) values(name string) []float64 {
 	var values []float64
 	for _, run := range p.Runs {
@@ -58,7 +59,8 @@
 	return values
 }
 
-// slopeError is the standard error of the slope of a least-squares line.
+// slopeError returns the standard error of the slope of a least-squares line, or NaN for fewer than
+// three values.
 func slopeError(xs, ys []float64, intercept, slope float64) float64 {
 	if len(xs) < 3 {
 		return math.NaN()
@@ -93,7 +95,7 @@
 	return err
 }
 
-// render writes the fitted lines and draws the plot beside the result's file.
+// render writes the fitted lines to w and draws the plots to an SVG file beside the result's file.
 func (r *result) render(w io.Writer, path string) error {
 	if err := r.write(w); err != nil {
 		return err
--- a/lab/slopes/idle.go
+++ b/lab/slopes/idle.go
@@ -26,10 +26,10 @@
 	profilesOfTeam = 4
 	// quotaSlots is the quota of each team, more than the load needs.
 	quotaSlots = 10_000
-	// deadlineMS is that of all profiles.
+	// deadlineMS is the deadline of all profiles.
 	deadlineMS = 15_000
-	// inForcePoll is the time between two looks at whether a change is in force,
-	// and inForceLongest the wait for it.
+	// inForcePoll is the time between two polls whether a change is in force, and inForceLongest
+	// bounds the wait for it.
 	inForcePoll    = 20 * time.Millisecond
 	inForceLongest = 20 * time.Second
 )
@@ -90,7 +90,7 @@
 	}
 }
 
-// base is a failure domain of which an experiment varies one size.
+// base returns the failure domain of which an experiment varies one size.
 func base() deploy.Options {
 	return deploy.Options{
 		Domains:  []string{baseDomain},
@@ -101,6 +101,7 @@
 	}
 }
 
+// manyProfiles returns n profiles, with a team for every profilesOfTeam of them.
 func manyProfiles(n int) []profile.Profile {
 	var profiles []profile.Profile
 	for i := range n {
@@ -117,7 +118,7 @@
 	return profiles
 }
 
-// unlimited is the profile of the load: without limit and quota, whose units are
+// unlimited returns the profile of the load. It has no limit and no quota, because their units are
 // blocked for a while after a failure domain has started.
 func unlimited() profile.Profile {
 	p := manyProfiles(1)[0]
@@ -126,7 +127,7 @@
 	return p
 }
 
-// limitedProfiles are profiles that each have a limit, more than the load needs.
+// limitedProfiles returns n profiles that each have a limit, larger than the load needs.
 func limitedProfiles(n int) []profile.Profile {
 	profiles := manyProfiles(n)
 	for i := range profiles {
@@ -147,11 +148,11 @@
 	return b.observe(ctx, r.window, nil)
 }
 
-// startSettled starts a deployment, puts its profiles and their teams in force
-// and waits until it has settled.
+// startSettled starts a deployment, puts its profiles and their teams in force, and waits for the
+// settle time.
 func (r *runner) startSettled(ctx context.Context, o deploy.Options) (*bench, error) {
 	profiles := o.Profiles
-	// A deployment applies profiles before any team, so it gets one without.
+	// deploy applies profiles and no teams, so it gets only the profile without a team.
 	o.Profiles = []profile.Profile{unlimited()}
 	b, err := r.start(ctx, o)
 	if err != nil {
@@ -170,7 +171,7 @@
 	return b, nil
 }
 
-// withTeams are the edits that add profiles, each after its team.
+// withTeams returns the edits that add profiles, each after its team.
 func withTeams(profiles []profile.Profile) []configuration.Edit {
 	var edits []configuration.Edit
 	for i, p := range profiles {
@@ -204,8 +205,7 @@
 	return accepted.Version, err
 }
 
-// changes measures an idle deployment while an operator changes one profile
-// again and again.
+// changes measures an idle deployment while an operator commits changes of profiles at a rate.
 func changes(ctx context.Context, r *runner, perSecond float64) (costs, error) {
 	o := base()
 	o.Profiles = manyProfiles(100)
@@ -226,8 +226,8 @@
 	return c, err
 }
 
-// changeProfiles commits changes at the rate and returns the longest time until
-// one was in force at every VM.
+// changeProfiles commits one change after another at the rate, and returns the longest time until a
+// change was in force at every VM.
 func (b *bench) changeProfiles(ctx context.Context, perSecond float64, length time.Duration, profiles []profile.Profile) (time.Duration, error) {
 	var all errgroup.Group
 	n := max(1, int(length.Seconds()*perSecond))
@@ -262,7 +262,7 @@
 	return longest, err
 }
 
-// awaitVersion waits until every daemon has a version of the configuration.
+// awaitVersion waits until every daemon has this or a newer version of the configuration in force.
 func (b *bench) awaitVersion(ctx context.Context, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, inForceLongest)
 	defer cancel()
--- a/lab/slopes/loaded.go
+++ b/lab/slopes/loaded.go
@@ -16,26 +16,26 @@
 const (
 	// taskRun is the run time of tasks under load.
 	taskRun = 50 * time.Millisecond
-	// warmUp is the load before a measurement, and margin how much longer than
-	// the deadline callers wait.
+	// warmUp is how long the load runs before a measurement, and margin how much longer than the
+	// deadline callers wait for a response.
 	warmUp      = 2 * time.Second
 	margin      = 3 * time.Second
 	maxInFlight = 8000
-	// loadedTargets and loadedSlots leave most slots free, so that costs are
-	// those of the work and not of queues.
+	// loadedTargets and loadedSlots leave most slots free, so that costs are those of running tasks
+	// and not of queues.
 	loadedTargets = 32
 	loadedSlots   = 32
-	// jobsForTasks is the rate of jobs, for the whole failure domain, while the
-	// size of jobs varies.
+	// jobsForTasks is the number of jobs a second, for the whole failure domain, while the number
+	// of tasks of a job varies.
 	jobsForTasks = 10
-	// busyRun and tasksOfBusyJob are the jobs of the experiment that fills slots, and
-	// busyJobs the jobs a second that would fill all of them.
+	// busyRun and tasksOfBusyJob are the run time and number of tasks of a job in the experiment
+	// that fills slots, and busyJobs is the number of jobs a second that would fill all slots.
 	busyRun        = 200 * time.Millisecond
 	tasksOfBusyJob = 4
 	busyJobs       = baseTargets * baseSlots * float64(time.Second/busyRun) / tasksOfBusyJob
 )
 
-// retained is the load that leaves records behind.
+// retained is the load that makes daemons store records.
 var retained = work{perSecond: 800, tasks: 1, run: time.Millisecond}
 
 func loadedExperiments() []experiment {
@@ -128,20 +128,19 @@
 
 // work is a steady load on a failure domain.
 type work struct {
-	// perSecond is the number of jobs a second, each with this many tasks of the
-	// run time.
+	// perSecond is the number of jobs a second. Each has tasks tasks with the run time run.
 	perSecond float64
 	tasks     int
 	run       time.Duration
-	// padding is the size of each result beyond the usual one, in bytes.
+	// padding makes each result larger, in bytes.
 	padding int
-	// profile is the profile of the jobs; empty is that of unlimited.
+	// profile names the profile of the jobs; empty is that of unlimited.
 	profile string
-	// away sends each job to another VM than the home of its key.
+	// nonHomeKeys sends each job to another VM than the home of its key.
 	away bool
 }
 
-// jobs are n jobs at equal intervals, over all VMs in turn.
+// jobs returns n jobs at equal intervals, for all VMs in turn.
 func (w work) jobs(n, vms int) []load.Job {
 	jobs := make([]load.Job, n)
 	for i := range jobs {
@@ -190,9 +189,9 @@
 	return c, nil
 }
 
-// send sends jobs and returns how many percent of them were not answered whole.
-func (b *bench) send(ctx context.Context, jobs []load.Job, away bool) (float64, error) {
-	result, err := b.sendAll(ctx, jobs, away)
+// send sends jobs and returns the percentage of them that were not answered.
+func (b *bench) send(ctx context.Context, jobs []load.Job, nonHomeKeys bool) (float64, error) {
+	result, err := b.sendAll(ctx, jobs, nonHomeKeys)
 	if err != nil {
 		return 0, err
 	}
@@ -205,7 +204,9 @@
 	return 100 * float64(unanswered) / float64(len(jobs)), nil
 }
 
-func (b *bench) sendAll(ctx context.Context, jobs []load.Job, away bool) (*load.Result, error) {
+// sendAll sends jobs and returns their results. With nonHomeKeys it sends each job to another VM
+// than the home of its key.
+func (b *bench) sendAll(ctx context.Context, jobs []load.Job, nonHomeKeys bool) (*load.Result, error) {
 	return load.Run(ctx, load.Config{
 		Run:         fmt.Sprintf("%08x", rand.Uint32()),
 		Domains:     b.Domains(),
@@ -213,12 +214,12 @@
 		Margin:      margin,
 		Retry:       load.RetryNever,
 		MaxInFlight: maxInFlight,
-		Away:        away,
+		Away:        nonHomeKeys,
 	}, jobs)
 }
 
-// records sends a number of jobs and measures the idle deployment afterwards,
-// while it still remembers them.
+// records sends a number of jobs, and then measures the idle deployment while it still has their
+// records.
 func records(ctx context.Context, r *runner, x float64) (costs, error) {
 	o := loadedBase()
 	b, err := r.startSettled(ctx, o)
--- a/lab/slopes/memory.go
+++ b/lab/slopes/memory.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// The failure domain of the size that CONTRIBUTING.md names.
+	// Size of the failure domain, as CONTRIBUTING.md names it.
 	fullVMs      = 9
 	fullTargets  = 212
 	fullSlots    = 16
 	fullProfiles = 400
-	// loadedVMs are the VMs that get the load and are measured.
+	// loadedVMs is the number of VMs that get the load and are measured.
 	loadedVMs = 3
-	// tasksOfFullJob and fullRun are the jobs, about those of the mix.
+	// tasksOfFullJob and fullRun are the number and run time of a job's tasks, about those of the
+	// mix.
 	tasksOfFullJob = 5
 	fullRun        = 280 * time.Millisecond
-	// fillTime is the time in which the results fill the budget of kept answers, which
-	// results of the usual size take minutes for.
+	// fillTime is the time in which the results fill the budget of stored answers. Results of the
+	// usual size would take minutes, so they are padded.
 	fillTime = 15 * time.Second
-	// answerBytesMetric is the counted size of the kept answers of a daemon.
+	// answerBytesMetric is the size of the answers that a daemon stores, and droppedMetric counts
+	// the answers that it dropped to stay within the budget.
 	answerBytesMetric = "burdockward_answer_bytes"
 	droppedMetric     = "burdockward_answers_dropped"
 )
@@ -40,8 +42,8 @@
 	}}
 }
 
-// fullAnswers loads three VMs until their answers are dropped for room and for a
-// while after that. The costs are those of memory alone.
+// fullAnswers loads three VMs until they drop stored answers to stay within the budget, and
+// measures their memory, processor time and sockets after that.
 func fullAnswers(ctx context.Context, r *runner, x float64) (costs, error) {
 	o := base()
 	o.VMs, o.Targets, o.Slots, o.Profiles = fullVMs, fullTargets, fullSlots, manyProfiles(fullProfiles)
@@ -54,7 +56,7 @@
 	full := warmUp + fillTime
 	w := work{perSecond: x * loadedVMs, tasks: tasksOfFullJob, run: fullRun}
 	w.padding = int(float64(settings.Default().Limits.AnswerBytes) / fillTime.Seconds() / x / tasksOfFullJob)
-	// The load goes on beyond the window.
+	// The load lasts beyond the window.
 	jobs := w.jobs(int(w.perSecond*(full+r.window+warmUp).Seconds()), loadedVMs)
 	var c costs
 	var unanswered float64
@@ -79,7 +81,7 @@
 	return c, nil
 }
 
-// loadedDaemons are the daemons of the VMs that get the load.
+// loadedDaemons returns the daemons of the VMs that get the load.
 func loadedDaemons(b *bench) []daemon {
 	var loaded []daemon
 	for _, d := range b.daemons {
@@ -92,8 +94,8 @@
 	return loaded
 }
 
-// observeMemory measures processor time, memory and open sockets, mean over the
-// daemons.
+// observeMemory measures processor time, memory, open sockets and stored answers over a time. The
+// costs are means over the daemons.
 func (b *bench) observeMemory(ctx context.Context, length time.Duration) (costs, error) {
 	port, err := b.platformPort()
 	if err != nil {
--- a/lab/slopes/observe.go
+++ b/lab/slopes/observe.go
@@ -23,14 +23,14 @@
 const (
 	callTimeout = 5 * time.Second
 	megabyte    = 1 << 20
-	// envelopesMetric counts the messages of each duty to peers, of which one
-	// message on the wire may carry many.
+	// envelopesMetric counts the messages of each duty to peers. One message on the wire may carry
+	// many of them.
 	envelopesMetric = "burdockward_envelopes_sent"
-	// heapMetric is the live and dead heap of a daemon, in bytes.
+	// heapMetric is the heap of a daemon in bytes, including garbage that was not yet collected.
 	heapMetric = "go_memstats_heap_alloc_bytes"
 )
 
-// bench is a running deployment with what is needed to measure it.
+// bench is a running deployment with the daemons that are measured.
 type bench struct {
 	*deploy.Deployment
 	daemons     []daemon
@@ -53,7 +53,7 @@
 	return b, nil
 }
 
-// find looks for the daemons that run now.
+// find sets the daemons that run now, and the platform's URL from their settings.
 func (b *bench) find() error {
 	var entries []string
 	for _, domain := range b.Domains() {
@@ -80,16 +80,17 @@
 	return address.Port(), err
 }
 
-// snapshot is what counters show at one time.
+// snapshot holds the counters at one time.
 type snapshot struct {
 	at       time.Time
 	usages   []usage
 	messages deploy.Messages
-	// envelopes are the messages of all daemons to peers, by metric.
+	// envelopes counts the messages of all daemons to peers, by metric.
 	envelopes costs
 	table     platform.Stats
 }
 
+// snapshot reads the counters of the daemons and of the table service.
 func (b *bench) snapshot(ctx context.Context) (snapshot, error) {
 	s := snapshot{at: time.Now()}
 	for _, d := range b.daemons {
@@ -120,8 +121,8 @@
 	return s, err
 }
 
-// observe measures for the given time while work runs. The result holds means
-// over the daemons; work may be nil.
+// observe measures costs over a time while work runs; work may be nil. The costs are means over the
+// daemons.
 func (b *bench) observe(ctx context.Context, length time.Duration, work func(context.Context) error) (costs, error) {
 	port, err := b.platformPort()
 	if err != nil {
@@ -132,7 +133,7 @@
 		return nil, err
 	}
 	traffic := newCounter(b.daemons, port)
-	looked := time.Now()
+	watchBegan := time.Now()
 	both, bothCtx := errgroup.WithContext(ctx)
 	both.Go(func() error { return traffic.watch(bothCtx, length) })
 	if work != nil {
@@ -141,7 +142,7 @@
 	if err := both.Wait(); err != nil {
 		return nil, err
 	}
-	trafficTime := time.Since(looked).Seconds()
+	trafficTime := time.Since(watchBegan).Seconds()
 	after, err := b.snapshot(ctx)
 	if err != nil {
 		return nil, err
@@ -151,7 +152,7 @@
 	return c, b.addHeap(ctx, c)
 }
 
-// rates turns two snapshots into means over the daemons.
+// rates returns the costs between two snapshots, as means over the daemons.
 func (b *bench) rates(before, after snapshot) costs {
 	seconds := after.at.Sub(before.at).Seconds()
 	n := float64(len(b.daemons))
@@ -182,13 +183,13 @@
 	return sum
 }
 
-// addTraffic adds bytes a second, sent and received together, and open sockets,
-// mean over the daemons. The payload is counted by the kernel; the wire size adds worked-out
-// headers for each counted segment.
+// addTraffic adds open sockets and bytes a second, sent and received together, as means over the
+// daemons. The kernel counts the payload. The wire size adds headerBytes for each segment that the
+// kernel counts.
 func (b *bench) addTraffic(c costs, t *counter, seconds float64) {
 	n := float64(len(b.daemons))
 	for _, o := range []other{otherPeer, otherPlatform, otherCaller, otherTarget} {
-		// Also without any socket, so that every run has a value.
+		// Set to 0 when there is no such socket, so that every run has a value.
 		c["sockets_"+string(o)] = float64(t.open[o]) / n
 		c["bytes_s_"+string(o)] = 0
 		c["wire_bytes_s_"+string(o)] = 0
@@ -204,6 +205,7 @@
 	}
 }
 
+// addHeap adds the size of the heap, as a mean over the daemons.
 func (b *bench) addHeap(ctx context.Context, c costs) error {
 	for _, d := range b.daemons {
 		metrics, err := b.metrics(ctx, d)
@@ -215,7 +217,7 @@
 	return nil
 }
 
-// metrics returns the metrics of a daemon by name with tags.
+// metrics returns the metrics of a daemon, by name with labels.
 func (b *bench) metrics(ctx context.Context, d daemon) (map[string]float64, error) {
 	body, err := b.get(ctx, "http://"+d.settings.Listen.Admin.String()+"/metrics")
 	if err != nil {
--- a/lab/slopes/plot.go
+++ b/lab/slopes/plot.go
@@ -21,7 +21,7 @@
 	tilesInRow = 3
 )
 
-// draw writes an SVG with a plot for each cost: the runs and the fitted line.
+// draw writes an SVG file with a plot for each cost, of its runs and the fitted line.
 func (r *result) draw(path string) error {
 	names := r.spent()
 	columns := min(tilesInRow, len(names))
@@ -62,6 +62,7 @@
 	return file.Close()
 }
 
+// plotOf returns the plot of one cost.
 func (r *result) plotOf(name string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = name
@@ -82,6 +83,7 @@
 	return p, nil
 }
 
+// runsOf returns the runs of one cost as points of a plot.
 func (r *result) runsOf(name string) plotter.XYs {
 	var xys plotter.XYs
 	for _, p := range r.Points {
--- a/lab/slopes/process.go
+++ b/lab/slopes/process.go
@@ -30,8 +30,8 @@
 	settings *settings.Settings
 }
 
-// findDaemons finds the daemons among the children of this process whose
-// callers' address is among entries. Their settings files tell their ports.
+// findDaemons returns the daemons among the children of this process whose callers' address is
+// among entries, sorted by VM id. It reads their ports from their settings files.
 func findDaemons(entries []string) ([]daemon, error) {
 	processes, err := os.ReadDir("/proc")
 	if err != nil {
@@ -49,7 +49,7 @@
 		}
 		s, err := settings.Load(path)
 		if err != nil {
-			// A deployment that ends at this moment has removed it.
+			// The deployment of this daemon is ending and has removed the file.
 			continue
 		}
 		if slices.Contains(entries, "http://"+s.Listen.Callers.String()) {
@@ -60,8 +60,8 @@
 	return daemons, nil
 }
 
-// settingsOf returns the settings file of a child of this process that is a
-// daemon, or an empty text.
+// settingsOf returns the path of the settings file of a process that is a daemon and a child of
+// this process, or "" for others.
 func settingsOf(pid int) string {
 	fields, err := statOf(pid)
 	if err != nil || fields[statParent] != strconv.Itoa(os.Getpid()) {
@@ -96,7 +96,7 @@
 	return fields, nil
 }
 
-// usage is the processor time and memory of a process.
+// usage is the processor time that a process has used and its resident memory in bytes.
 type usage struct {
 	cpu time.Duration
 	rss int64
@@ -119,7 +119,7 @@
 	}, nil
 }
 
-// socketInodes returns the inodes of the sockets that a process holds.
+// socketInodes returns the inodes of the sockets that a process has open.
 func socketInodes(pid int) ([]uint32, error) {
 	dir := procPath(pid, "fd")
 	entries, err := os.ReadDir(dir)
--- a/lab/slopes/result.go
+++ b/lab/slopes/result.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// result is what one experiment measured, as its file holds it.
+// result holds the measurements of one experiment, as stored in its file.
 type result struct {
 	Experiment string `json:"experiment"`
 	Title      string `json:"title"`
 	Variable   string `json:"variable"`
-	// Command is what measures it again.
+	// Command is the command that repeats the experiment.
 	Command string `json:"command"`
 	// Daemon is the version of the measured daemon.
 	Daemon  string `json:"daemon"`
@@ -25,8 +25,8 @@
 	// Window is the length of one run in seconds.
 	Window float64 `json:"window_seconds"`
 	Points []point `json:"points"`
-	// Faults are what went wrong beside the measurement, such as a daemon that
-	// did not stop in time.
+	// Faults holds the errors that did not affect measurements, such as a daemon that did not stop
+	// in time.
 	Faults []string `json:"faults,omitempty"`
 }
 
@@ -49,7 +49,7 @@
 	return sortedKeys(all)
 }
 
-// spent returns the names of the costs that are not 0 in every run.
+// nonZeroNames returns the names of the costs that are not 0 in at least one run, sorted.
 func (r *result) spent() []string {
 	return slices.DeleteFunc(r.names(), func(name string) bool {
 		for _, p := range r.Points {
@@ -61,7 +61,7 @@
 	})
 }
 
-// save writes the result as JSON and, beside it, as CSV with a line for each run.
+// save writes the result as JSON to path and, beside it, as CSV with a line for each run.
 func (r *result) save(path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -99,7 +99,7 @@
 
 func number(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 
-// readResult reads a result that save wrote.
+// readResult reads a JSON file that save wrote.
 func readResult(path string) (*result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -115,6 +115,7 @@
 	return &r, nil
 }
 
+// withSuffix replaces the suffix of a path.
 func withSuffix(path, suffix string) string {
 	return strings.TrimSuffix(path, filepath.Ext(path)) + suffix
 }
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -1,11 +1,11 @@
-// Package slopes measures on one machine how the cost of each role of
-// burdockward grows: processor time, memory, bytes and messages of a daemon
-// against the number of entry VMs, targets, slots, profiles, jobs, tasks and
-// records, the load on the table service, and the time of one decision.
+// Package slopes measures on one machine how the costs of burdockward grow. Costs are the processor
+// time, memory, bytes and messages of a daemon, the load on the table service, and the time of one
+// decision. They grow with the number of entry VMs, targets, slots, profiles, jobs, tasks and
+// records.
 //
-// Each experiment varies one number, measures every cost at several values of it,
-// repeats that, and fits a line. docs/CAPACITY.md works out the sizes that the
-// machine can't hold from these lines.
+// Each experiment varies one number, measures every cost several times at each of several values,
+// and fits a line to each cost. docs/CAPACITY.md uses these lines for sizes that the machine can't
+// hold.
 package slopes
 
 import (
@@ -29,10 +29,10 @@
 	shortRepeats = 1
 	fullWindow   = 10 * time.Second
 	shortWindow  = 2 * time.Second
-	// settle is the time from ready to the first measurement.
+	// fullSettle and shortSettle are the time from ready to the first measurement.
 	fullSettle  = 3 * time.Second
 	shortSettle = time.Second
-	// benchTime is the least time of one benchmark.
+	// fullBench and shortBench are the least time of one benchmark.
 	fullBench     = "1s"
 	shortBench    = "100ms"
 	shortLongest  = 5 * time.Minute
@@ -41,7 +41,7 @@
 	pointsOfShort = 4
 )
 
-// Command measures slopes and draws results again.
+// Command returns the command that measures slopes, with a subcommand that draws stored results.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:      "slopes",
@@ -63,6 +63,7 @@
 	}
 }
 
+// listing returns the names and titles of all experiments, one a line.
 func listing() string {
 	var b strings.Builder
 	for _, e := range experiments() {
@@ -71,6 +72,7 @@
 	return b.String()
 }
 
+// run runs the chosen experiments. It continues after one that fails, and returns all errors.
 func run(ctx context.Context, c *cli.Command) error {
 	chosen, err := choose(c.String("only"))
 	if err != nil {
@@ -116,7 +118,7 @@
 	return result.render(w, path)
 }
 
-// choose finds the experiments of a list of names.
+// choose returns the experiments with the names in a comma-separated list, or all when it is empty.
 func choose(names string) ([]experiment, error) {
 	all := experiments()
 	if names == "" {
--- a/lab/slopes/slopes_test.go
+++ b/lab/slopes/slopes_test.go
@@ -11,8 +11,8 @@
 	"github.com/burdockward/burdockward/settings"
 )
 
-// lineResult holds two runs at each of four points of y = 3 + 2x, one of them
-// half above and one half below the line.
+// lineResult returns a result with two runs at each of four points of the line y = 3 + 2x, one 0.5
+// above and one 0.5 below it.
 func lineResult() *result {
 	r := &result{Experiment: "line", Variable: "x", Window: 1}
 	for _, x := range []float64{1, 2, 5, 10} {
@@ -75,8 +75,8 @@
 	must.ErrorContains(t, err, "lab slopes --help")
 }
 
-// Every slope has at least four points over a factor of ten, and so has the
-// short run.
+// TestExperimentsHaveEnoughPoints checks that every experiment, also with --short, has at least
+// four points that span a factor of ten.
 func TestExperimentsHaveEnoughPoints(t *testing.T) {
 	names := map[string]bool{}
 	for _, e := range experiments() {
--- a/lab/slopes/sockets.go
+++ b/lab/slopes/sockets.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// lookInterval is the time between two samples of the sockets.
+// sampleInterval is the time between two samples of the sockets.
 const lookInterval = time.Second
 
-// socket is one TCP socket of the machine with the kernel's counters of it.
+// socket is one TCP socket of the machine with the kernel's counters for it.
 type socket struct {
 	inode                 uint32
 	cookie                uint64
@@ -17,15 +17,16 @@
 	payload, segments uint64
 }
 
-// headerBytes is what IPv4 and TCP with time stamps add to a segment.
+// headerBytes is the size of the IPv4 header and of the TCP header with timestamps, which each
+// segment has.
 const headerBytes = 20 + 32
 
-// traffic is counted in bytes.
+// traffic counts bytes of payload and TCP segments.
 type traffic struct {
 	payload, segments uint64
 }
 
-// wire is the size with IP and TCP headers, in bytes.
+// wire returns the size with IP and TCP headers, in bytes.
 func (t traffic) wire() float64 { return float64(t.payload + headerBytes*t.segments) }
 
 func (t *traffic) add(o traffic) {
@@ -33,10 +34,11 @@
 	t.segments += o.segments
 }
 
-// other says who is at the other end of a daemon's socket.
+// other is the role of the process at the other end of a daemon's socket.
 type other string
 
-// The ends of sockets. Others are the admin port and what has no name.
+// The roles at the other ends of sockets. classify takes every socket that no rule matches as one
+// to a target.
 const (
 	otherPeer     other = "peer"
 	otherPlatform other = "platform"
@@ -45,18 +47,19 @@
 	otherAdmin    other = "admin"
 )
 
-// counter adds up the traffic of daemons over a time. Sockets that open and
-// close between two samples are missed, those of HTTP clients live longer.
+// counter adds up the traffic of daemons over a time. It misses sockets that open and close between
+// two samples; those of HTTP clients live longer.
 type counter struct {
 	daemons  []daemon
 	platform uint16
 	peers    map[uint16]bool
 	first    map[uint64]traffic
 	last     map[uint64]sample
-	// open counts the sockets of the newest look.
+	// open counts the sockets of the newest sample.
 	open map[other]int
 }
 
+// sample is the newest count of one socket.
 type sample struct {
 	traffic
 	pid   int
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// look samples all sockets of the daemons.
+// sampleAll samples all sockets of the daemons.
 func (c *counter) look() error {
 	sockets, err := listSockets()
 	if err != nil {
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// take notes the counters of those sockets that a daemon owns. The first call is
-// what later ones are compared with.
+// record stores the counters of the sockets that a daemon owns. The first call sets the counts that
+// sums subtracts.
 func (c *counter) take(sockets []socket, owners map[uint32]daemon) {
 	begin := c.first == nil
 	if begin {
@@ -136,6 +139,7 @@
 	}
 }
 
+// classify returns the role of the other end of a daemon's socket, by its ports.
 func (c *counter) classify(d daemon, s socket) other {
 	listen := d.settings.Listen
 	switch {
@@ -151,7 +155,7 @@
 	return otherTarget
 }
 
-// sums returns the traffic since the first look, by process and other end.
+// sums returns the traffic since the first sample, by process and other end.
 func (c *counter) sums() map[int]map[other]traffic {
 	sums := map[int]map[other]traffic{}
 	for cookie, s := range c.last {
--- a/lab/slopes/sockets_linux.go
+++ b/lab/slopes/sockets_linux.go
@@ -19,7 +19,7 @@
 	receiveBuffer   = 1 << 20
 )
 
-// Places in the kernel's struct tcp_info.
+// Offsets in the kernel's struct tcp_info, and the least size that has all of them.
 const (
 	infoBytesAcked    = 120
 	infoBytesReceived = 128
@@ -63,7 +63,7 @@
 	}
 }
 
-// diagRequest asks for all open TCP sockets over IPv4 with their counters.
+// diagRequest returns the netlink request for all open TCP sockets over IPv4 with their counters.
 func diagRequest() []byte {
 	b := make([]byte, syscall.NLMSG_HDRLEN+requestBytes)
 	binary.NativeEndian.PutUint32(b, uint32(len(b)))
@@ -77,7 +77,8 @@
 	return b
 }
 
-// parseSocket reads one struct inet_diag_msg and its counters.
+// parseSocket parses one struct inet_diag_msg and its counters. It returns false when the message
+// is malformed or has no counters.
 func parseSocket(data []byte) (socket, bool) {
 	if len(data) < messageBytes {
 		return socket{}, false
--- a/lab/slopes/sockets_linux_test.go
+++ b/lab/slopes/sockets_linux_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The kernel's count of a socket is that of the bytes that went through it, and
-// the socket is found by the process that holds it.
+// TestListSocketsCountsBytes checks that the kernel's counter of a socket grows by the bytes sent
+// through it, and that the socket is found among those of its process.
 func TestListSocketsCountsBytes(t *testing.T) {
 	const size = 12_345
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -60,14 +60,15 @@
 	must.Eq(t, "", settingsOf(os.Getpid()))
 }
 
-// The places are those of the kernel's inet_diag_msg and tcp_info.
+// TestParseSocketReadsTheKernelsStructs builds a message with the offsets of the kernel's
+// inet_diag_msg and tcp_info.
 func TestParseSocketReadsTheKernelsStructs(t *testing.T) {
 	data := make([]byte, 72+4+4+4+144)
 	binary.BigEndian.PutUint16(data[4:], 1111)
 	binary.BigEndian.PutUint16(data[6:], 2222)
 	binary.NativeEndian.PutUint64(data[44:], 33)
 	binary.NativeEndian.PutUint32(data[68:], 44)
-	// Another attribute goes first, filled up to a multiple of four bytes.
+	// Another attribute comes first, padded to a multiple of four bytes.
 	binary.NativeEndian.PutUint16(data[72:], 5)
 	binary.NativeEndian.PutUint16(data[74:], 9)
 	info := data[84:]
--- a/lab/slopes/sockets_other.go
+++ b/lab/slopes/sockets_other.go
@@ -4,7 +4,7 @@
 
 import "errors"
 
-// listSockets needs an interface of Linux.
+// listSockets returns an error, since it needs an interface of Linux.
 func listSockets() ([]socket, error) {
 	return nil, errors.New("measuring needs Linux, whose kernel counts the bytes of each socket")
 }
--- a/lab/slopes/states.go
+++ b/lab/slopes/states.go
@@ -13,7 +13,7 @@
 	"github.com/burdockward/burdockward/submission"
 )
 
-// Bounds of benchmarks, beyond all points.
+// Bounds of the benchmarked states, larger than any point needs.
 const (
 	benchRecords     = 1 << 30
 	benchAnswerBytes = 1 << 40
@@ -42,7 +42,8 @@
 	}
 }
 
-// benchClaim claims keys in a view of one VM, then claims them again.
+// benchClaim claims a number of keys in a view of one VM, and returns a decision that claims one of
+// them again.
 func benchClaim(records int) func() {
 	self := membership.Member{ID: "vm-0", Incarnation: 1, Address: "127.0.0.1:1"}
 	nonce := uint64(0)
@@ -57,7 +58,7 @@
 		s.Tick(now)
 	}
 	token := m.CurrentEpoch()
-	// Hashes are not kept, so that the memory is that of the records alone.
+	// Hashes are computed anew each time, so that only the records take memory.
 	hash := func(i int) claim.Hash {
 		return claim.HashKey(key.Key{Domain: baseDomain, Epoch: token, Unique: strconv.Itoa(i)})
 	}
@@ -76,7 +77,8 @@
 	}
 }
 
-// benchAnswers runs submissions that end at once, then asks for one again.
+// benchAnswers runs submissions that are answered at once, and returns a decision that submits one
+// of them again.
 func benchAnswers(answers int) func() {
 	s := submission.NewService(submission.Options{
 		Domain:       baseDomain,
@@ -104,7 +106,7 @@
 	}
 }
 
-// grantAll grants every key.
+// grantAll is a claim service that grants every key.
 type grantAll struct{}
 
 func (grantAll) Claim(context.Context, key.Key) (submission.Claim, error) {
@@ -121,7 +123,7 @@
 
 func (grantAll) SetOutcome(key.Key, api.RunState) {}
 
-// answerAtOnce answers every submission with a small result.
+// answerAtOnce is a dispatcher that answers every submission at once with a small result.
 type answerAtOnce struct{}
 
 func (answerAtOnce) Submit(s *submission.Submission, done func(*submission.Outcome)) {
--- a/lab/slopes/stops.go
+++ b/lab/slopes/stops.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// notHandedOver is what a daemon logs when nobody took its records in time.
+	// notHandedOver is the log text of a daemon that ends before another VM took over its records.
 	notHandedOver = "left without handing over"
-	// slowStop is the time from which the log of an idle daemon's stop is shown.
+	// slowStop is the duration beyond which the log of an idle daemon's stop is shown.
 	slowStop = time.Second
 )
 
@@ -26,7 +26,7 @@
 	}}
 }
 
-// stopAll asks all VMs for a planned stop at the same time.
+// stopAll makes a planned stop of all VMs of a failure domain at once.
 func stopAll(ctx context.Context, r *runner, x float64) (costs, error) {
 	o := base()
 	o.VMs = int(x)
@@ -46,7 +46,7 @@
 	return r.stopCosts(stopped), nil
 }
 
-// stopCosts sums up planned stops, and logs those that were slow or failed.
+// stopCosts returns the costs of planned stops, and logs those that were slow or failed.
 func (r *runner) stopCosts(stopped []deploy.Stopped) costs {
 	c := costs{"s_until_last_ended": 0, "vms_not_handed_over": 0, "vms_failed": 0}
 	for _, s := range stopped {
