--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -28,7 +28,7 @@
 
 // The outcomes of a request.
 const (
-	// Answered is an answer with status 200; its Finding tells whether it is whole and correct.
+	// Answered is an answer with status 200; its Finding is empty when it is whole and correct.
 	Answered Outcome = "answered"
 	// NotRun, Failed, Unknown and Completed are the run states of a failure.
 	NotRun    Outcome = Outcome(api.NotRun)
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -39,7 +39,7 @@
 	// Domain and VM are the indexes of the failure domain and of the entry VM
 	// that the balancer picks first.
 	Domain, VM int
-	// Idempotent says that the work may be submitted again under a new key.
+	// Idempotent marks a job that may be submitted again under a new key.
 	Idempotent bool
 	// Duplicated jobs are sent to two VMs at the same time under one key.
 	Duplicated bool
--- a/lab/standin/target/tasks.go
+++ b/lab/standin/target/tasks.go
@@ -9,7 +9,7 @@
 	client "github.com/burdockward/burdockward/targetclient"
 )
 
-// Payload says what a task of the stand-in does.
+// Payload is the payload of a task of the stand-in: how long it runs and how it ends.
 type Payload struct {
 	// RunMS is how long the task sleeps, in milliseconds.
 	RunMS float64 `json:"run_ms"`
