--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -117,11 +117,7 @@
 // An absent job is started only by the request that asks for it again. The first request, which was
 // read but had to wait meanwhile, doesn't start it, whatever happened to the second one.
 func TestAbsentJobStartsOnce(t *testing.T) {
-<<<<<<< HEAD
-	for name, room := range map[string]int64{"started": 1, "refused": 0} {
-=======
-	for name, started := range map[string]int64{"job starts": 1, "job refused": 0} {
->>>>>>> wording-p9
+	for name, started := range map[string]int64{"started": 1, "refused": 0} {
 		b := newHarness(t, Options{})
 		b.usable("a", 1)
 		b.s.EntryKeepalive("e", b.now+time.Hour)
