--- a/link/link.go
+++ b/link/link.go
@@ -70,8 +70,8 @@
 	State(ctx context.Context, id string) work.JobState
 	Cancel(ctx context.Context, id string) work.JobState
 	Tables() Tables
-	// Pass makes this VM the owner of a group, by a claim that the present owner hands over.
-	Pass(held ownership.GroupClaim)
+	// HandOverClaim makes this VM the owner of a group, by a claim that the present owner hands over.
+	HandOverClaim(held ownership.GroupClaim)
 }
 
 // NewServer returns the HTTP handler that serves calls from a Handler.
@@ -128,7 +128,7 @@
 
 // Pass implements linkpb.Fleet.
 func (s server) Pass(_ context.Context, r *linkpb.PassRequest) (*linkpb.PassReply, error) {
-	s.handler.Pass(ownership.FromWire(r.GetOwned()))
+	s.handler.HandOverClaim(ownership.FromWire(r.GetOwned()))
 	return &linkpb.PassReply{}, nil
 }
 
--- a/node/calls.go
+++ b/node/calls.go
@@ -109,8 +109,10 @@
 	return released
 }
 
-// Pass implements link.Handler.
-func (p peerCalls) Pass(held ownership.GroupClaim) { p.node.keeper.Merge([]ownership.GroupClaim{held}) }
+// HandOverClaim implements link.Handler.
+func (p peerCalls) HandOverClaim(held ownership.GroupClaim) {
+	p.node.keeper.Merge([]ownership.GroupClaim{held})
+}
 
 // State implements link.Handler.
 func (p peerCalls) State(ctx context.Context, id string) work.JobState {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -43,7 +43,7 @@
 	return work.StartOrder{Run: runFromWire(s.GetRun()), Payload: s.GetPayload(), SavedState: s.GetSaved(), Ticket: s.GetTicket(), LeaseUntilMS: s.GetUntilMs()}
 }
 
-func heldToWire(answer work.PollAnswer) *linkpb.Carried {
+func pollAnswerToWire(answer work.PollAnswer) *linkpb.Carried {
 	wire := &linkpb.Carried{ClockMs: answer.ClockMS, Life: answer.Incarnation}
 	for _, running := range answer.Running {
 		wire.Running = append(wire.Running, &linkpb.RunningRun{Run: runToWire(running.Run), Saved: running.SavedState})
@@ -57,7 +57,7 @@
 	return wire
 }
 
-func heldFromWire(wire *linkpb.Carried) work.PollAnswer {
+func pollAnswerFromWire(wire *linkpb.Carried) work.PollAnswer {
 	answer := work.PollAnswer{ClockMS: wire.GetClockMs(), Incarnation: wire.GetLife()}
 	for _, running := range wire.GetRunning() {
 		answer.Running = append(answer.Running, work.RunningRun{Run: runFromWire(running.GetRun()), SavedState: running.GetSaved()})
--- a/relay/router.go
+++ b/relay/router.go
@@ -246,5 +246,5 @@
 	answer := s.call(ctx, to, &linkpb.Carry{Token: token, What: &linkpb.Carry_Look{Look: &linkpb.CarryLook{
 		UntilMs: until, Seen: seen, WaitUs: wait.Microseconds(),
 	}}}, wait+pollTimeout+answerSlack, wait == 0)
-	return heldFromWire(answer), work.Verdict(answer.GetVerdict())
+	return pollAnswerFromWire(answer), work.Verdict(answer.GetVerdict())
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -149,7 +149,7 @@
 		s.Count("carried", "look")
 		poll := what.Look
 		held, verdict := s.Targets.Poll(ctx, to, order.GetToken(), poll.GetUntilMs(), poll.GetSeen(), time.Duration(poll.GetWaitUs())*time.Microsecond)
-		answer := heldToWire(held)
+		answer := pollAnswerToWire(held)
 		answer.Verdict = int32(verdict)
 		return answer
 	default:
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -76,7 +76,7 @@
 // askAdviser asks the adviser about more targets if tasks of a step wait.
 func (s *State) askAdviser(now time.Duration, j *job, st *step) {
 	a := st.advice
-	if a == nil || a.asking || now < a.nextRequest || len(st.pending) == 0 || s.asking >= maxOpenRequests {
+	if a == nil || a.asking || now < a.nextRequest || len(st.pending) == 0 || s.openAdviserRequests >= maxOpenRequests {
 		return
 	}
 	targets := s.targetsToAsk(now, j, st)
@@ -85,7 +85,7 @@
 		return
 	}
 	a.asking = true
-	s.asking++
+	s.openAdviserRequests++
 	s.adviserRequests[st.name] = st
 	j.record(now, "adviser asked", "", "", "")
 	s.emit(AskAdviser{Step: st.name, Targets: targets})
@@ -125,7 +125,7 @@
 		return
 	}
 	delete(s.adviserRequests, request.Step)
-	s.asking--
+	s.openAdviserRequests--
 	a := st.advice
 	a.asking = false
 	if !answered {
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -254,7 +254,7 @@
 	t.failedPolls = 0
 	t.fenced = true
 	t.ackedCompletion = t.ackSent
-	t.answered = t.poll.SentAt
+	t.answeredPollSentAt = t.poll.SentAt
 	t.lease.update(answer.ClockMS, now)
 	for _, end := range answer.Completions {
 		if end.Number > t.lastCompletion {
--- a/scheduler/callers_world_test.go
+++ b/scheduler/callers_world_test.go
@@ -18,8 +18,8 @@
 	refused  bool
 	attempts int
 	// submittedAt is when its owner got the job.
-	given    time.Duration
-	outcomes []work.Result
+	submittedAt time.Duration
+	outcomes    []work.Result
 }
 
 // submit hands a caller's job to the newest owner.
@@ -33,7 +33,7 @@
 	w.refs++
 	c.owner, c.ref = o, w.refs
 	o.refs[c.ref] = c
-	c.given = w.now
+	c.submittedAt = w.now
 	o.state.Submit(w.now, w.submission(c))
 	w.applyEffects(o)
 }
@@ -66,7 +66,7 @@
 		w.refs++
 		c.ref = w.refs
 		o.refs[c.ref] = c
-		switch o.state.Rejoin(w.now, w.submission(c), w.now-c.given, true) {
+		switch o.state.Rejoin(w.now, w.submission(c), w.now-c.submittedAt, true) {
 		case Present:
 		case Forgotten:
 			delete(o.refs, c.ref)
@@ -116,7 +116,7 @@
 	if o.dead || o.frozen || o.cut {
 		return
 	}
-	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks, owner: o, attempts: 1, given: w.now, ref: w.refs + 1}
+	c := &caller{id: fmt.Sprintf("job%d", len(w.callers)), tasks: tasks, owner: o, attempts: 1, submittedAt: w.now, ref: w.refs + 1}
 	w.callers[c.id] = c
 	first := w.submission(c)
 	w.refs += 2
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -13,8 +13,8 @@
 // Its slow runs do not make it suspect, and change neither its speed nor the queue's estimate.
 func TestColdTargetRunsDoNotAffectHealthOrEstimates(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 2000)
-	b.usable("b", 1000)
+	b.addUsableTarget("a", 2000)
+	b.addUsableTarget("b", 1000)
 	b.listTarget(work.Target{ID: "a", Capacity: work.Resources{CPU: 2000}, WarmUpLeft: 10 * time.Second})
 	b.submit("warm", 1, 1000, "")
 	first := pickEffects[StartRun](b.effects())
@@ -27,7 +27,7 @@
 	b.advance(700 * ms)
 	must.False(t, b.s.targets["a"].health.suspected)
 	must.MapEmpty(t, b.s.targets["a"].health.failures)
-	b.answerPoll("a", heldWithCompletion(1, second[0].Run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, second[0].Run, work.CompletionDone))
 	must.Eq(t, 1, b.s.targets["a"].health.speed)
 	must.Eq(t, ratio, b.s.estimateOf("q").runtimeRatio)
 	b.now += 10 * time.Second
--- a/scheduler/cordon.go
+++ b/scheduler/cordon.go
@@ -95,12 +95,12 @@
 func (s *State) releaseWaitingJobs(now time.Duration) {
 	for _, p := range s.pools {
 		if p.reservedFor != nil {
-			s.unreserve(p, p.reservedFor)
+			s.unreserveForGang(p, p.reservedFor)
 		}
 	}
 	for _, j := range s.sortedJobs() {
 		for _, st := range j.currentSteps() {
-			s.releaseHeld(st)
+			s.unreserveForStep(st)
 		}
 		switch {
 		case j.isDurable() || j.mayHaveStarted():
--- a/scheduler/cordon_test.go
+++ b/scheduler/cordon_test.go
@@ -13,7 +13,7 @@
 func cordonedHarness(t *testing.T) *harness {
 	b := newHarness(t, Options{AwaitCordon: true})
 	b.s.CordonReported(b.now, false)
-	b.usable("a", 4000)
+	b.addUsableTarget("a", 4000)
 	return b
 }
 
@@ -23,7 +23,7 @@
 // refused meanwhile.
 func TestNothingStartsWhileCordonIsUnknown(t *testing.T) {
 	b := newHarness(t, Options{AwaitCordon: true})
-	b.usable("a", 4000)
+	b.addUsableTarget("a", 4000)
 	b.submit("j", 1, 1000, "")
 	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -70,7 +70,7 @@
 	delegated := pickEffects[Delegate](effects)
 	must.SliceLen(t, 1, delegated)
 	b.s.PartReturned(b.now, delegated[0].Part, work.Outcome{Result: work.Completed})
-	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, first[0].Run, work.CompletionDone))
 	answers = pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
 	must.Eq(t, work.Completed, answers[0].Outcome.Result)
@@ -82,9 +82,9 @@
 	b.submit("j", 1, 1000, "")
 	first := b.startsNow()
 	b.answerStarts(first)
-	b.usable("b", 4000)
+	b.addUsableTarget("b", 4000)
 	b.s.CordonReported(b.now, true)
-	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionFailed))
+	b.answerPoll("a", pollWithCompletion(1, first[0].Run, work.CompletionFailed))
 	must.SliceEmpty(t, b.startsNow())
 	b.s.CordonReported(b.now, false)
 	must.SliceLen(t, 1, b.startsNow())
@@ -125,7 +125,7 @@
 // Targets reserved for a gang are released.
 func TestCordonReleasesGangReservation(t *testing.T) {
 	b := cordonedHarness(t)
-	b.usable("b", 4000)
+	b.addUsableTarget("b", 4000)
 	b.submit("small", 1, 3000, "")
 	b.answerStarts(b.startsNow())
 	b.ref++
@@ -189,7 +189,7 @@
 // A state that was never known blocks starts without a time limit.
 func TestUnknownCordonStaysUnknown(t *testing.T) {
 	b := newHarness(t, Options{AwaitCordon: true})
-	b.usable("a", 4000)
+	b.addUsableTarget("a", 4000)
 	b.advance(time.Minute)
 	b.submit("j", 1, 1000, "")
 	must.SliceEmpty(t, b.startsNow())
--- a/scheduler/cordon_world_test.go
+++ b/scheduler/cordon_world_test.go
@@ -77,7 +77,7 @@
 		w.cordons = &fakeCordons{cordoned: rapid.Bool().Draw(rt, "closed")}
 		w.longest = rapid.SampledFrom([]int{100, 800}).Draw(rt, "longest")
 		if rapid.Bool().Draw(rt, "lending") {
-			w.addOther(rapid.IntRange(1, 3).Draw(rt, "others"))
+			w.addOtherOwner(rapid.IntRange(1, 3).Draw(rt, "others"))
 		}
 		w.takeOver()
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
@@ -104,7 +104,7 @@
 func TestJobsMoveToOtherOwnerDuringCordon(t *testing.T) {
 	w := newWorld(3, 4, worldFaults{})
 	w.cordons = &fakeCordons{}
-	w.addOther(4)
+	w.addOtherOwner(4)
 	w.takeOver()
 	w.run(2 * time.Second)
 	count := func(result work.Result) (n int) {
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -11,7 +11,7 @@
 )
 
 // newRackHarness returns a harness with usable targets, two in each rack.
-func newRackBench(t *testing.T, targets int) *harness {
+func newRackHarness(t *testing.T, targets int) *harness {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
 	for i := range targets {
@@ -56,7 +56,7 @@
 }
 
 func TestTaskFailsAfterCrashingTwoTargets(t *testing.T) {
-	b := newRackBench(t, 8)
+	b := newRackHarness(t, 8)
 	starts := b.startStoredJob("j", 1)
 	must.SliceLen(t, 1, starts)
 	b.confirmStarts(starts)
@@ -75,7 +75,7 @@
 
 // A caller that sends a poisoned job again gets the failure again, and nothing is started.
 func TestPoisonedJobIsNotAcceptedAgain(t *testing.T) {
-	b := newRackBench(t, 8)
+	b := newRackHarness(t, 8)
 	b.submit("j", 1, 1, "")
 	for range 2 {
 		starts := pickEffects[StartRun](b.effects())
@@ -100,7 +100,7 @@
 // Tasks that ran beside a poison task run isolated. Completing there clears them, and nothing else
 // runs beside them.
 func TestIsolatedRunsClearTasksBesidePoisonTask(t *testing.T) {
-	b := newRackBench(t, 1)
+	b := newRackHarness(t, 1)
 	starts := append(b.startStoredJob("crasher", 1), b.startStoredJob("neighbour", 2)...)
 	for i := range 8 {
 		b.addRackTarget(2 + i)
@@ -126,7 +126,7 @@
 			must.SliceLen(t, 1, pickEffects[JobEnded](b.loseTargets(start.To.ID)))
 			continue
 		}
-		b.answerPoll(start.To.ID, heldWithCompletion(1, start.Run, work.CompletionDone))
+		b.answerPoll(start.To.ID, pollWithCompletion(1, start.Run, work.CompletionDone))
 	}
 	var ends []JobEnded
 	for range 4 {
@@ -134,7 +134,7 @@
 		ends = append(ends, pickEffects[JobEnded](effects)...)
 		for _, start := range pickEffects[StartRun](effects) {
 			b.confirmStarts([]StartRun{start})
-			b.answerPoll(start.To.ID, heldWithCompletion(2, start.Run, work.CompletionDone))
+			b.answerPoll(start.To.ID, pollWithCompletion(2, start.Run, work.CompletionDone))
 		}
 	}
 	must.SliceLen(t, 1, ends)
@@ -163,7 +163,7 @@
 }
 
 func TestSilentTargetThatAnswersAgainClearsLosses(t *testing.T) {
-	b := newRackBench(t, 8)
+	b := newRackHarness(t, 8)
 	starts := b.startStoredJob("j", 1)
 	b.confirmStarts(starts)
 	id := starts[0].To.ID
@@ -181,7 +181,7 @@
 // A job of many poison tasks first loses all targets that run it. After that its suspects run
 // isolated, on at most a quarter of the service's targets at a time.
 func TestIsolatedSuspectsTakeBoundedShareOfTargets(t *testing.T) {
-	b := newRackBench(t, 40)
+	b := newRackHarness(t, 40)
 	starts := b.startStoredJob("j", 32)
 	must.SliceLen(t, 32, starts)
 	b.confirmStarts(starts)
@@ -205,12 +205,12 @@
 // without any capacity is not faulty. New capacity is used at once.
 func TestStartsFollowCapacityChanges(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.submit("j", 4, 1, "")
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 4, starts)
 	b.confirmStarts(starts)
-	b.target("a", 2)
+	b.listTargetWithCPU("a", 2)
 	b.submit("k", 1, 1, "")
 	effects := b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](effects))
@@ -218,12 +218,12 @@
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: 1, Run: starts[0].Run, Kind: work.CompletionDone}, {Number: 2, Run: starts[1].Run, Kind: work.CompletionDone}},
 		Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
-	b.target("a", 0)
+	b.listTargetWithCPU("a", 0)
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5150, Capacity: &work.Resources{CPU: 3}, Running: listing(starts[2].Run, starts[3].Run)})
 	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 	// The registry entry was read before, so its capacity is not new.
-	b.target("a", 0)
+	b.listTargetWithCPU("a", 0)
 	must.Eq(t, 3, b.s.targets["a"].Capacity.CPU)
 }
 
@@ -260,8 +260,8 @@
 	b := newHarness(t, Options{ConfirmClaims: true})
 	b.s.ListedAtStart("a")
 	b.s.ListedAtStart("b")
-	b.usable("a", 1)
-	b.usable("b", 4)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 4)
 	must.Eq(t, usable, b.s.targets["b"].state)
 	must.SliceEmpty(t, pickEffects[ConfirmClaim](b.effects()))
 }
@@ -269,9 +269,9 @@
 // A target that comes later is used only once the claim was confirmed since.
 func TestLaterTargetWaitsForClaimConfirmation(t *testing.T) {
 	b := newHarness(t, Options{ConfirmClaims: true})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	must.Eq(t, usable, b.s.targets["a"].state)
-	b.target("b", 4)
+	b.listTargetWithCPU("b", 4)
 	b.effects()
 	b.answerPoll("b", work.PollAnswer{ClockMS: 5000})
 	must.SliceLen(t, 1, pickEffects[ConfirmClaim](b.effects()))
--- a/scheduler/crash_world_test.go
+++ b/scheduler/crash_world_test.go
@@ -108,10 +108,10 @@
 	}
 	w.after(time.Duration(300+w.random.IntN(3000))*ms, func() {
 		t.down, t.answerPoll = false, nil
-		t.life = w.now.Milliseconds()
-		t.free, t.fence, t.until, t.number, t.ended = t.capacity, 0, 0, 0, nil
-		t.highest, t.endedAt = map[string]int64{}, map[int64]time.Duration{}
-		w.after(ms, t.lapse)
+		t.incarnation = w.now.Milliseconds()
+		t.free, t.highestToken, t.leaseUntil, t.lastCompletion, t.completions = t.capacity, 0, 0, 0, nil
+		t.highestRuns, t.endedAt = map[string]int64{}, map[int64]time.Duration{}
+		w.after(ms, t.expireLease)
 		t.announce(time.Duration(w.random.IntN(1500)) * ms)
 	})
 }
@@ -152,7 +152,7 @@
 // fit once the owner may know the target's capacity.
 func (w *world) checkOrderFits(o *fakeOwner, e StartRun) {
 	t := w.targets[e.To.ID]
-	if o.token < t.fence {
+	if o.token < t.highestToken {
 		return
 	}
 	if t.runs[e.Run.Task] == nil && int64(len(t.runs)) >= t.capacity && w.now-t.resized > maxEntryDelay {
@@ -194,7 +194,7 @@
 	w.singleOwner = w.restarts && alone
 	if w.restarts {
 		for _, target := range w.targets {
-			target.life = 1
+			target.incarnation = 1
 		}
 	}
 	w.takeOver()
--- a/scheduler/delegate_world_test.go
+++ b/scheduler/delegate_world_test.go
@@ -8,7 +8,7 @@
 )
 
 // addOtherOwner adds another owner with targets of its own.
-func (w *world) addOther(targets int) {
+func (w *world) addOtherOwner(targets int) {
 	w.otherOwner = &fakeOwner{state: New(Options{}), token: 1, refs: map[Ref]*caller{}, partReplies: map[Ref]func(work.Outcome){}}
 	for range targets {
 		owners := w.owners
@@ -27,7 +27,7 @@
 		if o.dead || o.frozen || w.linkCut {
 			continue
 		}
-		w.otherOwner.state.EntryKeepalive(o.name, w.now+keepaliveTime)
+		w.otherOwner.state.EntryKeepalive(o.name, w.now+keepaliveLifetime)
 		o.state.CapacityReported(w.now, "other", "s", w.otherOwner.state.Load(w.now, "s").FreeCapacity)
 		w.applyEffects(o)
 	}
--- a/scheduler/durable.go
+++ b/scheduler/durable.go
@@ -51,7 +51,7 @@
 	Target string
 	Number int64
 	// Restarts is how often the target had restarted under its ID, as this owner has seen it.
-	Life int
+	Restarts int
 }
 
 func (StoreJob) effect()   {}
@@ -143,7 +143,7 @@
 // HandleCompletionStored says that the store has a completion: it may be acknowledged.
 func (s *State) HandleCompletionStored(ref CompletionRef) {
 	s.pendingWrites--
-	if t := s.targets[ref.Target]; t != nil && t.incarnations == ref.Life {
+	if t := s.targets[ref.Target]; t != nil && t.incarnations == ref.Restarts {
 		delete(t.unrecorded, ref.Number)
 		s.markChanged(t)
 	}
--- a/scheduler/durable_test.go
+++ b/scheduler/durable_test.go
@@ -26,7 +26,7 @@
 // startDurableJob has a durable job of one task stored and started at target a.
 func startDurableJob(b *harness) work.RunID {
 	b.s.FinishResume(b.now)
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.effects()
 	b.s.Submit(b.now, b.durableJob("j", 1))
 	b.effects()
@@ -38,7 +38,7 @@
 }
 
 // pollWithCompletion returns a poll's answer that lists one completion and no runs.
-func heldWithCompletion(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
+func pollWithCompletion(number int64, run work.RunID, kind work.CompletionKind) work.PollAnswer {
 	return work.PollAnswer{ClockMS: 5100, Completions: []work.Completion{{Number: number, Run: run, Kind: kind}}}
 }
 
@@ -54,7 +54,7 @@
 // Nothing of a durable job starts before the store has it; then its caller is answered.
 func TestDurableJobIsStoredBeforeItStarts(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.effects()
 	b.s.Submit(b.now, b.durableJob("j", 1))
 	effects := b.effects()
@@ -74,7 +74,7 @@
 func TestJobNotStoredHereDoesNotRun(t *testing.T) {
 	for _, outcome := range []work.Outcome{{Result: work.Refused}, {Result: work.Accepted}, {Result: work.Unknown}} {
 		b := newHarness(t, Options{})
-		b.usable("a", 4)
+		b.addUsableTarget("a", 4)
 		b.s.Submit(b.now, b.durableJob("j", 1))
 		b.effects()
 		b.s.HandleJobStored(b.now, "j", outcome, false)
@@ -88,7 +88,7 @@
 // A job that is handed in several times runs once, and each request gets an answer.
 func TestDurableJobHandedInAgainRunsOnce(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	first, second, third := b.durableJob("j", 1), b.durableJob("j", 1), b.durableJob("j", 1)
 	b.s.Submit(b.now, first)
 	b.s.Submit(b.now, second)
@@ -106,14 +106,14 @@
 func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	b := newHarness(t, Options{})
 	run := startDurableJob(b)
-	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 	effects := append(b.effects(), b.advance(200*ms)...)
 	must.Eq(t, 0, newestAcknowledged(effects))
 	done := pickEffects[TaskDone](effects)
 	must.Eq(t, []TaskDone{{Job: "j", Task: 0, Completion: CompletionRef{Target: "a", Number: 1}}}, done)
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](effects))
 	must.False(t, b.s.IsIdle())
-	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 	b.s.HandleCompletionStored(done[0].Completion)
 	b.s.HandleJobEndStored("j")
 	must.Eq(t, 1, newestAcknowledged(b.advance(200*ms)))
@@ -128,9 +128,9 @@
 	effects := b.effects()
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCancelled}}, pickEffects[JobEnded](effects))
 	must.SliceLen(t, 1, pickEffects[StopRun](effects))
-	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 	must.Eq(t, 0, newestAcknowledged(b.advance(200*ms)))
-	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 	b.s.HandleJobEndStored("j")
 	must.Eq(t, 1, newestAcknowledged(b.advance(200*ms)))
 	must.False(t, b.s.CancelDurable(b.now, "j"))
@@ -147,7 +147,7 @@
 			}
 			b.s.Abandon(b.now)
 			b.effects()
-			b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+			b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 			effects := append(b.effects(), b.advance(time.Second)...)
 			must.Eq(t, 0, newestAcknowledged(effects))
 			must.SliceEmpty(t, pickEffects[TaskDone](effects))
@@ -162,7 +162,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.s.FinishResume(b.now)
-			b.usable("a", 4)
+			b.addUsableTarget("a", 4)
 			b.effects()
 			b.s.Submit(b.now, b.durableJob("j", 1))
 			b.effects()
@@ -177,7 +177,7 @@
 			b.answerPoll("a", work.PollAnswer{ClockMS: 5200})
 			must.SliceEmpty(t, pickEffects[StartRun](b.advance(40*ms)))
 			if done {
-				b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+				b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 			} else {
 				b.answerPoll("a", work.PollAnswer{ClockMS: 5300})
 			}
@@ -191,7 +191,7 @@
 // A job that is taken over continues from its stored progress.
 func TestResumedJobContinuesFromProgress(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.effects()
 	b.s.ResumeJob(b.now, b.durableJob("j", 3), Progress{Done: []int{1}, Fails: map[int]int{2: 1}})
 	b.s.FinishResume(b.now)
@@ -201,7 +201,7 @@
 	must.Eq(t, "j.0.0.2", starts[1].Run.Task)
 	must.True(t, b.s.HasStarted("j"))
 	// With the failure before the takeover, the task has now failed too often.
-	b.answerPoll("a", heldWithCompletion(1, starts[1].Run, work.CompletionFailed))
+	b.answerPoll("a", pollWithCompletion(1, starts[1].Run, work.CompletionFailed))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
 
@@ -217,7 +217,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.usable("a", 4)
+			b.addUsableTarget("a", 4)
 			b.s.ResumeJob(b.now, b.durableJob("j", 2), Progress{Done: test.done, Fails: test.fails})
 			effects := b.effects()
 			must.Eq(t, []JobEnded{{Job: "j", State: test.want}}, pickEffects[JobEnded](effects))
@@ -230,7 +230,7 @@
 // once if that job no longer exists.
 func TestUnrecordedCompletionsOfPreviousOwnerAreStored(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.effects()
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Completions: []work.Completion{
 		{Number: 1, Run: work.RunID{Task: "j.0.0.0", Number: 31}, Kind: work.CompletionDone},
@@ -266,7 +266,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.target("a", 4)
+			b.listTargetWithCPU("a", 4)
 			b.effects()
 			b.answerPoll("a", test.answer)
 			b.s.ResumeJob(b.now, b.durableJob("j", 2), test.progress)
@@ -287,9 +287,9 @@
 	}{"the stored one": {31, false}, "another one": {29, true}} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.target("a", 4)
+			b.listTargetWithCPU("a", 4)
 			b.effects()
-			b.answerPoll("a", heldWithCompletion(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
+			b.answerPoll("a", pollWithCompletion(1, work.RunID{Task: "j.0.0.0", Number: 31}, work.CompletionFailed))
 			b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Fails: map[int]int{0: 1}, LastFailed: map[int]int64{0: test.lastFailed}})
 			b.s.FinishResume(b.now)
 			effects := b.effects()
@@ -321,7 +321,7 @@
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5100, Running: listing(run)})
 	must.Positive(t, pickEffects[Poll](b.effects())[0].LeaseUntil)
 	b.advance(handoverLease)
-	b.answerPoll("a", heldWithCompletion(1, run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, run, work.CompletionDone))
 	effects = append(b.effects(), b.advance(time.Second)...)
 	must.Eq(t, 0, newestAcknowledged(effects))
 	must.SliceEmpty(t, pickEffects[TaskDone](effects))
@@ -353,12 +353,12 @@
 	b.effects()
 	b.s.HandleJobStored(b.now, "new", work.Outcome{Result: work.Accepted}, true)
 	b.advance(40 * ms)
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	first := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, first)
 	must.Eq(t, "new.0.0.0", first[0].Run.Task)
 	b.answerStarts(first)
-	b.answerPoll("a", heldWithCompletion(1, first[0].Run, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, first[0].Run, work.CompletionDone))
 	must.Eq(t, "old.0.0.0", pickEffects[StartRun](b.effects())[0].Run.Task)
 }
 
@@ -368,14 +368,14 @@
 	b.s.FinishResume(b.now)
 	sub := b.durableJob("j", 1)
 	sub.Entry, sub.Wait = "e", time.Second
-	b.usable("a", 0)
+	b.addUsableTarget("a", 0)
 	b.s.ResumeJob(b.now, sub, Progress{})
 	b.s.Cancel(b.now, sub.Ref)
 	b.s.GiveUp(b.now, "e", "j")
 	b.now += time.Minute
 	effects := b.advance(time.Second)
 	must.SliceEmpty(t, pickEffects[JobEnded](effects))
-	b.usable("b", 1)
+	b.addUsableTarget("b", 1)
 	must.SliceLen(t, 1, pickEffects[StartRun](b.effects()))
 }
 
@@ -392,7 +392,7 @@
 		effects := b.advance(100 * ms)
 		if len(pickEffects[StopRun](effects)) > 0 {
 			stopped = append(stopped, b.now)
-			b.answerPoll("a", heldWithCompletion(int64(len(stopped)), run, work.CompletionStopped))
+			b.answerPoll("a", pollWithCompletion(int64(len(stopped)), run, work.CompletionStopped))
 			run = pickEffects[StartRun](b.effects())[0].Run
 			b.s.HandleStartAnswer(b.now, "a", run, work.OrderAnswer{Verdict: work.VerdictDone, ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds()})
 			b.effects()
--- a/scheduler/fake_target_test.go
+++ b/scheduler/fake_target_test.go
@@ -14,10 +14,10 @@
 }
 
 func (t *fakeTarget) isFenced(token int64) bool {
-	if token < t.fence {
+	if token < t.highestToken {
 		return true
 	}
-	t.fence = token
+	t.highestToken = token
 	return false
 }
 
@@ -34,8 +34,8 @@
 	if e.LeaseUntilMS <= t.clock() {
 		return t.reply(work.VerdictLeaseExpired)
 	}
-	t.until = max(t.until, min(e.LeaseUntilMS, t.clock()+1000))
-	if e.Run.Number <= t.highest[e.Run.Task] {
+	t.leaseUntil = max(t.leaseUntil, min(e.LeaseUntilMS, t.clock()+1000))
+	if e.Run.Number <= t.highestRuns[e.Run.Task] {
 		return t.reply(work.VerdictStaleRun)
 	}
 	if !t.world.acceptsTicket(t, e.StartOrder) {
@@ -79,10 +79,10 @@
 	delete(t.runs, task)
 	t.free++
 	t.world.runEnded(task)
-	t.highest[task] = max(t.highest[task], r.number)
-	t.number++
-	t.endedAt[t.number] = t.world.now
-	t.ended = append(t.ended, work.Completion{Number: t.number, Run: work.RunID{Task: task, Number: r.number}, Kind: kind, SavedState: r.saved})
+	t.highestRuns[task] = max(t.highestRuns[task], r.number)
+	t.lastCompletion++
+	t.endedAt[t.lastCompletion] = t.world.now
+	t.completions = append(t.completions, work.Completion{Number: t.lastCompletion, Run: work.RunID{Task: task, Number: r.number}, Kind: kind, SavedState: r.saved})
 	t.world.recordDurableEnd(task, r, kind)
 	if t.answerPoll != nil {
 		t.answerPoll()
@@ -96,7 +96,7 @@
 	if t.isFenced(token) {
 		return t.reply(work.VerdictFenced)
 	}
-	t.highest[run.Task] = max(t.highest[run.Task], run.Number)
+	t.highestRuns[run.Task] = max(t.highestRuns[run.Task], run.Number)
 	if r := t.runs[run.Task]; r != nil && r.number == run.Number {
 		t.world.after(time.Duration(t.world.random.IntN(50))*ms, func() { t.endRun(run.Task, r, work.CompletionStopped) })
 	}
@@ -113,21 +113,21 @@
 		return
 	}
 	if e.LeaseUntil > 0 && e.LeaseUntil > t.clock() {
-		t.until = max(t.until, min(e.LeaseUntil, t.clock()+1000))
+		t.leaseUntil = max(t.leaseUntil, min(e.LeaseUntil, t.clock()+1000))
 	}
-	t.ended = slices.DeleteFunc(t.ended, func(end work.Completion) bool {
+	t.completions = slices.DeleteFunc(t.completions, func(end work.Completion) bool {
 		if end.Number <= e.AckUpTo {
 			t.world.acknowledgedBy[end.Run.Task] = fmt.Sprintf("completion %d of %s, ended at %v, by token %d at %v, acknowledged up to %d", end.Number, t.id, t.endedAt[end.Number], token, t.world.now, e.AckUpTo)
 			t.acknowledge(end)
 		}
 		return end.Number <= e.AckUpTo
 	})
-	replied, incarnation := false, t.life
+	replied, incarnation := false, t.incarnation
 	answer := func() {
 		if replied {
 			return
 		}
-		if t.life != incarnation {
+		if t.incarnation != incarnation {
 			replied = true
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
@@ -138,7 +138,7 @@
 			reply(work.PollAnswer{}, work.VerdictUnknown)
 			return
 		}
-		listed := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.life, Completions: slices.Clone(t.ended)}
+		listed := work.PollAnswer{ClockMS: t.clock(), Incarnation: t.incarnation, Completions: slices.Clone(t.completions)}
 		if t.world.restarts {
 			listed.Capacity = &work.Resources{CPU: t.capacity}
 		}
@@ -148,7 +148,7 @@
 		slices.SortFunc(listed.Running, func(a, b work.RunningRun) int { return strings.Compare(a.Run.Task, b.Run.Task) })
 		reply(listed, work.VerdictDone)
 	}
-	if e.Wait == 0 || len(t.ended) > 0 {
+	if e.Wait == 0 || len(t.completions) > 0 {
 		answer()
 		return
 	}
@@ -174,17 +174,17 @@
 }
 
 // expireLease ends the runs once the lease has lapsed.
-func (t *fakeTarget) lapse() {
+func (t *fakeTarget) expireLease() {
 	if t.down {
 		return
 	}
-	if t.clock() > t.until {
+	if t.clock() > t.leaseUntil {
 		t.leaseLapsed = t.world.now
 		for _, task := range sortedTasks(t.runs) {
 			t.endRun(task, t.runs[task], "lapsed")
 		}
 	}
-	t.world.after(ms, t.lapse)
+	t.world.after(ms, t.expireLease)
 }
 
 func sortedTasks(runs map[string]*fakeRun) []string {
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -22,7 +22,7 @@
 		})
 		w.longest = rapid.SampledFrom([]int{100, 800, 2500}).Draw(rt, "longest")
 		if rapid.Bool().Draw(rt, "lending") {
-			w.addOther(rapid.IntRange(1, 3).Draw(rt, "others"))
+			w.addOtherOwner(rapid.IntRange(1, 3).Draw(rt, "others"))
 		}
 		w.takeOver()
 		w.run(200 * ms)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -47,7 +47,7 @@
 		s.reserveForGang(now, j, st)
 		return
 	}
-	s.unreserve(j.pool, st)
+	s.unreserveForGang(j.pool, st)
 	st.waitingSince = 0
 	number := s.nextRunNumber(now, j.isDurable())
 	for i, tk := range st.pending {
@@ -186,7 +186,7 @@
 func (s *State) reserveForGang(now time.Duration, j *job, st *step) {
 	p := j.pool
 	if p.reservedFor != nil && now-p.reservedAt > maxReservation {
-		s.unreserve(p, p.reservedFor)
+		s.unreserveForGang(p, p.reservedFor)
 	}
 	if p.reservedFor != nil || now-st.waitingSince < gangReserveDelay {
 		return
@@ -240,7 +240,7 @@
 }
 
 // unreserveForGang frees the targets that are reserved for a gang.
-func (s *State) unreserve(p *pool, st *step) {
+func (s *State) unreserveForGang(p *pool, st *step) {
 	if p.reservedFor != st {
 		return
 	}
@@ -256,10 +256,10 @@
 // unreserveJob frees all targets that are reserved for a job's steps.
 func (s *State) unreserveJob(j *job) {
 	if st := j.pool.reservedFor; st != nil && st.job == j {
-		s.unreserve(j.pool, st)
+		s.unreserveForGang(j.pool, st)
 	}
 	for _, st := range j.currentSteps() {
-		s.releaseHeld(st)
+		s.unreserveForStep(st)
 	}
 }
 
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -16,8 +16,8 @@
 func TestGangStartsTogether(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 2)
-	b.target("b", 2)
+	b.addUsableTarget("a", 2)
+	b.listTargetWithCPU("b", 2)
 	b.effects()
 	must.SliceEmpty(t, pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(3)))))
 	b.answerPoll("b", work.PollAnswer{ClockMS: 5000})
@@ -31,7 +31,7 @@
 // A gang that the targets can't hold is refused at once.
 func TestGangThatFitsNowhereIsRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 2)
+	b.addUsableTarget("a", 2)
 	b.s.Submit(b.now, b.jobOfSteps("j", gangStep(3)))
 	answers := pickEffects[Answer](b.effects())
 	must.SliceLen(t, 1, answers)
@@ -49,14 +49,14 @@
 			b.s.HandleStartAnswer(b.now, start.To.ID, start.Run, work.OrderAnswer{})
 		},
 		"failed": func(b *harness, start StartRun) {
-			b.answerPoll(start.To.ID, heldWithCompletion(1, start.Run, work.CompletionFailed))
+			b.answerPoll(start.To.ID, pollWithCompletion(1, start.Run, work.CompletionFailed))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.s.FinishResume(b.now)
-			b.usable("a", 1)
-			b.usable("b", 1)
+			b.addUsableTarget("a", 1)
+			b.addUsableTarget("b", 1)
 			starts := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(2))))
 			must.SliceLen(t, 2, starts)
 			b.answerStarts(starts[1:])
@@ -82,15 +82,15 @@
 func TestGangEndsTogether(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	starts := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", gangStep(2))))
 	b.answerStarts(starts)
-	b.answerPoll(starts[0].To.ID, heldWithCompletion(1, starts[0].Run, work.CompletionDone))
+	b.answerPoll(starts[0].To.ID, pollWithCompletion(1, starts[0].Run, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 
 	b = newHarness(t, Options{})
-	b.usable("a", 2)
+	b.addUsableTarget("a", 2)
 	b.s.ResumeJob(b.now, b.jobOfSteps("j", gangStep(2)), Progress{Fails: map[int]int{0: 1, 1: maxAttempts - 1}})
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateFailed}}, pickEffects[JobEnded](b.effects()))
 }
@@ -99,7 +99,7 @@
 func TestGangIsNotStarvedBySmallTasks(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 2)
+	b.addUsableTarget("a", 2)
 	var small []StartRun
 	b.submit("s0", 1, 1, "")
 	small = append(small, pickEffects[StartRun](b.effects())...)
@@ -185,6 +185,6 @@
 	step := gangStep(2)
 	step.PreferOneRack = true
 	must.SliceEmpty(t, pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", step))))
-	b.answerPoll(busy[0].To.ID, heldWithCompletion(1, busy[0].Run, work.CompletionDone))
+	b.answerPoll(busy[0].To.ID, pollWithCompletion(1, busy[0].Run, work.CompletionDone))
 	must.SliceLen(t, 2, pickEffects[StartRun](b.effects()))
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-func (b *harness) target(id string, cpu int64) {
+func (b *harness) listTargetWithCPU(id string, cpu int64) {
 	b.listTarget(work.Target{ID: id, Capacity: work.Resources{CPU: cpu}})
 }
 
@@ -36,8 +36,8 @@
 }
 
 // addUsableTarget adds a target and answers its first poll.
-func (b *harness) usable(id string, cpu int64) {
-	b.target(id, cpu)
+func (b *harness) addUsableTarget(id string, cpu int64) {
+	b.listTargetWithCPU(id, cpu)
 	b.effects()
 	b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 }
@@ -123,7 +123,7 @@
 
 func TestNoStartBeforeFirstPoll(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.submit("j", 1, 1, "")
 	must.SliceEmpty(t, pickEffects[StartRun](b.effects()))
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000})
@@ -132,7 +132,7 @@
 
 func TestUnknownRunsAreStoppedBeforeStarts(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.submit("j", 1, 1, "")
 	b.effects()
 	unknown := work.RunID{Task: "old.0.0.0", Number: 8}
@@ -149,7 +149,7 @@
 // was lost under a previous owner may be carried out late.
 func TestLateUnknownRunBlocksStartsAndLeaseRenewal(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -162,8 +162,8 @@
 
 func TestUnansweredStartIsStoppedBeforeRestart(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{})
@@ -180,7 +180,7 @@
 // While a stop has no answer, the lease of its target must run out.
 func TestLeaseIsNotRenewedDuringUnansweredStop(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 2)
+	b.addUsableTarget("a", 2)
 	b.submit("j", 1, 1, "")
 	other := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", other.Run, doneAnswer(5000))
@@ -200,8 +200,8 @@
 // before.
 func TestTaskOfSilentTargetRestartsAfterLeaseLapses(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -220,7 +220,7 @@
 
 func TestJobEndsWithoutKeepalive(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.s.EntryKeepalive("e", b.now+300*ms)
 	ref := b.submit("j", 1, 1, "e")
 	start := pickEffects[StartRun](b.effects())[0]
@@ -234,7 +234,7 @@
 func TestNothingStartsWithoutKeepalive(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.EntryKeepalive("e", b.now+10*ms)
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.submit("j", 1, 1, "e")
 	b.effects()
 	b.now += 15 * ms
@@ -244,7 +244,7 @@
 
 func TestJobsEndAfterPause(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.submit("j", 1, 1, "")
 	b.effects()
 	b.now += DefaultPauseThreshold + 100*ms
@@ -255,8 +255,8 @@
 // A job that was sent again waits until the runs of its first submission are over.
 func TestResubmittedJobWaitsForEarlierRuns(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	ref := b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -272,7 +272,7 @@
 // A job that is sent again while it runs goes on for the later request.
 func TestResubmittedRunningJobAnswersLaterCaller(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	first := b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -288,7 +288,7 @@
 
 func TestCancelStopsRuns(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	ref := b.submit("j", 2, 1, "")
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 2, starts)
@@ -299,9 +299,9 @@
 
 func TestDrainingAndFullTargetsAreNotUsed(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.listTarget(work.Target{ID: "a", Capacity: work.Resources{CPU: 4}, Draining: true})
-	b.usable("b", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 2, 1, "")
 	starts := pickEffects[StartRun](b.effects())
 	must.SliceLen(t, 1, starts)
@@ -315,7 +315,7 @@
 		b := newHarness(t, Options{})
 		b.now = now
 		b.s.SetRunClock(now, now+clock)
-		b.usable("a", 4)
+		b.addUsableTarget("a", 4)
 		b.submit("j", 1, 1, "")
 		return pickEffects[StartRun](b.effects())[0].Run.Number
 	}
@@ -324,7 +324,7 @@
 
 func TestStartedJobIsNotRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.s.EntryKeepalive("e", b.now+10*time.Minute)
 	ref := b.submit("j", 2, 1, "e")
 	start := pickEffects[StartRun](b.effects())[0]
@@ -340,7 +340,7 @@
 // A refused start did nothing: its job may still be refused.
 func TestJobWithOnlyRefusedStartsCanBeRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, work.OrderAnswer{Verdict: work.VerdictNoCapacity, ClockMS: 5000})
@@ -351,8 +351,8 @@
 // While answers get lost, a lost poll must not hide completions for its whole wait.
 func TestPollsAreShortWhileAnswersGetLost(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 2, 1, "")
 	effects := b.effects()
 	for _, poll := range pickEffects[Poll](effects) {
@@ -382,7 +382,7 @@
 	for name, back := range map[string]bool{"listed again": true, "stays unlisted": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.usable("a", 2)
+			b.addUsableTarget("a", 2)
 			b.submit("j", 1, 1, "")
 			start := pickEffects[StartRun](b.effects())[0]
 			b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -390,7 +390,7 @@
 			b.s.targets["a"].runs[start.Run.Task].expected = 5 * time.Second
 			b.effects()
 			b.s.TargetUnlisted(b.now, "a")
-			b.usable("b", 2)
+			b.addUsableTarget("b", 2)
 			var effects []Effect
 			for range 20 {
 				b.answerPoll("a", work.PollAnswer{ClockMS: 5000 + (b.now - 10*time.Second).Milliseconds(), Running: listing(start.Run)})
@@ -405,7 +405,7 @@
 				must.Eq(t, "b", other.To.ID)
 			}
 			if back {
-				b.target("a", 2)
+				b.listTargetWithCPU("a", 2)
 				must.Eq(t, "a", pickEffects[StartRun](b.effects())[0].To.ID)
 				return
 			}
@@ -422,7 +422,7 @@
 func TestOverdueRunIsNoFailureWhileAnswersGetLost(t *testing.T) {
 	for name, lost := range map[string]bool{"answers get lost": true, "no answer is lost": false} {
 		b := newHarness(t, Options{})
-		b.usable("a", 1)
+		b.addUsableTarget("a", 1)
 		b.submit("j", 1, 1, "")
 		start := pickEffects[StartRun](b.effects())[0]
 		b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
--- a/scheduler/incarnation.go
+++ b/scheduler/incarnation.go
@@ -73,7 +73,7 @@
 	t.incarnationUnknown = true
 	t.lease = lease{}
 	t.lastCompletion, t.ackedCompletion, t.ackSent = 0, 0, 0
-	t.poll, t.pollPending, t.answered, t.lastAnswer, t.failedPolls = Poll{}, false, 0, 0, 0
+	t.poll, t.pollPending, t.answeredPollSentAt, t.lastAnswer, t.failedPolls = Poll{}, false, 0, 0, 0
 	t.state, t.fenced, t.blockedUntil = adopting, false, 0
 	t.health = newHealth()
 	s.recordFirstSeen(now, t)
@@ -178,5 +178,5 @@
 
 // completionRef identifies a completion of the target's present incarnation.
 func (t *target) completionRef(number int64) CompletionRef {
-	return CompletionRef{Target: t.ID, Number: number, Life: t.incarnations}
+	return CompletionRef{Target: t.ID, Number: number, Restarts: t.incarnations}
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -80,9 +80,9 @@
 	// backgroundCPU is what a background task wants of its target's processor, in thousandths
 	// of a core. evictionTarget is the target whose background tasks were stopped at evictedAt, and
 	// which is reserved for this latency-sensitive step.
-	backgroundCPU int64
-	clearedTarget *target
-	clearedAt     time.Duration
+	backgroundCPU  int64
+	evictionTarget *target
+	evictedAt      time.Duration
 }
 
 // task is one task of a job. At most one run of it may be in progress.
--- a/scheduler/kinds_test.go
+++ b/scheduler/kinds_test.go
@@ -52,7 +52,7 @@
 			b.effects()
 			b.answerPollWith("a", work.PollAnswer{}, work.VerdictMisdirected)
 			effects := b.effects()
-			b.usable("b", 1)
+			b.addUsableTarget("b", 1)
 			return append(effects, b.effects()...)
 		},
 	} {
@@ -67,7 +67,7 @@
 		})
 	}
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.s.ResumeJob(b.now, b.durableJob("j", 1), Progress{Saved: map[int]string{0: "c9"}})
 	must.Eq(t, "c9", pickEffects[StartRun](b.effects())[0].SavedState)
 }
@@ -77,7 +77,7 @@
 func TestLastingTaskRestartsWithBackoff(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	run := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", work.Step{Tasks: 1, Lasting: true})))[0].Run
 	var pauses []time.Duration
 	for i, kind := range []work.CompletionKind{work.CompletionDone, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, work.CompletionFailed, "lapsed"} {
@@ -109,7 +109,7 @@
 func TestLastingTaskIsNeverStuck(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	start := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("j", work.Step{Tasks: 1, Lasting: true})))
 	b.answerStarts(start)
 	for range 100 {
@@ -124,7 +124,7 @@
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	wall := 1000 * time.Hour
 	b.s.SetWallClock(b.now, wall)
 	sub := b.jobOfSteps("j", work.Step{Tasks: 1}, work.Step{Tasks: 1, DependsOn: []int{0}})
@@ -160,7 +160,7 @@
 // starts nothing at their targets before it has the jobs, and starts no task twice.
 func TestSuccessorContinuesInheritedRuns(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 2)
+	b.listTargetWithCPU("a", 2)
 	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	gone := work.RunID{Task: "gone.0.0.0", Number: 33}
@@ -182,7 +182,7 @@
 	must.SliceLen(t, 1, starts)
 	must.Eq(t, "loose.0.0.0", starts[0].Run.Task)
 	b.answerStarts(starts)
-	b.answerPoll("a", heldWithCompletion(1, on, work.CompletionDone))
+	b.answerPoll("a", pollWithCompletion(1, on, work.CompletionDone))
 	must.Eq(t, []JobEnded{{Job: "j", State: work.StateCompleted}}, pickEffects[JobEnded](b.effects()))
 }
 
@@ -190,7 +190,7 @@
 // can do other work.
 func TestInheritedRunTimesOut(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 2)
+	b.listTargetWithCPU("a", 2)
 	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	var stops []StopRun
@@ -206,7 +206,7 @@
 // A gang that a successor finds with a member missing is restarted.
 func TestIncompleteGangRestartsAfterTakeover(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 2)
+	b.listTargetWithCPU("a", 2)
 	b.effects()
 	on := work.RunID{Task: "j.0.0.0", Number: 31}
 	b.answerPoll("a", work.PollAnswer{ClockMS: 5000, Running: listing(on)})
@@ -225,7 +225,7 @@
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
 	for _, id := range []string{"a", "b", "c"} {
-		b.usable(id, 1)
+		b.addUsableTarget(id, 1)
 	}
 	sub := b.jobOfSteps("j", work.Step{Tasks: 3})
 	sub.Queue.RequiresAdvice = true
@@ -243,7 +243,7 @@
 	must.Eq(t, map[string]string{"a": "ta", "b": "tb"}, tickets)
 	b.answerStarts(starts)
 	// All named targets are full; another one appears.
-	b.usable("d", 1)
+	b.addUsableTarget("d", 1)
 	asks = pickEffects[AskAdviser](b.advance(adviserRetryInterval + 20*ms))
 	must.Eq(t, []AskAdviser{{Step: "j.0.0", Targets: []string{"d"}}}, asks)
 	b.s.Advised(b.now, asks[0], map[string]string{"d": "td"}, ticketMargin, true)
@@ -252,10 +252,10 @@
 
 // A ticket that its target refuses is requested again. After a request without an answer the
 // adviser gets none for adviserRetryInterval.
-func TestRefusedTicketIsAskedForAgain(t *testing.T) {
+func TestRefusedTicketIsRequestedAgain(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	sub := b.jobOfSteps("j", work.Step{Tasks: 1})
 	sub.Queue.RequiresAdvice = true
 	ask := pickEffects[AskAdviser](b.acceptAndStore(sub))[0]
@@ -269,10 +269,10 @@
 }
 
 // At most maxOpenRequests requests to the adviser are open at a time.
-func TestQuestionsToAdviserAreBounded(t *testing.T) {
+func TestAdviserRequestsAreBounded(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	var asks []AskAdviser
 	for i := range 2 * maxOpenRequests {
 		sub := b.jobOfSteps("j"+string(rune('a'+i)), work.Step{Tasks: 1})
@@ -289,8 +289,8 @@
 func TestBackgroundTasksYieldToLatencySensitiveOnes(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.s.FinishResume(b.now)
-	b.usable("a", 4000)
-	b.usable("b", 2000)
+	b.addUsableTarget("a", 4000)
+	b.addUsableTarget("b", 2000)
 	background := pickEffects[StartRun](b.acceptAndStore(b.jobOfSteps("f", work.Step{Tasks: 3, Background: true, PerTask: work.Resources{CPU: 2000}})))
 	must.SliceLen(t, 3, background)
 	must.Eq(t, "a", background[0].To.ID)
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -11,7 +11,7 @@
 
 func TestUnservableJobIsRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.submit("j", 1, 5, "")
 	answer := pickEffects[Answer](b.effects())[0]
 	must.Eq(t, work.Refused, answer.Outcome.Result)
@@ -21,7 +21,7 @@
 // A job that fits beside the waiting ones is accepted, since these cannot use the free capacity.
 func TestSmallJobIsAcceptedBesideWaitingLargeJobs(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 10)
+	b.addUsableTarget("a", 10)
 	b.submit("first", 1, 8, "")
 	b.effects()
 	for i := range 40 {
@@ -45,10 +45,10 @@
 // A suspected target that drains gets no probe.
 func TestDrainingSuspectedTargetIsNotProbed(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.s.targets["a"].health.markSuspected(b.now)
 	b.s.markChanged(b.s.targets["a"])
-	b.usable("b", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("first", 1, 1, "")
 	b.effects()
 	b.submit("second", 1, 1, "")
@@ -59,7 +59,7 @@
 // Tasks that another owner may still run are not run here.
 func TestLostPartEndsJobAsUnknown(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	ref := b.submit("j", 2, 1, "")
 	b.s.CapacityReported(b.now, "other", "s", FreeCapacity{Tasks: [Priorities]int{2, 2, 2}})
 	delegated := pickEffects[Delegate](b.effects())[0]
@@ -72,7 +72,7 @@
 // A part that cannot start goes back while its owner can still find it another target.
 func TestPartThatCannotStartIsRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 2)
+	b.addUsableTarget("a", 2)
 	b.submit("first", 1, 1, "")
 	b.effects()
 	b.ref++
@@ -92,7 +92,7 @@
 // overtake.
 func TestUrgentDemandReducesShareOfLessUrgent(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 10)
+	b.addUsableTarget("a", 10)
 	p := b.s.poolOf("s")
 	must.Eq(t, 1, p.shareLeft(b.now, 1))
 	for range 4 {
@@ -107,7 +107,7 @@
 
 func TestOverloadedOwnerRefusesWithRetryTime(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	refused := 0
 	for i := range 60 {
 		b.submit(string(rune('A'+i)), 1, 1, "")
@@ -126,8 +126,8 @@
 	for name, lost := range map[string]bool{"capacity is lost": true, "capacity stays": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.usable("a", 1)
-			b.usable("b", 1)
+			b.addUsableTarget("a", 1)
+			b.addUsableTarget("b", 1)
 			for _, id := range []string{"x", "y", "j"} {
 				b.submit(id, 1, 1, "")
 			}
@@ -161,8 +161,8 @@
 // is tried on other targets.
 func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	ref := b.submit("j", 1, 1, "")
 	first := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, first.To.ID, first.Run, doneAnswer(5000))
@@ -181,7 +181,7 @@
 func TestTargetIsSuspectedAfterFailuresOfSeveralJobs(t *testing.T) {
 	b := newHarness(t, Options{})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		b.usable(id, 1)
+		b.addUsableTarget(id, 1)
 	}
 	fail := func(id string, j *job) { b.s.recordFailedRun(b.now, b.s.targets[id], j) }
 	poison := b.s.newJob(b.now, Submission{Job: work.Job{ID: "p", Steps: []work.Step{{Tasks: 1}}}})
@@ -198,8 +198,8 @@
 // A probe on a suspected target is not moved before it is overdue.
 func TestProbeIsNotMovedBeforeOverdue(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.s.targets["a"].health.speed = 5
 	b.s.targets["a"].health.markSuspected(b.now)
 	b.s.targets["b"].Draining = true
@@ -215,7 +215,7 @@
 // Tasks that find no target go to an owner with free capacity, and come back if it refuses them.
 func TestTasksAreDelegatedAndReturned(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	ref := b.submit("j", 3, 1, "")
 	b.s.CapacityReported(b.now, "other", "s", FreeCapacity{Tasks: [Priorities]int{2, 2, 2}})
 	effects := b.effects()
@@ -239,7 +239,7 @@
 // A delegated part is withdrawn with its job, and its runs count as stopping for a while.
 func TestDelegatedPartIsWithdrawnWithItsJob(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	ref := b.submit("j", 2, 1, "")
 	b.s.CapacityReported(b.now, "other", "s", FreeCapacity{Tasks: [Priorities]int{2, 2, 2}})
 	effects := b.effects()
@@ -255,7 +255,7 @@
 
 func TestPartStartsAtOnceOrIsRefused(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	part := func(name string) {
 		b.ref++
 		b.s.Submit(b.now, Submission{
@@ -280,7 +280,7 @@
 
 func TestStepWaitsForEarlierStep(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	b.s.Submit(b.now, Submission{
 		Ref: 1,
 		Job: work.Job{ID: "j", Steps: []work.Step{
@@ -303,7 +303,7 @@
 		b.effects()
 		b.answerPoll(id, work.PollAnswer{ClockMS: 5000})
 	}
-	b.usable("c", 4)
+	b.addUsableTarget("c", 4)
 	b.s.Submit(b.now, Submission{
 		Ref: 1,
 		Job: work.Job{ID: "j", Steps: []work.Step{
@@ -325,7 +325,7 @@
 	for name, silent := range map[string]bool{"target answers": false, "target stays silent": true} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.usable("a", 4)
+			b.addUsableTarget("a", 4)
 			b.s.TargetUnlisted(b.now, "a")
 			b.submit("j", 1, 1, "")
 			starts := pickEffects[StartRun](b.effects())
@@ -348,7 +348,7 @@
 
 func TestFencedPollReportsDeposed(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.target("a", 4)
+	b.listTargetWithCPU("a", 4)
 	b.effects()
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictFenced)
 	must.Eq(t, []Deposed{{Target: "a"}}, pickEffects[Deposed](b.effects()))
@@ -358,8 +358,8 @@
 // may name the wrong failure domain.
 func TestTargetOfAnotherGroupDoesNotDepose(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.target("theirs", 4)
+	b.addUsableTarget("a", 1)
+	b.listTargetWithCPU("theirs", 4)
 	b.effects()
 	b.answerPollWith("theirs", work.PollAnswer{}, work.VerdictFenced)
 	effects := b.effects()
@@ -375,11 +375,11 @@
 // owner either. Its runs are over once its lease has lapsed.
 func TestTargetMovedToAnotherGroupDoesNotDepose(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
-	b.usable("b", 1)
+	b.addUsableTarget("b", 1)
 	b.s.TargetUnlisted(b.now, "a")
 	b.answerPollWith("a", work.PollAnswer{}, work.VerdictFenced)
 	effects := b.effects()
@@ -392,8 +392,8 @@
 
 func TestNewIncarnationEndsAllRuns(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 1, 1, "")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -122,7 +122,7 @@
 			return
 		}
 		s.startRun(now, t, st.pending[0], s.nextRunNumber(now, j.isDurable()))
-		s.releaseHeld(st)
+		s.unreserveForStep(st)
 		st.pending = slices.Delete(st.pending, 0, 1)
 	}
 }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -152,8 +152,8 @@
 	if st.Background {
 		return s.pickBackgroundTarget(now, j, st, tk)
 	}
-	if st.clearedTarget != nil && s.canStart(now, st.clearedTarget, j, st, tk) {
-		return st.clearedTarget
+	if st.evictionTarget != nil && s.canStart(now, st.evictionTarget, j, st, tk) {
+		return st.evictionTarget
 	}
 	if tk.reservedTarget != nil {
 		return nil
--- a/scheduler/rejoin_test.go
+++ b/scheduler/rejoin_test.go
@@ -27,7 +27,7 @@
 // A running job answers only the newest request for it, and isn't started again.
 func TestRejoinOfRunningJobAnswersNewestRequest(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	first := b.submitFrom("j", "e")
 	start := pickEffects[StartRun](b.effects())[0]
 	again := b.askedAgain(first)
@@ -48,7 +48,7 @@
 // After that the job is Forgotten, not Absent.
 func TestRejoinOfEndedJobRepeatsOutcome(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	sub := b.submitFrom("j", "e")
 	start := pickEffects[StartRun](b.effects())[0]
 	b.s.HandleStartAnswer(b.now, "a", start.Run, doneAnswer(5000))
@@ -83,7 +83,7 @@
 // A part that another owner delegated is found by its first task.
 func TestRejoinFindsPartByFirstTask(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 4)
+	b.addUsableTarget("a", 4)
 	// An owner that has seen no job yet takes no parts.
 	b.submit("first", 1, 1, "")
 	b.effects()
@@ -105,7 +105,7 @@
 // A running job is only found by its own entry VM.
 func TestRejoinFromOtherEntryVMFindsNothing(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	sub := b.submitFrom("j", "e")
 	b.effects()
 	other := b.askedAgain(sub)
@@ -119,7 +119,7 @@
 func TestAbsentJobStartsOnce(t *testing.T) {
 	for name, started := range map[string]int64{"started": 1, "refused": 0} {
 		b := newHarness(t, Options{})
-		b.usable("a", 1)
+		b.addUsableTarget("a", 1)
 		b.s.EntryKeepalive("e", b.now+time.Hour)
 		first := Submission{
 			Ref: 100, Entry: "e",
@@ -131,7 +131,7 @@
 		effects := b.effects()
 		must.Eq(t, int(started), len(pickEffects[StartRun](effects)), must.Sprint(name))
 		must.Eq(t, int(1-started), len(pickEffects[Answer](effects)), must.Sprint(name))
-		b.usable("b", 2)
+		b.addUsableTarget("b", 2)
 		b.s.Submit(b.now, first)
 		effects = b.effects()
 		must.SliceEmpty(t, pickEffects[StartRun](effects), must.Sprint(name))
--- a/scheduler/resend_test.go
+++ b/scheduler/resend_test.go
@@ -14,8 +14,8 @@
 // yet.
 func orderedRun(t *testing.T) (*harness, StartRun) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
-	b.usable("b", 1)
+	b.addUsableTarget("a", 1)
+	b.addUsableTarget("b", 1)
 	b.submit("j", 1, 1, "")
 	return b, pickEffects[StartRun](b.effects())[0]
 }
@@ -87,7 +87,7 @@
 func TestFencedCopyLeavesJobStarted(t *testing.T) {
 	for _, verdict := range []work.Verdict{work.VerdictFenced, work.VerdictMisdirected} {
 		b := newHarness(t, Options{})
-		b.usable("a", 1)
+		b.addUsableTarget("a", 1)
 		b.submit("j", 1, 1, "")
 		start := pickEffects[StartRun](b.effects())[0]
 		b.advance(40 * ms)
@@ -168,7 +168,7 @@
 	for _, targets := range []int{2, 240} {
 		b, start := orderedRun(t)
 		for i := 2; i < targets; i++ {
-			b.usable(fmt.Sprint("t", i), 1)
+			b.addUsableTarget(fmt.Sprint("t", i), 1)
 		}
 		b.loseAnswers()
 		must.True(t, b.s.needsSecondPoll(b.now))
@@ -187,7 +187,7 @@
 // Ticks that are late again and again show a lack of CPU, even if none is late enough alone.
 func TestNoCopiesWhileTicksAreLate(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	lateTicks := func(n int) {
 		for range n {
 			b.now += stallGap - ms
@@ -236,7 +236,7 @@
 	b.s.recordMissedAnswer(b.now, lost)
 	must.True(t, b.s.losesAnswers(b.now))
 	b = newHarness(t, Options{})
-	b.usable("a", 1)
+	b.addUsableTarget("a", 1)
 	b.s.targets["a"].state = silent
 	b.loseAnswers()
 	must.False(t, b.s.losesAnswers(b.now))
@@ -297,7 +297,7 @@
 func TestCopiesWithoutAnswersAreBounded(t *testing.T) {
 	b := newHarness(t, Options{})
 	for i := range 240 {
-		b.target(fmt.Sprint("t", i), 1)
+		b.listTargetWithCPU(fmt.Sprint("t", i), 1)
 	}
 	must.SliceLen(t, 240, pickEffects[Poll](b.effects()))
 	must.SliceLen(t, maxBudget, pickEffects[Poll](b.advance(100*ms)))
--- a/scheduler/return_test.go
+++ b/scheduler/return_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.usable("t", test.cpu)
+			b.addUsableTarget("t", test.cpu)
 			must.SliceEmpty(t, b.submitWithSlack("first", time.Second))
 			b.ref++
 			b.s.Submit(b.now, Submission{
@@ -56,7 +56,7 @@
 // The estimate of how long a caller has waited must not extend the deadline that the caller states.
 func TestReturningCallerKeepsDeadline(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.usable("t", 2000)
+	b.addUsableTarget("t", 2000)
 	b.ref++
 	b.s.Submit(b.now, Submission{
 		Ref: b.ref, Wait: 300 * ms,
@@ -73,7 +73,7 @@
 func TestNewOwnerCountsArrivingTargets(t *testing.T) {
 	b := newHarness(t, Options{})
 	for i := range 10 {
-		b.target(fmt.Sprint("t", i), 1000)
+		b.listTargetWithCPU(fmt.Sprint("t", i), 1000)
 	}
 	b.effects()
 	accepted := 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -220,8 +220,8 @@
 	superseded map[jobRef]time.Duration
 	// outcomeDiscardedAt is when an outcome was last not remembered for lack of space; 0 before the
 	// first.
-	outcomeDiscardedAt time.Duration
-	asking             int
+	outcomeDiscardedAt  time.Duration
+	openAdviserRequests int
 	// recurringJobs holds the jobs with occurrences that are not due yet.
 	recurringJobs map[*job]bool
 	lastRunNumber int64
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -52,15 +52,15 @@
 // evictBackground stops the background tasks of a target that a latency-sensitive step could use
 // and reserves the target for it.
 func (s *State) evictBackground(now time.Duration, j *job, st *step) {
-	if st.clearedTarget != nil && now < st.clearedAt+evictionTimeout {
+	if st.evictionTarget != nil && now < st.evictedAt+evictionTimeout {
 		return
 	}
-	s.releaseHeld(st)
+	s.unreserveForStep(st)
 	for _, t := range j.pool.targets {
 		if t.backgroundRuns == 0 || !t.isOpen() || t.reservedFor != nil || !st.PerTask.FitsIn(t.free) || !st.fitsEmpty(t) || !st.advice.allows(now, t.ID) {
 			continue
 		}
-		st.clearedTarget, st.clearedAt, t.reservedFor = t, now, st
+		st.evictionTarget, st.evictedAt, t.reservedFor = t, now, st
 		s.markChanged(t)
 		for _, r := range t.sortedRuns() {
 			if r.task.step.Background {
@@ -72,13 +72,13 @@
 }
 
 // unreserveForStep ends the reservation of a target for a latency-sensitive step.
-func (s *State) releaseHeld(st *step) {
-	if st.clearedTarget == nil {
+func (s *State) unreserveForStep(st *step) {
+	if st.evictionTarget == nil {
 		return
 	}
-	st.clearedTarget.reservedFor = nil
-	s.markChanged(st.clearedTarget)
-	st.clearedTarget = nil
+	st.evictionTarget.reservedFor = nil
+	s.markChanged(st.evictionTarget)
+	st.evictionTarget = nil
 }
 
 // evictionTimeout is the longest that the stops take, with the listing of their completions. A
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -94,7 +94,7 @@
 	firstPollWait time.Duration
 	pollPending   bool
 	// answeredPollSentAt is when the newest answered poll was sent.
-	answered time.Duration
+	answeredPollSentAt time.Duration
 	// lastAnswer is when the newest poll was answered; the runs that it listed were running then.
 	lastAnswer time.Duration
 	// failedPolls counts the polls without an answer since the last answered one.
@@ -377,14 +377,14 @@
 	stopRetryInterval = 100 * time.Millisecond
 	// stopAnswerTimeout is how long a target's lease is still renewed while a stop there has no
 	// answer.
-	stopTimeout = 150 * time.Millisecond
+	stopAnswerTimeout = 150 * time.Millisecond
 	// stopMargin is added to the platform's bound of a stop.
 	stopMargin = 20 * time.Millisecond
 )
 
 // takeStopRetry reports whether to send a stop again now, and counts the attempt. The first copies
 // follow as fast as those of other orders, later ones every stopRetryInterval.
-func (s *State) shouldRetryStop(now time.Duration, o *stopTry) bool {
+func (s *State) takeStopRetry(now time.Duration, o *stopTry) bool {
 	if o.acked != 0 || now-o.last < s.resend.resendInterval() {
 		return false
 	}
@@ -397,7 +397,9 @@
 	return true
 }
 
-func (o *stopTry) isOverdue(now time.Duration) bool { return o.acked == 0 && now-o.first > stopTimeout }
+func (o *stopTry) isOverdue(now time.Duration) bool {
+	return o.acked == 0 && now-o.first > stopAnswerTimeout
+}
 
 // canRenewLease reports whether the target's lease may be renewed. It may not while the target does
 // not answer, has unknown runs or an overdue stop, or has runs that were left to another owner
@@ -431,7 +433,7 @@
 		s.tickRun(now, t, r)
 	}
 	for _, unknown := range t.sortedUnknownRuns() {
-		if s.shouldRetryStop(now, t.unknownRuns[unknown]) {
+		if s.takeStopRetry(now, t.unknownRuns[unknown]) {
 			s.emit(StopRun{To: t.address(), Run: unknown})
 		}
 	}
@@ -444,7 +446,9 @@
 
 // wouldList reports whether the completion of a run that finished before its stop arrived would
 // be known by now. For jobs that are not durable it does not matter: their runs may be repeated.
-func (t *target) wouldList(r *run) bool { return !r.task.job.isDurable() || t.answered > r.stop.acked }
+func (t *target) wouldList(r *run) bool {
+	return !r.task.job.isDurable() || t.answeredPollSentAt > r.stop.acked
+}
 
 // tickRun repeats the orders to a run that have no answer, and ends the run if it is over by time
 // alone.
@@ -455,7 +459,7 @@
 			s.recordTaskLoss(now, r)
 			s.loseRun(now, r, "stopped before it was seen to run")
 			return
-		case s.shouldRetryStop(now, r.stop):
+		case s.takeStopRetry(now, r.stop):
 			s.emit(StopRun{To: t.address(), Run: r.RunID})
 		}
 	}
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -147,20 +147,20 @@
 	resized     time.Duration
 	overcommits bool
 	// incarnation is when it started, in milliseconds; 0 if it does not report it.
-	life int64
+	incarnation int64
 	// highestToken is the highest fencing token that it has seen; highestRuns holds the highest run
 	// number of each task that ended or was stopped; lastCompletion is the number of its last
 	// completion; leaseUntil is the end of its lease, on its clock.
-	fence      int64
-	runs       map[string]*fakeRun
-	highest    map[string]int64
-	ended      []work.Completion
-	number     int64
-	until      int64
-	down       bool
-	hung       bool
-	silent     bool
-	answerPoll func()
+	highestToken   int64
+	runs           map[string]*fakeRun
+	highestRuns    map[string]int64
+	completions    []work.Completion
+	lastCompletion int64
+	leaseUntil     int64
+	down           bool
+	hung           bool
+	silent         bool
+	answerPoll     func()
 	// ofOtherOwner marks the targets of the other owner.
 	ofOtherOwner bool
 	// leaseLapsed is when the lease last lapsed; endedAt is when each run ended.
@@ -194,25 +194,25 @@
 func (w *world) addTarget() *fakeTarget {
 	t := &fakeTarget{
 		world: w, id: fmt.Sprintf("t%02d", len(w.targets)), clockRate: 0.98 + 0.02*w.random.Float64(),
-		free: fakeCPU, capacity: fakeCPU, endedAt: map[int64]time.Duration{}, runs: map[string]*fakeRun{}, highest: map[string]int64{},
+		free: fakeCPU, capacity: fakeCPU, endedAt: map[int64]time.Duration{}, runs: map[string]*fakeRun{}, highestRuns: map[string]int64{},
 	}
 	w.targets[t.id] = t
 	if w.restarts {
-		t.life = w.now.Milliseconds()
+		t.incarnation = w.now.Milliseconds()
 	}
 	for _, o := range w.owners {
 		o.state.TargetListed(w.now, t.listed())
 	}
-	w.after(ms, t.lapse)
+	w.after(ms, t.expireLease)
 	return t
 }
 
 func (t *fakeTarget) listed() work.Target {
-	return work.Target{ID: t.id, Service: "s", Address: t.id, Capacity: work.Resources{CPU: t.capacity}, Incarnation: t.life}
+	return work.Target{ID: t.id, Service: "s", Address: t.id, Capacity: work.Resources{CPU: t.capacity}, Incarnation: t.incarnation}
 }
 
 func (t *fakeTarget) clock() int64 {
-	return 100 + int64(float64(t.world.now.Milliseconds()-t.life)*t.clockRate)
+	return 100 + int64(float64(t.world.now.Milliseconds()-t.incarnation)*t.clockRate)
 }
 
 func (w *world) after(d time.Duration, do func()) {
@@ -292,8 +292,8 @@
 // keepaliveLifetime is how long a keepalive of the entry VM counts; silenceTimeout is after how long
 // without a message the entry VM gives an owner up.
 const (
-	keepaliveTime  = 320 * ms
-	silenceTimeout = 420 * ms
+	keepaliveLifetime = 320 * ms
+	silenceTimeout    = 420 * ms
 )
 
 // sendKeepalives simulates the heartbeats of one entry VM.
@@ -302,7 +302,7 @@
 		return
 	}
 	if !o.frozen && !o.cut {
-		o.state.EntryKeepalive("e", w.now+keepaliveTime)
+		o.state.EntryKeepalive("e", w.now+keepaliveLifetime)
 	}
 	w.after(50*ms, func() { w.sendKeepalives(o) })
 }
@@ -390,11 +390,11 @@
 
 // deliverOrder simulates an order's way to a target and back.
 func (w *world) deliverOrder(o *fakeOwner, target string, carryOut func(token int64) work.OrderAnswer, back func(work.OrderAnswer)) {
-	token, incarnation := o.token, w.targets[target].life
+	token, incarnation := o.token, w.targets[target].incarnation
 	do := func() work.OrderAnswer { return carryOut(token) }
 	late := func() {
 		// An order that a target has received but not carried out is lost when it restarts.
-		if w.targets[target].life == incarnation {
+		if w.targets[target].incarnation == incarnation {
 			do()
 		}
 	}
@@ -449,7 +449,7 @@
 func (w *world) poll(o *fakeOwner, e Poll) {
 	token := o.token
 	t := w.targets[e.To.ID]
-	incarnation := t.life
+	incarnation := t.incarnation
 	reply := func(after time.Duration, got work.PollAnswer, verdict work.Verdict) {
 		w.after(after, func() {
 			w.deliver(o, func() { o.state.HandlePollAnswer(w.now, t.id, e.SentAt, got, ResolveVerdict(verdict, token, o.token)) })
@@ -462,7 +462,7 @@
 		reply(timeout, work.PollAnswer{}, work.VerdictUnknown)
 	case draw < w.faults.lostOrders+w.faults.lateOrders:
 		w.after(time.Duration(w.random.IntN(4000))*ms, func() {
-			if t.life == incarnation {
+			if t.incarnation == incarnation {
 				t.servePoll(token, e, ignore)
 			}
 		})
