--- a/configuration/duty.go
+++ b/configuration/duty.go
@@ -222,7 +222,7 @@
 	defer reading.Wait()
 	for {
 		d.takeAddresses()
-		d.act(ctx, &reading, d.replica.Tick(d.options.Now()))
+		d.execute(ctx, &reading, d.replica.Tick(d.options.Now()))
 		d.publish()
 		select {
 		case <-ctx.Done():
@@ -230,7 +230,7 @@
 		case <-ticker.C:
 		case <-d.wake:
 		case result := <-d.reads:
-			d.act(ctx, &reading, d.readDone(result))
+			d.execute(ctx, &reading, d.readDone(result))
 		case r := <-d.inbox.Items():
 			d.serve(ctx, &reading, r)
 		}
@@ -258,15 +258,15 @@
 		if reply != nil {
 			replies = append(replies, reply)
 		}
-		d.act(ctx, reading, out)
+		d.execute(ctx, reading, out)
 	}
 	r.replies <- replies
 }
 
 // execute publishes a change, sends the messages and starts the read of out.
-func (d *Duty) act(ctx context.Context, reading *sync.WaitGroup, out Output) {
+func (d *Duty) execute(ctx context.Context, reading *sync.WaitGroup, out Output) {
 	if out.Changed {
-		d.changed()
+		d.publishSnapshot()
 	}
 	for _, s := range out.Sends {
 		d.options.Sender.Send(s.Address, s.Incarnation, peerpb.Duty_DUTY_CONFIGURATION, s.Body)
@@ -306,10 +306,10 @@
 
 // publishSnapshot publishes the new configuration and calls the functions of
 // OnChange.
-func (d *Duty) changed() {
+func (d *Duty) publishSnapshot() {
 	snapshot := d.replica.Snapshot()
 	d.snapshot.Store(snapshot)
-	d.show()
+	d.publishState()
 	if invalid := snapshot.Invalid(); len(invalid) > 0 {
 		d.options.Log.Warn("configuration rows can't be read and are left out; apply them again", "version", snapshot.Version(), "rows", invalid)
 	}
@@ -324,16 +324,16 @@
 	if d.replica.Loaded() && !d.Snapshot().Loaded() {
 		// The first read found an empty configuration, which is no change of
 		// version, so that publishSnapshot has not run.
-		d.changed()
+		d.publishSnapshot()
 	}
-	d.show()
+	d.publishState()
 	d.logStore(d.replica.reads.err)
-	d.count(d.replica.Counts())
+	d.reportCounts(d.replica.Counts())
 }
 
 // publishState makes the replica's state visible to other goroutines. It must
 // run before the functions of OnChange, which may read the digest.
-func (d *Duty) show() {
+func (d *Duty) publishState() {
 	r := d.replica
 	d.public.Store(&public{
 		digest: digest{version: r.Version(), readAt: r.reads.doneAt, hasRead: r.reads.done},
@@ -355,7 +355,7 @@
 }
 
 // reportCounts adds the increase since the last call to the counters.
-func (d *Duty) count(c Counts) {
+func (d *Duty) reportCounts(c Counts) {
 	for _, counter := range []struct {
 		name      string
 		now, then uint64
--- a/configuration/duty_test.go
+++ b/configuration/duty_test.go
@@ -103,7 +103,7 @@
 		}
 		store.put(t, profileRow("a", 1))
 		store.put(t, profileRow("b", 2))
-		<-time.After(promise)
+		<-time.After(maxChangeDelay)
 		synctest.Wait()
 		must.Eq(t, 2, a.Snapshot().Version())
 		must.Eq(t, 2, b.Snapshot().Version())
@@ -113,7 +113,7 @@
 		must.Eq(t, "", a.Status().StoreError)
 
 		store.put(t, deletedRow("a", 3))
-		<-time.After(promise)
+		<-time.After(maxChangeDelay)
 		synctest.Wait()
 		_, there := b.Snapshot().Profile("a")
 		must.False(t, there)
--- a/configuration/editor.go
+++ b/configuration/editor.go
@@ -36,7 +36,7 @@
 
 func (e Edit) key() string { return RowKey(e.Kind, e.Name) }
 
-func (e Edit) deletes() bool { return e.Profile == nil && e.Team == nil }
+func (e Edit) isDeletion() bool { return e.Profile == nil && e.Team == nil }
 
 // Change is a set of edits that takes effect as a whole or not at all.
 type Change struct {
@@ -183,7 +183,7 @@
 
 // resolve commits until it is known whether the change took effect. Committing
 // again is safe: the versions that the commit names match at most once.
-func (e *Editor) resolve(ctx context.Context, p *planned) (Accepted, error) {
+func (e *Editor) resolve(ctx context.Context, p *plannedChange) (Accepted, error) {
 	// ambiguous says that an earlier commit may have taken effect.
 	ambiguous := false
 	var err error
@@ -242,7 +242,7 @@
 // conflict returns a *Conflict with the objects that other changes wrote. The
 // commit was refused, so this change can't have taken effect. When a winner
 // can't be read, known is reported, which came with the refusal.
-func (e *Editor) conflict(ctx context.Context, p *planned, known Object) error {
+func (e *Editor) conflict(ctx context.Context, p *plannedChange, known Object) error {
 	c := &Conflict{Change: p.change.ID}
 	current, err := e.Read(ctx)
 	if err != nil {
@@ -266,7 +266,7 @@
 
 // plannedChange is a change with its commit. Element i of revisions, bases and
 // the commit's expectations belongs to edit i.
-type planned struct {
+type plannedChange struct {
 	change    Change
 	revisions []uint64
 	// bases are the row versions that the change is based on.
@@ -276,8 +276,8 @@
 
 // plan checks a change and turns it into a commit that expects the versions of
 // current.
-func plan(current *Current, change Change) (*planned, error) {
-	p := &planned{change: change}
+func plan(current *Current, change Change) (*plannedChange, error) {
+	p := &plannedChange{change: change}
 	if len(change.Edits) == 0 {
 		return nil, ErrInvalidChange.Errorf("it has no edits: name at least one profile or team")
 	}
@@ -310,7 +310,7 @@
 	if edit.Seen != nil && object.Version > *edit.Seen {
 		return &Conflict{Change: change.ID, Losses: []Loss{{Edit: edit, Winner: object}}}
 	}
-	if edit.deletes() && !object.Exists() && object.Err == nil {
+	if edit.isDeletion() && !object.Exists() && object.Err == nil {
 		return ErrInvalidChange.Errorf("there is no %s %q to delete: list the names", edit.Kind, edit.Name)
 	}
 	return checkTeam(current, edit, change)
@@ -334,14 +334,14 @@
 }
 
 // add appends the writes of one edit: its row and its history row.
-func (p *planned) add(object Object, edit Edit) error {
+func (p *plannedChange) add(object Object, edit Edit) error {
 	record := Record{
 		Change:   p.change.ID,
 		Revision: object.Record.Revision + 1,
 		Operator: p.change.Operator,
 		Time:     p.change.Time,
 		Note:     p.change.Note,
-		Deleted:  edit.deletes(),
+		Deleted:  edit.isDeletion(),
 		Profile:  edit.Profile,
 		Team:     edit.Team,
 	}
--- a/configuration/editor_test.go
+++ b/configuration/editor_test.go
@@ -83,7 +83,7 @@
 
 // TestLostCommitReportsWinner loses a commit, and another change takes effect
 // before the history is read back: the result is a conflict that names it.
-func TestLostCommitOfLoser(t *testing.T) {
+func TestLostCommitReportsWinner(t *testing.T) {
 	s := &fakeStore{fault: faultsOnce(commitLost)}
 	once := true
 	e := testEditor(s, func() {
@@ -126,7 +126,7 @@
 	must.MapEmpty(t, s.liveAt(2))
 }
 
-func TestOutcomeUnknown(t *testing.T) {
+func TestOutcomeIsUnknownOnlyAfterASentCommit(t *testing.T) {
 	s := &fakeStore{fault: faultsOnce(commitAnswerLost)}
 	e := testEditor(s, nil)
 	current, err := e.Read(context.Background())
@@ -167,7 +167,7 @@
 	must.ErrorIs(t, err, ErrOutcomeUnknown)
 }
 
-func TestEditsAreChecked(t *testing.T) {
+func TestCommitRejectsInvalidEdits(t *testing.T) {
 	s := &fakeStore{}
 	e := testEditor(s, nil)
 	_, err := commitOn(t, e, "x", profileEdit("a", 1))
@@ -189,7 +189,7 @@
 	must.NoError(t, err, must.Sprint("the team comes with the same change"))
 }
 
-func TestSeenVersion(t *testing.T) {
+func TestCommitRequiresSeenVersion(t *testing.T) {
 	edit := profileEdit("a", 2)
 	for seen, check := range map[uint64]func(error) bool{
 		0: isConflict,
--- a/configuration/exchange.go
+++ b/configuration/exchange.go
@@ -92,7 +92,7 @@
 
 // pullFrom asks a member for changes unless a pull is under way.
 func (r *Replica) pullFrom(now time.Duration, m Member) Output {
-	if !r.pullIdle(now) {
+	if !r.canPull(now) {
 		return Output{}
 	}
 	return Output{Sends: []Send{r.startPull(now, m)}}
@@ -100,7 +100,7 @@
 
 // canPull reports whether no pull is under way or the last one timed out. One
 // pull at a time keeps several peers from sending the same rows.
-func (r *Replica) pullIdle(now time.Duration) bool {
+func (r *Replica) canPull(now time.Duration) bool {
 	return !r.pull.active || now >= r.pull.until
 }
 
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -83,18 +83,18 @@
 	w.commit(e, current)
 }
 
-func (w *world) commit(e *Editor, current *Current) claim {
+func (w *world) commit(e *Editor, current *Current) operatorResult {
 	change := w.newChange(current)
 	accepted, err := e.Commit(context.Background(), current, change)
-	c := claim{change.ID, accepted, err}
-	w.claims = append(w.claims, c)
+	c := operatorResult{change.ID, accepted, err}
+	w.results = append(w.results, c)
 	return c
 }
 
 // checkResults compares the results reported to operators with the store's log.
-func (w *world) checkClaims() {
+func (w *world) checkResults() {
 	w.store.flush()
-	for _, c := range w.claims {
+	for _, c := range w.results {
 		commits := w.store.commitsOf(c.id)
 		switch {
 		case c.err == nil:
@@ -133,9 +133,9 @@
 
 // converge heals the system, runs it for maxChangeDelay and requires that every
 // VM then has the store's version.
-func (w *world) settle() {
+func (w *world) converge() {
 	w.heal()
-	for elapsed := time.Duration(0); elapsed < promise; elapsed += step {
+	for elapsed := time.Duration(0); elapsed < maxChangeDelay; elapsed += step {
 		w.tick(step)
 		if elapsed%(2*time.Second) == 0 {
 			w.heartbeats()
@@ -143,9 +143,9 @@
 		for _, m := range w.living() {
 			w.finishRead(m)
 		}
-		for len(w.flight) > 0 {
-			e := w.flight[0]
-			w.flight = w.flight[1:]
+		for len(w.inFlight) > 0 {
+			e := w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
 			w.deliver(e)
 		}
 		w.check()
@@ -175,16 +175,16 @@
 			w.tick(step)
 			w.finishRead(w.pick())
 			w.heartbeats()
-			w.deliverSome(len(w.flight))
+			w.deliverSome(len(w.inFlight))
 		},
 		"replay": func(t *rapid.T) {
-			if len(w.past) > 0 {
-				w.deliver(rapid.SampledFrom(w.past).Draw(t, "old message"))
+			if len(w.delivered) > 0 {
+				w.deliver(rapid.SampledFrom(w.delivered).Draw(t, "old message"))
 			}
 		},
 		"drop": func(t *rapid.T) {
-			if len(w.flight) > 0 {
-				w.flight = w.flight[rapid.IntRange(0, len(w.flight)).Draw(t, "dropped"):]
+			if len(w.inFlight) > 0 {
+				w.inFlight = w.inFlight[rapid.IntRange(0, len(w.inFlight)).Draw(t, "dropped"):]
 			}
 		},
 		"operate": func(*rapid.T) { w.operate(false) },
@@ -216,20 +216,20 @@
 // TestFuzzConfigurationConverges runs VMs, operators and the store through drawn
 // faults. No VM may go back or hold anything but the store's state at its version,
 // all VMs converge after the faults, and every reported result is true.
-func TestFuzz(t *testing.T) {
+func TestFuzzConfigurationConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		w.faults()
 		t.Repeat(w.actions())
-		w.settle()
-		w.checkClaims()
+		w.converge()
+		w.checkResults()
 	})
 }
 
 // TestConcurrentChangesHaveOneWinner commits changes of one object that are based
 // on the same state, while answers and commits are lost or delayed: at most one is
 // accepted, and the others end as conflicts or with an unknown outcome.
-func TestRace(t *testing.T) {
+func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, store: &fakeStore{}}
 		w.store.fault = func() commitFault {
@@ -243,14 +243,14 @@
 			edit := Edit{Kind: KindProfile, Name: "a", Profile: &profile.Profile{Name: "a", QueueTasks: i + 1}}
 			change := Change{ID: fmt.Sprintf("change-%d", i), Operator: "fuzz", Edits: []Edit{edit}}
 			a, err := e.Commit(context.Background(), current, change)
-			w.claims = append(w.claims, claim{change.ID, a, err})
+			w.results = append(w.results, operatorResult{change.ID, a, err})
 			if err == nil {
 				accepted++
 				continue
 			}
 			must.True(t, isConflict(err) || errors.Is(err, ErrOutcomeUnknown), must.Sprint(err))
 		}
-		w.checkClaims()
+		w.checkResults()
 		must.LessEq(t, 1, accepted)
 		must.SliceLen(t, 1, w.store.rows(Table, 0, w.store.version))
 	})
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -16,7 +16,7 @@
 // names the winner, also when later changes followed. decided is false when the
 // store can't be read, answers with too old a state, or later revisions have
 // overwritten the rows.
-func (e *Editor) readBack(ctx context.Context, p *planned) (accepted Accepted, decided bool, err error) {
+func (e *Editor) readBack(ctx context.Context, p *plannedChange) (accepted Accepted, decided bool, err error) {
 	history, err := e.Tables.Changes(ctx, HistoryTable, slices.Min(p.bases))
 	if err != nil {
 		return Accepted{}, false, err
--- a/configuration/replica.go
+++ b/configuration/replica.go
@@ -166,12 +166,12 @@
 // a pull from the next member.
 func (r *Replica) Tick(now time.Duration) Output {
 	out := Output{}
-	if r.readDue(now) {
+	if r.isReadDue(now) {
 		r.reads.pending = true
 		r.counts.Reads++
 		out.Read, out.Since = true, r.Version()
 	}
-	if !r.loaded && len(r.members) > 0 && r.pullIdle(now) {
+	if !r.loaded && len(r.members) > 0 && r.canPull(now) {
 		m := r.members[r.nextMember%len(r.members)]
 		r.nextMember++
 		out.Sends = append(out.Sends, r.startPull(now, m))
@@ -181,7 +181,7 @@
 
 // isReadDue reports whether to read the store now: the leader after Poll, other
 // members after Takeover.
-func (r *Replica) readDue(now time.Duration) bool {
+func (r *Replica) isReadDue(now time.Duration) bool {
 	if r.reads.pending || now < r.reads.notBefore {
 		return false
 	}
@@ -189,7 +189,7 @@
 		return true
 	}
 	most := r.times.Takeover
-	if r.leads() {
+	if r.isLeader() {
 		most = r.times.Poll
 	}
 	return now-r.freshAt >= most
@@ -197,7 +197,7 @@
 
 // isLeader reports whether this VM has the lowest id of its view. Two leaders,
 // or none, change only the number of reads.
-func (r *Replica) leads() bool {
+func (r *Replica) isLeader() bool {
 	return len(r.members) == 0 || r.self.ID < r.members[0].ID
 }
 
@@ -236,7 +236,7 @@
 	r.counts.ReadsFailed++
 	r.backOff(now)
 	overdue := !r.fresh || now-r.freshAt >= r.times.Takeover
-	if !overdue || !r.leads() || len(r.remotes) == 0 {
+	if !overdue || !r.isLeader() || len(r.remotes) == 0 {
 		return Output{}
 	}
 	address := r.remotes[r.nextRemote%len(r.remotes)]
--- a/configuration/replica_test.go
+++ b/configuration/replica_test.go
@@ -41,7 +41,7 @@
 	must.False(t, other.Tick(times.Takeover+1).Read, must.Sprint("one read at a time"))
 }
 
-func TestPeerReadSparesOwn(t *testing.T) {
+func TestPeerReadPostponesOwnRead(t *testing.T) {
 	times := DefaultTimes()
 	leader, other := loadedReplica(first, 5), loadedReplica(second, 5)
 	leader.ReadDone(3*time.Second, 3*time.Second, 6, ChangeSet{Since: 5, Version: 5}, nil)
@@ -60,7 +60,7 @@
 	must.True(t, other.Tick(time.Second+times.Takeover).Read)
 }
 
-func TestPeerThatIsAheadDoesNotSpareReads(t *testing.T) {
+func TestDigestOfPeerAheadDoesNotPostponeRead(t *testing.T) {
 	times := DefaultTimes()
 	other := loadedReplica(second, 5)
 	ahead := loadedReplica(first, 5)
@@ -113,7 +113,7 @@
 	must.Eq(t, ahead.Digest(0), reply)
 }
 
-func TestNewsIsAnnounced(t *testing.T) {
+func TestNewVersionIsAnnounced(t *testing.T) {
 	r := loadedReplica(first, 5)
 	r.Tick(time.Second)
 	out := r.ReadDone(time.Second, time.Second, 6, ChangeSet{Since: 5, Version: 6, Rows: []Row{profileRow("b", 6)}}, nil)
@@ -121,7 +121,7 @@
 	must.Eq(t, []Send{{Address: "a2", Incarnation: 2, Body: r.Digest(time.Second)}}, out.Sends)
 }
 
-func TestDigestsOfStrangersAreIgnored(t *testing.T) {
+func TestDigestsOfNonMembersAreIgnored(t *testing.T) {
 	r := loadedReplica(second, 5)
 	now := DefaultTimes().PullTimeout
 	ahead := loadedReplica(first, 6).Digest(now)
--- a/configuration/sleep_test.go
+++ b/configuration/sleep_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSleep(t *testing.T) {
+func TestSleepEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		must.NoError(t, Sleep(t.Context(), time.Minute))
--- a/configuration/spread_test.go
+++ b/configuration/spread_test.go
@@ -28,7 +28,7 @@
 )
 
 // scenario is a setup under which a change spreads.
-type way struct {
+type scenario struct {
 	name       string
 	times      Times
 	heartbeats bool
@@ -40,18 +40,18 @@
 	// depends on its own reads.
 	noPulls bool
 	// maxDelay is the longest delay allowed.
-	worst time.Duration
+	maxDelay time.Duration
 }
 
 // spread simulates one failure domain in steps of spreadStep, with a store that
 // answers.
 type spread struct {
-	way    way
-	store  fakeStore
-	vms    []*Replica
-	dead   map[int]bool
-	failed map[int]bool
-	reads  int
+	scenario scenario
+	store    fakeStore
+	vms      []*Replica
+	dead     map[int]bool
+	failed   map[int]bool
+	reads    int
 	// due holds the scheduled events by their time.
 	due map[time.Duration][]func(now time.Duration)
 }
@@ -61,14 +61,14 @@
 	return Member{ID: id, Incarnation: 1, Address: id}
 }
 
-func (s *spread) at(when time.Duration, f func(time.Duration)) {
+func (s *spread) schedule(when time.Duration, f func(time.Duration)) {
 	s.due[when] = append(s.due[when], f)
 }
 
 func (s *spread) send(now time.Duration, from int, address string, body []byte, reply bool) {
 	var to int
 	_, _ = fmt.Sscanf(address, "vm-%d", &to)
-	s.at(now+spreadStep, func(now time.Duration) {
+	s.schedule(now+spreadStep, func(now time.Duration) {
 		if s.dead[to] {
 			return
 		}
@@ -83,7 +83,7 @@
 
 func (s *spread) act(now time.Duration, i int, out Output) {
 	for _, m := range out.Sends {
-		if s.way.noPulls {
+		if s.scenario.noPulls {
 			break
 		}
 		s.send(now, i, m.Address, m.Body, false)
@@ -94,17 +94,17 @@
 	s.reads++
 	changes, err := s.store.Changes(context.Background(), Table, out.Since)
 	took := spreadRead
-	if s.way.readFails && s.store.version > 1 && !s.failed[i] {
+	if s.scenario.readFails && s.store.version > 1 && !s.failed[i] {
 		s.failed[i] = true
 		err, took = tableservice.ErrUnavailable.Errorf("slow"), readTimeout
 	}
-	s.at(now+took, func(done time.Duration) {
+	s.schedule(now+took, func(done time.Duration) {
 		s.act(done, i, s.vms[i].ReadDone(done, now, changes.Version, changeSet(out.Since, changes), err))
 	})
 }
 
-func newSpread(w way) *spread {
-	s := &spread{way: w, dead: map[int]bool{}, failed: map[int]bool{}, due: map[time.Duration][]func(time.Duration){}}
+func newSpread(w scenario) *spread {
+	s := &spread{scenario: w, dead: map[int]bool{}, failed: map[int]bool{}, due: map[time.Duration][]func(time.Duration){}}
 	s.put(1)
 	var members []Member
 	for i := range spreadVMs {
@@ -130,7 +130,7 @@
 		if now == changeAt {
 			reads = float64(s.reads-spreadVMs) / changeAt.Seconds()
 			s.put(2)
-			s.dead[0] = s.way.leaderDies
+			s.dead[0] = s.scenario.leaderDies
 		}
 		if s.dead[0] && now == changeAt+spreadSuspect {
 			s.removeLeader()
@@ -142,7 +142,7 @@
 			f(now)
 		}
 		delete(s.due, now)
-		if now > changeAt && s.settled() {
+		if now > changeAt && s.allUpdated() {
 			return now - changeAt, reads
 		}
 	}
@@ -158,7 +158,7 @@
 	if (now+phase)%tickInterval < spreadStep {
 		s.act(now, i, r.Tick(now))
 	}
-	if !s.way.heartbeats || (now+3*phase)%spreadHeartbeat >= spreadStep {
+	if !s.scenario.heartbeats || (now+3*phase)%spreadHeartbeat >= spreadStep {
 		return
 	}
 	for j := range s.vms {
@@ -180,7 +180,7 @@
 }
 
 // allUpdated reports whether every living VM has the change.
-func (s *spread) settled() bool {
+func (s *spread) allUpdated() bool {
 	for i, r := range s.vms {
 		if !s.dead[i] && r.Version() < 2 {
 			return false
@@ -192,18 +192,18 @@
 // TestChangeReachesAllVMsInTime bounds the delay of a change at the slowest VM,
 // over changes at every phase of the polls, and the reads a second at the planned
 // deployment size. Time is simulated. docs/CONFIGURATION.md shows the figures.
-func TestSpread(t *testing.T) {
+func TestChangeReachesAllVMsInTime(t *testing.T) {
 	everyPolls := DefaultTimes()
 	everyPolls.Poll, everyPolls.Takeover = 2*time.Second, 2*time.Second
-	for _, w := range []way{
-		{name: "each VM polls every 2 s", times: everyPolls, worst: promise},
-		{name: "each VM polls every 2 s, first read fails", times: everyPolls, readFails: true, worst: promise},
-		{name: "leader polls", times: DefaultTimes(), heartbeats: true, worst: 2 * time.Second},
-		{name: "leader polls and dies", times: DefaultTimes(), heartbeats: true, leaderDies: true, worst: promise},
-		{name: "leader polls and dies, first reads fail", times: DefaultTimes(), heartbeats: true, leaderDies: true, readFails: true, worst: promise},
-		{name: "heartbeats alone", times: DefaultTimes(), heartbeats: true, noPulls: true, worst: promise},
-		{name: "heartbeats alone, first reads fail", times: DefaultTimes(), heartbeats: true, noPulls: true, readFails: true, worst: promise},
-		{name: "no heartbeats", times: DefaultTimes(), worst: promise},
+	for _, w := range []scenario{
+		{name: "each VM polls every 2 s", times: everyPolls, maxDelay: maxChangeDelay},
+		{name: "each VM polls every 2 s, first read fails", times: everyPolls, readFails: true, maxDelay: maxChangeDelay},
+		{name: "leader polls", times: DefaultTimes(), heartbeats: true, maxDelay: 2 * time.Second},
+		{name: "leader polls and dies", times: DefaultTimes(), heartbeats: true, leaderDies: true, maxDelay: maxChangeDelay},
+		{name: "leader polls and dies, first reads fail", times: DefaultTimes(), heartbeats: true, leaderDies: true, readFails: true, maxDelay: maxChangeDelay},
+		{name: "heartbeats alone", times: DefaultTimes(), heartbeats: true, noPulls: true, maxDelay: maxChangeDelay},
+		{name: "heartbeats alone, first reads fail", times: DefaultTimes(), heartbeats: true, noPulls: true, readFails: true, maxDelay: maxChangeDelay},
+		{name: "no heartbeats", times: DefaultTimes(), maxDelay: maxChangeDelay},
 	} {
 		var worst time.Duration
 		var reads float64
@@ -212,7 +212,7 @@
 			worst, reads = max(worst, delay), max(reads, rate)
 		}
 		t.Logf("%-45s worst delay %5.2f s, %5.1f reads/s", w.name, worst.Seconds(), reads*spreadDomains)
-		must.LessEq(t, w.worst, worst, must.Sprint(w.name))
+		must.LessEq(t, w.maxDelay, worst, must.Sprint(w.name))
 		if w.heartbeats {
 			must.LessEq(t, readBudget, reads*spreadDomains, must.Sprint(w.name))
 		}
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -48,7 +48,7 @@
 	err error
 }
 
-func (e entry) deleted() bool { return e.err == nil && e.record.Deleted }
+func (e entry) isDeleted() bool { return e.err == nil && e.record.Deleted }
 
 // State is the configuration at one version. The version is the commit that
 // last changed the configuration; it never falls. The zero State is empty and at
@@ -150,7 +150,7 @@
 func (s *State) compact() {
 	var deleted []Row
 	for _, e := range s.entries {
-		if e.deleted() {
+		if e.isDeleted() {
 			deleted = append(deleted, e.row)
 		}
 	}
@@ -168,7 +168,7 @@
 func (s *State) live() []entry {
 	var list []entry
 	for _, e := range s.entries {
-		if !e.deleted() {
+		if !e.isDeleted() {
 			list = append(list, e)
 		}
 	}
--- a/configuration/state_test.go
+++ b/configuration/state_test.go
@@ -60,14 +60,14 @@
 	must.SliceLen(t, 1, s.Live())
 }
 
-func TestSnapshotReplacesWhatItDoesNotHold(t *testing.T) {
+func TestSnapshotRemovesRowsItLacks(t *testing.T) {
 	var s State
 	apply(t, &s, ChangeSet{Version: 3, Rows: []Row{profileRow("a", 3)}})
 	apply(t, &s, ChangeSet{Version: 6, Rows: []Row{profileRow("b", 6)}})
 	must.Eq(t, []Row{profileRow("b", 6)}, s.Live())
 }
 
-func TestChangesAreAsFewAsPossible(t *testing.T) {
+func TestChangesReturnsOnlyNewerRows(t *testing.T) {
 	var s State
 	apply(t, &s, ChangeSet{Version: 2, Rows: []Row{profileRow("a", 1), profileRow("b", 2)}})
 	apply(t, &s, ChangeSet{Since: 2, Version: 4, Rows: []Row{profileRow("c", 3), deletedRow("a", 4)}})
@@ -82,7 +82,7 @@
 
 // TestDroppedDeletionsGiveSnapshot deletes more rows than the state keeps, then
 // brings a state up to date that has none of these deletions.
-func TestForgottenDeletionsGiveSnapshots(t *testing.T) {
+func TestDroppedDeletionsGiveSnapshot(t *testing.T) {
 	var s, behind State
 	first := ChangeSet{Version: 1, Rows: []Row{profileRow("keep", 1), profileRow("gone-0", 1)}}
 	apply(t, &s, first)
@@ -99,7 +99,7 @@
 	must.Eq(t, s.Live(), behind.Live())
 }
 
-func TestSnapshotOfOneLargeDeletionShowsItsVersion(t *testing.T) {
+func TestSnapshotKeepsARowOfItsVersion(t *testing.T) {
 	var s, fresh State
 	set := ChangeSet{Version: 2, Rows: []Row{profileRow("keep", 1)}}
 	for i := range maxTombstones + 10 {
@@ -111,7 +111,7 @@
 	must.Eq(t, 2, fresh.Version())
 }
 
-func TestSnapshotObjects(t *testing.T) {
+func TestSnapshotOmitsInvalidRowsAndCopiesTeams(t *testing.T) {
 	var s State
 	team := Row{Key: "team/t", Version: 2, Value: []byte(`{"change":"c","revision":1,"team":{"name":"t","quota_slots":4,"shares":{"hall-a":4}}}`)}
 	misplaced := profileRow("x", 3)
--- a/configuration/world_test.go
+++ b/configuration/world_test.go
@@ -16,7 +16,7 @@
 const (
 	step = 250 * time.Millisecond
 	// maxChangeDelay is the time within which an accepted change is in force.
-	promise = 6 * time.Second
+	maxChangeDelay = 6 * time.Second
 )
 
 // machine is one entry VM of the fuzz test.
@@ -48,7 +48,7 @@
 }
 
 // operatorResult is the result of a change as reported to the operator.
-type claim struct {
+type operatorResult struct {
 	id       string
 	accepted Accepted
 	err      error
@@ -63,12 +63,12 @@
 	process  uint64
 	domains  int
 	perVM    int
-	flight   []envelope
+	inFlight []envelope
 	// delivered are messages with change sets, to be delivered again.
-	past    []envelope
-	cut     map[[2]string]bool
-	claims  []claim
-	changes int
+	delivered []envelope
+	cut       map[[2]string]bool
+	results   []operatorResult
+	changes   int
 }
 
 func newWorld(t *rapid.T) *world {
@@ -93,12 +93,12 @@
 func (w *world) start(id string) {
 	w.process++
 	m := &machine{self: peer.Sender{ID: id, Incarnation: w.process}, domain: int(id[1] - '0'), born: w.now}
-	m.replica = NewReplica(m.self, DefaultTimes(), w.local(m))
+	m.replica = NewReplica(m.self, DefaultTimes(), w.localTime(m))
 	w.machines[id] = m
 }
 
 // localTime is the time since the start of a VM's process.
-func (w *world) local(m *machine) time.Duration { return w.now - m.born }
+func (w *world) localTime(m *machine) time.Duration { return w.now - m.born }
 
 // setMembers gives every VM the living VMs of its domain.
 func (w *world) setMembers() {
@@ -130,7 +130,7 @@
 
 func (w *world) act(m *machine, out Output) {
 	for _, s := range out.Sends {
-		w.flight = append(w.flight, envelope{from: m.self, to: s.Address, process: s.Incarnation, body: s.Body})
+		w.inFlight = append(w.inFlight, envelope{from: m.self, to: s.Address, process: s.Incarnation, body: s.Body})
 	}
 	if out.Read {
 		w.startRead(m, out.Since)
@@ -140,7 +140,7 @@
 // startRead takes the store's answer now; finishRead delivers it.
 func (w *world) startRead(m *machine, since uint64) {
 	must.Nil(w.t, m.read)
-	read := &pendingRead{sentAt: w.local(m), since: since}
+	read := &pendingRead{sentAt: w.localTime(m), since: since}
 	read.changes, read.err = w.store.Changes(context.Background(), Table, since)
 	if m.cutOff {
 		read.err = tableservice.ErrUnavailable.Errorf("cut off")
@@ -155,21 +155,21 @@
 	}
 	m.read = nil
 	set := changeSet(read.since, read.changes)
-	w.act(m, m.replica.ReadDone(w.local(m), read.sentAt, read.changes.Version, set, read.err))
+	w.act(m, m.replica.ReadDone(w.localTime(m), read.sentAt, read.changes.Version, set, read.err))
 }
 
 func (w *world) deliver(e envelope) {
 	if message, err := decode(e.body); err == nil && message.GetChanges() != nil {
-		w.past = append(w.past, e)
+		w.delivered = append(w.delivered, e)
 	}
 	m := w.machines[e.to]
 	wrongProcess := m != nil && e.process != 0 && e.process != m.self.Incarnation
 	if m == nil || wrongProcess || w.cut[[2]string{e.from.ID, e.to}] {
 		return
 	}
-	reply, out := m.replica.HandlePeer(w.local(m), e.from, e.body)
+	reply, out := m.replica.HandlePeer(w.localTime(m), e.from, e.body)
 	if reply != nil && !e.reply {
-		w.flight = append(w.flight, envelope{from: m.self, to: e.from.ID, process: e.from.Incarnation, body: reply, reply: true})
+		w.inFlight = append(w.inFlight, envelope{from: m.self, to: e.from.ID, process: e.from.Incarnation, body: reply, reply: true})
 	}
 	w.act(m, out)
 }
@@ -178,13 +178,13 @@
 // for a second delivery.
 func (w *world) deliverSome(n int) {
 	for range n {
-		if len(w.flight) == 0 {
+		if len(w.inFlight) == 0 {
 			return
 		}
-		i := rapid.IntRange(0, len(w.flight)-1).Draw(w.t, "message")
-		e := w.flight[i]
+		i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "message")
+		e := w.inFlight[i]
 		if rapid.IntRange(0, 4).Draw(w.t, "keep a copy") > 0 {
-			w.flight = slices.Delete(w.flight, i, i+1)
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		}
 		w.deliver(e)
 	}
@@ -195,7 +195,7 @@
 	for _, m := range w.living() {
 		for _, other := range w.living() {
 			if other != m && other.domain == m.domain {
-				w.act(m, Output{Sends: []Send{{Address: other.self.ID, Body: m.replica.Digest(w.local(m))}}})
+				w.act(m, Output{Sends: []Send{{Address: other.self.ID, Body: m.replica.Digest(w.localTime(m))}}})
 			}
 		}
 	}
@@ -204,6 +204,6 @@
 func (w *world) tick(d time.Duration) {
 	w.now += d
 	for _, m := range w.living() {
-		w.act(m, m.replica.Tick(w.local(m)))
+		w.act(m, m.replica.Tick(w.localTime(m)))
 	}
 }
--- a/ctl/change.go
+++ b/ctl/change.go
@@ -54,7 +54,7 @@
 }
 
 func (a *App) delete(ctx context.Context, c *cli.Command) error {
-	name, err := oneName(c, "name")
+	name, err := onlyArgument(c, "name")
 	if err != nil {
 		return err
 	}
@@ -72,11 +72,11 @@
 
 // commit writes a change that is based on current and prints its outcome.
 func (a *App) commit(ctx context.Context, c *cli.Command, e *configuration.Editor, current *configuration.Current, edits []configuration.Edit) error {
-	if c.IsSet(flagSeen) {
+	if c.IsSet(flagExpectVersion) {
 		if len(edits) != 1 {
-			return usagef("--%s goes with one object, got %d: apply the objects one by one", flagSeen, len(edits))
+			return usagef("--%s goes with one object, got %d: apply the objects one by one", flagExpectVersion, len(edits))
 		}
-		seen := c.Uint64(flagSeen)
+		seen := c.Uint64(flagExpectVersion)
 		edits[0].Seen = &seen
 	}
 	change := configuration.Change{
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -41,20 +41,20 @@
 
 // Names of flags.
 const (
-	flagPlatform  = "platform"
-	flagDomains   = "domains"
-	flagVMs       = "vms"
-	flagAdminPort = "admin-port"
-	flagOperator  = "operator"
-	flagTimeout   = "timeout"
-	flagOutput    = "output"
-	flagWait      = "wait"
-	flagNote      = "note"
-	flagSeen      = "expect-version"
-	flagRevision  = "to"
-	flagVersion   = "version"
-	flagTeams     = "teams"
-	flagSince     = "since"
+	flagPlatform      = "platform"
+	flagDomains       = "domains"
+	flagVMs           = "vms"
+	flagAdminPort     = "admin-port"
+	flagOperator      = "operator"
+	flagTimeout       = "timeout"
+	flagOutput        = "output"
+	flagWait          = "wait"
+	flagNote          = "note"
+	flagExpectVersion = "expect-version"
+	flagTo            = "to"
+	flagVersion       = "version"
+	flagTeams         = "teams"
+	flagSince         = "since"
 )
 
 // Values of flagOutput.
@@ -216,7 +216,7 @@
 }
 
 // onlyArgument returns the argument of a command that takes exactly one.
-func oneName(c *cli.Command, what string) (string, error) {
+func onlyArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", usagef("%s needs exactly one %s, got %d arguments: give one", c.FullName(), what, c.Args().Len())
 	}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -11,11 +11,11 @@
 	"github.com/burdockward/burdockward/tableservice"
 )
 
-func TestProfileLife(t *testing.T) {
-	b := newBench(t)
-	result := runJSON[ChangeResult](b, ExitOK, "profile", "apply", "--note", "first", b.profile(100))
+func TestProfileCommandsFromApplyToRollback(t *testing.T) {
+	b := newToolTest(t)
+	result := runJSON[ChangeResult](b, ExitOK, "profile", "apply", "--note", "first", b.writeProfile(100))
 	must.Eq(t, ChangeResult{Outcome: outcomeAccepted, Version: 1, Change: "change-1"}, result)
-	b.run(ExitOK, "profile", "apply", b.profile(200))
+	b.run(ExitOK, "profile", "apply", b.writeProfile(200))
 
 	list := runJSON[ObjectList](b, ExitOK, "profile", "list")
 	must.Eq(t, 2, list.Version)
@@ -25,8 +25,8 @@
 
 	shown := b.run(ExitOK, "profile", "show", "balance")
 	must.StrContains(t, shown, "version 2, revision 2")
-	must.StrContains(t, b.run(ExitOK, "profile", "diff", b.file(shown)), "same as version 2")
-	must.StrContains(t, b.run(ExitOK, "profile", "diff", b.profile(100)), "queue_tasks: 200 -> 100")
+	must.StrContains(t, b.run(ExitOK, "profile", "diff", b.writeFile(shown)), "same as version 2")
+	must.StrContains(t, b.run(ExitOK, "profile", "diff", b.writeProfile(100)), "queue_tasks: 200 -> 100")
 
 	history := runJSON[[]Object](b, ExitOK, "profile", "history", "balance")
 	must.SliceLen(t, 2, history)
@@ -49,10 +49,10 @@
 
 // TestRollbackRefusesStaleHistory reads a history that lags behind the profile:
 // rollback must not pick a revision from it.
-func TestRollbackNeedsPresentHistory(t *testing.T) {
-	b := newBench(t)
+func TestRollbackRefusesStaleHistory(t *testing.T) {
+	b := newToolTest(t)
 	for _, queue := range []int{100, 200, 300} {
-		b.run(ExitOK, "profile", "apply", b.profile(queue))
+		b.run(ExitOK, "profile", "apply", b.writeProfile(queue))
 	}
 	b.platform.lagging = configuration.HistoryTable
 	b.run(ExitUnavailable, "profile", "rollback", "balance")
@@ -61,9 +61,9 @@
 	must.Eq(t, 200, runJSON[Object](b, ExitOK, "profile", "show", "balance").Profile.QueueTasks)
 }
 
-func TestTeams(t *testing.T) {
-	b := newBench(t)
-	file := b.file(`[{"name": "sofia", "quota_slots": 10, "shares": {"hall-a": 6, "hall-b": 4}}, {"name": "plovdiv", "quota_slots": 3}]`)
+func TestTeamsAreAppliedAndShown(t *testing.T) {
+	b := newToolTest(t)
+	file := b.writeFile(`[{"name": "sofia", "quota_slots": 10, "shares": {"hall-a": 6, "hall-b": 4}}, {"name": "plovdiv", "quota_slots": 3}]`)
 	b.run(ExitOK, "team", "apply", file)
 	list := runJSON[ObjectList](b, ExitOK, "team", "list")
 	must.SliceLen(t, 2, list.Objects)
@@ -74,33 +74,33 @@
 
 // TestConflictReportsWinner lets another operator change the profile between the
 // tool's read and its commit.
-func TestConflict(t *testing.T) {
-	b := newBench(t)
-	b.run(ExitOK, "profile", "apply", b.profile(100))
-	b.platform.before = b.otherOperator
-	result := runJSON[ChangeResult](b, ExitConflict, "profile", "apply", b.profile(200))
+func TestConflictReportsWinner(t *testing.T) {
+	b := newToolTest(t)
+	b.run(ExitOK, "profile", "apply", b.writeProfile(100))
+	b.platform.before = b.commitAsOtherOperator
+	result := runJSON[ChangeResult](b, ExitConflict, "profile", "apply", b.writeProfile(200))
 	must.Eq(t, outcomeConflict, result.Outcome)
 	must.Eq(t, "petar", result.Conflicts[0].Winner.Operator)
 	must.Eq(t, []Difference{{"queue_tasks", "100", "200"}, {"urgency", "9", "5"}}, result.Conflicts[0].Differences)
 	must.Eq(t, 100, runJSON[Object](b, ExitOK, "profile", "show", "balance").Profile.QueueTasks)
 
-	b.platform.before = b.otherOperator
+	b.platform.before = b.commitAsOtherOperator
 	text := b.run(ExitConflict, "profile", "delete", "balance")
 	must.StrContains(t, text, `was changed by "petar"`)
-	b.run(ExitConflict, "profile", "apply", "--expect-version", "1", b.profile(200))
-	b.run(ExitConflict, "profile", "apply", "--expect-version", "0", b.profile(200))
-	b.run(ExitOK, "profile", "apply", "--expect-version", "3", b.profile(200))
+	b.run(ExitConflict, "profile", "apply", "--expect-version", "1", b.writeProfile(200))
+	b.run(ExitConflict, "profile", "apply", "--expect-version", "0", b.writeProfile(200))
+	b.run(ExitOK, "profile", "apply", "--expect-version", "3", b.writeProfile(200))
 }
 
-func TestPlatformDown(t *testing.T) {
-	b := newBench(t)
+func TestExitCodesWhilePlatformIsDown(t *testing.T) {
+	b := newToolTest(t)
 	b.platform.downAfter = true
-	result := runJSON[ChangeResult](b, ExitUnknown, "profile", "apply", b.profile(100))
+	result := runJSON[ChangeResult](b, ExitUnknown, "profile", "apply", b.writeProfile(100))
 	must.Eq(t, outcomeUnknown, result.Outcome)
 	must.StrContains(t, b.err.String(), "change-1")
 	for _, line := range [][]string{
 		{"profile", "list"},
-		{"profile", "apply", b.profile(100)},
+		{"profile", "apply", b.writeProfile(100)},
 		{"in-force"},
 		{"status", "--domains", "hall-a"},
 	} {
@@ -109,14 +109,14 @@
 }
 
 func TestFilesReportEveryFault(t *testing.T) {
-	b := newBench(t)
-	faulty := b.file(`[
+	b := newToolTest(t)
+	faulty := b.writeFile(`[
 		{"name": "Bad Name", "urgency": "high", "queue": 5, "queue_tasks": 1, "queue_tasks": 2,
 		 "deadline_ms": 5000, "max_deadline_ms": 2000, "max_run_ms": "fast", "straggler": null},
 		7,
 	]`)
-	broken := b.file(`{"name": `)
-	result := runJSON[CheckResult](b, ExitUsage, "check", faulty, broken, b.profile(1))
+	broken := b.writeFile(`{"name": `)
+	result := runJSON[CheckResult](b, ExitUsage, "check", faulty, broken, b.writeProfile(1))
 	must.SliceLen(t, 2, result.Faulty)
 	var paths []string
 	for _, p := range result.Faulty[0].Problems {
@@ -131,15 +131,15 @@
 	must.StrContains(t, b.err.String(), "[0].queue = 5: is not a known key; remove it or use one of deadline_ms, ")
 	must.Eq(t, 0, b.platform.version)
 	b.run(ExitUsage, "check", "/nonexistent/file")
-	must.StrContains(t, b.run(ExitOK, "check", b.profile(1)), "no faults")
-	shares := b.file(`{"name": "t", "quota_slots": 1, "shares": {"hall-a": "x", "hall-b": 1, "hall-b": 2}}`)
+	must.StrContains(t, b.run(ExitOK, "check", b.writeProfile(1)), "no faults")
+	shares := b.writeFile(`{"name": "t", "quota_slots": 1, "shares": {"hall-a": "x", "hall-b": 1, "hall-b": 2}}`)
 	b.run(ExitUsage, "check", "--teams", shares)
 	must.StrContains(t, b.out.String(), `shares.hall-a = "x": is not a whole number; write a whole number`)
 	must.StrContains(t, b.out.String(), `shares.hall-b = 2: is given twice; keep one of the two`)
 }
 
 func TestUsageErrors(t *testing.T) {
-	b := newBench(t)
+	b := newToolTest(t)
 	for _, line := range [][]string{
 		{},
 		{"profile"},
@@ -160,12 +160,12 @@
 	b.run(ExitUsage, "profile", "list")
 }
 
-func TestInForce(t *testing.T) {
-	b := newBench(t)
-	b.run(ExitOK, "profile", "apply", b.profile(100))
+func TestInForceWaitsForReachableVMs(t *testing.T) {
+	b := newToolTest(t)
+	b.run(ExitOK, "profile", "apply", b.writeProfile(100))
 	a, c := &adminapi.Status{}, &adminapi.Status{}
 	a.Configuration = adminapi.Configuration{Loaded: true, Version: 1}
-	addresses := b.daemon("hall-a", "vm-a", a, nil) + "," + b.daemon("hall-b", "vm-b", c, nil)
+	addresses := b.serveAdminPort("hall-a", "vm-a", a, nil) + "," + b.serveAdminPort("hall-b", "vm-b", c, nil)
 	gone := closedAddress(t)
 	all := addresses + "," + gone
 
@@ -187,18 +187,18 @@
 	b.run(ExitNotInForce, "in-force", "--vms", gone)
 
 	b.onWait = nil
-	result := runJSON[ChangeResult](b, ExitNotInForce, "profile", "apply", "--wait", "1s", "--vms", all, b.profile(200))
+	result := runJSON[ChangeResult](b, ExitNotInForce, "profile", "apply", "--wait", "1s", "--vms", all, b.writeProfile(200))
 	must.Eq(t, outcomeAccepted, result.Outcome)
 	must.False(t, result.InForce.Everywhere)
 }
 
-func TestStatus(t *testing.T) {
-	b := newBench(t)
+func TestStatusShowsUnhealthyTargetsAndUnreachableVMs(t *testing.T) {
+	b := newToolTest(t)
 	status := &adminapi.Status{Draining: true, Targets: []adminapi.Target{
 		{ID: "w1", Health: adminapi.TargetHealthy, Lease: adminapi.LeaseHeld, SlotsHeld: 3, SlotsFree: 1},
 		{ID: "w2", Health: adminapi.TargetQuarantined, Lease: adminapi.LeaseLapsed, Reason: "8 failures of 3 jobs"},
 	}, Profiles: []adminapi.Profile{{Name: "balance", Queued: 7}}}
-	address := b.daemon("hall-a", "vm-a", status, nil)
+	address := b.serveAdminPort("hall-a", "vm-a", status, nil)
 	text := b.run(ExitOK, "status", "--vms", address+","+closedAddress(t))
 	for _, part := range []string{"vm-a", "draining", "8 failures of 3 jobs", "balance", "unreachable"} {
 		must.StrContains(t, text, part)
@@ -210,8 +210,8 @@
 
 // TestVMListGivesAdminAddresses derives the admin addresses from the platform's VM
 // list: entry VMs only, at the admin port.
-func TestVMListGivesAddresses(t *testing.T) {
-	b := newBench(t)
+func TestVMListGivesAdminAddresses(t *testing.T) {
+	b := newToolTest(t)
 	b.platform.vms["hall-a"] = []tableservice.VM{
 		{ID: "target", Kind: tableservice.KindTarget, Address: "127.0.0.9:1"},
 		{ID: "vm-b", Kind: tableservice.KindEntry, PeerAddress: "127.0.0.1:7101", State: tableservice.StateLeaving},
@@ -230,15 +230,15 @@
 	must.Eq(t, "vm-a", result.Unreachable[0].VM)
 }
 
-func TestExplain(t *testing.T) {
-	b := newBench(t)
+func TestExplainTellsKnownFromUnknownKeys(t *testing.T) {
+	b := newToolTest(t)
 	task := 3
 	explanation := &adminapi.Explanation{VM: "vm-a", Key: "hall-a.e1.x", State: "refused", Events: []adminapi.Event{
 		{AtMS: 1.5, What: "started", Task: &task, Target: "w1"},
 		{AtMS: 2, What: "refused", Reason: "the queue of the profile is full"},
 	}}
-	knows := b.daemon("hall-a", "vm-a", &adminapi.Status{}, explanation)
-	other := b.daemon("hall-a", "vm-b", &adminapi.Status{}, nil)
+	knows := b.serveAdminPort("hall-a", "vm-a", &adminapi.Status{}, explanation)
+	other := b.serveAdminPort("hall-a", "vm-b", &adminapi.Status{}, nil)
 	text := b.run(ExitOK, "explain", "hall-a.e1.x", "--vms", knows+","+other)
 	must.StrContains(t, text, "started task 3 at w1")
 	must.StrContains(t, text, "refused: the queue of the profile is full")
@@ -250,11 +250,11 @@
 
 // TestReadBackIsReported loses the answer of the commit; the store answers again
 // when the history is read.
-func TestReadBackIsSaid(t *testing.T) {
-	b := newBench(t)
+func TestReadBackIsReported(t *testing.T) {
+	b := newToolTest(t)
 	b.platform.downAfter = true
 	b.onWait = func() { b.platform.down, b.platform.downAfter = false, false }
-	must.StrContains(t, b.run(ExitOK, "profile", "apply", b.profile(1)), "found by reading back")
+	must.StrContains(t, b.run(ExitOK, "profile", "apply", b.writeProfile(1)), "found by reading back")
 	e := &configuration.Editor{Tables: b.platform}
 	current, err := e.Read(context.Background())
 	must.NoError(t, err)
--- a/ctl/events.go
+++ b/ctl/events.go
@@ -95,7 +95,7 @@
 }
 
 func printEvents(w io.Writer, r EventsResult) {
-	table(w, "TIME\tDOMAIN\tVM\tLEVEL\tEVENT\tVALUES", func(row func(...any)) {
+	writeTable(w, "TIME\tDOMAIN\tVM\tLEVEL\tEVENT\tVALUES", func(row func(...any)) {
 		for _, e := range r.Events {
 			row(e.Time.UTC().Format(eventTime), e.Domain, e.VM, e.Level, e.Message, fieldsText(e.Fields))
 		}
--- a/ctl/events_test.go
+++ b/ctl/events_test.go
@@ -14,7 +14,7 @@
 )
 
 // serveEvents serves the events of one VM and returns its address.
-func (b *bench) journal(events adminapi.Events) string {
+func (b *toolTest) serveEvents(events adminapi.Events) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc(adminapi.EventsPattern, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(events)
@@ -25,13 +25,13 @@
 }
 
 func TestEventsOfAllVMsAreMerged(t *testing.T) {
-	b := newBench(t)
+	b := newToolTest(t)
 	at := func(ago time.Duration, message string) adminapi.StateChange {
 		return adminapi.StateChange{Time: b.app.Now().Add(-ago), Level: "INFO", Message: message, Fields: map[string]any{"number": 7, "a": "x"}}
 	}
-	vms := b.journal(adminapi.Events{VM: "vm-a", Domain: "hall-a", Dropped: 4, Events: []adminapi.StateChange{
+	vms := b.serveEvents(adminapi.Events{VM: "vm-a", Domain: "hall-a", Dropped: 4, Events: []adminapi.StateChange{
 		at(time.Hour, "too old"), at(3*time.Minute, "first"), at(time.Minute, "third"),
-	}}) + "," + b.journal(adminapi.Events{VM: "vm-b", Domain: "hall-a", Events: []adminapi.StateChange{
+	}}) + "," + b.serveEvents(adminapi.Events{VM: "vm-b", Domain: "hall-a", Events: []adminapi.StateChange{
 		at(2*time.Minute, "second"),
 	}}) + "," + closedAddress(t)
 	text := b.run(ExitOK, "events", "--vms", vms)
@@ -47,8 +47,8 @@
 	must.SliceLen(t, 1, result.Unreachable)
 }
 
-func TestEventsNeedAVMAndATime(t *testing.T) {
-	b := newBench(t)
+func TestEventsRequiresAnsweringVMAndPositiveTime(t *testing.T) {
+	b := newToolTest(t)
 	b.run(ExitUnavailable, "events", "--vms", closedAddress(t))
 	b.run(ExitUsage, "events", "--since", "0s", "--vms", closedAddress(t))
 	b.run(ExitUsage, "events", "more")
--- a/ctl/fake_test.go
+++ b/ctl/fake_test.go
@@ -85,7 +85,7 @@
 }
 
 // toolTest is the tool with a fake platform and a fake clock.
-type bench struct {
+type toolTest struct {
 	t        *testing.T
 	app      *App
 	platform *fakePlatform
@@ -96,14 +96,14 @@
 	ids    int
 }
 
-func newBench(t *testing.T) *bench {
+func newToolTest(t *testing.T) *toolTest {
 	for _, name := range []string{"PLATFORM", "DOMAINS", "VMS", "ADMIN_PORT", "OPERATOR", "TIMEOUT", "OUTPUT"} {
 		t.Setenv("BURDOCKCTL_"+name, "")
 		must.NoError(t, os.Unsetenv("BURDOCKCTL_"+name))
 	}
 	t.Setenv("BURDOCKCTL_PLATFORM", "http://192.0.2.1:7000")
 	t.Setenv("BURDOCKCTL_OPERATOR", "maria")
-	b := &bench{t: t, platform: &fakePlatform{tables: map[string]map[string]tableservice.Row{}, vms: map[string][]tableservice.VM{}}}
+	b := &toolTest{t: t, platform: &fakePlatform{tables: map[string]map[string]tableservice.Row{}, vms: map[string][]tableservice.VM{}}}
 	b.app = &App{
 		Stdout: &b.out,
 		Stderr: &b.err,
@@ -116,7 +116,7 @@
 	return b
 }
 
-func (b *bench) wait(ctx context.Context, _ time.Duration) error {
+func (b *toolTest) wait(ctx context.Context, _ time.Duration) error {
 	b.waits++
 	if b.onWait != nil {
 		b.onWait()
@@ -125,7 +125,7 @@
 }
 
 // run runs a command line, checks its exit code and returns its output.
-func (b *bench) run(code int, line ...string) string {
+func (b *toolTest) run(code int, line ...string) string {
 	b.t.Helper()
 	b.out.Reset()
 	b.err.Reset()
@@ -138,7 +138,7 @@
 }
 
 // runJSON runs a command line with -o json and decodes its output.
-func runJSON[T any](b *bench, code int, line ...string) T {
+func runJSON[T any](b *toolTest, code int, line ...string) T {
 	b.t.Helper()
 	var result T
 	text := b.run(code, append(line, "-o", "json")...)
@@ -147,7 +147,7 @@
 }
 
 // writeFile writes a file and returns its path.
-func (b *bench) file(text string) string {
+func (b *toolTest) writeFile(text string) string {
 	b.t.Helper()
 	path := filepath.Join(b.t.TempDir(), "objects.jsonc")
 	must.NoError(b.t, os.WriteFile(path, []byte(text), 0o600))
@@ -161,10 +161,12 @@
 }`
 
 // writeProfile writes a file with a profile and returns its path.
-func (b *bench) profile(queue int) string { return b.file(fmt.Sprintf(profileText, queue)) }
+func (b *toolTest) writeProfile(queue int) string {
+	return b.writeFile(fmt.Sprintf(profileText, queue))
+}
 
 // commitAsOtherOperator commits a change of the profile by another operator.
-func (b *bench) otherOperator() {
+func (b *toolTest) commitAsOtherOperator() {
 	e := &configuration.Editor{Tables: b.platform}
 	current, err := e.Read(context.Background())
 	must.NoError(b.t, err)
@@ -177,7 +179,7 @@
 
 // serveAdminPort serves the status and explain paths of an admin port and returns
 // its address. A nil explanation, or one of another key, is answered with 404.
-func (b *bench) daemon(domain, id string, status *adminapi.Status, explanation *adminapi.Explanation) string {
+func (b *toolTest) serveAdminPort(domain, id string, status *adminapi.Status, explanation *adminapi.Explanation) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc(adminapi.StatusPattern, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(status)
--- a/ctl/file.go
+++ b/ctl/file.go
@@ -14,7 +14,7 @@
 const maxFileBytes = 4 << 20
 
 // checkable is a profile or team.
-type checked interface{ Check() []profile.Problem }
+type checkable interface{ Check() []profile.Problem }
 
 // fileProblems are the faults of one file.
 type fileProblems struct {
@@ -47,7 +47,7 @@
 // readFiles reads the objects of all files. A file is JSON with comments and
 // holds one object or a list of objects. All faults of all files are reported
 // together.
-func readFiles[T checked](files []string) ([]T, error) {
+func readFiles[T checkable](files []string) ([]T, error) {
 	if len(files) == 0 {
 		return nil, usagef("name at least one file")
 	}
@@ -66,7 +66,7 @@
 	return objects, nil
 }
 
-func readFile[T checked](file string) ([]T, []profile.Problem) {
+func readFile[T checkable](file string) ([]T, []profile.Problem) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, []profile.Problem{{Remedy: fmt.Sprintf("can't be read, give a readable file: %v", unwrapPath(err))}}
@@ -90,7 +90,7 @@
 }
 
 // parse decodes and checks one object or a list of objects.
-func parse[T checked](text []byte) ([]T, []profile.Problem) {
+func parse[T checkable](text []byte) ([]T, []profile.Problem) {
 	document, syntax := jsonc.Parse(text)
 	if document == nil {
 		return nil, problemsOf(syntax)
@@ -107,7 +107,7 @@
 
 // parseObject decodes and checks one object. Faults that the check finds in a
 // field that could not be decoded are left out.
-func parseObject[T checked](document *jsonc.Document) (T, []profile.Problem) {
+func parseObject[T checkable](document *jsonc.Document) (T, []profile.Problem) {
 	var object T
 	found := document.Decode(&object).Problems
 	problems := problemsOf(found)
--- a/ctl/inforce.go
+++ b/ctl/inforce.go
@@ -12,7 +12,7 @@
 )
 
 // inForcePollInterval is the time between two polls of the VMs.
-const inForcePause = 500 * time.Millisecond
+const inForcePollInterval = 500 * time.Millisecond
 
 // InForce is the version that each VM has in force.
 type InForce struct {
@@ -95,13 +95,13 @@
 	defer cancel()
 	state := InForce{Version: version}
 	var listErr error
-	for waited := time.Duration(0); ; waited += inForcePause {
+	for waited := time.Duration(0); ; waited += inForcePollInterval {
 		var list []vm
 		list, listErr = a.vms(ctx, c, c.StringSlice(flagDomains))
 		if listErr == nil {
 			state = newInForce(version, a.statuses(ctx, list))
 		}
-		if state.Everywhere || waited >= c.Duration(flagWait) || a.Wait(ctx, inForcePause) != nil {
+		if state.Everywhere || waited >= c.Duration(flagWait) || a.Wait(ctx, inForcePollInterval) != nil {
 			break
 		}
 	}
@@ -138,10 +138,10 @@
 }
 
 func printInForce(w io.Writer, s InForce) {
-	fmt.Fprintf(w, "version %d is in force at %d of %d reachable VMs, %d unreachable\n", s.Version, s.count(), len(s.VMs), len(s.Unreachable))
-	table(w, "DOMAIN\tVM\tVERSION\tIN FORCE\tSTORE READ\tINVALID ROWS", func(row func(...any)) {
+	fmt.Fprintf(w, "version %d is in force at %d of %d reachable VMs, %d unreachable\n", s.Version, s.countInForce(), len(s.VMs), len(s.Unreachable))
+	writeTable(w, "DOMAIN\tVM\tVERSION\tIN FORCE\tSTORE READ\tINVALID ROWS", func(row func(...any)) {
 		for _, v := range s.VMs {
-			row(v.Domain, v.VM, v.Version, v.InForce, age(v.StoreReadAgeMS), len(v.Invalid))
+			row(v.Domain, v.VM, v.Version, v.InForce, ageText(v.StoreReadAgeMS), len(v.Invalid))
 		}
 		for _, v := range s.Unreachable {
 			row(orNone(v.Domain), v.VM, "unreachable", false, v.Error)
@@ -149,7 +149,7 @@
 	})
 }
 
-func (s InForce) count() int {
+func (s InForce) countInForce() int {
 	n := 0
 	for _, v := range s.VMs {
 		if v.InForce {
@@ -160,7 +160,7 @@
 }
 
 // ageText formats an age in milliseconds; a negative one is "never".
-func age(ms int64) string {
+func ageText(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -31,7 +31,7 @@
 }
 
 // writeTable writes a header and rows as aligned columns.
-func table(w io.Writer, header string, rows func(row func(columns ...any))) {
+func writeTable(w io.Writer, header string, rows func(row func(columns ...any))) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, header)
 	rows(func(columns ...any) {
--- a/ctl/profile.go
+++ b/ctl/profile.go
@@ -48,13 +48,13 @@
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagNote, Usage: "`TEXT` that the history keeps with the change; without it, none"},
-		&cli.Uint64Flag{Name: flagSeen, Usage: "refuse unless the object is still at this `VERSION` (one object only; 0: it must never have existed); without it, the version just read"},
+		&cli.Uint64Flag{Name: flagExpectVersion, Usage: "refuse unless the object is still at this `VERSION` (one object only; 0: it must never have existed); without it, the version just read"},
 		&cli.DurationFlag{Name: flagWait, Usage: "wait up to this `TIME`, such as 30s, until the change is in force at every reachable VM; without it, don't wait"},
 	}
 }
 
 func rollbackFlags() []cli.Flag {
-	return append(changeFlags(), &cli.Uint64Flag{Name: flagRevision, Usage: "`REVISION` to apply; without it, the newest one before the present that is not a deletion"})
+	return append(changeFlags(), &cli.Uint64Flag{Name: flagTo, Usage: "`REVISION` to apply; without it, the newest one before the present that is not a deletion"})
 }
 
 // readEdits reads files and returns an edit for each of their objects.
@@ -150,7 +150,7 @@
 	if kind == configuration.KindTeam {
 		header = "NAME\tVERSION\tQUOTA\tSHARES\tOPERATOR"
 	}
-	table(w, header, func(row func(...any)) {
+	writeTable(w, header, func(row func(...any)) {
 		for _, o := range list.Objects {
 			switch {
 			case o.Error != "":
@@ -183,7 +183,7 @@
 
 func (a *App) show(kind configuration.Kind) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		name, err := oneName(c, "name")
+		name, err := onlyArgument(c, "name")
 		if err != nil {
 			return err
 		}
@@ -255,7 +255,7 @@
 }
 
 func (a *App) history(ctx context.Context, c *cli.Command) error {
-	name, err := oneName(c, "name")
+	name, err := onlyArgument(c, "name")
 	if err != nil {
 		return err
 	}
@@ -292,7 +292,7 @@
 }
 
 func (a *App) rollback(ctx context.Context, c *cli.Command) error {
-	name, err := oneName(c, "name")
+	name, err := onlyArgument(c, "name")
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 	if len(list) > 0 && list[0].Version != present.Version {
 		return tableservice.ErrUnavailable.Errorf("the history and the profile were read at different times: run rollback again")
 	}
-	revision, err := configuration.FindRevision(list, c.Uint64(flagRevision))
+	revision, err := configuration.FindRevision(list, c.Uint64(flagTo))
 	if err != nil {
 		return usagef("%v", err)
 	}
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -54,10 +54,10 @@
 }
 
 func printStatus(w io.Writer, r StatusResult) {
-	table(w, "DOMAIN\tVM\tUP\tSTATE\tVIEW\tMEMBERS\tSETTLED\tCONFIGURATION\tTARGETS\tQUARANTINED\tSLOTS HELD\tFREE\tLEASES", func(row func(...any)) {
+	writeTable(w, "DOMAIN\tVM\tUP\tSTATE\tVIEW\tMEMBERS\tSETTLED\tCONFIGURATION\tTARGETS\tQUARANTINED\tSLOTS HELD\tFREE\tLEASES", func(row func(...any)) {
 		for _, s := range r.VMs {
 			t := sumTargets(s.Targets)
-			row(s.Domain, s.VM, time.Duration(s.UptimeMS)*time.Millisecond, state(s), s.View.Number, len(s.View.Members), s.View.Settled,
+			row(s.Domain, s.VM, time.Duration(s.UptimeMS)*time.Millisecond, stateText(s), s.View.Number, len(s.View.Members), s.View.Settled,
 				s.Configuration.Version, len(s.Targets), t.quarantined, t.held, t.free, t.leases)
 		}
 		for _, v := range r.Unreachable {
@@ -68,7 +68,7 @@
 	printProfiles(w, r.VMs)
 }
 
-func state(s adminapi.Status) string {
+func stateText(s adminapi.Status) string {
 	if s.Draining {
 		return "draining"
 	}
@@ -83,7 +83,7 @@
 	for _, t := range targets {
 		sums.held += t.SlotsHeld
 		sums.free += t.SlotsFree
-		if isOut(t.Health) {
+		if getsNoTasks(t.Health) {
 			sums.quarantined++
 		}
 		if t.Lease == adminapi.LeaseHeld {
@@ -94,17 +94,17 @@
 }
 
 // getsNoTasks reports whether a target gets no tasks, except for probes.
-func isOut(h adminapi.TargetHealth) bool {
+func getsNoTasks(h adminapi.TargetHealth) bool {
 	return h == adminapi.TargetQuarantined || h == adminapi.TargetProbing || h == adminapi.TargetUnreachable
 }
 
 // printTargets lists the targets that aren't healthy.
 func printTargets(w io.Writer, vms []adminapi.Status) {
-	table(w, "\nVM\tTARGET\tHEALTH\tSINCE\tLEASE\tREASON", func(row func(...any)) {
+	writeTable(w, "\nVM\tTARGET\tHEALTH\tSINCE\tLEASE\tREASON", func(row func(...any)) {
 		for _, s := range vms {
 			for _, t := range s.Targets {
 				if t.Health != adminapi.TargetHealthy {
-					row(s.VM, t.ID, t.Health, age(t.HealthAgeMS), t.Lease, t.Reason)
+					row(s.VM, t.ID, t.Health, ageText(t.HealthAgeMS), t.Lease, t.Reason)
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 }
 
 func printProfiles(w io.Writer, vms []adminapi.Status) {
-	table(w, "\nVM\tPROFILE\tQUEUED\tRUNNING\tREFUSED", func(row func(...any)) {
+	writeTable(w, "\nVM\tPROFILE\tQUEUED\tRUNNING\tREFUSED", func(row func(...any)) {
 		for _, s := range vms {
 			for _, p := range s.Profiles {
 				row(s.VM, p.Name, p.Queued, p.Running, p.Refused)
@@ -142,7 +142,7 @@
 // explain asks the VMs of the failure domain that the key names, since only these
 // run or refuse the submission.
 func (a *App) explain(ctx context.Context, c *cli.Command) error {
-	text, err := oneName(c, "submission key")
+	text, err := onlyArgument(c, "submission key")
 	if err != nil {
 		return err
 	}
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -25,7 +25,7 @@
 	"thapa": {"baneshwor", "lalitpur", "bhaktapur"},
 }
 
-func TestSettings(t *testing.T) {
+func TestDeploymentSettingsAreValid(t *testing.T) {
 	for deployment, names := range domains {
 		for _, name := range names {
 			s, err := settings.Load(filepath.Join(deployment, name+".jsonc"))
@@ -41,13 +41,13 @@
 }
 
 // TestLocalSettingsAreValid loads the file with which the README starts a daemon.
-func TestLocal(t *testing.T) {
+func TestLocalSettingsAreValid(t *testing.T) {
 	s, err := settings.Load("local.jsonc")
 	must.NoError(t, err)
 	must.Eq(t, "127.0.0.1:7100", s.Listen.Callers.String())
 }
 
-func TestProfiles(t *testing.T) {
+func TestProfilesFitTeamsAndSlots(t *testing.T) {
 	for deployment, names := range domains {
 		teams := readTeams(t, deployment)
 		guaranteed := 0
--- a/profile/check.go
+++ b/profile/check.go
@@ -55,14 +55,14 @@
 }
 
 // checkName adds a problem when the name is invalid.
-func (ps *problems) name(path, name string) {
-	if !validName(name) {
+func (ps *problems) checkName(path, name string) {
+	if !isValidName(name) {
 		ps.add(path, strconv.Quote(name), fmt.Sprintf("write 1 to %d lower-case letters, digits, '-' and '_', the first one a letter or digit", MaxName))
 	}
 }
 
 // checkBetween adds a problem when the value is outside [least, most].
-func (ps *problems) between(path string, value, least, most int64) {
+func (ps *problems) checkBetween(path string, value, least, most int64) {
 	if value < least || value > most {
 		ps.add(path, strconv.FormatInt(value, 10), fmt.Sprintf("write a whole number from %d to %d", least, most))
 	}
@@ -70,7 +70,7 @@
 
 // isValidName reports whether a name has 1 to MaxName lower-case letters, digits,
 // '-' and '_', and starts with a letter or digit.
-func validName(name string) bool {
+func isValidName(name string) bool {
 	if name == "" || len(name) > MaxName {
 		return false
 	}
@@ -87,11 +87,11 @@
 // Check returns all faults of the profile; it may be applied when there are none.
 func (p Profile) Check() []Problem {
 	var ps problems
-	ps.name("name", p.Name)
+	ps.checkName("name", p.Name)
 	if p.Team != "" {
-		ps.name("team", p.Team)
+		ps.checkName("team", p.Team)
 	}
-	ps.between("urgency", int64(p.Urgency), 0, MaxUrgency)
+	ps.checkBetween("urgency", int64(p.Urgency), 0, MaxUrgency)
 	p.checkSlots(&ps)
 	p.checkTimes(&ps)
 	p.checkStraggler(&ps)
@@ -99,9 +99,9 @@
 }
 
 func (p Profile) checkSlots(ps *problems) {
-	ps.between("guaranteed_slots", int64(p.GuaranteedSlots), 0, MaxSlots)
-	ps.between("limit_slots", int64(p.LimitSlots), 0, MaxSlots)
-	ps.between("queue_tasks", int64(p.QueueTasks), 1, MaxQueueTasks)
+	ps.checkBetween("guaranteed_slots", int64(p.GuaranteedSlots), 0, MaxSlots)
+	ps.checkBetween("limit_slots", int64(p.LimitSlots), 0, MaxSlots)
+	ps.checkBetween("queue_tasks", int64(p.QueueTasks), 1, MaxQueueTasks)
 	if p.LimitSlots > 0 && p.GuaranteedSlots > p.LimitSlots {
 		ps.add("guaranteed_slots", strconv.Itoa(p.GuaranteedSlots),
 			fmt.Sprintf("write at most limit_slots (%d), or raise limit_slots", p.LimitSlots))
@@ -109,9 +109,9 @@
 }
 
 func (p Profile) checkTimes(ps *problems) {
-	ps.between("deadline_ms", p.DeadlineMS, 1, MaxTimeMS)
-	ps.between("max_deadline_ms", p.MaxDeadlineMS, 1, MaxTimeMS)
-	ps.between("max_run_ms", p.MaxRunMS, 1, MaxTimeMS)
+	ps.checkBetween("deadline_ms", p.DeadlineMS, 1, MaxTimeMS)
+	ps.checkBetween("max_deadline_ms", p.MaxDeadlineMS, 1, MaxTimeMS)
+	ps.checkBetween("max_run_ms", p.MaxRunMS, 1, MaxTimeMS)
 	if p.DeadlineMS > p.MaxDeadlineMS {
 		ps.add("deadline_ms", strconv.FormatInt(p.DeadlineMS, 10),
 			fmt.Sprintf("write at most max_deadline_ms (%d), or raise max_deadline_ms", p.MaxDeadlineMS))
@@ -139,8 +139,8 @@
 // Check returns all faults of the team; it may be applied when there are none.
 func (t Team) Check() []Problem {
 	var ps problems
-	ps.name("name", t.Name)
-	ps.between("quota_slots", int64(t.QuotaSlots), 0, MaxSlots)
+	ps.checkName("name", t.Name)
+	ps.checkBetween("quota_slots", int64(t.QuotaSlots), 0, MaxSlots)
 	t.checkShares(&ps)
 	return ps
 }
@@ -157,10 +157,10 @@
 	for _, domain := range t.shareDomains() {
 		share := t.Shares[domain]
 		path := "shares." + domain
-		if !validName(domain) {
+		if !isValidName(domain) {
 			ps.add(path, strconv.Itoa(share), "name a failure domain of the deployment")
 		}
-		ps.between(path, int64(share), 0, MaxSlots)
+		ps.checkBetween(path, int64(share), 0, MaxSlots)
 		sum += max(share, 0)
 	}
 	if sum > t.QuotaSlots {
--- a/profile/check_test.go
+++ b/profile/check_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestProfileCheck(t *testing.T) {
+func TestProfileCheckReportsEachFault(t *testing.T) {
 	must.SliceEmpty(t, validProfile().Check())
 	for _, c := range []struct {
 		path   string
@@ -53,7 +53,7 @@
 	must.SliceLen(t, 5, Profile{}.Check(), must.Sprint("every fault at once"))
 }
 
-func TestTeamCheck(t *testing.T) {
+func TestTeamCheckReportsEachFault(t *testing.T) {
 	valid := Team{Name: "sofia", QuotaSlots: 10, Shares: map[string]int{"hall-a": 6, "hall-b": 4}}
 	must.SliceEmpty(t, valid.Check())
 	must.SliceEmpty(t, Team{Name: "sofia", QuotaSlots: 10}.Check())
--- a/profile/share_test.go
+++ b/profile/share_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestShare(t *testing.T) {
+func TestShareSplitsQuota(t *testing.T) {
 	even := func(quota int) Team { return Team{QuotaSlots: quota} }
 	named := Team{QuotaSlots: 10, Shares: map[string]int{"hall-a": 6, "hall-c": 1}}
 	none := Team{QuotaSlots: 10, Shares: map[string]int{"hall-a": 0}}
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestMutants(t *testing.T) {
+func TestMutantsPrintsVerdicts(t *testing.T) {
 	cases := map[string]struct {
 		entry  string
 		status int
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestMutantsSideBySide(t *testing.T) {
+func TestMutantsRunsInParallelWorkers(t *testing.T) {
 	tree := guardTree(t, `upper | guard/guard.go | if n > 10 { | if n > 99 { | ./guard
 lower | guard/guard.go | return 0 | return 1 | ./guard
 below | guard/guard.go | if n < 0 { | if n < 99 { | ./guard
@@ -136,7 +136,7 @@
 	must.StrContains(t, out, "mutants: 2 caught of 2")
 }
 
-func TestMutantsUsage(t *testing.T) {
+func TestMutantsRejectsBadOptions(t *testing.T) {
 	tree := guardTree(t, "# nothing")
 	for _, args := range [][]string{{"-j", "0"}, {"-j", "5"}, {"-j", "two"}, {"-m", "63"}, {"-m", ""}, {"-x"}} {
 		status, _, out := run(t, []string{"TREE=" + tree, "GOWORK=off"}, "mutants.sh", args...)
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestKnownRed(t *testing.T) {
+func TestKnownRedPrintsSkipPattern(t *testing.T) {
 	tree := writeTree(t, map[string]string{
 		"a/a_test.go": "func TestA(t *testing.T) {}\nfunc TestB(t *testing.T) {}\nfunc TestTwice(t *testing.T) {}\n",
 		"b/b_test.go": "func TestC(t *testing.T) {}\nfunc TestD(t *testing.T) {}\nfunc TestTwice(t *testing.T) {}\n",
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestGenerateUsage(t *testing.T) {
+func TestGenerateRequiresMode(t *testing.T) {
 	status, _, out := run(t, nil, "generate.sh")
 	must.Eq(t, 2, status)
 	must.StrContains(t, out, "usage")
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -141,7 +141,7 @@
 
 // TestNewSetsGlobalsForDuties requires that New sets the global provider and propagator
 // of OpenTelemetry, from which duties take their tracer and propagator.
-func TestGlobalsServeDuties(t *testing.T) {
+func TestNewSetsGlobalsForDuties(t *testing.T) {
 	tel, _, spans := open(t, func(s *settings.Settings) {
 		s.Trace = settings.Trace{Exporter: settings.ExporterStdout, Ratio: 1}
 	})
