--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -50,7 +50,7 @@
 }
 
 // errViolations is the error of a demo whose report is not good.
-var errBroken = errors.New("the demo found broken promises: see the report above")
+var errViolations = errors.New("the demo found broken promises: see the report above")
 
 func run(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, longest)
@@ -71,7 +71,7 @@
 		return writeErr
 	}
 	if err == nil && !rep.Good() {
-		return errBroken
+		return errViolations
 	}
 	return err
 }
--- a/lab/deploy/deploy.go
+++ b/lab/deploy/deploy.go
@@ -60,7 +60,7 @@
 	vms  [][]*entryVM
 	http *http.Client
 	// messagesOfEnded holds the last known counts of daemons that were killed or stopped.
-	lost Messages
+	messagesOfEnded Messages
 }
 
 // Start starts a deployment and waits until every entry VM is ready. On an error it ends all
@@ -71,10 +71,10 @@
 		return nil, err
 	}
 	d := &Deployment{
-		options: options,
-		dir:     dir,
-		http:    &http.Client{Timeout: callTimeout},
-		lost:    Messages{},
+		options:         options,
+		dir:             dir,
+		http:            &http.Client{Timeout: callTimeout},
+		messagesOfEnded: Messages{},
 	}
 	if err := d.start(ctx); err != nil {
 		return nil, errors.Join(err, d.Close())
--- a/lab/deploy/deploy_test.go
+++ b/lab/deploy/deploy_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestParseMessages(t *testing.T) {
+func TestParseMessagesSumsByKind(t *testing.T) {
 	scrape := `# HELP burdockward_messages_sent counter
 burdockward_messages_sent{kind="start",vm="a"} 12
 burdockward_dispatch_messages_sent_total{vm="a",kind="start"} 1e+03
@@ -44,7 +44,7 @@
 	return p
 }
 
-func TestProcessTellsItsFirstLine(t *testing.T) {
+func TestProcessReturnsItsFirstLine(t *testing.T) {
 	p := shell(t, `echo '{"url":"x"}'; echo more; exec sleep 60`)
 	var line struct{ URL string }
 	must.NoError(t, p.firstLine(&line))
@@ -62,7 +62,7 @@
 	must.ErrorContains(t, err, "no port")
 }
 
-func TestProcessStop(t *testing.T) {
+func TestStopKillsProcessThatIgnoresSIGTERM(t *testing.T) {
 	exitsOnTERM := shell(t, `trap 'exit 0' TERM; echo 1; while :; do sleep 0.01; done`)
 	var one int
 	must.NoError(t, exitsOnTERM.firstLine(&one))
--- a/lab/deploy/process.go
+++ b/lab/deploy/process.go
@@ -36,7 +36,7 @@
 
 // childStarter returns a channel of functions that run on one thread that never ends. Children
 // are started there, because the kernel kills a child when the thread that started it ends.
-var startOnce = sync.OnceValue(func() chan<- func() {
+var childStarter = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	started := make(chan error)
-	startOnce() <- func() { started <- cmd.Start() }
+	childStarter() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("start %s: %w: build the binaries first, with make build", name, err)
 	}
--- a/lab/deploy/vm.go
+++ b/lab/deploy/vm.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	if messages, err := d.scrape(context.Background(), vm); err == nil {
-		d.lost.add(messages)
+		d.messagesOfEnded.add(messages)
 	}
 	vm.process.kill()
 	vm.process = nil
@@ -121,7 +121,7 @@
 		return err
 	}
 	if messages, err := d.scrape(context.Background(), vm); err == nil {
-		d.lost.add(messages)
+		d.messagesOfEnded.add(messages)
 	}
 	err = vm.process.stop(plannedStopGrace)
 	vm.process = nil
@@ -159,7 +159,7 @@
 // their counts with a lag of a second, so the counts of a killed daemon lack its last second.
 func (d *Deployment) Messages(ctx context.Context) (Messages, error) {
 	sum := Messages{}
-	sum.add(d.lost)
+	sum.add(d.messagesOfEnded)
 	for _, vms := range d.vms {
 		for _, vm := range vms {
 			if vm.process == nil {
--- a/lab/e2e/caller_test.go
+++ b/lab/e2e/caller_test.go
@@ -32,10 +32,10 @@
 }
 
 // hasAnswer reports whether the response is an answer with results.
-func (r *response) whole() bool { return r.answer != nil }
+func (r *response) hasAnswer() bool { return r.answer != nil }
 
 // runState returns the run state of a failure, or "".
-func (r *response) run() api.RunState {
+func (r *response) runState() api.RunState {
 	if r.failure == nil {
 		return ""
 	}
@@ -51,7 +51,7 @@
 
 // isUndecided reports whether the outcome of the key is still open, so that the caller has to send
 // the same key again.
-func (r *response) undecided() bool { return r.err != nil || r.kind() == api.KindUnavailable }
+func (r *response) isUndecided() bool { return r.err != nil || r.kind() == api.KindUnavailable }
 
 // neverConnected reports whether the request failed before it reached any process.
 func (r *response) neverConnected() bool {
@@ -69,12 +69,12 @@
 // callers opens a connection for each request. A process may close an idle connection, which a test
 // would otherwise mistake for a request that was cut off.
 var callers = &http.Client{
-	Timeout:   2 * patience,
+	Timeout:   2 * waitTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext},
 }
 
 // sleepTasks returns n tasks that run for a time and have their index as result.
-func sleepers(n int, run time.Duration, label string) []api.Task {
+func sleepTasks(n int, run time.Duration, label string) []api.Task {
 	tasks := make([]api.Task, n)
 	for i := range tasks {
 		payload, _ := json.Marshal(target.Payload{
@@ -134,14 +134,14 @@
 
 // submitUntilDecided sends the submission to one VM of the list after another, under the same key,
 // until a response decides it.
-func (w *world) submitFinally(s api.Submission, vms ...int) *response {
+func (w *world) submitUntilDecided(s api.Submission, vms ...int) *response {
 	w.t.Helper()
 	var last *response
 	i := 0
 	w.await("a decision about "+s.Key, func() bool {
 		last = w.submit(vms[i%len(vms)], s)
 		i++
-		return !last.undecided()
+		return !last.isUndecided()
 	})
 	return last
 }
@@ -233,12 +233,12 @@
 	got  *response
 }
 
-func (w *world) submitLater(vm int, s api.Submission) *pending {
-	return w.later(func() *response { return w.submit(vm, s) })
+func (w *world) submitAsync(vm int, s api.Submission) *pending {
+	return w.runAsync(func() *response { return w.submit(vm, s) })
 }
 
 // runAsync makes a request in a goroutine.
-func (w *world) later(request func() *response) *pending {
+func (w *world) runAsync(request func() *response) *pending {
 	p := &pending{done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
@@ -248,7 +248,7 @@
 }
 
 // hasResponse reports whether the response has arrived.
-func (p *pending) answered() bool {
+func (p *pending) hasResponse() bool {
 	select {
 	case <-p.done:
 		return true
@@ -263,7 +263,7 @@
 	select {
 	case <-p.done:
 		return p.got
-	case <-time.After(2 * patience):
+	case <-time.After(2 * waitTimeout):
 		w.t.Fatal("a request got no response at all")
 		return nil
 	}
@@ -278,7 +278,7 @@
 			holders[s.Submission] = s.Holder
 		}
 		for _, k := range keys {
-			if !holds(holders[k], w.vms[vm].id) {
+			if !isHeldBy(holders[k], w.vms[vm].id) {
 				return false
 			}
 		}
@@ -308,7 +308,7 @@
 }
 
 // isHeldBy reports whether the holder of a lease is a process of the VM.
-func holds(holder, vm string) bool { return len(holder) > len(vm) && holder[:len(vm)+1] == vm+"/" }
+func isHeldBy(holder, vm string) bool { return len(holder) > len(vm) && holder[:len(vm)+1] == vm+"/" }
 
 // startedTasks counts the starts of a key.
 func (w *world) startedTasks(key string) int {
@@ -327,13 +327,13 @@
 	w.t.Helper()
 	last := &response{}
 	defer func() {
-		if !last.whole() {
+		if !last.hasAnswer() {
 			w.t.Logf("the last response: %s", last)
 		}
 	}()
 	w.await(fmt.Sprintf("%s answers new work", w.vms[vm].id), func() bool {
-		last = w.submit(vm, job(w.key(vm), sleepers(2, time.Millisecond, "")))
-		return last.whole()
+		last = w.submit(vm, job(w.key(vm), sleepTasks(2, time.Millisecond, "")))
+		return last.hasAnswer()
 	})
 	return last
 }
--- a/lab/e2e/claims_test.go
+++ b/lab/e2e/claims_test.go
@@ -16,10 +16,10 @@
 func TestDuplicatesAtOneInstantRunOnce(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 8})
 	for range 20 {
-		s := job(w.key(0), sleepers(3, 20*time.Millisecond, ""))
+		s := job(w.key(0), sleepTasks(3, 20*time.Millisecond, ""))
 		var sent []*pending
 		for vm := range vmCount {
-			sent = append(sent, w.submitLater(vm, s), w.submitLater(vm, s))
+			sent = append(sent, w.submitAsync(vm, s), w.submitAsync(vm, s))
 		}
 		first := w.wait(sent[0])
 		w.wantWhole(first)
@@ -30,24 +30,24 @@
 	}
 }
 
-func TestKilledRunnerIsToldAsUnknown(t *testing.T) {
+func TestKilledRunnerGivesUnknownOutcome(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
 	const keys = 12
 	var lost, others, joined []*pending
 	var jobs []api.Submission
 	for range keys {
-		s := job(w.key(0), sleepers(2, untilKilled, ""))
+		s := job(w.key(0), sleepTasks(2, untilKilled, ""))
 		jobs = append(jobs, s)
-		lost = append(lost, w.submitLater(0, s))
+		lost = append(lost, w.submitAsync(0, s))
 	}
 	w.awaitStarted(0, keysOf(jobs)...)
 	for _, s := range jobs {
-		joined = append(joined, w.submitLater(1, s))
+		joined = append(joined, w.submitAsync(1, s))
 	}
 	for vm := 1; vm < vmCount; vm++ {
 		for range 4 {
-			s := job(w.key(vm), sleepers(1, 4*time.Second, ""))
-			others = append(others, w.submitLater(vm, s))
+			s := job(w.key(vm), sleepTasks(1, 4*time.Second, ""))
+			others = append(others, w.submitAsync(vm, s))
 			w.awaitStarted(vm, s.Key)
 		}
 	}
@@ -55,7 +55,7 @@
 	for i, s := range jobs {
 		must.Error(t, w.wait(lost[i]).err)
 		w.wantUnknown(w.wait(joined[i]))
-		w.wantUnknown(w.submitFinally(s, 2, 1))
+		w.wantUnknown(w.submitUntilDecided(s, 2, 1))
 	}
 	for _, p := range others {
 		w.wantWhole(w.wait(p))
@@ -71,15 +71,15 @@
 	var jobs []api.Submission
 	var sent []*pending
 	for range keys {
-		s := job(w.key(1), sleepers(2, 4*time.Second, ""))
+		s := job(w.key(1), sleepTasks(2, 4*time.Second, ""))
 		jobs = append(jobs, s)
-		sent = append(sent, w.submitLater(1, s))
+		sent = append(sent, w.submitAsync(1, s))
 	}
 	w.awaitStarted(1, keysOf(jobs)...)
 	w.kill(0)
 	for i, s := range jobs {
 		w.wantWhole(w.wait(sent[i]))
-		again := w.submitFinally(s, 2)
+		again := w.submitUntilDecided(s, 2)
 		w.wantWhole(again)
 	}
 	w.mustAnswer(1)
@@ -88,7 +88,7 @@
 
 func TestRegistrarKilledWhileClaimsAreInFlight(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
-	load := w.startLoad(8, job("", sleepers(1, 5*time.Millisecond, "")), 1, 2)
+	load := w.startLoad(8, job("", sleepTasks(1, 5*time.Millisecond, "")), 1, 2)
 	w.awaitAnswers(100)
 	w.kill(0)
 	for vm := 1; vm < vmCount; vm++ {
@@ -99,8 +99,8 @@
 	load.stop()
 	// Keys that could not be decided while the registrar was lost can be decided now.
 	for _, r := range w.ledger.all() {
-		if r.undecided() {
-			w.submitFinally(job(r.key, sleepers(1, 5*time.Millisecond, "")), 1, 2)
+		if r.isUndecided() {
+			w.submitUntilDecided(job(r.key, sleepTasks(1, 5*time.Millisecond, "")), 1, 2)
 		}
 		must.True(t, r.err == nil, must.Sprint(r))
 	}
@@ -112,19 +112,19 @@
 	var sent []*pending
 	for range 8 {
 		// There are more tasks than slots, so that the VM still has tasks to start when it resumes.
-		s := job(w.key(0), sleepers(6, time.Second, ""))
+		s := job(w.key(0), sleepTasks(6, time.Second, ""))
 		jobs = append(jobs, s)
-		sent = append(sent, w.submitLater(0, s))
+		sent = append(sent, w.submitAsync(0, s))
 	}
 	w.awaitStarted(0, jobs[0].Key)
 	w.awaitGranted(0, keysOf(jobs)...)
 	w.freeze(0)
 	w.awaitView(1, 1, 2)
 	for _, s := range jobs {
-		w.wantUnknown(w.submitFinally(s, 1, 2))
+		w.wantUnknown(w.submitUntilDecided(s, 1, 2))
 	}
 	w.mustAnswer(2)
-	w.wake(0)
+	w.resume(0)
 	for _, p := range sent {
 		// Each request gets some response; verify checks it against the targets' logs.
 		must.NoError(t, w.wait(p).err)
@@ -132,7 +132,7 @@
 	w.awaitView(1, 0, 1, 2)
 	w.mustAnswer(0)
 	for _, s := range jobs {
-		w.submitFinally(s, 1, 2)
+		w.submitUntilDecided(s, 1, 2)
 	}
 }
 
@@ -140,15 +140,15 @@
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 8})
 	var jobs []api.Submission
 	for range 6 {
-		s := job(w.key(0), sleepers(2, time.Millisecond, ""))
+		s := job(w.key(0), sleepTasks(2, time.Millisecond, ""))
 		jobs = append(jobs, s)
 		w.wantWhole(w.submit(0, s))
 	}
 	var cut []*pending
 	for range 6 {
-		s := job(w.key(0), sleepers(2, untilKilled, ""))
+		s := job(w.key(0), sleepTasks(2, untilKilled, ""))
 		jobs = append(jobs, s)
-		cut = append(cut, w.submitLater(0, s))
+		cut = append(cut, w.submitAsync(0, s))
 	}
 	w.awaitStarted(0, keysOf(jobs)...)
 	w.kill(0)
@@ -159,8 +159,8 @@
 	w.awaitServing(0)
 	for _, s := range jobs {
 		for vm := range vmCount {
-			r := w.submitFinally(s, vm)
-			if !r.whole() && r.run() != api.Completed {
+			r := w.submitUntilDecided(s, vm)
+			if !r.hasAnswer() && r.runState() != api.Completed {
 				w.wantUnknown(r)
 			}
 		}
--- a/lab/e2e/configuration_test.go
+++ b/lab/e2e/configuration_test.go
@@ -29,7 +29,7 @@
 		r := w.submit(vm, w.otherJob(vm))
 		must.Eq(t, api.KindUnknownProfile, r.kind(), must.Sprint(r))
 	}
-	changed := w.applyWith([]string{"--wait", patience.String()}, other(1))
+	changed := w.applyWith([]string{"--wait", waitTimeout.String()}, other(1))
 	must.Eq(t, ctl.ExitOK, changed.code, must.Sprint(changed.text))
 	for vm := range vmCount {
 		w.wantWhole(w.submit(vm, w.otherJob(vm)))
@@ -38,18 +38,18 @@
 	w.kill(0)
 	w.restart(0)
 	w.awaitServing(0)
-	w.wantWhole(w.submitFinally(w.otherJob(0), 0))
+	w.wantWhole(w.submitUntilDecided(w.otherJob(0), 0))
 }
 
 func (w *world) otherJob(vm int) api.Submission {
-	s := job(w.key(vm), sleepers(2, time.Millisecond, ""))
+	s := job(w.key(vm), sleepTasks(2, time.Millisecond, ""))
 	s.Profile = "other"
 	return s
 }
 
 func TestStaleStoreRevertsNothing(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
-	changed := w.applyWith([]string{"--wait", patience.String()}, other(1))
+	changed := w.applyWith([]string{"--wait", waitTimeout.String()}, other(1))
 	must.Eq(t, ctl.ExitOK, changed.code, must.Sprint(changed.text))
 	// Every read shows the state before the change.
 	w.platformFault(platformstandin.Faults{StaleCommits: 1})
@@ -61,7 +61,7 @@
 	w.await("stale reads were made", func() bool { return w.tableReads() > reads+3 })
 	for vm := range vmCount {
 		must.GreaterEq(t, changed.change.Version, w.version(vm))
-		w.wantWhole(w.submitFinally(w.otherJob(vm), vm))
+		w.wantWhole(w.submitUntilDecided(w.otherJob(vm), vm))
 	}
 }
 
@@ -71,7 +71,7 @@
 	return status.Configuration.Version
 }
 
-func TestLostCommitAnswerIsNeverMistaken(t *testing.T) {
+func TestLostCommitAnswerIsReadBack(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
 	// The commit takes effect, but its answer is lost.
 	w.platformFault(platformstandin.Faults{LoseAnswers: true})
@@ -89,7 +89,7 @@
 	w.platformFault(platformstandin.Faults{})
 	must.Eq(t, ctl.ExitUnavailable, down.code, must.Sprint(down.text))
 	// Only the accepted change is in force.
-	inForce := w.ctl("in-force", "--wait", patience.String())
+	inForce := w.ctl("in-force", "--wait", waitTimeout.String())
 	must.Eq(t, ctl.ExitOK, inForce.code, must.Sprint(inForce.text))
 	for vm := range vmCount {
 		must.Eq(t, lost.change.Version, w.version(vm))
@@ -110,7 +110,7 @@
 		must.Eq(t, map[int]int{ctl.ExitOK: 1, ctl.ExitConflict: 1}, codes,
 			must.Sprintf("%s\n%s", results[0].text, results[1].text))
 	}
-	inForce := w.ctl("in-force", "--wait", patience.String())
+	inForce := w.ctl("in-force", "--wait", waitTimeout.String())
 	must.Eq(t, ctl.ExitOK, inForce.code, must.Sprint(inForce.text))
 }
 
--- a/lab/e2e/domains_test.go
+++ b/lab/e2e/domains_test.go
@@ -47,44 +47,44 @@
 	// VM 0 knows the other failure domain's VMs only from the platform's list.
 	var burned api.Submission
 	w.await("a key of the other failure domain is burned", func() bool {
-		burned = job(w.key(other), sleepers(1, time.Millisecond, ""))
-		return w.submit(0, burned).run() == api.NotRun
+		burned = job(w.key(other), sleepTasks(1, time.Millisecond, ""))
+		return w.submit(0, burned).runState() == api.NotRun
 	})
 	for _, vm := range []int{0, other, other + 1} {
 		r := w.submit(vm, burned)
-		must.Eq(t, api.NotRun, r.run(), must.Sprint(r))
+		must.Eq(t, api.NotRun, r.runState(), must.Sprint(r))
 	}
 
-	long := job(w.key(other), sleepers(1, 5*time.Second, ""))
-	answer := w.submitLater(other, long)
+	long := job(w.key(other), sleepTasks(1, 5*time.Second, ""))
+	answer := w.submitAsync(other, long)
 	w.awaitStarted(other, long.Key)
 	w.wantUnknown(w.submit(0, long))
 	must.StrContains(t, w.submit(0, long).failure.Message, "it runs there, at "+w.vms[other].id)
 	w.wantWhole(w.wait(answer))
-	must.Eq(t, api.Completed, w.submit(0, long).run())
-	must.Eq(t, api.OutcomeUnknown, w.submit(0, job(otherDomain+".1-1.k", sleepers(1, time.Millisecond, ""))).run())
+	must.Eq(t, api.Completed, w.submit(0, long).runState())
+	must.Eq(t, api.OutcomeUnknown, w.submit(0, job(otherDomain+".1-1.k", sleepTasks(1, time.Millisecond, ""))).runState())
 
 	// The key is submitted in both failure domains at once: either it runs at home, or it is
 	// burned.
 	for range 20 {
-		s := job(w.key(other), sleepers(1, time.Millisecond, ""))
-		home, foreign := w.submitLater(other, s), w.submitLater(0, s)
-		foreignRun := w.wait(foreign).run()
-		must.True(t, foreignRun == api.NotRun || w.wait(home).whole(), must.Sprint(home.got, foreign.got))
+		s := job(w.key(other), sleepTasks(1, time.Millisecond, ""))
+		home, foreign := w.submitAsync(other, s), w.submitAsync(0, s)
+		foreignRun := w.wait(foreign).runState()
+		must.True(t, foreignRun == api.NotRun || w.wait(home).hasAnswer(), must.Sprint(home.got, foreign.got))
 	}
 
 	// Frozen VMs accept connections and never answer.
-	cut := job(w.key(other), sleepers(1, time.Millisecond, ""))
+	cut := job(w.key(other), sleepTasks(1, time.Millisecond, ""))
 	for i := range otherVMs {
 		w.freeze(other + i)
 	}
 	w.wantUnknown(w.submit(0, cut))
 	for i := range otherVMs {
-		w.wake(other + i)
+		w.resume(other + i)
 	}
-	w.await("the key is burned after the cut", func() bool { return w.submit(0, cut).run() == api.NotRun })
+	w.await("the key is burned after the cut", func() bool { return w.submit(0, cut).runState() == api.NotRun })
 
-	lost := job(w.key(other), sleepers(1, time.Millisecond, ""))
+	lost := job(w.key(other), sleepTasks(1, time.Millisecond, ""))
 	for i := range otherVMs {
 		w.kill(other + i)
 	}
--- a/lab/e2e/leases_test.go
+++ b/lab/e2e/leases_test.go
@@ -29,7 +29,7 @@
 		w.wantWhole(w.submit(0, w.slotsJob()))
 		id := w.groups[0].ids[0]
 		w.targetFault(0, target.Faults{Frozen: true}, id)
-		sent := w.submitLater(0, w.slotsJob())
+		sent := w.submitAsync(0, w.slotsJob())
 		w.await("a request waits at the target", func() bool { return w.targetStats(0)[id].Waiting > 0 })
 		w.await("its leases lapse", func() bool { return w.targetStats(0)[id].Leases == 0 })
 		w.targetFault(0, target.Faults{}, id)
@@ -41,8 +41,8 @@
 // have lapsed. After it resumes, it takes new leases and answers the job.
 func TestVMFrozenPastItsLeasesAnswers(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 4})
-	s := job(w.key(0), sleepers(40, 200*time.Millisecond, ""))
-	sent := w.submitLater(0, s)
+	s := job(w.key(0), sleepTasks(40, 200*time.Millisecond, ""))
+	sent := w.submitAsync(0, s)
 	w.awaitStarted(0, s.Key)
 	w.freeze(0)
 	w.await("its leases lapse", func() bool {
@@ -54,7 +54,7 @@
 	})
 	before := w.startedTasks(s.Key)
 	must.Less(t, len(s.Tasks), before)
-	w.wake(0)
+	w.resume(0)
 	// The VM takes new leases, whether or not the other VMs have removed it from their view.
 	w.wantWhole(w.wait(sent))
 	w.awaitView(1, 0, 1, 2)
@@ -67,7 +67,7 @@
 	for _, stats := range w.targetStats(0) {
 		slots += stats.Slots
 	}
-	return job(w.key(0), sleepers(slots, 20*time.Millisecond, ""))
+	return job(w.key(0), sleepTasks(slots, 20*time.Millisecond, ""))
 }
 
 // awaitRefusedAsLapsed repeats an action until the first target of rack 0 has
--- a/lab/e2e/ledger_test.go
+++ b/lab/e2e/ledger_test.go
@@ -53,13 +53,13 @@
 	refusals := map[string]*response{}
 	for _, r := range w.ledger.all() {
 		w.verifyOne(r, len(counts[r.key]))
-		if r.whole() {
+		if r.hasAnswer() {
 			if other := answers[r.key]; other != nil && !bytes.Equal(other.body, r.body) {
 				w.violation("two answers of one key:\n%s\n%s", other, r)
 			}
 			answers[r.key] = r
 		}
-		if r.run() == api.NotRun {
+		if r.runState() == api.NotRun {
 			refusals[r.key] = r
 		}
 	}
@@ -73,9 +73,9 @@
 // verifyOne checks one response, given how many tasks of its key were started.
 func (w *world) verifyOne(r *response, started int) {
 	switch {
-	case r.whole() && r.tasks > 0:
+	case r.hasAnswer() && r.tasks > 0:
 		w.verifyAnswer(r, started)
-	case r.run() == api.NotRun && started > 0:
+	case r.runState() == api.NotRun && started > 0:
 		w.violation("not run is false, %d tasks were started: %s", started, r)
 	case r.failure != nil && r.failure.RetryAfterMS > 0 && r.header.Get("Retry-After") == "":
 		w.violation("no Retry-After header: %s", r)
@@ -115,12 +115,12 @@
 func (w *world) wantUnknown(r *response) {
 	w.t.Helper()
 	must.NoError(w.t, r.err, must.Sprint(r))
-	must.Eq(w.t, api.OutcomeUnknown, r.run(), must.Sprint(r))
+	must.Eq(w.t, api.OutcomeUnknown, r.runState(), must.Sprint(r))
 }
 
 func (w *world) wantWhole(r *response) {
 	w.t.Helper()
-	must.True(w.t, r.whole(), must.Sprint(r))
+	must.True(w.t, r.hasAnswer(), must.Sprint(r))
 }
 
 // count counts the responses so far for which has returns true.
--- a/lab/e2e/limits_test.go
+++ b/lab/e2e/limits_test.go
@@ -24,7 +24,7 @@
 }
 
 func limitedJob(tasks int, run time.Duration) api.Submission {
-	return api.Submission{Profile: "limited", Tasks: sleepers(tasks, run, "limited")}
+	return api.Submission{Profile: "limited", Tasks: sleepTasks(tasks, run, "limited")}
 }
 
 func TestLimitHoldsOverAllVMs(t *testing.T) {
@@ -34,7 +34,7 @@
 	w.awaitUsed("limited", limit)
 	w.awaitAnswers(100)
 	load.stop()
-	w.wantOnly((*response).whole)
+	w.wantOnly((*response).hasAnswer)
 	must.Eq(t, limit, w.summary(0).MaxRunningByLabel["limited"])
 }
 
@@ -59,7 +59,7 @@
 // passes only if VMs find out from the targets, and not by waiting, that earlier tasks have ended.
 func longLimited(slots int) profile.Profile {
 	p := limited(slots)
-	p.MaxRunMS = (patience + 50*time.Second).Milliseconds()
+	p.MaxRunMS = (waitTimeout + 50*time.Second).Milliseconds()
 	return p
 }
 
@@ -68,7 +68,7 @@
 	s := limitedJob(units, run)
 	s.Key = w.key(vm)
 	s.DeadlineMS = common.MaxDeadlineMS
-	held := w.submitLater(vm, s)
+	held := w.submitAsync(vm, s)
 	w.await("the job to hold its units", func() bool { return w.startedTasks(s.Key) == units })
 	return held
 }
@@ -127,13 +127,13 @@
 		profiles: []profile.Profile{first, second},
 	}, rack{targets: 4, slots: 8})
 	for _, p := range []profile.Profile{first, second} {
-		s := api.Submission{Profile: p.Name, Tasks: sleepers(1, 50*time.Millisecond, "before")}
+		s := api.Submission{Profile: p.Name, Tasks: sleepTasks(1, 50*time.Millisecond, "before")}
 		w.startLoad(3, s, 0, 1, 2)
 	}
 	w.awaitUsed("before", share)
 	long := limitedJob(2, longRun)
 	long.Key = w.key(0)
-	w.submitLater(0, long)
+	w.submitAsync(0, long)
 	w.await("the VM to be killed runs the long tasks", func() bool { return w.startedTasks(long.Key) == 2 })
 	w.kill(0)
 	for vm := 1; vm < vmCount; vm++ {
@@ -141,7 +141,7 @@
 	}
 	// The units of the killed VM become usable again.
 	for _, p := range []profile.Profile{first, second} {
-		s := api.Submission{Profile: p.Name, Tasks: sleepers(1, 50*time.Millisecond, "after")}
+		s := api.Submission{Profile: p.Name, Tasks: sleepTasks(1, 50*time.Millisecond, "after")}
 		w.startLoad(3, s, 1, 2)
 	}
 	w.awaitUsed("after", share)
@@ -153,7 +153,7 @@
 func (w *world) startedBy(vm int) int {
 	n := 0
 	for _, s := range w.starts() {
-		if holds(s.Holder, w.vms[vm].id) {
+		if isHeldBy(s.Holder, w.vms[vm].id) {
 			n++
 		}
 	}
@@ -163,7 +163,7 @@
 // heldRun is the run time of the job that holds the only unit.
 const heldRun = 25 * time.Second
 
-func TestOverloadIsRefusedAtOnceAndTruly(t *testing.T) {
+func TestOverloadIsRefusedAtOnceAndNeverRun(t *testing.T) {
 	narrow := limited(1)
 	narrow.QueueTasks = 4
 	// After the start of a whole failure domain a limit stays unused until no task of previous
@@ -174,35 +174,35 @@
 	long := limitedJob(1, heldRun)
 	long.Key = w.key(0)
 	long.DeadlineMS = narrow.MaxDeadlineMS
-	running := w.submitLater(0, long)
+	running := w.submitAsync(0, long)
 	w.awaitStarted(0, long.Key)
 	var sent []*pending
 	for range 12 {
 		s := limitedJob(2, time.Millisecond)
 		s.Key = w.key(0)
 		s.DeadlineMS = narrow.MaxDeadlineMS
-		sent = append(sent, w.submitLater(0, s))
+		sent = append(sent, w.submitAsync(0, s))
 	}
 	// The queue takes two of them; the others are refused while the long job runs.
 	w.await("refusals", func() bool { return w.ledger.count(overloaded) >= 10 })
 	must.False(t, closed(running.done))
 	for _, r := range w.ledger.all() {
 		must.True(t, overloaded(r), must.Sprint(r))
-		must.Eq(t, api.NotRun, r.run(), must.Sprint(r))
+		must.Eq(t, api.NotRun, r.runState(), must.Sprint(r))
 		must.NotEq(t, "", r.header.Get("Retry-After"), must.Sprint(r))
 	}
 	// A refused key stays refused, at every VM.
 	for _, r := range w.ledger.all() {
 		s := limitedJob(2, time.Millisecond)
 		s.Key = r.key
-		again := w.submitFinally(s, 1, 2)
-		must.Eq(t, api.NotRun, again.run(), must.Sprint(again))
+		again := w.submitUntilDecided(s, 1, 2)
+		must.Eq(t, api.NotRun, again.runState(), must.Sprint(again))
 	}
 	ended := w.send(http.MethodDelete, 0, "/v1/submissions/"+long.Key, long.Key, 1, nil)
 	must.Eq(t, api.KindCancelled, ended.kind(), must.Sprint(ended))
 	for _, p := range sent {
 		r := w.wait(p)
-		must.True(t, r.whole() || overloaded(r), must.Sprint(r))
+		must.True(t, r.hasAnswer() || overloaded(r), must.Sprint(r))
 	}
 }
 
@@ -213,13 +213,13 @@
 	const run = 50 * time.Millisecond
 	// The VM learns the run times of the profile from enough submissions.
 	for range 30 {
-		w.wantWhole(w.submit(0, job(w.key(0), sleepers(2, run, ""))))
+		w.wantWhole(w.submit(0, job(w.key(0), sleepTasks(2, run, ""))))
 	}
-	s := job(w.key(0), sleepers(2, run, ""))
+	s := job(w.key(0), sleepTasks(2, run, ""))
 	s.DeadlineMS = 5
 	r := w.submit(0, s)
 	must.Eq(t, api.KindDeadlineTooShort, r.kind(), must.Sprint(r))
-	must.Eq(t, api.NotRun, r.run(), must.Sprint(r))
-	again := w.submitFinally(s, 1)
-	must.Eq(t, api.NotRun, again.run(), must.Sprint(again))
+	must.Eq(t, api.NotRun, r.runState(), must.Sprint(r))
+	again := w.submitUntilDecided(s, 1)
+	must.Eq(t, api.NotRun, again.runState(), must.Sprint(again))
 }
--- a/lab/e2e/network_test.go
+++ b/lab/e2e/network_test.go
@@ -29,7 +29,7 @@
 
 // startRelay starts a relay to the peer port of a VM and returns the relay's address. A nil network
 // has no relays and returns the port itself.
-func (n *network) before(vm *entryVM) netip.AddrPort {
+func (n *network) startRelay(vm *entryVM) netip.AddrPort {
 	if n == nil {
 		return vm.peers
 	}
@@ -50,14 +50,14 @@
 }
 
 // isCut reports whether the route between two VMs is cut.
-func (n *network) loses(from, to string) bool {
+func (n *network) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[route{from, to}]
 }
 
 // hasCutAt reports whether any route from or to the VM is cut.
-func (n *network) losesSome(vm string) bool {
+func (n *network) hasCutAt(vm string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for r := range n.cut {
@@ -78,11 +78,11 @@
 
 // Deliver implements peerpb.Peer.
 func (r *relay) Deliver(ctx context.Context, batch *peerpb.Batch) (*peerpb.Batch, error) {
-	if r.network.loses(batch.GetSender(), r.vm) {
+	if r.network.isCut(batch.GetSender(), r.vm) {
 		return nil, lost(ctx)
 	}
 	response, err := r.next.Deliver(ctx, batch)
-	if r.network.loses(r.vm, batch.GetSender()) {
+	if r.network.isCut(r.vm, batch.GetSender()) {
 		return nil, lost(ctx)
 	}
 	return response, err
@@ -91,11 +91,11 @@
 // Wait implements peerpb.Peer. The request does not name its sender, so the relay drops it when any
 // route of the VM is cut.
 func (r *relay) Wait(ctx context.Context, request *peerpb.WaitRequest) (*peerpb.WaitResponse, error) {
-	if r.network.losesSome(r.vm) {
+	if r.network.hasCutAt(r.vm) {
 		return nil, lost(ctx)
 	}
 	response, err := r.next.Wait(ctx, request)
-	if r.network.losesSome(r.vm) {
+	if r.network.hasCutAt(r.vm) {
 		return nil, lost(ctx)
 	}
 	return response, err
@@ -103,11 +103,11 @@
 
 // Burn implements peerpb.Peer, like Wait.
 func (r *relay) Burn(ctx context.Context, request *peerpb.BurnRequest) (*peerpb.BurnResponse, error) {
-	if r.network.losesSome(r.vm) {
+	if r.network.hasCutAt(r.vm) {
 		return nil, lost(ctx)
 	}
 	response, err := r.next.Burn(ctx, request)
-	if r.network.losesSome(r.vm) {
+	if r.network.hasCutAt(r.vm) {
 		return nil, lost(ctx)
 	}
 	return response, err
--- a/lab/e2e/operator_test.go
+++ b/lab/e2e/operator_test.go
@@ -87,7 +87,7 @@
 	}
 	cmd := exec.Command(binaries.ctl, append(args,
 		"--platform", w.platformURL, "--domains", domain, "--operator", "e2e", "--output", "json",
-		"--vms", strings.Join(admins, ","), "--timeout", patience.String())...)
+		"--vms", strings.Join(admins, ","), "--timeout", waitTimeout.String())...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
--- a/lab/e2e/partition_test.go
+++ b/lab/e2e/partition_test.go
@@ -19,7 +19,7 @@
 	net := newNetwork(t)
 	w := newWorldWith(t, options{profiles: []profile.Profile{common, limited(limit)}, network: net},
 		rack{targets: 4, slots: 16})
-	load := w.startLoad(2, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+	load := w.startLoad(2, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 	limits := w.startLoad(2, limitedJob(1, 20*time.Millisecond), 0, 1, 2)
 	w.awaitUsed("limited", limit)
 	for _, cut := range []struct {
@@ -91,9 +91,9 @@
 	var sent []*pending
 	for home := range vmCount {
 		for range 3 {
-			s := job(w.key(home), sleepers(2, 500*time.Millisecond, ""))
+			s := job(w.key(home), sleepTasks(2, 500*time.Millisecond, ""))
 			for vm := range vmCount {
-				sent = append(sent, w.submitLater(vm, s))
+				sent = append(sent, w.submitAsync(vm, s))
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 // wantLimitAgain fails unless new jobs use the limit fully and do not exceed it.
 func (w *world) wantLimitAgain(limit int) {
 	w.t.Helper()
-	s := api.Submission{Profile: "limited", Tasks: sleepers(1, 20*time.Millisecond, "healed")}
+	s := api.Submission{Profile: "limited", Tasks: sleepTasks(1, 20*time.Millisecond, "healed")}
 	load := w.startLoad(4, s, 0, 1, 2)
 	w.awaitUsed("healed", limit)
 	w.awaitAnswers(30)
--- a/lab/e2e/platform_test.go
+++ b/lab/e2e/platform_test.go
@@ -17,11 +17,11 @@
 	"github.com/burdockward/burdockward/profile"
 )
 
-func TestServesAndGrowsWhilePlatformIsDown(t *testing.T) {
+func TestServesAndAddsVMWhilePlatformIsDown(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 8})
 	w.platformFault(platformstandin.Faults{Down: true})
 	for vm := range vmCount {
-		w.wantWhole(w.submit(vm, job(w.key(vm), sleepers(3, 10*time.Millisecond, ""))))
+		w.wantWhole(w.submit(vm, job(w.key(vm), sleepTasks(3, 10*time.Millisecond, ""))))
 	}
 	// This VM is not in the platform's list, and can only get the list, profiles and targets from
 	// its peers.
@@ -30,7 +30,7 @@
 	r := w.mustAnswer(vmCount)
 	w.awaitStarted(vmCount, r.key)
 	for vm := range vmCount + 1 {
-		w.wantWhole(w.submit(vm, job(w.key(vm), sleepers(3, 10*time.Millisecond, ""))))
+		w.wantWhole(w.submit(vm, job(w.key(vm), sleepTasks(3, 10*time.Millisecond, ""))))
 	}
 }
 
@@ -38,7 +38,7 @@
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 8})
 	w.platformFault(platformstandin.Faults{Cut: true})
 	for vm := range vmCount {
-		w.wantWhole(w.submit(vm, job(w.key(vm), sleepers(3, 10*time.Millisecond, ""))))
+		w.wantWhole(w.submit(vm, job(w.key(vm), sleepTasks(3, 10*time.Millisecond, ""))))
 	}
 	w.kill(0)
 	w.restart(0)
@@ -52,7 +52,7 @@
 	const slowMS = 300
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 2, slots: 8})
 	versions := w.watchVersions()
-	load := w.startLoad(2, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+	load := w.startLoad(2, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 	o := &operator{w: w}
 	all := platformstandin.Faults{SlowMS: slowMS, StaleCommits: 1, StaleAlternate: true, LoseAnswers: true}
 	for _, faults := range []platformstandin.Faults{
@@ -66,22 +66,22 @@
 		w.awaitVersion(o.accepted, 0, 1, 2)
 	}
 	load.stop()
-	w.wantOnly((*response).whole)
+	w.wantOnly((*response).hasAnswer)
 	// A VM restarts without state while the store has all these faults.
 	w.kill(0)
 	w.restart(0)
 	w.awaitServing(0)
 	w.awaitVersion(o.accepted, 0, 1, 2)
-	w.wantWhole(w.submitFinally(w.otherJob(0), 0))
+	w.wantWhole(w.submitUntilDecided(w.otherJob(0), 0))
 	// The store is slower than all timeouts: a change is refused, and jobs are still answered.
 	w.platformFault(platformstandin.Faults{SlowMS: (10 * time.Second).Milliseconds()})
 	o.refused()
 	for vm := range vmCount {
-		w.wantWhole(w.submitFinally(w.otherJob(vm), vm))
+		w.wantWhole(w.submitUntilDecided(w.otherJob(vm), vm))
 	}
 	w.platformFault(platformstandin.Faults{})
 	must.SliceEmpty(t, versions())
-	o.wantTold()
+	o.wantAcceptedOnly()
 }
 
 // operator makes changes of one profile and records the result of each.
@@ -90,7 +90,7 @@
 	// accepted is the version of the newest accepted change.
 	accepted uint64
 	// exitCodes holds the exit code of burdockctl for each change, by the change's note.
-	told map[string]int
+	exitCodes map[string]int
 }
 
 // change makes a change, and repeats it while burdockctl reports that it took no effect.
@@ -115,25 +115,25 @@
 }
 
 func (o *operator) apply() ran {
-	if o.told == nil {
-		o.told = map[string]int{}
+	if o.exitCodes == nil {
+		o.exitCodes = map[string]int{}
 	}
-	note := fmt.Sprintf("change-%d-", len(o.told))
-	r := o.w.applyWith([]string{"--note", note, "--expect-version", version(o.accepted)}, other(len(o.told)%10))
-	o.told[note] = r.code
+	note := fmt.Sprintf("change-%d-", len(o.exitCodes))
+	r := o.w.applyWith([]string{"--note", note, "--expect-version", version(o.accepted)}, other(len(o.exitCodes)%10))
+	o.exitCodes[note] = r.code
 	return r
 }
 
 // wantAcceptedOnly fails unless exactly the accepted changes took effect.
-func (o *operator) wantTold() {
+func (o *operator) wantAcceptedOnly() {
 	o.w.t.Helper()
 	history := o.w.ctl("profile", "history", "other")
 	must.Eq(o.w.t, ctl.ExitOK, history.code, must.Sprint(history.text))
-	for note, code := range o.told {
+	for note, code := range o.exitCodes {
 		took := strings.Contains(history.text, note)
 		must.Eq(o.w.t, code == ctl.ExitOK, took, must.Sprintf("%s ended with %d:\n%s", note, code, history.text))
 	}
-	inForce := o.w.ctl("in-force", "--wait", patience.String())
+	inForce := o.w.ctl("in-force", "--wait", waitTimeout.String())
 	must.Eq(o.w.t, ctl.ExitOK, inForce.code, must.Sprint(inForce.text))
 	for vm := range vmCount {
 		must.Eq(o.w.t, o.accepted, o.w.version(vm))
@@ -181,14 +181,14 @@
 	w.platformFault(platformstandin.Faults{Down: true})
 	bad := w.groups[0].ids[0]
 	w.targetFault(0, target.Faults{FailAll: true}, bad)
-	load := w.startLoad(2, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+	load := w.startLoad(2, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 	w.await("tasks fail there", func() bool { return w.ledger.count(failed) > 0 })
-	w.awaitShunned(bad)
+	w.awaitNoStartsAt(bad)
 	// The platform's list still names the targets of a rack that is lost.
 	w.await("the rack gets work", func() bool { return len(w.startsOf(w.groups[1])) > 0 })
 	w.killRack(1)
-	w.awaitShunned(bad)
+	w.awaitNoStartsAt(bad)
 	load.stop()
-	w.wantOnly(func(r *response) bool { return r.whole() || failed(r) || targetLost(r) })
+	w.wantOnly(func(r *response) bool { return r.hasAnswer() || failed(r) || targetLost(r) })
 	w.wantAnswersInARow()
 }
--- a/lab/e2e/process_test.go
+++ b/lab/e2e/process_test.go
@@ -33,7 +33,7 @@
 // childStarter returns a channel of functions that run on one thread that never ends. Children are
 // started there, because the kernel sends a child its parent death signal when the thread that
 // started it ends.
-var startOnce = sync.OnceValue(func() chan<- func() {
+var childStarter = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -57,7 +57,7 @@
 	stdout, err := cmd.StdoutPipe()
 	must.NoError(t, err)
 	started := make(chan error)
-	startOnce() <- func() { started <- cmd.Start() }
+	childStarter() <- func() { started <- cmd.Start() }
 	must.NoError(t, <-started)
 	p := &process{name: name, logPath: logPath, cmd: cmd, lines: make(chan []byte, 1), done: make(chan struct{})}
 	go p.wait(stdout)
@@ -87,7 +87,7 @@
 		must.NoError(t, json.Unmarshal(line, into))
 	case <-p.done:
 		t.Fatalf("%s ended before it served", p.name)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s does not serve", p.name)
 	}
 }
@@ -108,7 +108,7 @@
 	t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s does not end", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
--- a/lab/e2e/quota_test.go
+++ b/lab/e2e/quota_test.go
@@ -82,7 +82,7 @@
 	w.applyTeam(profile.Team{Name: work.Team, QuotaSlots: lendingQuota, Lend: true})
 	must.Eq(t, 0, w.applyWith([]string{"--wait", "30s"}, work).code)
 	store := w.tables()
-	job := api.Submission{Profile: work.Name, Tasks: sleepers(4, 50*time.Millisecond, "lending")}
+	job := api.Submission{Profile: work.Name, Tasks: sleepTasks(4, 50*time.Millisecond, "lending")}
 	load := w.startLoad(4, job, 0, 1, 2)
 	running := func() int { return w.summary(0).MaxRunningByLabel["lending"] }
 	w.await("the base share is used", func() bool { return running() == baseShare })
@@ -96,5 +96,5 @@
 	w.awaitAnswers(50)
 	load.stop()
 	must.Eq(t, baseShare+lentUnits, running())
-	w.wantOnly((*response).whole)
+	w.wantOnly((*response).hasAnswer)
 }
--- a/lab/e2e/stop_test.go
+++ b/lab/e2e/stop_test.go
@@ -17,17 +17,17 @@
 
 func TestPlannedStopCutsNothing(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
-	before := job(w.key(0), sleepers(2, time.Millisecond, ""))
+	before := job(w.key(0), sleepTasks(2, time.Millisecond, ""))
 	w.wantWhole(w.submit(0, before))
-	load := w.startLoad(6, job("", sleepers(3, 20*time.Millisecond, "")), 0, 1, 2)
-	w.await("the load runs", func() bool { return w.ledger.count((*response).whole) > 60 })
+	load := w.startLoad(6, job("", sleepTasks(3, 20*time.Millisecond, "")), 0, 1, 2)
+	w.await("the load runs", func() bool { return w.ledger.count((*response).hasAnswer) > 60 })
 	// These jobs start last, so that they still run when the stop begins.
 	var running []api.Submission
 	var sent []*pending
 	for range 6 {
-		s := job(w.key(0), sleepers(2, 2*time.Second, ""))
+		s := job(w.key(0), sleepTasks(2, 2*time.Second, ""))
 		running = append(running, s)
-		sent = append(sent, w.submitLater(0, s))
+		sent = append(sent, w.submitAsync(0, s))
 	}
 	w.awaitStarted(0, keysOf(running)...)
 
@@ -47,8 +47,8 @@
 func TestTwoPlannedStopsAtOnceCutNothing(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 4, slots: 16})
 	answered, sent := w.runAt(0, 1)
-	load := w.startLoad(4, job("", sleepers(3, 20*time.Millisecond, "")), 0, 1, 2)
-	w.await("the load runs", func() bool { return w.ledger.count((*response).whole) > 60 })
+	load := w.startLoad(4, job("", sleepTasks(3, 20*time.Millisecond, "")), 0, 1, 2)
+	w.await("the load runs", func() bool { return w.ledger.count((*response).hasAnswer) > 60 })
 
 	w.stopAtOnce(0, 1)
 	load.stop()
@@ -103,13 +103,13 @@
 // those that still run.
 func (w *world) runAt(vms ...int) (jobs []api.Submission, running []*pending) {
 	for _, vm := range vms {
-		before := job(w.key(vm), sleepers(2, time.Millisecond, ""))
+		before := job(w.key(vm), sleepTasks(2, time.Millisecond, ""))
 		w.wantWhole(w.submit(vm, before))
 		var keys []api.Submission
 		for range 3 {
-			s := job(w.key(vm), sleepers(2, 2*time.Second, ""))
+			s := job(w.key(vm), sleepTasks(2, 2*time.Second, ""))
 			keys = append(keys, s)
-			running = append(running, w.submitLater(vm, s))
+			running = append(running, w.submitAsync(vm, s))
 		}
 		w.awaitStarted(vm, keysOf(keys)...)
 		jobs = append(jobs, append(keys, before)...)
@@ -137,7 +137,7 @@
 			must.NoError(w.t, r.err, must.Sprint("cut: ", r))
 		}
 		if draining(r) {
-			must.Eq(w.t, api.NotRun, r.run(), must.Sprint(r))
+			must.Eq(w.t, api.NotRun, r.runState(), must.Sprint(r))
 			must.NotEq(w.t, "", r.header.Get("Retry-After"), must.Sprint(r))
 		}
 	}
@@ -151,8 +151,8 @@
 	w.t.Helper()
 	for _, s := range answered {
 		for _, vm := range stay {
-			r := w.submitFinally(s, vm)
-			must.Eq(w.t, api.Completed, r.run(), must.Sprint(r))
+			r := w.submitUntilDecided(s, vm)
+			must.Eq(w.t, api.Completed, r.runState(), must.Sprint(r))
 		}
 	}
 	refused := w.ledger.all()
@@ -160,7 +160,7 @@
 		if !draining(r) {
 			continue
 		}
-		again := w.submitFinally(job(r.key, sleepers(3, 20*time.Millisecond, "")), stay...)
-		must.Eq(w.t, api.NotRun, again.run(), must.Sprint(again))
+		again := w.submitUntilDecided(job(r.key, sleepTasks(3, 20*time.Millisecond, "")), stay...)
+		must.Eq(w.t, api.NotRun, again.runState(), must.Sprint(again))
 	}
 }
--- a/lab/e2e/targets_test.go
+++ b/lab/e2e/targets_test.go
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			w := newWorld(t, []profile.Profile{common}, rack{targets: 3, slots: 4})
 			leaving := w.groups[0].ids[0]
-			load := w.startLoad(3, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+			load := w.startLoad(3, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 			w.await("the target gets work", func() bool { return w.startsAt(leaving) > 10 })
 			w.targetFault(0, test.fault, leaving)
 			for vm := range vmCount {
@@ -40,7 +40,7 @@
 			// When all jobs are answered, all earlier starts have arrived.
 			load.stop()
 			before := w.startsAt(leaving)
-			load = w.startLoad(3, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+			load = w.startLoad(3, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 			w.awaitAnswers(100)
 			load.stop()
 			must.Eq(t, before, w.startsAt(leaving))
@@ -50,7 +50,7 @@
 			if test.fault.Leaving {
 				must.Eq(t, 0, late.Accepted)
 			}
-			w.wantOnly((*response).whole)
+			w.wantOnly((*response).hasAnswer)
 		})
 	}
 }
@@ -76,9 +76,9 @@
 // awaitAnswers waits for n more answers.
 func (w *world) awaitAnswers(n int) {
 	w.t.Helper()
-	before := w.ledger.count((*response).whole)
+	before := w.ledger.count((*response).hasAnswer)
 	w.await(fmt.Sprint(n, " more answers"), func() bool {
-		return w.ledger.count((*response).whole) >= before+n
+		return w.ledger.count((*response).hasAnswer) >= before+n
 	})
 }
 
@@ -98,7 +98,7 @@
 
 // awaitNoStartsAt waits, under load, until inARow consecutive answers arrive while the target gets
 // no start.
-func (w *world) awaitShunned(id string) {
+func (w *world) awaitNoStartsAt(id string) {
 	w.t.Helper()
 	w.await("no work goes to "+id, func() bool {
 		before := w.startsAt(id)
@@ -122,15 +122,15 @@
 	var sent []*pending
 	for i := range 12 {
 		vm := i % vmCount
-		s := job(w.key(vm), sleepers(1, 8*time.Second, ""))
+		s := job(w.key(vm), sleepTasks(1, 8*time.Second, ""))
 		jobs = append(jobs, s)
-		sent = append(sent, w.submitLater(vm, s))
+		sent = append(sent, w.submitAsync(vm, s))
 	}
 	return jobs, sent
 }
 
 // startsSoFar returns the starts of a rack: those read last when it was killed.
-func (w *world) startsOnce(g *targetGroup) []target.Start {
+func (w *world) startsSoFar(g *targetGroup) []target.Start {
 	if g.dead {
 		return g.last
 	}
@@ -148,7 +148,7 @@
 			started[s.Submission] = true
 		}
 		for i, s := range jobs {
-			if i%vmCount >= fromVM && started[s.Key] && !sent[i].answered() {
+			if i%vmCount >= fromVM && started[s.Key] && !sent[i].hasResponse() {
 				return true
 			}
 		}
@@ -163,7 +163,7 @@
 	w.t.Helper()
 	at := map[string]int{}
 	for i, g := range w.groups {
-		for _, s := range w.startsOnce(g) {
+		for _, s := range w.startsSoFar(g) {
 			at[s.Submission] = i + 1
 		}
 	}
@@ -191,16 +191,16 @@
 	n := 0
 	w.await("answers in a row", func() bool {
 		vm := n % vmCount
-		r := w.submit(vm, job(w.key(vm), sleepers(2, time.Millisecond, "")))
+		r := w.submit(vm, job(w.key(vm), sleepTasks(2, time.Millisecond, "")))
 		n++
-		if !r.whole() {
+		if !r.hasAnswer() {
 			n = 0
 		}
 		return n == inARow
 	})
 }
 
-func TestTargetKilledMidTask(t *testing.T) {
+func TestRestartedTargetLosesOnlyRunningTasks(t *testing.T) {
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 3, slots: 4})
 	jobs, sent := w.fillTargets()
 	id := w.groups[0].ids[0]
@@ -226,7 +226,7 @@
 		case at || logged:
 			w.wantWhole(r)
 		default:
-			must.True(t, r.whole() || targetLost(r), must.Sprint(r))
+			must.True(t, r.hasAnswer() || targetLost(r), must.Sprint(r))
 		}
 	}
 	// Only the tasks that still ran are lost; those that had ended are answered.
@@ -239,27 +239,27 @@
 	w := newWorld(t, []profile.Profile{common}, rack{targets: 3, slots: 4})
 	bad := w.groups[0].ids[0]
 	w.targetFault(0, target.Faults{FailAll: true}, bad)
-	load := w.startLoad(2, job("", sleepers(2, 5*time.Millisecond, "")), 0, 1, 2)
+	load := w.startLoad(2, job("", sleepTasks(2, 5*time.Millisecond, "")), 0, 1, 2)
 	w.await("tasks fail there", func() bool { return w.ledger.count(failed) > 0 })
-	w.awaitShunned(bad)
+	w.awaitNoStartsAt(bad)
 	load.stop()
-	w.wantOnly(func(r *response) bool { return r.whole() || r.kind() == api.KindTaskFailed })
-	must.Less(t, w.ledger.count((*response).whole), w.ledger.count(failed))
-	t.Logf("%d submissions failed at the target, %d were answered", w.ledger.count(failed), w.ledger.count((*response).whole))
+	w.wantOnly(func(r *response) bool { return r.hasAnswer() || r.kind() == api.KindTaskFailed })
+	must.Less(t, w.ledger.count((*response).hasAnswer), w.ledger.count(failed))
+	t.Logf("%d submissions failed at the target, %d were answered", w.ledger.count(failed), w.ledger.count((*response).hasAnswer))
 }
 
 func failed(r *response) bool { return r.kind() == api.KindTaskFailed }
 
-func TestBlackHoleHoldsUpOnlyWhatItTook(t *testing.T) {
+func TestBlackHoleLosesOnlyItsOwnTasks(t *testing.T) {
 	short := common
 	short.MaxRunMS = 500
 	w := newWorld(t, []profile.Profile{short}, rack{targets: 3, slots: 4})
 	hole := w.groups[0].ids[0]
 	w.targetFault(0, target.Faults{BlackHole: true}, hole)
-	load := w.startLoad(4, job("", sleepers(1, 5*time.Millisecond, "")), 0, 1, 2)
+	load := w.startLoad(4, job("", sleepTasks(1, 5*time.Millisecond, "")), 0, 1, 2)
 	w.await("the target takes work", func() bool { return w.startsAt(hole) > 0 })
 	w.await("a submission is lost there", func() bool { return w.ledger.count(targetLost) > 0 })
-	w.awaitShunned(hole)
+	w.awaitNoStartsAt(hole)
 	load.stop()
 	took := map[string]bool{}
 	for _, s := range w.starts() {
@@ -271,10 +271,10 @@
 		if took[r.key] {
 			return targetLost(r)
 		}
-		return r.whole()
+		return r.hasAnswer()
 	})
 }
 
 func targetLost(r *response) bool {
-	return r.kind() == api.KindTargetLost && r.run() == api.OutcomeUnknown
+	return r.kind() == api.KindTargetLost && r.runState() == api.OutcomeUnknown
 }
--- a/lab/e2e/two_faults_test.go
+++ b/lab/e2e/two_faults_test.go
@@ -17,14 +17,14 @@
 	w.platformFault(platformstandin.Faults{Down: true})
 	var jobs []api.Submission
 	for range 6 {
-		s := job(w.key(0), sleepers(2, untilKilled, ""))
+		s := job(w.key(0), sleepTasks(2, untilKilled, ""))
 		jobs = append(jobs, s)
-		w.submitLater(0, s)
+		w.submitAsync(0, s)
 	}
 	w.awaitStarted(0, keysOf(jobs)...)
 	w.kill(0)
 	for _, s := range jobs {
-		w.wantUnknown(w.submitFinally(s, 1, 2))
+		w.wantUnknown(w.submitUntilDecided(s, 1, 2))
 	}
 	w.mustAnswer(1)
 	w.mustAnswer(2)
@@ -33,7 +33,7 @@
 	w.awaitServing(0)
 	w.mustAnswer(0)
 	for _, s := range jobs {
-		w.wantUnknown(w.submitFinally(s, 0))
+		w.wantUnknown(w.submitUntilDecided(s, 0))
 	}
 }
 
@@ -48,12 +48,12 @@
 	w.freeze(0)
 	w.killRack(1)
 	for i := 0; i < len(jobs); i += vmCount {
-		w.wantUnknown(w.submitFinally(jobs[i], 1, 2))
+		w.wantUnknown(w.submitUntilDecided(jobs[i], 1, 2))
 	}
 	w.wantLostAtRack(jobs, sent, 1)
 	w.mustAnswer(1)
 	w.mustAnswer(2)
-	w.wake(0)
+	w.resume(0)
 	for i := 0; i < len(jobs); i += vmCount {
 		must.NoError(t, w.wait(sent[i]).err)
 	}
--- a/lab/e2e/world_test.go
+++ b/lab/e2e/world_test.go
@@ -35,7 +35,7 @@
 	// vmCount is the number of entry VMs.
 	vmCount = 3
 	// waitTimeout bounds every wait; a wait that reaches it fails the test.
-	patience = 60 * time.Second
+	waitTimeout = 60 * time.Second
 	// pollPause is the time between two checks of a condition.
 	pollPause = 20 * time.Millisecond
 	// leaseTTL is the lease time of targets. The profiles with limits have such short runs that
@@ -89,7 +89,7 @@
 	id, domain            string
 	callers, peers, admin netip.AddrPort
 	// peerAddress is where its peers reach it: its own port, or a relay to it.
-	reached netip.AddrPort
+	peerAddress netip.AddrPort
 	// seeds holds peer addresses of VMs of its failure domain, domainSeeds those of other domains.
 	seeds       []netip.AddrPort
 	domainSeeds map[string][]netip.AddrPort
@@ -158,9 +158,9 @@
 
 			domainSeeds: map[string][]netip.AddrPort{},
 		}
-		vm.reached = network.before(vm)
+		vm.peerAddress = network.startRelay(vm)
 		if i < seeds {
-			addresses = append(addresses, vm.reached)
+			addresses = append(addresses, vm.peerAddress)
 		}
 		w.vms = append(w.vms, vm)
 	}
@@ -220,7 +220,7 @@
 // register writes the VM into the platform's list.
 func (w *world) register(vm *entryVM) {
 	body := fmt.Sprintf(`{"id":%q,"kind":"entry","domain":%q,"address":%q,"peer_address":%q,"state":"live"}`,
-		vm.id, vm.domain, vm.callers, vm.reached)
+		vm.id, vm.domain, vm.callers, vm.peerAddress)
 	w.call(http.MethodPut, w.platformURL+"/v1/vms/"+vm.id, []byte(body))
 }
 
@@ -231,7 +231,7 @@
 		"failure_domain":  vm.domain,
 		"failure_domains": []string{domain, otherDomain},
 		"listen":          map[string]any{"callers": vm.callers, "peers": vm.peers, "admin": vm.admin},
-		"advertise":       map[string]any{"peers": vm.reached},
+		"advertise":       map[string]any{"peers": vm.peerAddress},
 		"platform":        map[string]any{"url": w.platformURL, "poll_interval": "300ms"},
 		"peers":           map[string]any{"seeds": vm.seeds, "domain_seeds": vm.domainSeeds},
 		// Shorter than the defaults to save time, but long enough for a busy machine.
@@ -248,7 +248,7 @@
 
 func (w *world) kill(vm int)   { w.vms[vm].process.kill() }
 func (w *world) freeze(vm int) { w.vms[vm].process.signal(w.t, syscall.SIGSTOP) }
-func (w *world) wake(vm int)   { w.vms[vm].process.signal(w.t, syscall.SIGCONT) }
+func (w *world) resume(vm int) { w.vms[vm].process.signal(w.t, syscall.SIGCONT) }
 
 // restart starts the daemon of a killed VM again, on the same addresses.
 func (w *world) restart(vm int) { w.startVM(w.vms[vm]) }
@@ -256,10 +256,10 @@
 // await polls until the condition holds, and fails the test when it doesn't within the timeout.
 func (w *world) await(what string, holds func() bool) {
 	w.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("waited %v for: %s", patience, what)
+			w.t.Fatalf("waited %v for: %s", waitTimeout, what)
 		}
 		time.Sleep(pollPause)
 	}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 	must.ErrorContains(t, err, "load above 0")
 }
 
-func TestInjectRefusesUnknownFaults(t *testing.T) {
+func TestInjectRejectsUnknownFaults(t *testing.T) {
 	r := &run{Options: Options{Fault: "fire"}}
 	must.ErrorContains(t, r.inject(t.Context()), "take one of")
 }
--- a/lab/experiment/loadcommand.go
+++ b/lab/experiment/loadcommand.go
@@ -16,7 +16,7 @@
 )
 
 // errViolations is the error of a load whose report is not good.
-var errUnhappy = errors.New("callers saw broken promises: see the report above")
+var errViolations = errors.New("callers saw broken promises: see the report above")
 
 // LoadCommand returns the command that sends a load to a running deployment.
 func LoadCommand() *cli.Command {
@@ -71,7 +71,7 @@
 		err = rep.Write(c.Root().Writer)
 	}
 	if err == nil && !rep.Good() {
-		return errUnhappy
+		return errViolations
 	}
 	return err
 }
--- a/lab/load/check.go
+++ b/lab/load/check.go
@@ -34,7 +34,7 @@
 	// FindingUnknown is an unknown outcome that no fault explains.
 	FindingUnknown Finding = "unexplained_unknown"
 	// FindingUnknownSubmission is a start of a submission that no caller made.
-	FindingStranger Finding = "start_without_submission"
+	FindingUnknownSubmission Finding = "start_without_submission"
 )
 
 // Violation is one violation of the guarantees that callers have.
@@ -79,9 +79,9 @@
 	known := make(map[string]bool, len(r.Submissions))
 	for i := range r.Submissions {
 		known[r.Submissions[i].Key] = true
-		c.submission(&r.Submissions[i])
+		c.checkSubmission(&r.Submissions[i])
 	}
-	c.starts(starts, known)
+	c.checkStarts(starts, known)
 	slices.SortFunc(c.found, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Finding, b.Finding), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Detail, b.Detail))
 	})
@@ -130,36 +130,36 @@
 }
 
 // checkStarts finds tasks that were started more than once and starts of unknown submissions.
-func (c *checker) starts(starts Starts, known map[string]bool) {
+func (c *checker) checkStarts(starts Starts, known map[string]bool) {
 	for id, at := range starts {
 		if len(at) > 1 {
 			c.add(FindingDoubled, id.Submission, "task %d was started %d times, at %v", id.Task, len(at), at)
 		}
 		if !known[id.Submission] {
-			c.add(FindingStranger, id.Submission, "task %d was started", id.Task)
+			c.add(FindingUnknownSubmission, id.Submission, "task %d was started", id.Task)
 		}
 	}
 }
 
 // checkSubmission finds the violations of one submission.
-func (c *checker) submission(s *Submission) {
+func (c *checker) checkSubmission(s *Submission) {
 	for _, resp := range s.Responses {
 		if resp.Finding != "" {
 			c.add(resp.Finding, s.Key, "%s", resp.Detail)
 		}
 	}
-	c.lost(s)
-	c.agreement(s)
+	c.checkLost(s)
+	c.checkAgreement(s)
 	if c.started != nil {
-		c.againstStarts(s)
+		c.checkAgainstStarts(s)
 	}
-	c.unknown(s)
+	c.checkUnknown(s)
 }
 
 // checkLost finds a submission without any final response.
-func (c *checker) lost(s *Submission) {
+func (c *checker) checkLost(s *Submission) {
 	for i := range s.Responses {
-		if s.Responses[i].final() {
+		if s.Responses[i].isFinal() {
 			return
 		}
 	}
@@ -169,23 +169,23 @@
 
 // checkAgreement compares the final outcomes of one key with each other. Unknown is consistent with
 // every outcome, and Completed with an answer.
-func (c *checker) agreement(s *Submission) {
+func (c *checker) checkAgreement(s *Submission) {
 	var first *Response
 	for i := range s.Responses {
 		resp := &s.Responses[i]
-		if !resp.final() || resp.Outcome == Unknown || resp.Outcome == Invalid {
+		if !resp.isFinal() || resp.Outcome == Unknown || resp.Outcome == Invalid {
 			continue
 		}
 		if first == nil {
 			first = resp
 			continue
 		}
-		c.pair(s.Key, first, resp)
+		c.comparePair(s.Key, first, resp)
 	}
 }
 
 // comparePair finds a contradiction between two final responses under one key.
-func (c *checker) pair(key string, a, b *Response) {
+func (c *checker) comparePair(key string, a, b *Response) {
 	ran := func(o Outcome) bool { return o == Answered || o == Completed }
 	switch {
 	case a.Outcome == Answered && b.Outcome == Answered:
@@ -206,7 +206,7 @@
 }
 
 // checkAgainstStarts compares the outcomes of one key with the targets' starts.
-func (c *checker) againstStarts(s *Submission) {
+func (c *checker) checkAgainstStarts(s *Submission) {
 	started := c.started[s.Key]
 	for i := range s.Responses {
 		resp := &s.Responses[i]
@@ -221,18 +221,18 @@
 
 // checkUnknown finds unknown outcomes that no fault explains: the submission had no request in
 // flight at a VM during its outage, and no task at a faulty target.
-func (c *checker) unknown(s *Submission) {
+func (c *checker) checkUnknown(s *Submission) {
 	for i := range s.Responses {
 		resp := &s.Responses[i]
 		targetLost := resp.Kind == api.KindTargetLost && c.atFault[s.Key]
-		if resp.Outcome == Unknown && resp.final() && !targetLost && !c.inFlight(s) {
+		if resp.Outcome == Unknown && resp.isFinal() && !targetLost && !c.inFlightAtOutage(s) {
 			c.add(FindingUnknown, s.Key, "%s from VM %d after %v: %s", resp.Kind, resp.VM, resp.Done-resp.Sent, resp.Detail)
 		}
 	}
 }
 
 // inFlightAtOutage reports whether a request of the submission was at a VM while it did not serve.
-func (c *checker) inFlight(s *Submission) bool {
+func (c *checker) inFlightAtOutage(s *Submission) bool {
 	domain := c.result.Jobs[s.Job].Domain
 	for _, f := range c.faults.Outages {
 		if f.Domain != domain {
--- a/lab/load/check_test.go
+++ b/lab/load/check_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckFindsViolations(t *testing.T) {
 	none := Starts{}
 	at := []string{"t"}
 	both := Starts{{"k", 0}: at, {"k", 1}: at}
@@ -50,7 +50,7 @@
 		{"answer without start", []Response{answered(1)}, Starts{{"k", 0}: at}, []Finding{FindingNotStarted}},
 		{"answer, starts not known", []Response{answered(1)}, nil, nil},
 		{"answer without any start", []Response{answered(1)}, none, []Finding{FindingNotStarted}},
-		{"start of another key", []Response{answered(1)}, Starts{{"k", 0}: at, {"k", 1}: at, {"x", 0}: at}, []Finding{FindingStranger}},
+		{"start of another key", []Response{answered(1)}, Starts{{"k", 0}: at, {"k", 1}: at, {"x", 0}: at}, []Finding{FindingUnknownSubmission}},
 		{"lost", []Response{broken, {Outcome: TimedOut}}, none, []Finding{FindingLost}},
 		{"retried", []Response{broken, answered(1)}, both, nil},
 		{"broken interface", []Response{{Outcome: Invalid, Finding: FindingInvalid}}, none, []Finding{FindingInvalid}},
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -67,7 +67,7 @@
 
 // isFinal reports whether the response decides the submission. Otherwise the caller sends the same
 // key to another VM.
-func (r *Response) final() bool {
+func (r *Response) isFinal() bool {
 	undecided := r.Outcome == Unknown && r.Kind == api.KindUnavailable
 	return r.Outcome != Unreachable && r.Outcome != TimedOut && !undecided
 }
@@ -93,7 +93,7 @@
 	// newest is the VM whose token was received last.
 	newest int
 	// nonHomeKeys makes each key with the token of another VM than it is sent to, when one is known.
-	away bool
+	nonHomeKeys bool
 }
 
 func newClient(d Domain) *client {
@@ -108,10 +108,10 @@
 func (c *client) close() { c.http.CloseIdleConnections() }
 
 // fetchAnyEpoch requests an epoch token from one VM after another until one answers.
-func (c *client) learnEpoch(ctx context.Context) error {
+func (c *client) fetchAnyEpoch(ctx context.Context) error {
 	var errs []error
 	for vm, url := range c.domain.Entries {
-		err := c.askEpoch(ctx, vm, url)
+		err := c.fetchEpoch(ctx, vm, url)
 		if err == nil {
 			return nil
 		}
@@ -121,7 +121,7 @@
 }
 
 // fetchEpoch requests the epoch token of one VM and stores it.
-func (c *client) askEpoch(ctx context.Context, vm int, url string) error {
+func (c *client) fetchEpoch(ctx context.Context, vm int, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/v1/epoch", nil)
 	if err != nil {
 		return err
@@ -132,14 +132,14 @@
 	}
 	defer resp.Body.Close()
 	_, _ = io.Copy(io.Discard, resp.Body)
-	if resp.StatusCode != http.StatusOK || !c.keepEpoch(vm, resp) {
+	if resp.StatusCode != http.StatusOK || !c.storeEpoch(vm, resp) {
 		return fmt.Errorf("GET %s/v1/epoch: status %d, header %s %q", url, resp.StatusCode, api.HeaderEpoch, resp.Header.Get(api.HeaderEpoch))
 	}
 	return nil
 }
 
 // storeEpoch stores the epoch token of a response and reports whether it has one.
-func (c *client) keepEpoch(vm int, resp *http.Response) bool {
+func (c *client) storeEpoch(vm int, resp *http.Response) bool {
 	epoch := resp.Header.Get(api.HeaderEpoch)
 	if epoch == "" {
 		return false
@@ -156,7 +156,7 @@
 func (c *client) newKey(vm int, unique string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.away {
+	if c.nonHomeKeys {
 		vm = c.otherVM(vm)
 	}
 	epoch, ok := c.epochs[vm]
@@ -189,14 +189,14 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Response{VM: vm, Outcome: brokenOutcome(ctx), Unsent: isDialError(err), Detail: err.Error()}
+		return Response{VM: vm, Outcome: outcomeOfError(ctx), Unsent: isDialError(err), Detail: err.Error()}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return Response{VM: vm, Outcome: brokenOutcome(ctx), Detail: err.Error()}
+		return Response{VM: vm, Outcome: outcomeOfError(ctx), Detail: err.Error()}
 	}
-	c.keepEpoch(vm, resp)
+	c.storeEpoch(vm, resp)
 	out := readResponse(resp.StatusCode, data, nonces)
 	out.VM = vm
 	out.Runner = resp.Header.Get(api.HeaderRunner)
@@ -210,7 +210,7 @@
 }
 
 // outcomeOfError returns the outcome of a request whose response could not be read.
-func brokenOutcome(ctx context.Context) Outcome {
+func outcomeOfError(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
 		return TimedOut
 	}
--- a/lab/load/mix.go
+++ b/lab/load/mix.go
@@ -93,7 +93,7 @@
 }
 
 // pickClass draws a class in proportion to the weights.
-func (m *Mix) pick(rng *rand.Rand) *Class {
+func (m *Mix) pickClass(rng *rand.Rand) *Class {
 	var total float64
 	for _, c := range m.Classes {
 		total += c.Weight
@@ -109,22 +109,22 @@
 }
 
 // drawTaskCount draws the number of tasks of a job.
-func (c *Class) tasks(rng *rand.Rand) int {
+func (c *Class) drawTaskCount(rng *rand.Rand) int {
 	low, high := math.Log(float64(c.MinTasks)), math.Log(float64(c.MaxTasks+1))
 	n := int(math.Exp(low + rng.Float64()*(high-low)))
 	return min(max(n, c.MinTasks), c.MaxTasks)
 }
 
 // drawTask draws the run time of a task and the caller's estimate of it.
-func (c *Class) task(rng *rand.Rand) Task {
-	run := c.run(rng).Round(time.Millisecond)
+func (c *Class) drawTask(rng *rand.Rand) Task {
+	run := c.drawRunTime(rng).Round(time.Millisecond)
 	guess := lognormal(rng, float64(run), guessSigma)
 	expected := time.Duration(guess).Round(time.Millisecond)
 	return Task{Run: run, Expected: max(expected, time.Millisecond)}
 }
 
 // drawRunTime draws a run time: seconds for LongShare of the tasks, else around MedianRun.
-func (c *Class) run(rng *rand.Rand) time.Duration {
+func (c *Class) drawRunTime(rng *rand.Rand) time.Duration {
 	if rng.Float64() < c.LongShare {
 		return shortestLong + time.Duration(rng.Float64()*float64(longestLong-shortestLong))
 	}
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -59,7 +59,7 @@
 	MaxInFlight int
 	// NonHomeKeys sends each key to another VM than the one whose epoch token it has. Callers
 	// behind a balancer that picks any VM mostly do so.
-	Away bool
+	NonHomeKeys bool
 }
 
 // Submission is one key with the responses to its requests. The responses of one series of requests
@@ -109,9 +109,9 @@
 	r := &runner{cfg: cfg}
 	for _, d := range cfg.Domains {
 		c := newClient(d)
-		c.away = cfg.Away
+		c.nonHomeKeys = cfg.NonHomeKeys
 		defer c.close()
-		if err := c.learnEpoch(ctx); err != nil {
+		if err := c.fetchAnyEpoch(ctx); err != nil {
 			return nil, err
 		}
 		r.clients = append(r.clients, c)
@@ -159,7 +159,7 @@
 	vm := job.VM
 	for n := 0; n <= maxResubmissions; n++ {
 		result.Response = r.runKey(ctx, i, n, vm)
-		pause, again := r.comeBack(job, result.Response)
+		pause, again := r.resubmitPause(job, result.Response)
 		if !again || n == maxResubmissions || !Sleep(ctx, pause) {
 			break
 		}
@@ -171,7 +171,7 @@
 
 // resubmitPause reports whether the caller submits the job again under a new key, and after which
 // pause.
-func (r *runner) comeBack(job *Job, resp Response) (time.Duration, bool) {
+func (r *runner) resubmitPause(job *Job, resp Response) (time.Duration, bool) {
 	if resp.Outcome == NotRun && resp.Kind == api.KindKeyExpired {
 		// Nothing was started, and a new key has a current epoch token: no pause is needed.
 		return 0, r.now() < job.At+r.cfg.Deadline
@@ -200,13 +200,13 @@
 	if job.Duplicated && n == 0 {
 		var both sync.WaitGroup
 		req = r.newRequest(i, n, vm)
-		both.Go(func() { second = r.ask(ctx, req, r.nextVM(job, vm)) })
-		responses = r.ask(ctx, req, vm)
+		both.Go(func() { second = r.send(ctx, req, r.nextVM(job, vm)) })
+		responses = r.send(ctx, req, vm)
 		both.Wait()
 	} else {
 		var first Response
-		req, first = r.askFirst(ctx, i, n, vm)
-		responses = r.askOn(ctx, req, first)
+		req, first = r.sendFirst(ctx, i, n, vm)
+		responses = r.retry(ctx, req, first)
 	}
 	last := len(responses) - 1
 	responses = append(responses, second...)
@@ -219,14 +219,14 @@
 
 // sendFirst sends a new key to one VM and returns the request and its response. While no connection
 // can be made, no VM can know the key, so the caller replaces it by a key of the next VM.
-func (r *runner) askFirst(ctx context.Context, i, n, vm int) (request, Response) {
+func (r *runner) sendFirst(ctx context.Context, i, n, vm int) (request, Response) {
 	job := &r.result.Jobs[i]
 	req := r.newRequest(i, n, vm)
-	first := r.askOnce(ctx, req, vm)
+	first := r.sendOnce(ctx, req, vm)
 	for sends := 1; first.Unsent && sends < maxSends && Sleep(ctx, resendPause); sends++ {
 		vm = r.nextVM(job, vm)
 		req = r.newRequest(i, n, vm)
-		first = r.askOnce(ctx, req, vm)
+		first = r.sendOnce(ctx, req, vm)
 	}
 	return req, first
 }
@@ -284,27 +284,27 @@
 
 // send sends the request to one VM after another, under the same key, until a response is final or
 // the bounds of retries are reached. It returns at least one response.
-func (r *runner) ask(ctx context.Context, req request, vm int) []Response {
-	return r.askOn(ctx, req, r.askOnce(ctx, req, vm))
+func (r *runner) send(ctx context.Context, req request, vm int) []Response {
+	return r.retry(ctx, req, r.sendOnce(ctx, req, vm))
 }
 
 // retry continues send after the first response, and returns all responses.
-func (r *runner) askOn(ctx context.Context, req request, first Response) []Response {
+func (r *runner) retry(ctx context.Context, req request, first Response) []Response {
 	all := []Response{first}
 	retryUntil := first.Sent + r.cfg.Deadline + r.cfg.Margin
-	for len(all) < maxSends && r.goesOn(all, retryUntil) {
+	for len(all) < maxSends && r.shouldRetry(all, retryUntil) {
 		last := all[len(all)-1]
 		if !Sleep(ctx, max(last.RetryAfter, resendPause)) {
 			break
 		}
-		all = append(all, r.askOnce(ctx, req, r.nextVM(req.job, last.VM)))
+		all = append(all, r.sendOnce(ctx, req, r.nextVM(req.job, last.VM)))
 	}
 	return all
 }
 
 // shouldRetry reports whether the caller sends the key to another VM after these responses. Once a
 // request has timed out, maxTimeouts bounds the retries instead of retryUntil.
-func (r *runner) goesOn(all []Response, retryUntil time.Duration) bool {
+func (r *runner) shouldRetry(all []Response, retryUntil time.Duration) bool {
 	timeouts := 0
 	for i := range all {
 		if all[i].Outcome == TimedOut {
@@ -312,13 +312,13 @@
 		}
 	}
 	if timeouts > 0 {
-		return !all[len(all)-1].final() && timeouts < maxTimeouts
+		return !all[len(all)-1].isFinal() && timeouts < maxTimeouts
 	}
-	return !all[len(all)-1].final() && r.now() <= retryUntil
+	return !all[len(all)-1].isFinal() && r.now() <= retryUntil
 }
 
 // sendOnce sends the request to one VM and returns the response with its times.
-func (r *runner) askOnce(ctx context.Context, req request, vm int) Response {
+func (r *runner) sendOnce(ctx context.Context, req request, vm int) Response {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Deadline+r.cfg.Margin)
 	defer cancel()
 	sent := r.now()
--- a/lab/load/run_test.go
+++ b/lab/load/run_test.go
@@ -93,7 +93,7 @@
 	return Job{Profile: "p", Tasks: []Task{{Run: time.Millisecond}, {Run: time.Millisecond}}}
 }
 
-func TestRunAnswered(t *testing.T) {
+func TestRunReturnsAnswers(t *testing.T) {
 	vm := newFakeVM(t)
 	result := run(t, RetryNever, []Job{twoTasks()}, vm)
 	must.Eq(t, []string{"d.e1.r-0-0"}, vm.keys)
@@ -120,7 +120,7 @@
 	must.Eq(t, FindingLost, Check(result, nil, Faults{})[0].Finding)
 }
 
-func TestRunComesBackUnderANewKey(t *testing.T) {
+func TestRunResubmitsUnderANewKeyAfterRefusal(t *testing.T) {
 	vm := newFakeVM(t)
 	vm.refuse = 1
 	result := run(t, RetryHonour, []Job{twoTasks()}, vm)
@@ -134,7 +134,7 @@
 	must.Eq(t, api.KindOverloaded, result.JobResults[0].Kind)
 }
 
-func TestRunAsksAgainWhileNobodyCanDecide(t *testing.T) {
+func TestRunRetriesTheSameKeyWhileUndecided(t *testing.T) {
 	first, second := newFakeVM(t), newFakeVM(t)
 	first.refuse = 1
 	first.refusal = api.Failure{Kind: api.KindUnavailable, Run: api.OutcomeUnknown, RetryAfterMS: 1}
@@ -166,7 +166,7 @@
 	must.True(t, result.Submissions[0].Responses[0].Unsent)
 }
 
-func TestConcludeNotRun(t *testing.T) {
+func TestConcludeNotRunNeedsExpiryEverywhere(t *testing.T) {
 	expired := Response{Outcome: Unknown, Kind: api.KindKeyExpired}
 	unsent := Response{Outcome: Unreachable, Unsent: true}
 	tests := []struct {
@@ -210,7 +210,7 @@
 	must.Eq(t, "d.e1.u", c.newKey(2, "u"))
 
 	c.domain.Entries = []string{"0", "1", "2"}
-	c.away = true
+	c.nonHomeKeys = true
 	must.Eq(t, []string{"d.e1.u", "d.e0.u", "d.e0.u"}, []string{c.newKey(0, "u"), c.newKey(1, "u"), c.newKey(2, "u")})
 }
 
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -96,7 +96,7 @@
 		if len(jobs) == p.MaxJobs {
 			return nil, fmt.Errorf("the trace needs more than %d jobs: raise the bound, or lower the load, the slots or the length", p.MaxJobs)
 		}
-		job := p.draw(rng)
+		job := p.drawJob(rng)
 		work += job.Work()
 		jobs = append(jobs, job)
 	}
@@ -112,8 +112,8 @@
 }
 
 // drawJob draws one job: its class, arrival time, entry VM and tasks.
-func (p *TraceParams) draw(rng *rand.Rand) Job {
-	class := p.Mix.pick(rng)
+func (p *TraceParams) drawJob(rng *rand.Rand) Job {
+	class := p.Mix.pickClass(rng)
 	job := Job{
 		At:         time.Duration(rng.Float64() * float64(p.Length)),
 		Profile:    class.Profile,
@@ -121,10 +121,10 @@
 		VM:         p.pickVM(rng),
 		Idempotent: class.Idempotent,
 		Duplicated: rng.Float64() < p.Duplicates,
-		Tasks:      make([]Task, class.tasks(rng)),
+		Tasks:      make([]Task, class.drawTaskCount(rng)),
 	}
 	for i := range job.Tasks {
-		job.Tasks[i] = class.task(rng)
+		job.Tasks[i] = class.drawTask(rng)
 	}
 	return job
 }
@@ -162,7 +162,7 @@
 	for _, indexes := range byDomain(jobs, skip) {
 		queue := make([]ideal.Job, len(indexes))
 		for k, i := range indexes {
-			queue[k] = ideal.Job{At: jobs[i].At, Runs: runs(&jobs[i])}
+			queue[k] = ideal.Job{At: jobs[i].At, Runs: runTimes(&jobs[i])}
 		}
 		for k, d := range ideal.ResponseTimes(queue, slots) {
 			times[indexes[k]] = d
@@ -183,7 +183,7 @@
 }
 
 // runTimes returns the run times of the job's tasks.
-func runs(j *Job) []time.Duration {
+func runTimes(j *Job) []time.Duration {
 	out := make([]time.Duration, len(j.Tasks))
 	for i, t := range j.Tasks {
 		out[i] = t.Run
--- a/lab/load/trace_test.go
+++ b/lab/load/trace_test.go
@@ -66,7 +66,7 @@
 	must.Between(t, 0.3, float64(far)/float64(tasks), 0.5)
 }
 
-func TestTraceUneven(t *testing.T) {
+func TestTraceSendsUnevenShareToFirstVM(t *testing.T) {
 	p := params()
 	p.Uneven = true
 	jobs, err := Trace(p)
@@ -79,7 +79,7 @@
 	must.Positive(t, byVM[2])
 }
 
-func TestTraceRefusesWhatItCannotDraw(t *testing.T) {
+func TestTraceRejectsBadParameters(t *testing.T) {
 	p := params()
 	p.MaxJobs = 10
 	_, err := Trace(p)
--- a/lab/orders/orders.go
+++ b/lab/orders/orders.go
@@ -78,14 +78,14 @@
 
 // orderRow returns the row of one order, in the columns of orderHeadings.
 func orderRow(e experiment, order admission.Order) []string {
-	res := e.try(order)
+	res := e.measure(order)
 	name := []string{fmt.Sprintf("%.0f%%", 100*e.load), fmt.Sprintf("%s%v", order.Name(), order)}
 	mean := fmt.Sprintf("%.0f", 1000*res.mean)
 	if e.deadlines {
 		return append(name,
-			res.part(res.inTime),
-			res.part(res.refused),
-			res.part(res.expired),
+			res.percentage(res.inTime),
+			res.percentage(res.refused),
+			res.percentage(res.expired),
 			fmt.Sprintf("%.2f", quantile(res.slowdown, .5)),
 			fmt.Sprintf("%.1f", quantile(res.slowdown, .99)),
 			mean,
@@ -104,7 +104,7 @@
 }
 
 // percentage formats a number of submissions as a percentage of all.
-func (r *result) part(n int) string {
+func (r *result) percentage(n int) string {
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(r.submitted))
 }
 
--- a/lab/orders/orders_test.go
+++ b/lab/orders/orders_test.go
@@ -14,10 +14,10 @@
 
 // TestDefaultOrderServesSmallJobsSooner checks what the default order is for: at 80 % load the tail
 // stays near that of one FIFO queue, and small jobs wait less.
-func TestDefaultOrder(t *testing.T) {
+func TestDefaultOrderServesSmallJobsSooner(t *testing.T) {
 	e := experiment{load: 0.8, jobs: 4000, traces: 1}
-	plain := e.try(admission.FIFO{})
-	res := e.try(admission.DefaultOrder)
+	plain := e.measure(admission.FIFO{})
+	res := e.measure(admission.DefaultOrder)
 	must.Eq(t, res.submitted, len(res.ratio))
 	must.LessEq(t, 1.15, quantile(res.ratio, .99))
 	must.Less(t, 0.9*plain.mean, res.mean)
@@ -38,7 +38,7 @@
 }
 
 // TestCommandsWriteTables runs the commands. A job that is alone takes as long as its longest task.
-func TestTables(t *testing.T) {
+func TestCommandsWriteTables(t *testing.T) {
 	run := func(args ...string) (string, error) {
 		var out strings.Builder
 		command := Command()
--- a/lab/orders/result.go
+++ b/lab/orders/result.go
@@ -43,7 +43,7 @@
 }
 
 // measure simulates the traces under one order.
-func (e experiment) try(order admission.Order) result {
+func (e experiment) measure(order admission.Order) result {
 	var res result
 	p := profile.Profile{Name: "tiles", QueueTasks: unbounded, DeadlineMS: farDeadlineMS, MaxRunMS: 60_000}
 	for i := range uint64(e.traces) {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestReportCountsJobsAndStarts(t *testing.T) {
 	r := New(input())
 	must.True(t, r.Good())
 	must.Eq(t, 2, r.Sent)
@@ -52,7 +52,7 @@
 	must.Eq(t, 2, r.Profiles[0].Jobs)
 }
 
-func TestReportWastedMessages(t *testing.T) {
+func TestReportCountsWastedMessages(t *testing.T) {
 	// Two more starts than tasks, no more answers than submissions, four messages between peers.
 	must.Eq(t, 6.0, New(input()).Wasted)
 	in := input()
@@ -62,7 +62,7 @@
 	must.Zero(t, New(in).Wasted)
 }
 
-func TestReportIsNotGood(t *testing.T) {
+func TestReportWithViolationIsNotGood(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Input)
@@ -86,13 +86,13 @@
 	}
 }
 
-func TestReportWithoutStarts(t *testing.T) {
+func TestReportWithUnknownStartsIsGood(t *testing.T) {
 	in := input()
 	in.Starts, in.StartsUnknown = nil, true
 	must.True(t, New(in).Good())
 }
 
-func TestReportWindows(t *testing.T) {
+func TestReportWindowsCoverTheOutage(t *testing.T) {
 	in := input()
 	in.Result.Jobs[1].At = 1500 * ms
 	r := New(in)
@@ -113,7 +113,7 @@
 	must.SliceEmpty(t, New(in).Windows)
 }
 
-func TestReportText(t *testing.T) {
+func TestReportTextListsFailuresAndViolations(t *testing.T) {
 	in := input()
 	in.Starts = append(in.Starts, in.Starts[0])
 	var text strings.Builder
--- a/lab/slopes/fit.go
+++ b/lab/slopes/fit.go
@@ -79,7 +79,7 @@
 	fmt.Fprintf(w, "%s: %s, daemon %s, %g s a run\n", r.Experiment, r.Title, r.Daemon, r.Window)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "cost\tslope per %s\t+-\tintercept\tR2\tfirst\tlast\tspread\t\n", r.Variable)
-	for _, name := range r.spent() {
+	for _, name := range r.nonZeroNames() {
 		f := r.fitOf(name)
 		fmt.Fprintf(table, "%s\t%.4g\t%.2g\t%.4g\t%.3f\t%.4g\t%.4g\t%.2g\t\n",
 			name, f.Slope, f.Error, f.Intercept, f.R2, f.First, f.Last, f.Spread)
--- a/lab/slopes/loaded.go
+++ b/lab/slopes/loaded.go
@@ -55,7 +55,7 @@
 			variable: "jobs/s",
 			points:   []float64{30, 100, 300, 600},
 			measure: func(ctx context.Context, r *runner, x float64) (costs, error) {
-				return r.load(ctx, loadedBase(), work{perSecond: x, tasks: 1, run: taskRun, away: true})
+				return r.load(ctx, loadedBase(), work{perSecond: x, tasks: 1, run: taskRun, nonHomeKeys: true})
 			},
 		},
 		{
@@ -137,7 +137,7 @@
 	// profile names the profile of the jobs; empty is that of unlimited.
 	profile string
 	// nonHomeKeys sends each job to another VM than the home of its key.
-	away bool
+	nonHomeKeys bool
 }
 
 // jobs returns n jobs at equal intervals, for all VMs in turn.
@@ -171,7 +171,7 @@
 	both, bothCtx := errgroup.WithContext(ctx)
 	both.Go(func() error {
 		var err error
-		unanswered, err = b.send(bothCtx, jobs, w.away)
+		unanswered, err = b.send(bothCtx, jobs, w.nonHomeKeys)
 		return err
 	})
 	both.Go(func() error {
@@ -214,7 +214,7 @@
 		Margin:      margin,
 		Retry:       load.RetryNever,
 		MaxInFlight: maxInFlight,
-		Away:        nonHomeKeys,
+		NonHomeKeys: nonHomeKeys,
 	}, jobs)
 }
 
--- a/lab/slopes/plot.go
+++ b/lab/slopes/plot.go
@@ -23,7 +23,7 @@
 
 // draw writes an SVG file with a plot for each cost, of its runs and the fitted line.
 func (r *result) draw(path string) error {
-	names := r.spent()
+	names := r.nonZeroNames()
 	columns := min(tilesInRow, len(names))
 	rows := (len(names) + columns - 1) / columns
 	plots := make([][]*plot.Plot, rows)
--- a/lab/slopes/result.go
+++ b/lab/slopes/result.go
@@ -50,7 +50,7 @@
 }
 
 // nonZeroNames returns the names of the costs that are not 0 in at least one run, sorted.
-func (r *result) spent() []string {
+func (r *result) nonZeroNames() []string {
 	return slices.DeleteFunc(r.names(), func(name string) bool {
 		for _, p := range r.Points {
 			if slices.ContainsFunc(p.values(name), func(y float64) bool { return y != 0 }) {
--- a/lab/slopes/slopes_test.go
+++ b/lab/slopes/slopes_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-func TestFitFindsTheLineAndTheSpread(t *testing.T) {
+func TestFitReturnsLineAndSpread(t *testing.T) {
 	f := lineResult().fitOf("cost")
 	must.InDelta(t, 2, f.Slope, 1e-9)
 	must.InDelta(t, 3, f.Intercept, 1e-9)
@@ -37,7 +37,7 @@
 	must.InDelta(t, 0.0583, f.Error, 1e-4)
 }
 
-func TestResultIsReadAgainAndDrawn(t *testing.T) {
+func TestSavedResultIsReadAndDrawn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "dir", "line.json")
 	saved := lineResult()
 	must.NoError(t, saved.save(path))
@@ -54,19 +54,19 @@
 	must.FileExists(t, withSuffix(path, ".csv"))
 }
 
-func TestReadResultRefusesOtherFiles(t *testing.T) {
+func TestReadResultRejectsEmptyResult(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "empty.json")
 	must.NoError(t, (&result{}).save(path))
 	_, err := readResult(path)
 	must.ErrorContains(t, err, "no points")
 }
 
-func TestThinKeepsTheEnds(t *testing.T) {
+func TestThinKeepsFirstAndLastPoint(t *testing.T) {
 	must.Eq(t, []float64{1, 2, 4, 6}, thin([]float64{1, 2, 3, 4, 5, 6}, 4))
 	must.Eq(t, []float64{1, 2}, thin([]float64{1, 2}, 4))
 }
 
-func TestChooseNamesTheRemedy(t *testing.T) {
+func TestChooseReturnsNamedExperiments(t *testing.T) {
 	chosen, err := choose("jobs, idle-vms")
 	must.NoError(t, err)
 	must.SliceLen(t, 2, chosen)
@@ -98,11 +98,11 @@
 	second.settings.Listen.Peers = netip.MustParseAddrPort("127.0.0.1:2001")
 	c := newCounter([]daemon{d, second}, 3000)
 	owners := map[uint32]daemon{1: d, 2: d, 3: d, 4: d, 5: d, 6: second}
-	c.take([]socket{
+	c.record([]socket{
 		{inode: 1, cookie: 1, localPort: 1001, remotePort: 5000, payload: 100, segments: 10},
 		{inode: 9, cookie: 9, localPort: 9, remotePort: 3000, payload: 1},
 	}, owners)
-	c.take([]socket{
+	c.record([]socket{
 		{inode: 1, cookie: 1, localPort: 1001, remotePort: 5000, payload: 150, segments: 12},
 		{inode: 2, cookie: 2, localPort: 6000, remotePort: 2001, payload: 7, segments: 1},
 		{inode: 3, cookie: 3, localPort: 6001, remotePort: 3000, payload: 20, segments: 2},
--- a/lab/slopes/sockets.go
+++ b/lab/slopes/sockets.go
@@ -6,7 +6,7 @@
 )
 
 // sampleInterval is the time between two samples of the sockets.
-const lookInterval = time.Second
+const sampleInterval = time.Second
 
 // socket is one TCP socket of the machine with the kernel's counters for it.
 type socket struct {
@@ -81,15 +81,15 @@
 
 // watch samples the sockets for the given time.
 func (c *counter) watch(ctx context.Context, length time.Duration) error {
-	if err := c.look(); err != nil {
+	if err := c.sampleAll(); err != nil {
 		return err
 	}
 	end := time.Now().Add(length)
 	for left := length; left > 0; left = time.Until(end) {
-		if err := pause(ctx, min(lookInterval, left)); err != nil {
+		if err := pause(ctx, min(sampleInterval, left)); err != nil {
 			return err
 		}
-		if err := c.look(); err != nil {
+		if err := c.sampleAll(); err != nil {
 			return err
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 // sampleAll samples all sockets of the daemons.
-func (c *counter) look() error {
+func (c *counter) sampleAll() error {
 	sockets, err := listSockets()
 	if err != nil {
 		return err
@@ -112,13 +112,13 @@
 			owners[inode] = d
 		}
 	}
-	c.take(sockets, owners)
+	c.record(sockets, owners)
 	return nil
 }
 
 // record stores the counters of the sockets that a daemon owns. The first call sets the counts that
 // sums subtracts.
-func (c *counter) take(sockets []socket, owners map[uint32]daemon) {
+func (c *counter) record(sockets []socket, owners map[uint32]daemon) {
 	begin := c.first == nil
 	if begin {
 		c.first = map[uint64]traffic{}
--- a/lab/standin/platform/server_test.go
+++ b/lab/standin/platform/server_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestLostAnswerTakesEffect(t *testing.T) {
+func TestCommitWithLostAnswerTakesEffect(t *testing.T) {
 	s, c := serve(t, Options{})
 	s.SetFaults(Faults{LoseAnswers: true})
 	_, err := c.Commit(t.Context(), write("a", 0, "1"))
@@ -83,7 +83,7 @@
 	must.Eq(t, uint64(1), s.Stats().Version)
 }
 
-func TestDownRefuses(t *testing.T) {
+func TestDownRefusesCalls(t *testing.T) {
 	s, c := serve(t, Options{})
 	s.SetFaults(Faults{Down: true})
 	_, err := c.Commit(t.Context(), write("a", 0, "1"))
@@ -96,7 +96,7 @@
 	must.Eq(t, uint64(3), s.Stats().Refused)
 }
 
-func TestStaleReads(t *testing.T) {
+func TestReadsShowEarlierCommits(t *testing.T) {
 	s, c := serve(t, Options{})
 	for i := range uint64(3) {
 		_, err := c.Commit(t.Context(), write("a", i, "1"))
@@ -135,7 +135,7 @@
 }
 
 // serveRequest passes one request to the handler without a network.
-func get(s *Server, method, path, body string) *httptest.ResponseRecorder {
+func serveRequest(s *Server, method, path, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	s.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return recorder
@@ -144,11 +144,13 @@
 func TestVMListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{})
-		must.Eq(t, http.StatusOK, get(s, "POST", "/fault", `{"list_lag_ms":2000}`).Code)
-		must.Eq(t, http.StatusOK, get(s, "PUT", "/v1/vms/a", `{"domain":"d"}`).Code)
+		must.Eq(t, http.StatusOK, serveRequest(s, "POST", "/fault", `{"list_lag_ms":2000}`).Code)
+		must.Eq(t, http.StatusOK, serveRequest(s, "PUT", "/v1/vms/a", `{"domain":"d"}`).Code)
 		time.Sleep(time.Second)
-		must.Eq(t, http.StatusNoContent, get(s, "DELETE", "/v1/vms/a", "").Code)
-		listed := func() int { return strings.Count(get(s, "GET", "/v1/vms?domain=d", "").Body.String(), `"id":"a"`) }
+		must.Eq(t, http.StatusNoContent, serveRequest(s, "DELETE", "/v1/vms/a", "").Code)
+		listed := func() int {
+			return strings.Count(serveRequest(s, "GET", "/v1/vms?domain=d", "").Body.String(), `"id":"a"`)
+		}
 		must.Eq(t, 0, listed())
 		time.Sleep(time.Second)
 		must.Eq(t, 1, listed())
@@ -161,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{})
 		s.SetFaults(Faults{SlowMS: 3000})
-		go get(s, "POST", "/v1/commit", `{"writes":[{"table":"t","key":"a","value":1}]}`)
+		go serveRequest(s, "POST", "/v1/commit", `{"writes":[{"table":"t","key":"a","value":1}]}`)
 		time.Sleep(2999 * time.Millisecond)
 		must.Eq(t, uint64(0), s.Stats().Version)
 		time.Sleep(2 * time.Millisecond)
@@ -174,7 +176,7 @@
 		s := New(Options{ReadsPerSecond: 2})
 		codes := func() (codes []int) {
 			for range 3 {
-				codes = append(codes, get(s, "GET", "/v1/tables/t?since=0", "").Code)
+				codes = append(codes, serveRequest(s, "GET", "/v1/tables/t?since=0", "").Code)
 			}
 			return codes
 		}
@@ -191,12 +193,12 @@
 		s := New(Options{ReadsPerSecond: 2, WritesPerSecond: 4, DelayReads: true, CommitTime: 5 * time.Millisecond})
 		began := time.Now()
 		for range 4 {
-			must.Eq(t, http.StatusOK, get(s, "GET", "/v1/tables/t?since=0", "").Code)
+			must.Eq(t, http.StatusOK, serveRequest(s, "GET", "/v1/tables/t?since=0", "").Code)
 		}
 		must.Eq(t, time.Second, time.Since(began))
 		began = time.Now()
 		for range 4 {
-			must.Eq(t, http.StatusOK, get(s, "POST", "/v1/commit", `{}`).Code)
+			must.Eq(t, http.StatusOK, serveRequest(s, "POST", "/v1/commit", `{}`).Code)
 		}
 		must.Eq(t, 20*time.Millisecond, time.Since(began))
 		must.Eq(t, uint64(4), s.Stats().Reads["t"])
@@ -205,10 +207,10 @@
 
 func TestResetClearsFaults(t *testing.T) {
 	s := New(Options{})
-	get(s, "POST", "/fault", `{"down":true}`)
-	must.Eq(t, http.StatusServiceUnavailable, get(s, "GET", "/v1/vms", "").Code)
-	get(s, "POST", "/fault", `{"reset":true,"down":true}`)
-	must.Eq(t, http.StatusOK, get(s, "GET", "/v1/vms", "").Code)
-	must.Eq(t, http.StatusBadRequest, get(s, "GET", "/v1/vms?since=x", "").Code)
-	must.Eq(t, http.StatusBadRequest, get(s, "GET", "/v1/tables/t", "").Code)
+	serveRequest(s, "POST", "/fault", `{"down":true}`)
+	must.Eq(t, http.StatusServiceUnavailable, serveRequest(s, "GET", "/v1/vms", "").Code)
+	serveRequest(s, "POST", "/fault", `{"reset":true,"down":true}`)
+	must.Eq(t, http.StatusOK, serveRequest(s, "GET", "/v1/vms", "").Code)
+	must.Eq(t, http.StatusBadRequest, serveRequest(s, "GET", "/v1/vms?since=x", "").Code)
+	must.Eq(t, http.StatusBadRequest, serveRequest(s, "GET", "/v1/tables/t", "").Code)
 }
--- a/lab/standin/target/faults.go
+++ b/lab/standin/target/faults.go
@@ -32,21 +32,21 @@
 }
 
 // isLeaving reports whether the VM list shows the target as leaving.
-func (f Faults) leaves() bool { return f.Leaving || f.LeavingSilent }
+func (f Faults) isLeaving() bool { return f.Leaving || f.LeavingSilent }
 
 // SetFaults replaces all faults, and calls OnLeaving when the target begins or ceases to leave. A
 // one-time fault (pause, restart) takes effect at once.
 func (s *Server) SetFaults(faults Faults) {
 	changed := s.setFaults(faults)
 	if changed && s.options.OnLeaving != nil {
-		s.options.OnLeaving(faults.leaves())
+		s.options.OnLeaving(faults.isLeaving())
 	}
 }
 
 func (s *Server) setFaults(faults Faults) (leavingChanged bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leavingChanged = s.faults.leaves() != faults.leaves()
+	leavingChanged = s.faults.isLeaving() != faults.isLeaving()
 	if leavingChanged {
 		s.leavingSince = time.Now()
 	}
@@ -117,9 +117,9 @@
 func (s *Server) pausable(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		process := s.processNumber()
-		s.wait(1)
+		s.addWaiting(1)
 		s.waitThawed()
-		s.wait(-1)
+		s.addWaiting(-1)
 		if s.processNumber() != process {
 			panic(http.ErrAbortHandler)
 		}
@@ -128,7 +128,7 @@
 }
 
 // addWaiting adds n to the count of requests that wait for the end of a freeze.
-func (s *Server) wait(n int) {
+func (s *Server) addWaiting(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Waiting += n
--- a/lab/standin/target/faults_test.go
+++ b/lab/standin/target/faults_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPausedTargetWakesToLapsedLeases(t *testing.T) {
+func TestLeasesLapseWhileTargetIsPaused(t *testing.T) {
 	bubble(t, Options{TTL: time.Second}, func(t *testing.T, s *Server, lease string) {
 		running := goStart(t, s, lease, 0, Payload{RunMS: 10})
 		s.SetFaults(Faults{PauseMS: 3000})
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestFaultsOfTasks(t *testing.T) {
+func TestFaultsChangeOutcomesOfTasks(t *testing.T) {
 	bubble(t, Options{}, func(t *testing.T, s *Server, lease string) {
 		s.SetFaults(Faults{FailAll: true})
 		got := startTask(t, s, lease, 0, Payload{RunMS: 100}, 0)
--- a/lab/standin/target/group_test.go
+++ b/lab/standin/target/group_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestClientWorksWithStandIn runs the real target client against the stand-in.
-func TestClientAgainstTarget(t *testing.T) {
+func TestClientWorksWithStandIn(t *testing.T) {
 	group, _ := runGroup(t, GroupOptions{Count: 1, Slots: 4, RackSize: 1, IDPrefix: "x"})
 	address := group.Targets[0].Address
 	c := client.New(client.Options{})
--- a/lab/standin/target/server_test.go
+++ b/lab/standin/target/server_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestLeavingTargetRefusesAndCounts(t *testing.T) {
+func TestLeavingTargetRefusesAndLogsStarts(t *testing.T) {
 	var calls []bool
 	options := Options{OnLeaving: func(leaving bool) { calls = append(calls, leaving) }}
 	bubble(t, options, func(t *testing.T, s *Server, lease string) {
@@ -152,7 +152,7 @@
 	})
 }
 
-func TestDuplicatesAreListed(t *testing.T) {
+func TestSummaryListsDuplicateStarts(t *testing.T) {
 	bubble(t, Options{ID: "t1"}, func(t *testing.T, s *Server, lease string) {
 		startTask(t, s, lease, 0, Payload{}, 0)
 		startTask(t, s, lease, 1, Payload{}, 0)
--- a/lab/standin/target/startlog.go
+++ b/lab/standin/target/startlog.go
@@ -107,7 +107,7 @@
 }
 
 // addStart records an accepted start of a task with this label.
-func (l *StartLog) began(label string, s start) {
+func (l *StartLog) addStart(label string, s start) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total++
@@ -130,7 +130,7 @@
 }
 
 // addRefused records a refused start if the target was leaving.
-func (l *StartLog) refused(age time.Duration) {
+func (l *StartLog) addRefused(age time.Duration) {
 	if age == notLeaving {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 // addEnd records that a task with this label no longer runs.
-func (l *StartLog) ended(label string) {
+func (l *StartLog) addEnd(label string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runningAll--
--- a/lab/standin/target/tasks.go
+++ b/lab/standin/target/tasks.go
@@ -76,7 +76,7 @@
 		go s.await(begun)
 		panic(http.ErrAbortHandler)
 	case faults.BlackHole:
-		s.swallow(begun, r)
+		s.runWithoutAnswer(begun, r)
 	default:
 		s.answer(w, begun)
 	}
@@ -101,7 +101,7 @@
 
 // runWithoutAnswer waits for the end of the task, and holds the connection until the caller
 // disconnects or the target restarts.
-func (s *Server) swallow(begun *run, r *http.Request) {
+func (s *Server) runWithoutAnswer(begun *run, r *http.Request) {
 	s.mu.Lock()
 	ended := s.ended
 	s.mu.Unlock()
@@ -130,7 +130,7 @@
 	s.running[begun] = struct{}{}
 	s.stats.Starts++
 	s.stats.MaxRunning = max(s.stats.MaxRunning, len(s.running))
-	s.options.Log.began(begun.label, start{
+	s.options.Log.addStart(begun.label, start{
 		id:     begun.id,
 		target: s.options.ID,
 		holder: held.holder,
@@ -161,7 +161,7 @@
 // refuse counts a refused start and returns the body of its answer; it needs mu.
 func (s *Server) refuse(request client.StartRequest, reason string, now time.Time) *startBody {
 	s.stats.Refused[reason]++
-	s.options.Log.refused(s.leavingAge(now))
+	s.options.Log.addRefused(s.leavingAge(now))
 	return &startBody{
 		Submission: request.Submission,
 		Task:       request.Task,
@@ -173,7 +173,7 @@
 
 // leavingAge returns how long the target has been leaving, or notLeaving; it needs mu.
 func (s *Server) leavingAge(now time.Time) time.Duration {
-	if !s.faults.leaves() {
+	if !s.faults.isLeaving() {
 		return notLeaving
 	}
 	return now.Sub(s.leavingSince)
@@ -240,14 +240,14 @@
 		return ending{}, s.load()
 	}
 	delete(s.running, r)
-	s.options.Log.ended(r.label)
+	s.options.Log.addEnd(r.label)
 	return end, s.load()
 }
 
 // end removes a task when its process restarts; it needs mu.
 func (s *Server) end(r *run) {
 	delete(s.running, r)
-	s.options.Log.ended(r.label)
+	s.options.Log.addEnd(r.label)
 	r.sendStop(ending{})
 }
 
